--- a/crates/fleet/tests/common/mod.rs
+++ b/crates/fleet/tests/common/mod.rs
@@ -1,4 +1,5 @@
 //! A fleet on a virtual clock: every balancer's part, and a network between them that a seed spoils.
+#![allow(dead_code, reason = "each test program uses a part of it")]
 
 use agreement::{Change as Written, Kept, MemoryStore, Store};
 use audit::lease::Standing;
@@ -16,6 +17,9 @@
 const BEGIN: Micros = 1_000 * SECOND;
 const UNIX: u64 = 1_764_600_000 * SECOND;
 
+/// Datagrams recorded at most.
+const RECORDED: usize = 4_000;
+
 enum Event {
     Datagram { from: usize, to: usize, bytes: Vec<u8> },
     Timer(usize, u32, membership::Timer),
@@ -67,6 +71,8 @@
     pub stopped: BTreeSet<usize>,
     pub sent: u64,
     pub bytes: u64,
+    /// The first datagrams sent.
+    pub recorded: Vec<Vec<u8>>,
     /// What each core holds of the calendar.
     pub calendars: Vec<Calendar>,
     /// When each revision of the calendar was first applied anywhere, and as what.
@@ -123,6 +129,7 @@
             stopped: BTreeSet::new(),
             sent: 0,
             bytes: 0,
+            recorded: Vec::new(),
             calendars: vec![Calendar::new(0); count],
             decided: BTreeMap::new(),
             applied: Vec::new(),
@@ -163,6 +170,11 @@
         self.carry_out(n);
     }
 
+    /// What a balancer's disk holds.
+    pub fn disk(&self, n: usize) -> Disk {
+        self.disks[n].clone()
+    }
+
     pub fn kill(&mut self, n: usize) {
         self.parts[n] = None;
         self.lives[n] += 1;
@@ -188,6 +200,9 @@
                 Output::Send(to, bytes) => {
                     self.sent += 1;
                     self.bytes += bytes.len() as u64;
+                    if self.recorded.len() < RECORDED {
+                        self.recorded.push(bytes.clone());
+                    }
                     let to = number(to);
                     if self.random.f64() >= self.loss && !self.cut.contains(&(n, to)) {
                         let after = self.random.u64(200..3_000);
--- a/crates/gateway/src/engine/fleet_tests.rs
+++ b/crates/gateway/src/engine/fleet_tests.rs
@@ -240,3 +240,47 @@
     };
     LocalSet::new().run_until(run).await;
 }
+
+/// Balancers of other versions show the digest of the same changes, so that staff can lay them side by side.
+#[tokio::test(start_paused = true)]
+async fn the_digest_of_topology_changes_keeps_its_value() {
+    let run = async {
+        let mut world = joined();
+        world.lease();
+        let mut moved = list(4, &[("b", Phase::Ready)]);
+        moved.members[0].locality = "elsewhere".into();
+        let mut lighter = list(5, &[("b", Phase::Ready)]);
+        lighter.members[0].size = 0.5;
+        let mut heavier = list(6, &[("b", Phase::Ready)]);
+        heavier.members[0].size = 4.0;
+        let lists = [
+            list(2, &[("a", Phase::Ready), ("b", Phase::Ready), ("c", Phase::Ready)]),
+            list(3, &[("a", Phase::Draining), ("b", Phase::Ready)]),
+            moved,
+            lighter,
+            heavier,
+        ];
+        lists.iter().for_each(|it| world.engine.told(it, false));
+        for kind in [Kind::Discovery, Kind::Configuration] {
+            assert!(world.engine.may_change(kind).is_ok());
+        }
+        world.engine.agreed(Agreed::Calendar(frozen()));
+        world.engine.told(&list(7, &[("b", Phase::Ready), ("d", Phase::Ready)]), false);
+        assert!(world.engine.may_change(Kind::Restart).is_err());
+        advance(Duration::from_secs(1)).await;
+        world.engine.look_at_fleet(false);
+        let (mut text, mut last) = (String::new(), None);
+        while let Ok(acted) = world.acted.try_recv() {
+            match acted {
+                Acted::Record(it) => text += &format!("{} {} {}\n", it.host, it.list, it.revision),
+                Acted::Report(report) => last = Some(report),
+                Acted::Entry(_) => {}
+            }
+        }
+        for piece in last.unwrap().pieces {
+            text += &format!("digest {:016x}, counts {:?}\n", piece.digest, piece.counts);
+        }
+        expect_test::expect_file!["../../tests/golden/topology-digest.txt"].assert_eq(&text);
+    };
+    LocalSet::new().run_until(run).await;
+}
--- /dev/null
+++ b/crates/keep/tests/golden.rs
@@ -0,0 +1,85 @@
+//! The file on disk in the form that the next version finds: tables, keys and values.
+
+use agreement::{Change, Store};
+use bytes::Bytes;
+use expect_test::expect_file;
+use keep::Keep;
+use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition, TableHandle};
+use std::fmt::Write;
+use std::path::Path;
+
+fn bytes(value: u8) -> Bytes {
+    Bytes::from(vec![value; usize::from(value)])
+}
+
+fn write(file: &Path) {
+    let mut keep = Keep::open(file).unwrap();
+    keep.write(&[
+        Change::Head(bytes(1)),
+        Change::Accepted { from: 0, entries: vec![bytes(2), bytes(3), bytes(4)] },
+        Change::Items { from: 1, items: vec![bytes(5), bytes(6), bytes(7)] },
+    ])
+    .unwrap();
+    keep.write(&[
+        Change::Snapshot(bytes(8)),
+        Change::Trim(1),
+        Change::Accepted { from: 2, entries: vec![bytes(9)] },
+    ])
+    .unwrap();
+    keep.append_spans(&[bytes(10), bytes(11)]).unwrap();
+}
+
+/// Every table, key and value of the file, as redb itself finds them.
+fn dump(file: &Path) -> String {
+    let database = Database::open(file).unwrap();
+    let transaction = database.begin_read().unwrap();
+    let mut names: Vec<String> = transaction.list_tables().unwrap().map(|it| it.name().to_owned()).collect();
+    names.sort();
+    let mut text = String::new();
+    for name in names {
+        writeln!(text, "table {name}").unwrap();
+        let by_text: TableDefinition<&str, &[u8]> = TableDefinition::new(&name);
+        let by_number: TableDefinition<u64, &[u8]> = TableDefinition::new(&name);
+        let single: TableDefinition<(), u64> = TableDefinition::new(&name);
+        if let Ok(table) = transaction.open_table(by_text) {
+            for (key, value) in table.iter().unwrap().map(Result::unwrap) {
+                writeln!(text, "  {:?} {:02x?}", key.value(), value.value()).unwrap();
+            }
+        } else if let Ok(table) = transaction.open_table(by_number) {
+            for (key, value) in table.iter().unwrap().map(Result::unwrap) {
+                writeln!(text, "  {} {:02x?}", key.value(), value.value()).unwrap();
+            }
+        } else {
+            let table = transaction.open_table(single).unwrap();
+            writeln!(text, "  () {}", table.get(()).unwrap().unwrap().value()).unwrap();
+        }
+    }
+    text
+}
+
+#[test]
+fn a_file_has_the_tables_keys_and_values_of_the_first_version() {
+    let folder = tempfile::tempdir().unwrap();
+    let file = folder.path().join("new.redb");
+    write(&file);
+    expect_file!["golden/tables.txt"].assert_eq(&dump(&file));
+}
+
+#[test]
+fn a_file_of_the_first_version_is_read_and_written_on() {
+    let golden = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden/first-version.redb");
+    let folder = tempfile::tempdir().unwrap();
+    let file = folder.path().join("old.redb");
+    std::fs::copy(golden, &file).unwrap();
+    assert_eq!(dump(&file), include_str!("golden/tables.txt"));
+    let mut keep = Keep::open(&file).unwrap();
+    let kept = keep.load().unwrap();
+    assert_eq!(kept.head, Some(bytes(1)));
+    assert_eq!(kept.accepted, [bytes(2), bytes(3), bytes(9)]);
+    assert_eq!((kept.first, kept.items), (2, vec![bytes(6), bytes(7)]));
+    assert_eq!(kept.snapshot, Some(bytes(8)));
+    let spans: Vec<_> = keep.spans(0, 9).unwrap().into_iter().map(|(_, value)| value).collect();
+    assert_eq!(spans, [bytes(10), bytes(11)]);
+    keep.write(&[Change::Items { from: 4, items: vec![bytes(12)] }]).unwrap();
+    assert_eq!(keep.load().unwrap().items, [bytes(6), bytes(7), bytes(12)]);
+}
--- /dev/null
+++ b/crates/membership/tests/golden.rs
@@ -0,0 +1,40 @@
+//! Datagrams in the form that members of other versions know.
+
+mod common;
+
+use common::{Fleet, LIFE, S};
+use expect_test::expect_file;
+use std::fmt::Write;
+
+/// Datagrams that are compared of each part of the run.
+const COMPARED: usize = 60;
+
+fn recorded(fleet: &mut Fleet, span: u64) -> String {
+    fleet.kept = Some(Vec::new());
+    fleet.run(span);
+    let mut text = String::new();
+    for (to, datagram) in fleet.kept.take().unwrap().iter().take(COMPARED) {
+        let bytes: String = datagram.iter().map(|byte| format!("{byte:02x}")).collect();
+        writeln!(text, "{to} {bytes}").unwrap();
+    }
+    text
+}
+
+#[test]
+fn datagrams_keep_their_form() {
+    let mut fleet = Fleet::new(5, 43);
+    fleet.start(0, LIFE);
+    fleet.kept = Some(Vec::new());
+    (1..5).for_each(|number| fleet.start(number, LIFE + number as u64));
+    let mut text = recorded(&mut fleet, 3 * S);
+    fleet.crash(3);
+    text += "\nafter a crash\n";
+    text += &recorded(&mut fleet, 10 * S);
+    fleet.leave(4);
+    text += "\nafter one left\n";
+    text += &recorded(&mut fleet, 3 * S);
+    fleet.start(3, LIFE + 100);
+    text += "\nafter a start\n";
+    text += &recorded(&mut fleet, 3 * S);
+    expect_file!["golden/datagrams.txt"].assert_eq(&text);
+}
--- a/crates/wirehost/tests/wire.rs
+++ b/crates/wirehost/tests/wire.rs
@@ -268,3 +268,22 @@
         assert!(text.contains(said) && !text.contains("panic"), "{text}");
     }
 }
+
+/// A list, requests that end in each way, timers and a restart, as the simulator sends them.
+#[test]
+fn replies_keep_their_bytes() {
+    let outcomes = (1..10).map(|code| {
+        let request = record(&format!(
+            "01 0003 000d6a085d3a92{code:02x} 00000000 00002ee0 0003a980 00 00000000 01 91f03b7c55d20a{code:02x}"
+        ));
+        let outcome = record(&format!("06 0003 000d6a085d3a92{code:02x} 0000 0a124a07 2bc3 {code:04x} 00004844 01 00"));
+        frame(&[request, outcome], &[])
+    });
+    let timers = frame(&[record("04 0003 0000000000000000"), record("04 0003 0000000000000001")], &[]);
+    let input = [start(3), outcomes.collect::<Vec<_>>().concat(), timers, start(4)].concat();
+    let output = drill(&input);
+    let text: Vec<String> =
+        output.stdout.chunks(24).map(|row| row.iter().map(|byte| format!("{byte:02x}")).collect()).collect();
+    let said = String::from_utf8_lossy(&output.stderr);
+    expect_test::expect_file!["golden/replies.txt"].assert_eq(&format!("{}\n{said}", text.join("\n")));
+}
