--- a/crates/fleet/examples/measure_fleet/main.rs
+++ b/crates/fleet/examples/measure_fleet/main.rs
@@ -3,7 +3,6 @@
 //! `measure [BALANCERS SEEDS MINUTES FIRST]` plays mixed faults alone; without arguments, all that the table has. A violation prints its seed.
 
 #[path = "../../tests/common/mod.rs"]
-#[allow(dead_code)]
 mod common;
 mod faults;
 mod referee;
--- a/crates/maintenance/tests/golden.rs
+++ b/crates/maintenance/tests/golden.rs
@@ -13,7 +13,7 @@
     };
     let members = [member("origin", 0), member("s-a", 5), member("s-b", 6), member("s-c", 7)];
     let text = json!({"revision": 1, "complete": true, "members": members}).to_string();
-    maintenance.hear(&list(text.as_bytes()).unwrap());
+    let _ = maintenance.hear(&list(text.as_bytes()).unwrap());
     let orders = [
         (1_764_600_000_100, Order::Disable("s-a".into())),
         (1_764_600_000_200, Order::Disable("s-b".into())),
@@ -21,7 +21,7 @@
         (1_764_600_000_400, Order::Drain),
     ];
     for (now, order) in orders {
-        maintenance.carry_out(now, &order).unwrap();
+        let _ = maintenance.carry_out(now, &order).unwrap();
     }
     maintenance
 }
