--- a/crates/hearsay/tests/golden.rs
+++ b/crates/gossip/tests/golden.rs
@@ -2,7 +2,7 @@
 
 use decide::api::ServerId;
 use expect_test::expect_file;
-use hearsay::wire::{Report, Short, Stamp, Word};
+use gossip::wire::{Report, Short, Stamp, Word};
 
 fn report() -> Report {
     let word = |held, answered, failed| Word { held, answered, failed };
--- a/crates/hearsay/tests/hearsay.rs
+++ b/crates/gossip/tests/hearsay.rs
@@ -1,8 +1,8 @@
 //! What is believed of what is heard.
 
 use decide::api::{Load, ServerId};
-use hearsay::wire::{MAX_BYTES, MAX_ENTRIES, Report, Short, Stamp, Word};
-use hearsay::{FRESH_US, Hearsay, LEAST, MOST, Micros, PAUSE_US};
+use gossip::wire::{MAX_BYTES, MAX_ENTRIES, Report, Short, Stamp, Word};
+use gossip::{FRESH_US, Hearsay, LEAST, MOST, Micros, PAUSE_US};
 use proptest::prelude::*;
 
 const SERVERS: u64 = 6;
@@ -176,7 +176,7 @@
         for (n, (from, bytes)) in datagrams.iter().enumerate() {
             let mut bytes = bytes.clone();
             if let (Some(first), 0) = (bytes.first_mut(), n % 2) {
-                *first = hearsay::wire::VERSION; // else hardly one is read
+                *first = gossip::wire::VERSION; // else hardly one is read
             }
             it.hear(n as Micros * 100_000, *from, &bytes);
             let turn = it.turn(n as Micros * 100_000 + 1, &loads(0.5));
--- a/crates/siblings/src/lib.rs
+++ b/crates/siblings/src/lib.rs
@@ -1,14 +1,14 @@
 //! The other balancers of the tier: the socket on which they are told of servers, and heard.
 //!
-//! [`Talk`] holds the socket and drives `hearsay`, which says what to tell and what to believe. It leaves to its owner, the
+//! [`Talk`] holds the socket and drives `gossip`, which says what to tell and what to believe. It leaves to its owner, the
 //! core, the time, the waiting between two turns, and what the decision module makes of what was heard.
 #![forbid(unsafe_code)]
 #![warn(unreachable_pub)]
 
 use anyhow::{Context, Result};
 use decide::api::{Event, Load, Micros};
-use hearsay::wire::MAX_BYTES;
-use hearsay::{Counts, Hearsay};
+use gossip::wire::MAX_BYTES;
+use gossip::{Counts, Hearsay};
 use rustc_hash::FxHashMap;
 use seldom::Seldom;
 use std::net::SocketAddr;
--- a/crates/spindlebeam/benches/turns.rs
+++ b/crates/spindlebeam/benches/turns.rs
@@ -6,7 +6,7 @@
     Class, ClassId, Effect, Event, Key, ListKind, Mode, Request, RequestId, Settings, TenantId,
 };
 use decide::policy::Router;
-use hearsay::Hearsay;
+use gossip::Hearsay;
 use maintenance::{Maintenance, Orders};
 use proto::discovery::{Line, LineReader, List};
 use std::hint::black_box;
--- a/crates/spindlebeam/src/config.rs
+++ b/crates/spindlebeam/src/config.rs
@@ -137,7 +137,7 @@
     let each: Vec<_> =
         numbered.map(|(n, text)| address(&format!("peers[{n}]"), text)).collect::<Result<_>>()?;
     check::peers(peers.len(), &file.0["settings"])?;
-    let (Some(listen), true) = (listen, each.len() >= hearsay::ENOUGH) else { return Ok(None) };
+    let (Some(listen), true) = (listen, each.len() >= gossip::ENOUGH) else { return Ok(None) };
     ensure!(me < each.len(), "settings.me: {me} is none of the {} balancers in peers", each.len());
     Ok(Some(Siblings { listen, each, all, me }))
 }
--- a/crates/wirehost/src/main.rs
+++ b/crates/wirehost/src/main.rs
@@ -2,7 +2,7 @@
 
 use decide::api::{Action, Event, Token};
 use decide::policy::Router;
-use hearsay::Hearsay;
+use gossip::Hearsay;
 use std::collections::BTreeMap;
 use std::io::{self, BufReader, BufWriter, Write};
 use std::process::ExitCode;
@@ -45,7 +45,7 @@
         for (instance, event) in batch.events {
             match event {
                 WireEvent::Start { seed, settings } => {
-                    let speaks = settings.peers && settings.siblings as usize >= hearsay::ENOUGH;
+                    let speaks = settings.peers && settings.siblings as usize >= gossip::ENOUGH;
                     let hearsay = Hearsay::new(settings.me as usize, settings.siblings as usize, batch.clock);
                     let router = Router::new(*settings, seed, batch.clock);
                     let mut it = Hosted { router, hearsay, rng: fastrand::Rng::with_seed(!seed) };
