--- a/crates/gateway/src/setup.rs
+++ b/crates/gateway/src/setup.rs
@@ -1,8 +1,8 @@
 //! What the program is set up with: addresses, names, limits, the settings of the decision module.
 
 use decide::api::Settings;
+use gossip_transport::Siblings;
 use proto::discovery::List;
-use siblings::Siblings;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 pub use upstream::setup::{Bounds, Names};
--- a/crates/spindlebeam/src/serve.rs
+++ b/crates/spindlebeam/src/serve.rs
@@ -12,7 +12,7 @@
 use futures_util::FutureExt;
 use gateway::engine::{Engine, Handle, unix_us};
 use gateway::setup::Config;
-use siblings::{Siblings, Talk};
+use gossip_transport::{Siblings, Talk};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
