--- a/crates/gateway/src/heartbeat.rs
+++ b/crates/gateway/src/heartbeat.rs
@@ -6,7 +6,7 @@
 //!
 //! What is read now may have come so long ago ([`Heartbeat::overdue`]): the time that a request gives counts from when it came.
 
-use seldom::Seldom;
+use log_throttle::Seldom;
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
