--- a/crates/keep/tests/golden.rs
+++ b/crates/storage/tests/golden.rs
@@ -3,10 +3,10 @@
 use agreement::{Change, Store};
 use bytes::Bytes;
 use expect_test::expect_file;
-use keep::Keep;
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition, TableHandle};
 use std::fmt::Write;
 use std::path::Path;
+use storage::Keep;
 
 fn bytes(value: u8) -> Bytes {
     Bytes::from(vec![value; usize::from(value)])
--- a/crates/keep/tests/keep.rs
+++ b/crates/storage/tests/keep.rs
@@ -1,7 +1,6 @@
 //! What the file promises: nothing forgotten, and an error with its name when it cannot be kept.
 use agreement::{Change, MemoryStore, Store};
 use bytes::Bytes;
-use keep::{Error, Keep};
 use redb::{StorageBackend, backends::FileBackend};
 use std::{
     fs::OpenOptions,
@@ -12,6 +11,7 @@
         atomic::{AtomicBool, Ordering},
     },
 };
+use storage::{Error, Keep};
 
 fn changes() -> Vec<Vec<Change>> {
     let bytes = |n: u64| Bytes::from(vec![n as u8; 100 + n as usize]);
