--- a/crates/spindlebeam/src/serve.rs
+++ b/crates/spindlebeam/src/serve.rs
@@ -99,7 +99,7 @@
     let inherited = config.inherited.is_some();
     let listener = match config.inherited {
         Some(number) => {
-            let socket = inherit::listener(number).context("PROXY_FD")?;
+            let socket = socket_activation::listener(number).context("PROXY_FD")?;
             socket.set_nonblocking(true)?;
             TcpListener::from_std(socket)?
         }
