--- a/crates/wirehost/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -3,10 +3,10 @@
 use decide::api::{Action, Event, Token};
 use decide::policy::Router;
 use gossip::Hearsay;
+use simulator_adapter::{Instance, Reply, WireError, WireEvent, decode, read_frame};
 use std::collections::BTreeMap;
 use std::io::{self, BufReader, BufWriter, Write};
 use std::process::ExitCode;
-use wirehost::{Instance, Reply, WireError, WireEvent, decode, read_frame};
 
 /// The timer of an instance's next word to the others; those of the module bear other names.
 const SPEAK: Token = Token(u64::MAX - 1);
@@ -28,7 +28,7 @@
     match run() {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            eprintln!("spindlebeam-wirehost: {error}");
+            eprintln!("spindlebeam-simulator-adapter: {error}");
             ExitCode::FAILURE
         }
     }
--- a/crates/wirehost/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -1,9 +1,9 @@
 //! The thistle-28dc codec, the settings text, and the adapter as a process.
 
 use decide::api::*;
+use simulator_adapter::*;
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
-use wirehost::*;
 
 fn hex(text: &str) -> Vec<u8> {
     let digits: String = text.split_whitespace().collect();
@@ -204,7 +204,7 @@
 
 /// Runs the adapter on this input.
 fn drill(input: &[u8]) -> Output {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_spindlebeam-wirehost"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_spindlebeam-simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
