--- a/crates/front/src/lib.rs
+++ b/crates/front/src/lib.rs
@@ -17,7 +17,7 @@
 use admission::{ConnectionId, Micros, Patience, Places};
 use gateway::engine::Handle;
 use gateway::setup::Names;
-use log_throttle::Seldom;
+use log_throttle::LogThrottle;
 use rustc_hash::FxHashMap;
 use shutdown::Shutdown;
 use std::cell::{Cell, RefCell};
@@ -41,9 +41,9 @@
     places: RefCell<Places>,
     /// The way to ask each connection to close.
     close_signals: RefCell<FxHashMap<ConnectionId, Rc<Notify>>>,
-    malformed: Seldom,
-    full: Seldom,
-    failed: Seldom,
+    malformed: LogThrottle,
+    full: LogThrottle,
+    failed: LogThrottle,
     freed: Notify,
     /// Connections without a slot.
     slotless: Cell<usize>,
@@ -74,9 +74,9 @@
             next: RefCell::default(),
             places: RefCell::new(Places::new(most)),
             close_signals: RefCell::default(),
-            malformed: Seldom::default(),
-            full: Seldom::default(),
-            failed: Seldom::default(),
+            malformed: LogThrottle::default(),
+            full: LogThrottle::default(),
+            failed: LogThrottle::default(),
             freed: Notify::new(),
             slotless: Cell::default(),
             shutdown: Cell::default(),
--- a/crates/front/src/operator.rs
+++ b/crates/front/src/operator.rs
@@ -10,7 +10,7 @@
 use hyper::body::{Bytes, Incoming};
 use hyper::header::{ALLOW, CONTENT_TYPE};
 use hyper::{Method, Request, Response, StatusCode};
-use log_throttle::Seldom;
+use log_throttle::LogThrottle;
 use maintenance::Order;
 use serde::Deserialize;
 use serde_json::json;
@@ -52,8 +52,8 @@
     front: Rc<Front>,
     callers: RefCell<VecDeque<Caller>>,
     left: Notify,
-    failed: Seldom,
-    kept_waiting: Seldom,
+    failed: LogThrottle,
+    kept_waiting: LogThrottle,
 }
 
 /// Answers callers for ever.
--- a/crates/gateway/src/engine.rs
+++ b/crates/gateway/src/engine.rs
@@ -19,7 +19,7 @@
 use context::RequestContext;
 use decide::api::{Effect, Event, Micros, RequestId, Token};
 use decide::policy::Router;
-use gossip_transport::Talk;
+use gossip_transport::GossipTransport;
 pub use handle::{Handle, Incoming, Ticket, Unheeded};
 use maintenance::{Keeping, Maintenance, Order, Orders, Verdict, WriteError};
 use orders::{FIRST_ORDERS, ORDERS, ORDERS_SEEN};
@@ -70,7 +70,7 @@
     Looked(io::Result<Option<Orders>>),
     /// How a write of it ended.
     Wrote(Result<(), WriteError>),
-    Talk(Talk),
+    GossipTransport(GossipTransport),
     /// Whether a planned change may be made.
     MayChange(interface::Kind, oneshot::Sender<Result<(), String>>),
 }
@@ -133,7 +133,7 @@
     bounds: Bounds,
     events: VecDeque<Event>,
     /// The other balancers; none where they may not be told anything.
-    talk: Option<Talk>,
+    talk: Option<GossipTransport>,
     /// The fleet that this balancer acts in agreement with, if any.
     fleet: Option<Box<fleet::Fleet>>,
     /// The list known from before, until the core runs.
@@ -288,7 +288,7 @@
             Input::MayChange(kind, said) => {
                 let _ = said.send(self.may_change(kind));
             }
-            Input::Talk(talk) => {
+            Input::GossipTransport(talk) => {
                 self.talk = Some(talk);
                 self.speak_later();
             }
--- a/crates/gateway/src/engine/handle.rs
+++ b/crates/gateway/src/engine/handle.rs
@@ -8,7 +8,7 @@
 use crate::setup::{Bounds, Config};
 use bytes::Bytes;
 use decide::api::{ClassId, Key, Micros, Reason, RequestId, TenantId};
-use gossip_transport::Talk;
+use gossip_transport::GossipTransport;
 use maintenance::{Order, OrderError, Verdict};
 use proto::discovery::News;
 use rustc_hash::FxHashSet;
@@ -194,8 +194,8 @@
     }
 
     /// Gives the core the way to the other balancers.
-    pub fn talk(&self, talk: Talk) {
-        let _ = self.inputs.send(Input::Talk(talk));
+    pub fn talk(&self, talk: GossipTransport) {
+        let _ = self.inputs.send(Input::GossipTransport(talk));
     }
 
     /// Whether the balancer is being drained, now and whenever that changes.
--- a/crates/gateway/src/heartbeat.rs
+++ b/crates/gateway/src/heartbeat.rs
@@ -6,7 +6,7 @@
 //!
 //! What is read now may have come so long ago ([`Heartbeat::overdue`]): the time that a request gives counts from when it came.
 
-use log_throttle::Seldom;
+use log_throttle::LogThrottle;
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
@@ -27,14 +27,14 @@
     due: Cell<Instant>,
     /// The longest delay since the last report.
     longest: Cell<Duration>,
-    lines: Seldom,
+    lines: LogThrottle,
 }
 
 impl Heartbeat {
     /// A heartbeat that begins now.
     #[must_use]
     pub fn new(now: Instant) -> Self {
-        Self { due: Cell::new(now + BEAT), longest: Cell::default(), lines: Seldom::default() }
+        Self { due: Cell::new(now + BEAT), longest: Cell::default(), lines: LogThrottle::default() }
     }
 
     /// When the timer falls due next.
--- a/crates/gateway/src/setup.rs
+++ b/crates/gateway/src/setup.rs
@@ -1,7 +1,7 @@
 //! What the program is set up with: addresses, names, limits, the settings of the decision module.
 
 use decide::api::Settings;
-use gossip_transport::Siblings;
+use gossip_transport::GossipAddresses;
 use proto::discovery::List;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -33,5 +33,5 @@
     /// Limits and times of connections.
     pub bounds: Bounds,
     /// The other balancers, where messages between them are allowed.
-    pub siblings: Option<Siblings>,
+    pub siblings: Option<GossipAddresses>,
 }
--- a/crates/gossip-transport/src/lib.rs
+++ b/crates/gossip-transport/src/lib.rs
@@ -1,6 +1,6 @@
 //! The other balancers of the tier: the socket on which they are told of servers, and heard.
 //!
-//! [`Talk`] holds the socket and drives `gossip`, which says what to tell and what to believe. It leaves to its owner, the
+//! [`GossipTransport`] holds the socket and drives `gossip`, which says what to tell and what to believe. It leaves to its owner, the
 //! core, the time, the waiting between two turns, and what the decision module makes of what was heard.
 #![forbid(unsafe_code)]
 #![warn(unreachable_pub)]
@@ -8,8 +8,8 @@
 use anyhow::{Context, Result};
 use decide::api::{Event, Load, Micros};
 use gossip::wire::MAX_BYTES;
-use gossip::{Counts, Hearsay};
-use log_throttle::Seldom;
+use gossip::{Counts, GossipState};
+use log_throttle::LogThrottle;
 use rustc_hash::FxHashMap;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -17,7 +17,7 @@
 
 /// Where balancers reach one another.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Siblings {
+pub struct GossipAddresses {
     /// Where this one is reached.
     pub listen: SocketAddr,
     /// Each by its number, this one included: they send from these.
@@ -30,21 +30,21 @@
 
 /// The socket, and what has been heard on it.
 #[derive(Debug)]
-pub struct Talk {
+pub struct GossipTransport {
     socket: UdpSocket,
     to: Vec<SocketAddr>,
     numbers: FxHashMap<SocketAddr, usize>,
-    hearsay: Hearsay,
+    hearsay: GossipState,
     rng: fastrand::Rng,
-    unsent: Seldom,
+    unsent: LogThrottle,
 }
 
-impl Talk {
+impl GossipTransport {
     /// Begins to listen.
     ///
     /// # Errors
     /// When the address is taken or is not this machine's; the error names it.
-    pub async fn open(siblings: &Siblings, unix: Micros, seed: u64) -> Result<Self> {
+    pub async fn open(siblings: &GossipAddresses, unix: Micros, seed: u64) -> Result<Self> {
         let socket = UdpSocket::bind(siblings.listen).await;
         let socket = socket.with_context(|| format!("listening on peer_listen {}", siblings.listen))?;
         let others = (0..).zip(&siblings.each).filter(|(n, _)| *n != siblings.me).map(|(_, addr)| *addr);
@@ -52,9 +52,9 @@
             socket,
             to: siblings.all.map_or_else(|| others.collect(), |all| vec![all]),
             numbers: siblings.each.iter().copied().zip(0..).collect(),
-            hearsay: Hearsay::new(siblings.me, siblings.each.len(), unix),
+            hearsay: GossipState::new(siblings.me, siblings.each.len(), unix),
             rng: fastrand::Rng::with_seed(seed),
-            unsent: Seldom::default(),
+            unsent: LogThrottle::default(),
         })
     }
 
--- a/crates/gossip/src/belief.rs
+++ b/crates/gossip/src/belief.rs
@@ -78,7 +78,7 @@
 
 /// What one balancer has heard.
 #[derive(Debug)]
-pub struct Hearsay {
+pub struct GossipState {
     me: usize,
     stamp: Stamp,
     senders: Vec<Option<Heard>>,
@@ -88,7 +88,7 @@
     counts: Counts,
 }
 
-impl Hearsay {
+impl GossipState {
     /// Balancer number `me` of `balancers`, which has just started: it has heard nothing. `now` is Unix time.
     #[must_use]
     pub fn new(me: usize, balancers: usize, now: Micros) -> Self {
--- a/crates/gossip/tests/hearsay.rs
+++ b/crates/gossip/tests/hearsay.rs
@@ -2,7 +2,7 @@
 
 use decide::api::{Load, ServerId};
 use gossip::wire::{MAX_BYTES, MAX_ENTRIES, Report, Short, Stamp, Word};
-use gossip::{FRESH_US, Hearsay, LEAST, MOST, Micros, PAUSE_US};
+use gossip::{FRESH_US, GossipState, LEAST, MOST, Micros, PAUSE_US};
 use proptest::prelude::*;
 
 const SERVERS: u64 = 6;
@@ -22,14 +22,14 @@
 
 /// A fleet of balancers that tell one another the same things, as long as `lost` says no.
 struct Fleet {
-    all: Vec<Hearsay>,
+    all: Vec<GossipState>,
     now: Micros,
 }
 
 impl Fleet {
     fn new(balancers: usize) -> Self {
         let now = 1_000_000_000;
-        Self { all: (0..balancers).map(|n| Hearsay::new(n, balancers, now)).collect(), now }
+        Self { all: (0..balancers).map(|n| GossipState::new(n, balancers, now)).collect(), now }
     }
     /// One turn of each; the parts that the first one yields.
     fn round(&mut self, loads: &[Load], lost: impl Fn(usize, usize) -> bool) -> Vec<(ServerId, f64)> {
@@ -122,7 +122,7 @@
 
 #[test]
 fn a_report_counts_once_in_order_and_not_for_long() {
-    let mut it = Hearsay::new(0, 3, 0);
+    let mut it = GossipState::new(0, 3, 0);
     let report = |life: u16, number: u16| {
         let words = vec![(ServerId(0).into(), Word { held: 9.0, answered: 1, failed: 0 })];
         Report { stamp: Stamp { life, number }, words }.encode()
@@ -147,7 +147,7 @@
 #[test]
 fn a_lone_balancer_and_one_of_two_hundred_take_their_turns() {
     for balancers in [1, 200] {
-        let mut it = Hearsay::new(0, balancers, 0);
+        let mut it = GossipState::new(0, balancers, 0);
         let turn = it.turn(1_000_000, &loads(3.0));
         assert!(turn.parts.iter().all(|(_, part)| *part == 1.0));
         assert!(it.turn(2_000_000, &[]).parts.is_empty(), "no servers, no words");
@@ -172,7 +172,7 @@
     fn no_datagram_panics_or_leaves_a_part_out_of_bounds(
         datagrams in prop::collection::vec((0_usize..5, prop::collection::vec(any::<u8>(), 0..300)), 0..20)
     ) {
-        let mut it = Hearsay::new(0, 4, 0);
+        let mut it = GossipState::new(0, 4, 0);
         for (n, (from, bytes)) in datagrams.iter().enumerate() {
             let mut bytes = bytes.clone();
             if let (Some(first), 0) = (bytes.first_mut(), n % 2) {
--- a/crates/log-throttle/src/lib.rs
+++ b/crates/log-throttle/src/lib.rs
@@ -14,13 +14,13 @@
 
 /// Says which lines of one kind to write. Guards the fraction of a core, and the log, against abuse.
 #[derive(Debug, Default)]
-pub struct Seldom {
+pub struct LogThrottle {
     since: Cell<Option<Instant>>,
     written: Cell<u32>,
     left_out: Cell<u64>,
 }
 
-impl Seldom {
+impl LogThrottle {
     /// Whether to write a line now: if so, what to put behind it (how many were left out since the last, if any).
     pub fn line(&self) -> Option<String> {
         let now = Instant::now();
@@ -46,7 +46,7 @@
 
     #[tokio::test(start_paused = true)]
     async fn a_flood_of_lines_is_counted_and_the_next_second_tells() {
-        let seldom = Seldom::default();
+        let seldom = LogThrottle::default();
         let written = (0..1000).filter(|_| seldom.line().is_some()).count();
         assert_eq!(written, 5);
         tokio::time::advance(Duration::from_secs(1)).await;
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -2,7 +2,7 @@
 
 use decide::api::{Action, Event, Token};
 use decide::policy::Router;
-use gossip::Hearsay;
+use gossip::GossipState;
 use simulator_adapter::{Instance, Reply, WireError, WireEvent, decode, read_frame};
 use std::collections::BTreeMap;
 use std::io::{self, BufReader, BufWriter, Write};
@@ -14,7 +14,7 @@
 /// An instance: its decisions, and what it has heard from others.
 struct Hosted {
     router: Router,
-    hearsay: Hearsay,
+    hearsay: GossipState,
     rng: fastrand::Rng,
 }
 
@@ -46,7 +46,8 @@
             match event {
                 WireEvent::Start { seed, settings } => {
                     let speaks = settings.peers && settings.siblings as usize >= gossip::ENOUGH;
-                    let hearsay = Hearsay::new(settings.me as usize, settings.siblings as usize, batch.clock);
+                    let hearsay =
+                        GossipState::new(settings.me as usize, settings.siblings as usize, batch.clock);
                     let router = Router::new(*settings, seed, batch.clock);
                     let mut it = Hosted { router, hearsay, rng: fastrand::Rng::with_seed(!seed) };
                     if speaks {
--- a/crates/socket-activation/src/lib.rs
+++ b/crates/socket-activation/src/lib.rs
@@ -13,7 +13,7 @@
 
 /// Why a descriptor is not to be used.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
-pub enum InheritError {
+pub enum InheritedSocketError {
     /// Standard input, output or error, or a negative number.
     #[error("{0} is no number of an inherited socket (3 or more)")]
     Reserved(RawFd),
@@ -33,13 +33,13 @@
 ///
 /// # Errors
 /// When there is no such socket, or it was taken before.
-pub fn listener(number: RawFd) -> Result<TcpListener, InheritError> {
+pub fn listener(number: RawFd) -> Result<TcpListener, InheritedSocketError> {
     if number < 3 {
-        return Err(InheritError::Reserved(number));
+        return Err(InheritedSocketError::Reserved(number));
     }
     let mut given_out = GIVEN_OUT.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
     if given_out.contains(&number) {
-        return Err(InheritError::Taken(number));
+        return Err(InheritedSocketError::Taken(number));
     }
     // SAFETY: a number is only looked at here, by system calls that fail on one that is not open; it is not -1. The
     // borrow ends with this block, and the standard descriptors are not looked at.
@@ -51,7 +51,7 @@
         ip && socket.r#type().is_ok_and(|it| it == Type::STREAM) && socket.is_listener().unwrap_or(false)
     };
     if !listens {
-        return Err(InheritError::NotListening(number));
+        return Err(InheritedSocketError::NotListening(number));
     }
     given_out.insert(number);
     // SAFETY: the descriptor is open and is a listening TCP socket (above). Nothing of this process listens before its
@@ -73,13 +73,13 @@
         let number = own.into_raw_fd(); // as after exec: open, and nobody's
         let taken = listener(number).unwrap();
         assert_eq!((taken.local_addr().unwrap(), taken.as_raw_fd()), (addr, number));
-        assert_eq!(listener(number).unwrap_err(), InheritError::Taken(number));
+        assert_eq!(listener(number).unwrap_err(), InheritedSocketError::Taken(number));
 
         let client = TcpStream::connect(addr).unwrap();
         let number = client.as_raw_fd();
-        assert_eq!(listener(number).unwrap_err(), InheritError::NotListening(number));
-        assert_eq!(listener(1 << 20).unwrap_err(), InheritError::NotListening(1 << 20));
-        assert_eq!(listener(2).unwrap_err(), InheritError::Reserved(2));
-        assert_eq!(listener(-1).unwrap_err(), InheritError::Reserved(-1));
+        assert_eq!(listener(number).unwrap_err(), InheritedSocketError::NotListening(number));
+        assert_eq!(listener(1 << 20).unwrap_err(), InheritedSocketError::NotListening(1 << 20));
+        assert_eq!(listener(2).unwrap_err(), InheritedSocketError::Reserved(2));
+        assert_eq!(listener(-1).unwrap_err(), InheritedSocketError::Reserved(-1));
     }
 }
--- a/crates/spindlebeam/benches/turns.rs
+++ b/crates/spindlebeam/benches/turns.rs
@@ -6,7 +6,7 @@
     Class, ClassId, Effect, Event, Key, ListKind, Mode, Request, RequestId, Settings, TenantId,
 };
 use decide::policy::Router;
-use gossip::Hearsay;
+use gossip::GossipState;
 use maintenance::{Maintenance, Orders};
 use proto::discovery::{Line, LineReader, List};
 use std::hint::black_box;
@@ -179,7 +179,10 @@
         ),
         (
             "a tick of gossip, the sum of what was heard",
-            median(|| Hearsay::new(0, BALANCERS, 1), |mut it| (it.turn(1_000_000, &told).parts.len(), it)),
+            median(
+                || GossipState::new(0, BALANCERS, 1),
+                |mut it| (it.turn(1_000_000, &told).parts.len(), it),
+            ),
         ),
     ]
 }
--- a/crates/spindlebeam/src/config.rs
+++ b/crates/spindlebeam/src/config.rs
@@ -8,7 +8,7 @@
 use decide::settings::SettingsError;
 use front::operator::MOST_CALLERS;
 use gateway::setup::{Bounds, Config, Names};
-use gossip_transport::Siblings;
+use gossip_transport::GossipAddresses;
 use proto::discovery::List;
 use serde::Deserialize;
 use serde::de::DeserializeOwned;
@@ -130,7 +130,7 @@
 }
 
 /// Where the other balancers are; none where this one is not told, or is the only one.
-fn siblings(file: &File, me: usize) -> Result<Option<Siblings>> {
+fn siblings(file: &File, me: usize) -> Result<Option<GossipAddresses>> {
     let (listen, all) = (file.address("peer_listen")?, file.address("peers_all")?);
     let peers = file.told::<Vec<String>>("peers")?.unwrap_or_default();
     let numbered = (0..).zip(&peers);
@@ -139,7 +139,7 @@
     check::peers(peers.len(), &file.0["settings"])?;
     let (Some(listen), true) = (listen, each.len() >= gossip::ENOUGH) else { return Ok(None) };
     ensure!(me < each.len(), "settings.me: {me} is none of the {} balancers in peers", each.len());
-    Ok(Some(Siblings { listen, each, all, me }))
+    Ok(Some(GossipAddresses { listen, each, all, me }))
 }
 
 /// The path of a setting as it stands in the file: `profiles.2.name` is `settings.profiles[2].name`.
--- a/crates/spindlebeam/src/serve.rs
+++ b/crates/spindlebeam/src/serve.rs
@@ -12,7 +12,7 @@
 use futures_util::FutureExt;
 use gateway::engine::{Engine, Handle, unix_us};
 use gateway::setup::Config;
-use gossip_transport::{Siblings, Talk};
+use gossip_transport::{GossipAddresses, GossipTransport};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
@@ -60,10 +60,10 @@
     bound.with_context(|| format!("{field}: listening on {addr}"))
 }
 
-async fn talk_later(siblings: Siblings, seed: u64, handle: Handle) {
+async fn talk_later(siblings: GossipAddresses, seed: u64, handle: Handle) {
     let talk = loop {
         sleep(TALK_AGAIN).await;
-        if let Ok(talk) = Talk::open(&siblings, unix_us(), seed).await {
+        if let Ok(talk) = GossipTransport::open(&siblings, unix_us(), seed).await {
             break talk;
         }
     };
@@ -120,7 +120,7 @@
     }
     if let Some(siblings) = config.siblings.clone() {
         let seed = config.seed;
-        match Talk::open(&siblings, unix_us(), seed).await {
+        match GossipTransport::open(&siblings, unix_us(), seed).await {
             Ok(talk) => handle.talk(talk),
             // The process before holds the address until it ends.
             Err(error) if inherited => {
--- a/crates/upstream/src/peer/exchange.rs
+++ b/crates/upstream/src/peer/exchange.rs
@@ -7,7 +7,7 @@
 use crate::held::Budget;
 use bytes::{Buf, Bytes, BytesMut};
 use decide::api::Outcome;
-use log_throttle::Seldom;
+use log_throttle::LogThrottle;
 use proto::{http, resp};
 use std::cell::Cell;
 use std::future::{pending, poll_fn};
@@ -68,12 +68,12 @@
 /// Log lines that peers can cause at any rate.
 #[derive(Debug, Default)]
 pub struct Lines {
-    bad_answer: Seldom,
-    pub(super) refused: Seldom,
-    none_to_spare: Seldom,
-    pub(super) no_room: Seldom,
+    bad_answer: LogThrottle,
+    pub(super) refused: LogThrottle,
+    none_to_spare: LogThrottle,
+    pub(super) no_room: LogThrottle,
     /// Answers given after their time.
-    pub late: Seldom,
+    pub late: LogThrottle,
 }
 
 /// How a try ended.
