--- a/crates/decide/src/api.rs
+++ b/crates/decide/src/api.rs
@@ -13,7 +13,7 @@
 
 /// A cache server or the origin, named by the caller; opaque.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct ServerId(pub u64);
+pub struct EndpointId(pub u64);
 
 /// What a request is about; requests that share a key read the same kept copy.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -54,29 +54,29 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Effect {
     /// Safe to repeat.
-    Retryable,
+    Idempotent,
     /// Repeats are dropped inside `scope`, for `span_us` after the first send that may have run.
-    Dedup {
+    IdempotentWithKey {
         /// Who drops the repeats.
         scope: Scope,
         /// For how long.
         span_us: Micros,
     },
     /// Must never run twice.
-    Fragile,
+    NonIdempotent,
 }
 
 /// A class of requests.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Class {
     /// An answer within this time earns the full worth.
-    pub aim_us: Micros,
+    pub latency_objective_us: Micros,
     /// The longest a client waits, over all its tries.
     pub deadline_us: Micros,
     /// Worth of one request (or of one unit of its work).
     pub worth: f64,
     /// Part of the worth that an answer after the aim still earns.
-    pub late_worth: f64,
+    pub late_weight: f64,
     /// What a repeat may do.
     pub effect: Effect,
 }
@@ -133,7 +133,7 @@
     /// Tenants; may be empty.
     pub tenants: Vec<Tenant>,
     /// Worth of a request beyond its tenant's quota, as a part of its class's.
-    pub over_share_worth: f64,
+    pub over_quota_weight: f64,
     /// Treatment of missing keys.
     pub mode: Mode,
     /// The kind of list entry that is the origin, in [`Mode::Aside`].
@@ -143,29 +143,29 @@
     /// Where load reports come from.
     pub reporting: Reporting,
     /// Whether listed weights are a lasting size, worth placing keys by.
-    pub weights_last: bool,
+    pub weights_are_lasting: bool,
     /// Attempts allowed for one request.
     pub max_attempts: u32,
     /// Whether two attempts of a request may be out at once.
-    pub second_copies: bool,
+    pub hedged_requests: bool,
     /// Whether an attempt may be cancelled.
     pub cancel: bool,
     /// Whether instances may send one another messages.
     pub peers: bool,
     /// The longest hold-off a client honours; 0 where advice is not passed on.
-    pub max_hold_off_us: Micros,
+    pub max_retry_after_us: Micros,
     /// Price of one attempt that crosses zones, per request.
     pub cross_zone_price: f64,
     /// A started server can do at least this part of its work at once.
-    pub cold_from: f64,
+    pub slow_start_fraction: f64,
     /// A started server is warm after this time at the latest.
-    pub cold_us: Micros,
+    pub slow_start_us: Micros,
     /// A started server falls when it is sent this multiple of what it can do then ...
-    pub fall_multiple: f64,
+    pub overload_multiple: f64,
     /// ... within this time.
-    pub tip_after_us: Micros,
+    pub overload_window_us: Micros,
     /// With [`Discovery::Ask`]: the longest an instance may go without asking.
-    pub must_ask_us: Micros,
+    pub max_poll_interval_us: Micros,
     /// The shortest span between two batches of events.
     pub tick_us: Micros,
 }
@@ -173,9 +173,9 @@
 impl Settings {
     /// The shortest aim among the classes that are safe to repeat; a second where there are none.
     #[must_use]
-    pub fn shortest_aim(&self) -> Micros {
-        let safe = self.classes.iter().filter(|class| class.effect == Effect::Retryable);
-        safe.map(|class| class.aim_us).min().unwrap_or(1_000_000).max(1)
+    pub fn shortest_latency_objective(&self) -> Micros {
+        let safe = self.classes.iter().filter(|class| class.effect == Effect::Idempotent);
+        safe.map(|class| class.latency_objective_us).min().unwrap_or(1_000_000).max(1)
     }
 }
 
@@ -191,23 +191,23 @@
             zones: 1,
             classes: Vec::new(),
             tenants: Vec::new(),
-            over_share_worth: 1.0,
+            over_quota_weight: 1.0,
             mode: Mode::Aside,
             origin_kind: None,
             discovery: Discovery::Push,
             reporting: Reporting::Off,
-            weights_last: false,
+            weights_are_lasting: false,
             max_attempts: 3,
-            second_copies: false,
+            hedged_requests: false,
             cancel: false,
             peers: false,
-            max_hold_off_us: 0,
+            max_retry_after_us: 0,
             cross_zone_price: 0.0,
-            cold_from: 0.1,
-            cold_us: 30_000_000,
-            fall_multiple: 3.0,
-            tip_after_us: 1_000_000,
-            must_ask_us: 10_000_000,
+            slow_start_fraction: 0.1,
+            slow_start_us: 30_000_000,
+            overload_multiple: 3.0,
+            overload_window_us: 1_000_000,
+            max_poll_interval_us: 10_000_000,
             tick_us: 1_000,
         }
     }
@@ -226,9 +226,9 @@
 
 /// One line of the server list.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct ServerEntry {
+pub struct EndpointEntry {
     /// The server.
-    pub id: ServerId,
+    pub id: EndpointId,
     /// State of its process.
     pub presence: Presence,
     /// Machine kind; the origin is known by it.
@@ -270,14 +270,14 @@
     /// Whether it changes its key.
     pub write: bool,
     /// Time until the client gives this try up.
-    pub time_left_us: Micros,
+    pub remaining_us: Micros,
 }
 
 /// What happened.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
     /// News of the server list.
-    Servers(ListKind, Vec<ServerEntry>),
+    Servers(ListKind, Vec<EndpointEntry>),
     /// A client's request: it is owed exactly one final answer.
     Request(Request),
     /// An attempt ended.
@@ -306,7 +306,7 @@
     /// It is time to tell the other instances: to be answered by [`Action::Tell`].
     Speak,
     /// What the instances together make of servers: for each, the part of its listed weight to place keys by.
-    Heard(Vec<(ServerId, f64)>),
+    Heard(Vec<(EndpointId, f64)>),
     /// A timer fell due.
     Timer(Token),
 }
@@ -315,7 +315,7 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Load {
     /// The server.
-    pub server: ServerId,
+    pub server: EndpointId,
     /// Its listed weight.
     pub weight: f64,
     /// How many of them it held, in the mean over the time.
@@ -334,7 +334,7 @@
         /// The request.
         id: RequestId,
         /// Where to.
-        server: ServerId,
+        server: EndpointId,
         /// Time-out; 0 for as long as the client waits.
         timeout_us: Micros,
     },
@@ -343,7 +343,7 @@
         /// The request.
         id: RequestId,
         /// How long the client should stay away; 0 for no advice.
-        hold_off_us: Micros,
+        retry_after_us: Micros,
         /// Why.
         reason: Reason,
     },
@@ -369,7 +369,7 @@
         token: Token,
     },
     /// Close the idle connections to a server.
-    CloseIdle(ServerId),
+    CloseIdle(EndpointId),
     /// Subscribe to the server list.
     Watch,
     /// Tell the other instances of these, all servers that may be sent to, and hand back [`Event::Heard`].
--- a/crates/decide/src/lib.rs
+++ b/crates/decide/src/lib.rs
@@ -9,18 +9,18 @@
 //! use decide::policy::Router;
 //!
 //! let class = Class {
-//!     aim_us: 500_000,
+//!     latency_objective_us: 500_000,
 //!     deadline_us: 1_000_000,
 //!     worth: 1.0,
-//!     late_worth: 0.0,
-//!     effect: Effect::Retryable,
+//!     late_weight: 0.0,
+//!     effect: Effect::Idempotent,
 //! };
 //! let settings = Settings { classes: vec![class], origin_kind: Some(1), ..Settings::default() };
 //! let mut router = Router::new(settings, 7, 0);
 //! let mut actions = Vec::new();
 //!
-//! let entry = |id, kind| ServerEntry {
-//!     id: ServerId(id),
+//! let entry = |id, kind| EndpointEntry {
+//!     id: EndpointId(id),
 //!     presence: Presence::Ready,
 //!     kind,
 //!     weight: 1.0,
@@ -38,10 +38,10 @@
 //!     tenant: TenantId(0),
 //!     key: Some(Key(5)),
 //!     write: false,
-//!     time_left_us: 1_000_000,
+//!     remaining_us: 1_000_000,
 //! };
 //! router.handle(1_000, Event::Request(request), &mut actions);
-//! assert!(matches!(actions[0], Action::Send { server: ServerId(10), .. }));
+//! assert!(matches!(actions[0], Action::Send { server: EndpointId(10), .. }));
 //!
 //! // The server lacks the key, so the origin is asked, as the warm-up limiter permits.
 //! actions.clear();
@@ -55,13 +55,13 @@
 //!     stale: false,
 //! };
 //! router.handle(1_400, miss, &mut actions);
-//! assert!(matches!(actions[0], Action::Send { server: ServerId(99), .. }));
+//! assert!(matches!(actions[0], Action::Send { server: EndpointId(99), .. }));
 //! ```
 #![forbid(unsafe_code)]
 
 pub mod api;
-pub mod census;
 mod endings;
+pub mod endpoint_counts;
 pub mod policy;
 mod records;
 pub mod settings;
--- a/crates/decide/src/policy/hosts.rs
+++ b/crates/decide/src/policy/hosts.rs
@@ -20,10 +20,10 @@
 const EJECT_PART: f64 = 0.34; // without proof of unreachability, at most this part of the fleet at a time
 
 impl Router {
-    pub(super) fn list_changed(&mut self, kind: ListKind, entries: &[ServerEntry]) {
+    pub(super) fn list_changed(&mut self, kind: ListKind, entries: &[EndpointEntry]) {
         if self.settings.discovery == Discovery::Ask && matches!(kind, ListKind::Failed | ListKind::Cached) {
             // Jittered and doubling: calls that failed together must not be made together again.
-            let step = (self.settings.must_ask_us / 8) << self.failed_calls.min(3);
+            let step = (self.settings.max_poll_interval_us / 8) << self.failed_calls.min(3);
             let delay_us = if kind == ListKind::Failed { step / 2 } else { 0 } + self.rng.u64(0..=step / 2);
             self.out.push(Action::Timer { delay_us, token: Token(WATCH) });
         }
@@ -35,8 +35,8 @@
         self.fleet.reweigh(self.now, &self.settings);
         if self.rate.per_s == 0.0 && self.fleet.ready > 0 {
             let start = START_PER_SERVER * f64::from(self.fleet.ready) / f64::from(self.settings.siblings);
-            self.pace = Pace::new(self.settings.shortest_aim());
-            let least = START_HELD * 1e6 / self.pace.aim_us;
+            self.pace = Pace::new(self.settings.shortest_latency_objective());
+            let least = START_HELD * 1e6 / self.pace.latency_objective_us;
             (self.rate.start, self.rate.per_s) = (start.max(least), start.max(least));
             self.limiter = WarmUpLimiter::new(self.rate.per_s, self.now);
         }
@@ -53,10 +53,11 @@
     /// Guards a warming server: all may spend what they saved at once. Each saves a part, or a chance of one.
     pub(super) fn cold_permit(&mut self, slot: u32) -> bool {
         let cold = self.fleet.servers.get_mut(slot as usize).filter(|server| server.warmth < 1.0);
-        let (Some(server), fall) = (cold, self.settings.fall_multiple) else { return true };
+        let (Some(server), fall) = (cold, self.settings.overload_multiple) else { return true };
         let (share, rate) = (server.weight * server.warmth / self.fleet.listed, COLD_BUDGET.min(0.5 * fall));
         let earned = (self.reads - mem::replace(&mut server.cold_mark, self.reads)) * rate * share;
-        let lately = self.lately.sum(self.now, KEY_SPAN_US) * self.settings.tip_after_us as f64 / KEY_SPAN_US;
+        let lately =
+            self.lately.sum(self.now, KEY_SPAN_US) * self.settings.overload_window_us as f64 / KEY_SPAN_US;
         let most = (COLD_STORE.0 * fall * share * lately).min(COLD_STORE.1);
         let saved = (server.cold_tokens + earned).min(most);
         server.cold_tokens = if most < 1.0 { (saved + self.rng.f64()).floor() } else { saved };
@@ -74,9 +75,10 @@
         let server = &mut self.fleet.servers[slot as usize];
         let (now, time, unreachable) = (self.now, latency as f64, outcome == Outcome::ConnectFailed);
         server.book_end(outcome);
-        let (half, slow) = (HEDGE_PART * self.pace.aim_us, SLOW * self.pace.median_us);
+        let (half, slow) = (HEDGE_PART * self.pace.latency_objective_us, SLOW * self.pace.median_us);
         // Late through its own fault: few of ours were in its way, and the fleet is quick.
-        let late = time.min(self.pace.aim_us) > half.max(slow) && f64::from(server.inflight) < BOUND_MIN;
+        let late = time.min(self.pace.latency_objective_us) > half.max(slow)
+            && f64::from(server.inflight) < BOUND_MIN;
         if matches!(outcome, Outcome::Ok | Outcome::Miss) {
             self.pace.learn(latency);
             server.answered = true;
--- a/crates/decide/src/policy/limiter.rs
+++ b/crates/decide/src/policy/limiter.rs
@@ -28,10 +28,10 @@
         self.resync(now);
         let fill = if self.max > 0.0 { self.stored / self.max } else { 1.0 };
         self.stable_us = 1e6 / per_s;
-        let cold_us = COLD_FACTOR * self.stable_us;
+        let slow_start_us = COLD_FACTOR * self.stable_us;
         self.threshold = 0.5 * WARM_UP_US / self.stable_us;
-        self.max = self.threshold + 2.0 * WARM_UP_US / (self.stable_us + cold_us);
-        self.slope = (cold_us - self.stable_us) / (self.max - self.threshold);
+        self.max = self.threshold + 2.0 * WARM_UP_US / (self.stable_us + slow_start_us);
+        self.slope = (slow_start_us - self.stable_us) / (self.max - self.threshold);
         self.stored = fill * self.max;
     }
     fn resync(&mut self, now: Micros) {
--- a/crates/decide/src/policy/mod.rs
+++ b/crates/decide/src/policy/mod.rs
@@ -103,7 +103,7 @@
             Phase::Held => self.send_origin(id),
             Phase::Waiting if self.now >= open.deadline => self.give_up(id, Reason::Deadline),
             Phase::Waiting => self.read_again(id, home),
-            Phase::Sent if !self.settings.second_copies => self.consider(id),
+            Phase::Sent if !self.settings.hedged_requests => self.consider(id),
             Phase::Sent if self.cuts >= 1.0 => {
                 open.due = Micros::MAX;
                 self.cuts -= 1.0;
--- a/crates/decide/src/policy/shedding.rs
+++ b/crates/decide/src/policy/shedding.rs
@@ -17,7 +17,7 @@
             sent.add(self.now, RATE_SPAN_US);
             // Twice an equal part of the quota: how the tenant's requests fall on the balancers is not known.
             let over = sent.sum(self.now, RATE_SPAN_US) > 2.0 + 2.0 * tenant.quota_per_s / siblings;
-            open.over = over && worth * self.settings.over_share_worth <= LOW_WORTH * self.best_worth;
+            open.over = over && worth * self.settings.over_quota_weight <= LOW_WORTH * self.best_worth;
             open.low |= open.over;
         }
     }
--- a/crates/decide/src/policy/tries.rs
+++ b/crates/decide/src/policy/tries.rs
@@ -9,16 +9,18 @@
     fn may_send(&self, id: RequestId, slot: Option<u32>) -> bool {
         let (Some(open), Some(slot)) = (self.open.get(&id), slot.or(self.fleet.origin)) else { return false };
         let entry = &self.fleet.servers[slot as usize].entry;
-        let most_out = 1 + usize::from(self.settings.second_copies);
+        let most_out = 1 + usize::from(self.settings.hedged_requests);
         let ready = entry.presence == Presence::Ready && self.now < open.deadline;
         let spare = open.phase != Phase::Done && open.left(&self.settings) > 0 && open.out() < most_out;
         let recent = |a: &Attempt, span_us| self.now + 2 * self.settings.tick_us < a.sent + span_us;
         let mut maybe = open.attempts.iter().filter(|a| a.may_have_run());
         match open.effect {
             _ if !ready || !spare => false,
-            Effect::Retryable => true,
-            Effect::Fragile => maybe.next().is_none(),
-            Effect::Dedup { scope, span_us } => maybe.all(|a| recent(a, span_us) && a.in_group(scope, entry)),
+            Effect::Idempotent => true,
+            Effect::NonIdempotent => maybe.next().is_none(),
+            Effect::IdempotentWithKey { scope, span_us } => {
+                maybe.all(|a| recent(a, span_us) && a.in_group(scope, entry))
+            }
         }
     }
 
@@ -27,10 +29,10 @@
         let may = self.may_send(id, Some(slot));
         let Some(open) = self.open.get_mut(&id).filter(|_| may) else { return false };
         let patience = (open.aim.saturating_sub(now) as f64 * HEDGE_PART) as Micros;
-        let (settings, safe) = (&self.settings, open.effect == Effect::Retryable);
+        let (settings, safe) = (&self.settings, open.effect == Effect::Idempotent);
         let impatient = !to_origin && open.left(settings) >= 2 && patience > 0 && safe;
         // Where a try cannot be cancelled later, it is now that it is cut short.
-        let cut_short = impatient && !settings.second_copies && !settings.cancel && self.cuts >= 1.0;
+        let cut_short = impatient && !settings.hedged_requests && !settings.cancel && self.cuts >= 1.0;
         self.cuts -= f64::from(u8::from(cut_short));
         open.attempts.push(Attempt { cut_short, ..Attempt::new(slot, now, to_origin, &entry) });
         (open.phase, open.due) = (Phase::Sent, if impatient { now + patience } else { Micros::MAX });
@@ -39,7 +41,7 @@
         server.cold_tokens -= 1.0;
         self.inflight += u32::from(!to_origin);
         self.out.push(Action::Send { id, server: entry.id, timeout_us: u64::from(cut_short) * patience });
-        if impatient && (self.settings.second_copies || self.settings.cancel) {
+        if impatient && (self.settings.hedged_requests || self.settings.cancel) {
             self.out.push(Action::Timer { delay_us: patience, token: Token(id.0) });
         }
         true
@@ -69,11 +71,13 @@
         if !open.all_ended() {
             return open.phase = Phase::Sent; // guards against a held request that no timer answers any more
         }
-        let anyhow = matches!(open.effect, Effect::Retryable | Effect::Dedup { scope: Scope::All, .. });
+        let anyhow =
+            matches!(open.effect, Effect::Idempotent | Effect::IdempotentWithKey { scope: Scope::All, .. });
         let harmless = anyhow || !open.maybe_ran();
         let reason = open.reason(why, self.now, harmless, &self.settings);
-        let hold_off_us = self.limiter.earliest().saturating_sub(self.now).min(self.settings.max_hold_off_us);
-        let refuse = Action::Refuse { id, hold_off_us, reason };
+        let retry_after_us =
+            self.limiter.earliest().saturating_sub(self.now).min(self.settings.max_retry_after_us);
+        let refuse = Action::Refuse { id, retry_after_us, reason };
         self.out.push(if harmless { refuse } else { Action::Fail { id, reason } });
         self.close(id, true);
     }
--- a/crates/decide/src/records.rs
+++ b/crates/decide/src/records.rs
@@ -3,7 +3,7 @@
 mod fleet;
 
 use crate::api::{
-    CellId, Class, Effect, Key, Micros, Outcome, Reason, Request, Scope, ServerEntry, Settings, ZoneId,
+    CellId, Class, Effect, EndpointEntry, Key, Micros, Outcome, Reason, Request, Scope, Settings, ZoneId,
 };
 pub(crate) use fleet::Fleet;
 use rustc_hash::FxHashMap;
@@ -39,14 +39,14 @@
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Pace {
     pub(crate) median_us: f64,
-    pub(crate) aim_us: f64, // the shortest of what is safe to repeat
+    pub(crate) latency_objective_us: f64, // the shortest of what is safe to repeat
 }
 
 impl Pace {
     /// Starts at the shortest aim, and falls from there: nothing is slow before it is known what is quick.
-    pub(crate) fn new(aim_us: Micros) -> Self {
-        let aim_us = aim_us as f64;
-        Self { median_us: aim_us, aim_us }
+    pub(crate) fn new(latency_objective_us: Micros) -> Self {
+        let latency_objective_us = latency_objective_us as f64;
+        Self { median_us: latency_objective_us, latency_objective_us }
     }
     pub(crate) fn learn(&mut self, time_us: Micros) {
         self.median_us *= 1.0 + if time_us as f64 > self.median_us { PACE_STEP } else { -PACE_STEP };
@@ -87,7 +87,7 @@
 }
 
 impl Attempt {
-    pub(crate) fn new(slot: u32, sent: Micros, to_origin: bool, entry: &ServerEntry) -> Self {
+    pub(crate) fn new(slot: u32, sent: Micros, to_origin: bool, entry: &EndpointEntry) -> Self {
         Self {
             slot,
             sent,
@@ -100,7 +100,7 @@
         }
     }
     /// Whether this server drops repeats of what was sent here.
-    pub(crate) fn in_group(&self, scope: Scope, entry: &ServerEntry) -> bool {
+    pub(crate) fn in_group(&self, scope: Scope, entry: &EndpointEntry) -> bool {
         match scope {
             Scope::All => true,
             Scope::Zone => self.zone == entry.zone,
@@ -154,13 +154,13 @@
 
 impl Open {
     pub(crate) fn new(now: Micros, req: Request, key: Key, class: Option<&Class>) -> Self {
-        let deadline = now + req.time_left_us;
-        let aim = class.map_or(deadline, |c| deadline.min(now + c.aim_us));
-        let late_pays = class.is_some_and(|c| c.late_worth > 0.0);
+        let deadline = now + req.remaining_us;
+        let aim = class.map_or(deadline, |c| deadline.min(now + c.latency_objective_us));
+        let late_pays = class.is_some_and(|c| c.late_weight > 0.0);
         Self {
             req,
             key,
-            effect: class.map_or(Effect::Fragile, |c| c.effect),
+            effect: class.map_or(Effect::NonIdempotent, |c| c.effect),
             aim,
             deadline,
             useful_until: if late_pays { deadline } else { aim },
--- a/crates/decide/src/records/fleet.rs
+++ b/crates/decide/src/records/fleet.rs
@@ -1,13 +1,13 @@
 //! The servers listed: what is known of each, and sums over those that are ready.
 
-use crate::api::{Load, Micros, Mode, Outcome, Presence, ServerEntry, ServerId, Settings};
+use crate::api::{EndpointEntry, EndpointId, Load, Micros, Mode, Outcome, Presence, Settings};
 use rustc_hash::FxHashMap;
 use std::mem;
 
 /// A listed server.
 #[derive(Debug, Clone)]
 pub(crate) struct Server {
-    pub(crate) entry: ServerEntry,
+    pub(crate) entry: EndpointEntry,
     pub(crate) is_origin: bool,
     pub(crate) weight: f64, // as listed, where that is a lasting size
     pub(crate) warmth: f64, // the part of its work that it can surely do, by the stated warm-up
@@ -65,7 +65,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct Fleet {
     pub(crate) servers: Vec<Server>,
-    index: FxHashMap<ServerId, u32>,
+    index: FxHashMap<EndpointId, u32>,
     pub(crate) origin: Option<u32>,
     pub(crate) generation: u32,
     pub(crate) ready: u32,
@@ -83,7 +83,7 @@
     }
 
     /// Books one line of the list. A server that restarted keeps nothing but what is still in flight to it.
-    pub(crate) fn apply(&mut self, entry: ServerEntry, cold_tokens: f64, cold_mark: f64) {
+    pub(crate) fn apply(&mut self, entry: EndpointEntry, cold_tokens: f64, cold_mark: f64) {
         let mut fresh = Server {
             entry,
             is_origin: false,
@@ -150,7 +150,7 @@
     }
 
     /// Takes in the parts that servers keep of their weights; rows of the table then rank again.
-    pub(crate) fn set_parts(&mut self, parts: &[(ServerId, f64)]) {
+    pub(crate) fn set_parts(&mut self, parts: &[(EndpointId, f64)]) {
         for (id, part) in parts {
             let slot = self.index.get(id).map(|slot| *slot as usize);
             let Some(server) = slot.and_then(|slot| self.servers.get_mut(slot)) else { continue };
@@ -175,10 +175,14 @@
         for (slot, server) in (0..).zip(&mut self.servers) {
             let since = server.entry.online_since;
             let age = now.saturating_sub(since);
-            let warm = since == 0 || age >= settings.cold_us;
-            let ramp = age as f64 / settings.cold_us as f64;
-            server.warmth = if warm { 1.0 } else { settings.cold_from + (1.0 - settings.cold_from) * ramp };
-            server.weight = if settings.weights_last { server.entry.weight } else { 1.0 };
+            let warm = since == 0 || age >= settings.slow_start_us;
+            let ramp = age as f64 / settings.slow_start_us as f64;
+            server.warmth = if warm {
+                1.0
+            } else {
+                settings.slow_start_fraction + (1.0 - settings.slow_start_fraction) * ramp
+            };
+            server.weight = if settings.weights_are_lasting { server.entry.weight } else { 1.0 };
             server.is_origin =
                 settings.mode == Mode::Aside && settings.origin_kind == Some(server.entry.kind);
             if server.entry.presence != Presence::Ready {
@@ -192,7 +196,7 @@
             self.listed += server.weight;
             self.ramped += server.weight * server.warmth;
             if !warm {
-                self.next_ramp = Some(now + settings.cold_us / 16);
+                self.next_ramp = Some(now + settings.slow_start_us / 16);
             }
         }
     }
--- a/crates/decide/src/settings.rs
+++ b/crates/decide/src/settings.rs
@@ -77,17 +77,17 @@
             Scope::Cell,
             "all, zone or cell",
         )?;
-        let dedup = Effect::Dedup { scope, span_us: self.whole(&at("memorySpanUs"), 0)? };
+        let dedup = Effect::IdempotentWithKey { scope, span_us: self.whole(&at("memorySpanUs"), 0)? };
         Ok(Class {
-            aim_us: self.whole(&at("onTimeUs"), deadline_us)?,
+            latency_objective_us: self.whole(&at("onTimeUs"), deadline_us)?,
             deadline_us,
             worth: self.number(&at("worth"), 1.0)?,
-            late_worth: self.number(&at("lateWorth"), 0.0)?,
+            late_weight: self.number(&at("lateWorth"), 0.0)?,
             effect: self.word(
                 &at("effect"),
-                &[("retryable", Effect::Retryable), ("dedup", dedup), ("fragile", Effect::Fragile)],
+                &[("retryable", Effect::Idempotent), ("dedup", dedup), ("fragile", Effect::NonIdempotent)],
                 // A class of unknown effect is never run twice.
-                Effect::Fragile,
+                Effect::NonIdempotent,
                 "retryable, dedup or fragile",
             )?,
         })
@@ -129,7 +129,7 @@
                     Ok(Tenant { quota_per_s })
                 })
                 .collect::<Result<_, SettingsError>>()?,
-            over_share_worth: facts.number("overShareWorth", plain.over_share_worth)?,
+            over_quota_weight: facts.number("overShareWorth", plain.over_quota_weight)?,
             mode,
             origin_kind: u16::try_from(origin).ok(),
             discovery: facts.word(
@@ -144,19 +144,19 @@
                 plain.reporting,
                 "inline, on_probe or off",
             )?,
-            weights_last: matches!(weights, "nominal" | "rough"),
+            weights_are_lasting: matches!(weights, "nominal" | "rough"),
             max_attempts: facts.get("permissions.maxAttempts", plain.max_attempts, "a whole number")?,
-            second_copies: facts.flag("permissions.secondCopies", plain.second_copies)?,
+            hedged_requests: facts.flag("permissions.secondCopies", plain.hedged_requests)?,
             cancel: facts.flag("permissions.cancel", plain.cancel)?,
             peers: facts.flag("permissions.peers", plain.peers)?,
-            max_hold_off_us: hold_off,
+            max_retry_after_us: hold_off,
             cross_zone_price: facts.number("prices.crossZone", plain.cross_zone_price)?,
-            cold_from: facts.number("rules.coldFrom", plain.cold_from)?.min(1.0),
-            cold_us: facts.whole("rules.coldUs", plain.cold_us)?,
+            slow_start_fraction: facts.number("rules.coldFrom", plain.slow_start_fraction)?.min(1.0),
+            slow_start_us: facts.whole("rules.coldUs", plain.slow_start_us)?,
             // A server bears what it can do; a span too short for any call would keep all from it.
-            fall_multiple: facts.number("rules.fallMultiple", plain.fall_multiple)?.max(1.0),
-            tip_after_us: facts.whole("rules.tipAfterUs", plain.tip_after_us)?.max(100_000),
-            must_ask_us: facts.whole("rules.mustAskInUs", plain.must_ask_us)?,
+            overload_multiple: facts.number("rules.fallMultiple", plain.overload_multiple)?.max(1.0),
+            overload_window_us: facts.whole("rules.tipAfterUs", plain.overload_window_us)?.max(100_000),
+            max_poll_interval_us: facts.whole("rules.mustAskInUs", plain.max_poll_interval_us)?,
             tick_us: facts.whole("resolutionUs", plain.tick_us)?,
         })
     }
--- a/crates/decide/tests/common/mod.rs
+++ b/crates/decide/tests/common/mod.rs
@@ -8,31 +8,31 @@
 pub const MS: Micros = 1_000;
 
 pub fn class(effect: Effect, worth: f64) -> Class {
-    Class { aim_us: 500 * MS, deadline_us: 1_000 * MS, worth, late_worth: 0.0, effect }
+    Class { latency_objective_us: 500 * MS, deadline_us: 1_000 * MS, worth, late_weight: 0.0, effect }
 }
 
 /// Classes: 0 retryable worth 3, 1 dedup (all, 400 ms), 2 fragile, 3 retryable worth 1, 4 dedup (zone, 400 ms).
 pub fn settings() -> Settings {
-    let dedup = |scope| Effect::Dedup { scope, span_us: 400 * MS };
+    let dedup = |scope| Effect::IdempotentWithKey { scope, span_us: 400 * MS };
     Settings {
         classes: vec![
-            class(Effect::Retryable, 3.0),
+            class(Effect::Idempotent, 3.0),
             class(dedup(Scope::All), 3.0),
-            class(Effect::Fragile, 3.0),
-            class(Effect::Retryable, 1.0),
+            class(Effect::NonIdempotent, 3.0),
+            class(Effect::Idempotent, 1.0),
             class(dedup(Scope::Zone), 3.0),
         ],
         origin_kind: Some(1),
         max_attempts: 6,
-        cold_from: 0.2,
-        cold_us: 10_000 * MS,
+        slow_start_fraction: 0.2,
+        slow_start_us: 10_000 * MS,
         ..Settings::default()
     }
 }
 
-pub fn server(id: u64) -> ServerEntry {
-    ServerEntry {
-        id: ServerId(id),
+pub fn server(id: u64) -> EndpointEntry {
+    EndpointEntry {
+        id: EndpointId(id),
         presence: Presence::Ready,
         kind: u16::from(id == ORIGIN),
         weight: 1.0,
@@ -49,7 +49,7 @@
         tenant: TenantId(0),
         key: Some(Key(key)),
         write: false,
-        time_left_us: 1_000 * MS,
+        remaining_us: 1_000 * MS,
     }
 }
 
@@ -70,7 +70,7 @@
         self.router.handle(self.now, event, &mut out);
         out
     }
-    pub fn list(&mut self, kind: ListKind, entries: Vec<ServerEntry>) -> Vec<Action> {
+    pub fn list(&mut self, kind: ListKind, entries: Vec<EndpointEntry>) -> Vec<Action> {
         self.feed(Event::Servers(kind, entries))
     }
     pub fn ask(&mut self, request: Request) -> Vec<Action> {
--- a/crates/decide/tests/fleet.rs
+++ b/crates/decide/tests/fleet.rs
@@ -33,7 +33,7 @@
 fn few_keys_move_when_the_fleet_changes() {
     let mut rig = Rig::new(settings(), 1, 10);
     let before = homes(&mut rig, 0..1_000, 1);
-    rig.list(ListKind::Delta, vec![ServerEntry { presence: Presence::Gone, ..server(4) }]);
+    rig.list(ListKind::Delta, vec![EndpointEntry { presence: Presence::Gone, ..server(4) }]);
     let without = homes(&mut rig, 0..1_000, 2_000);
     let of_four = before.values().filter(|&&s| s == 4).count();
     assert_eq!(moved(&before, &without), of_four, "only the keys of the server that left");
@@ -47,8 +47,8 @@
 
 #[test]
 fn heavier_servers_have_more_keys() {
-    let mut rig = Rig::new(Settings { weights_last: true, ..settings() }, 1, 2);
-    rig.list(ListKind::Delta, vec![ServerEntry { weight: 3.0, ..server(2) }]);
+    let mut rig = Rig::new(Settings { weights_are_lasting: true, ..settings() }, 1, 2);
+    rig.list(ListKind::Delta, vec![EndpointEntry { weight: 3.0, ..server(2) }]);
     let share = homes(&mut rig, 0..2_000, 1).values().filter(|&&s| s == 2).count();
     assert!((1_400..1_600).contains(&share), "three quarters: {share}");
 }
@@ -115,7 +115,7 @@
         let mut rig = Rig::new(settings(), 1, 3);
         rig.miss(1, 0, 11);
         let held = rig.miss(2, 0, 12);
-        let gone = |id| ServerEntry { presence, ..server(id) };
+        let gone = |id| EndpointEntry { presence, ..server(id) };
         rig.list(ListKind::Delta, vec![gone(ORIGIN), gone(2)]);
         let after = rig.pass(1_000 * MS, &held);
         assert!(sends(&after).is_empty() && refused(&after), "{presence:?}: {after:?}");
@@ -135,7 +135,7 @@
 fn a_cold_server_gets_its_ramped_share_even_of_one_hot_key_and_more_only_while_it_is_quick() {
     let mut rig = Rig::new(settings(), 1, 9);
     timed(&mut rig, 20_000..20_400, |_| 30);
-    let cold = ServerEntry { online_since: rig.now, ..server(10) };
+    let cold = EndpointEntry { online_since: rig.now, ..server(10) };
     rig.list(ListKind::Delta, vec![cold]);
     // A key whose home is the cold server.
     let key = (0..10_000).find(|&key| {
@@ -163,7 +163,7 @@
 fn a_fleet_that_is_all_cold_is_not_sent_everything() {
     let mut rig = Rig::new(settings(), 1, 0);
     let now = rig.now;
-    rig.list(ListKind::Delta, (1..=10).map(|id| ServerEntry { online_since: now, ..server(id) }).collect());
+    rig.list(ListKind::Delta, (1..=10).map(|id| EndpointEntry { online_since: now, ..server(id) }).collect());
     let sent = (0..1_000)
         .filter(|&id| {
             let actions = rig.ask(request(id, 0, id));
@@ -180,7 +180,7 @@
 fn a_restarted_server_warms_up_again() {
     let mut rig = Rig::new(settings(), 1, 4);
     let before = homes(&mut rig, 0..400, 1).values().filter(|&&s| s == 2).count();
-    let again = ServerEntry { online_since: rig.now, ..server(2) };
+    let again = EndpointEntry { online_since: rig.now, ..server(2) };
     rig.list(ListKind::Delta, vec![again]);
     let after = homes(&mut rig, 0..400, 1_000).values().filter(|&&s| s == 2).count();
     assert!(after < before / 2, "{before} then {after}");
@@ -208,7 +208,7 @@
     let (mut rig, _) = after_failures(Rig::new(settings(), 1, 10), 1..=2, Outcome::ConnectFailed);
     rig.list(
         ListKind::Delta,
-        [1, 2].map(|id| ServerEntry { presence: Presence::Draining, ..server(id) }).to_vec(),
+        [1, 2].map(|id| EndpointEntry { presence: Presence::Draining, ..server(id) }).to_vec(),
     );
     let (_, used) = after_failures(rig, 3..=3, Outcome::Error);
     assert!(!used.contains(&3) && used.len() == 7, "a host that answers errors is taken out: {used:?}");
@@ -285,14 +285,14 @@
 fn a_dear_crossing_keeps_keys_in_the_zone() {
     let zoned = Settings { zones: 2, cross_zone_price: 0.2, ..settings() };
     let mut rig = Rig::new(zoned, 1, 0);
-    let zone = |id: u64| ServerEntry { zone: ZoneId((id % 2) as u8), ..server(id) };
+    let zone = |id: u64| EndpointEntry { zone: ZoneId((id % 2) as u8), ..server(id) };
     rig.list(ListKind::Full, (1..=8).chain([ORIGIN]).map(zone).collect());
     assert!(homes(&mut rig, 0..300, 1).values().all(|s| s % 2 == 0));
 }
 
 #[test]
 fn discovery_is_asked_once_and_again_after_a_failure_with_growing_waits() {
-    let ask = Settings { discovery: Discovery::Ask, must_ask_us: 8_000 * MS, ..settings() };
+    let ask = Settings { discovery: Discovery::Ask, max_poll_interval_us: 8_000 * MS, ..settings() };
     let mut rig = Rig::new(ask, 1, 0);
     let mut actions = rig.list(ListKind::Cached, vec![server(1)]);
     let mut waits = Vec::new();
@@ -341,15 +341,15 @@
     };
     let loads = told(rig.feed(Event::Speak));
     assert_eq!(loads.len(), 9, "every cache server, and not the origin");
-    let load = loads.iter().find(|l| l.server == ServerId(home)).unwrap();
+    let load = loads.iter().find(|l| l.server == EndpointId(home)).unwrap();
     assert!((load.held - 0.5).abs() < 1e-9 && load.failed == 1, "half the time: {load:?}");
     rig.now += 100 * MS;
     let again = told(rig.feed(Event::Speak));
-    let load = again.iter().find(|l| l.server == ServerId(home)).unwrap();
+    let load = again.iter().find(|l| l.server == EndpointId(home)).unwrap();
     assert_eq!((load.answered, load.failed), (0, 0), "each end is told once");
 
     let mut rig = Rig::new(settings(), 1, 9);
-    rig.feed(Event::Heard(vec![(ServerId(3), 0.1), (ServerId(77), 0.1)])); // one of them is not listed
+    rig.feed(Event::Heard(vec![(EndpointId(3), 0.1), (EndpointId(77), 0.1)])); // one of them is not listed
     let after = homes(&mut rig, 0..600, 1);
     let of = |homes: &BTreeMap<u64, u64>| homes.values().filter(|s| **s == 3).count();
     assert!(of(&after) * 4 < of(&before), "{} of {}", of(&after), of(&before));
--- a/crates/decide/tests/left.rs
+++ b/crates/decide/tests/left.rs
@@ -22,8 +22,8 @@
         .into_iter()
         .flat_map(|waits| [(waits, false), (waits, true)])
     {
-        let second_copies = waits == SecondCopy;
-        let mut rig = Rig::new(Settings { cancel, second_copies, ..settings() }, 1, 3);
+        let hedged_requests = waits == SecondCopy;
+        let mut rig = Rig::new(Settings { cancel, hedged_requests, ..settings() }, 1, 3);
         let id = RequestId(2);
         let mut timers = match waits {
             Permit => {
--- a/crates/decide/tests/requests.rs
+++ b/crates/decide/tests/requests.rs
@@ -38,7 +38,7 @@
 fn a_tenant_beyond_its_quota_counts_as_low_worth() {
     let mut tenants = settings();
     tenants.tenants = vec![Tenant { quota_per_s: 1.0 }, Tenant { quota_per_s: 1e6 }];
-    tenants.over_share_worth = 0.1;
+    tenants.over_quota_weight = 0.1;
     let mut rig = Rig::new(tenants, 1, 3);
     rig.miss(1, 0, 11);
     let mut over = request(0, 0, 0);
@@ -101,7 +101,7 @@
 #[test]
 fn a_second_copy_that_ends_while_the_fetch_is_out_does_not_lose_the_request() {
     // Found on the bench: the copy's end was passed over for good once the fetch had failed.
-    let mut rig = Rig::new(Settings { second_copies: true, max_attempts: 3, ..settings() }, 1, 3);
+    let mut rig = Rig::new(Settings { hedged_requests: true, max_attempts: 3, ..settings() }, 1, 3);
     let sent = rig.ask(request(1, 0, 7));
     assert_eq!(sends(&rig.pass(250 * MS, &sent)).len(), 1, "a second copy at half the aim");
     assert_eq!(sends(&rig.end(1, 0, Outcome::Miss)), [ORIGIN]);
@@ -180,7 +180,7 @@
     let through = Settings { mode: Mode::Through, ..settings() };
     for seed in 0..20 {
         let mut rig = Rig::new(through.clone(), seed, 0);
-        let zoned = (1..=6).map(|id| ServerEntry { zone: ZoneId((id % 3) as u8), ..server(id) });
+        let zoned = (1..=6).map(|id| EndpointEntry { zone: ZoneId((id % 3) as u8), ..server(id) });
         rig.list(ListKind::Full, zoned.collect());
         let first = rig.sent_to(Request { key: Some(Key(seed)), ..request(1, 4, 7) }).unwrap();
         for again in sends(&rig.end(1, 0, Outcome::Error)) {
@@ -396,7 +396,7 @@
         })
     };
     let mut rig = Rig::new(settings(), 1, 0);
-    rig.list(ListKind::Delta, vec![ServerEntry { presence: Presence::Gone, ..server(ORIGIN) }]);
+    rig.list(ListKind::Delta, vec![EndpointEntry { presence: Presence::Gone, ..server(ORIGIN) }]);
     assert_eq!(why(rig.ask(request(1, 0, 7))), Some("no-server"));
     let mut rig = Rig::new(Settings { max_attempts: 1, ..settings() }, 1, 3);
     rig.ask(request(1, 0, 7));
@@ -444,7 +444,7 @@
 #[test]
 fn the_most_urgent_class_is_not_shed_before_a_patient_one() {
     let mut mixed = settings();
-    mixed.classes[3] = Class { aim_us: 1_000 * MS, worth: 3.0, ..mixed.classes[3].clone() };
+    mixed.classes[3] = Class { latency_objective_us: 1_000 * MS, worth: 3.0, ..mixed.classes[3].clone() };
     let mut rig = Rig::new(mixed, 1, 1);
     let mut shed = [0, 0];
     for id in 0..2_000 {
@@ -475,7 +475,7 @@
 #[test]
 fn a_started_stream_is_left_to_its_client() {
     // Found by the wire's drill: the module cancelled the stream itself, and the client had no answer.
-    let mut rig = Rig::new(Settings { second_copies: true, cancel: true, ..settings() }, 1, 3);
+    let mut rig = Rig::new(Settings { hedged_requests: true, cancel: true, ..settings() }, 1, 3);
     let sent = rig.ask(request(1, 0, 7));
     assert_eq!(rig.feed(Event::FirstByte(RequestId(1))), []);
     assert_eq!(rig.pass(900 * MS, &sent), [], "no second copy, no final answer");
@@ -484,7 +484,7 @@
 
 #[test]
 fn the_loser_of_two_copies_is_cancelled_where_that_is_permitted() {
-    let mut rig = Rig::new(Settings { second_copies: true, cancel: true, ..settings() }, 1, 3);
+    let mut rig = Rig::new(Settings { hedged_requests: true, cancel: true, ..settings() }, 1, 3);
     let sent = rig.ask(request(1, 0, 7));
     rig.pass(250 * MS, &sent);
     assert_eq!(rig.end(1, 1, Outcome::Ok), [Action::Cancel { id: RequestId(1), attempt: 0 }]);
@@ -560,7 +560,7 @@
         rig.now += 500 * MS;
         rig.ask(request(id, 0, 100 + id));
         assert_eq!(sends(&rig.end(id, 0, Outcome::Miss)), [ORIGIN]);
-        rig.end(id, 1, outcome).iter().any(|a| matches!(a, Action::CloseIdle(ServerId(ORIGIN))))
+        rig.end(id, 1, outcome).iter().any(|a| matches!(a, Action::CloseIdle(EndpointId(ORIGIN))))
     };
     assert!(!closed(1, Outcome::Error) && !closed(2, Outcome::Ok), "one bad fetch says little");
     assert!(closed(3, Outcome::Error) && closed(4, Outcome::Error), "a run of them does");
--- a/crates/decide/tests/settings.rs
+++ b/crates/decide/tests/settings.rs
@@ -4,7 +4,7 @@
 
 #[test]
 fn what_tips_a_cold_server_over_is_read_and_never_less_than_it_can_do() {
-    let read = |text: &str| text.parse::<Settings>().map(|it| (it.fall_multiple, it.tip_after_us));
+    let read = |text: &str| text.parse::<Settings>().map(|it| (it.overload_multiple, it.overload_window_us));
     assert_eq!(read(""), Ok((3.0, 1_000_000)), "where nothing is said");
     assert_eq!(read("rules.fallMultiple=2.5\nrules.tipAfterUs=3000000"), Ok((2.5, 3_000_000)));
     assert_eq!(read("rules.fallMultiple=0\nrules.tipAfterUs=0"), Ok((1.0, 100_000)));
--- a/crates/emulator/src/day.rs
+++ b/crates/emulator/src/day.rs
@@ -18,8 +18,8 @@
 use crate::score::{self, End, Score};
 use crate::{Micros, SECOND};
 use decide::api::{
-    Action, CellId, Class, ClassId, Event, ListKind, Mode, Outcome, Presence, Reason, Request, RequestId,
-    Scope, ServerEntry, ServerId, Settings, Tenant, TenantId, Token, ZoneId,
+    Action, CellId, Class, ClassId, EndpointEntry, EndpointId, Event, ListKind, Mode, Outcome, Presence,
+    Reason, Request, RequestId, Scope, Settings, Tenant, TenantId, Token, ZoneId,
 };
 use decide::policy::Router;
 use due::{Due, Happening};
@@ -34,7 +34,7 @@
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
 
 /// The archive, as gateways know it.
-pub const ARCHIVE: ServerId = ServerId(1 << 32);
+pub const ARCHIVE: EndpointId = EndpointId(1 << 32);
 /// How long repeats of a keyed write are dropped, as gateways are told.
 const KEYED_SPAN: Micros = 4_000_000;
 /// Attempts that a request may make.
@@ -192,9 +192,9 @@
             troubles: Vec::new(),
         };
         day.warm_up();
-        let mut list: Vec<ServerEntry> =
+        let mut list: Vec<EndpointEntry> =
             (0..day.nodes.len()).map(|n| day.entry(n, Presence::Ready)).collect();
-        list.push(ServerEntry { id: ARCHIVE, kind: 1, ..list[0] });
+        list.push(EndpointEntry { id: ARCHIVE, kind: 1, ..list[0] });
         for gateway in 0..day.gateways.len() {
             day.tell(gateway, Event::Servers(ListKind::Full, list.clone()));
         }
@@ -216,8 +216,8 @@
             actions.clear();
             let intent = self.callers.next(0, self.scenario, &mut self.rng);
             let (id, class, key) = (RequestId(n), ClassId(0), Some(intent.key));
-            let time_left_us = SECOND;
-            let request = Request { id, class, tenant: TenantId(0), key, write: false, time_left_us };
+            let remaining_us = SECOND;
+            let request = Request { id, class, tenant: TenantId(0), key, write: false, remaining_us };
             // Spread in time, so that no key looks hot.
             finder.handle(n * 20_000, Event::Request(request), &mut actions);
             if let Some(Action::Send { server, .. }) = actions.first() {
@@ -232,11 +232,11 @@
         self.callers = Callers::new(self.scenario);
     }
 
-    fn entry(&self, n: usize, presence: Presence) -> ServerEntry {
+    fn entry(&self, n: usize, presence: Presence) -> EndpointEntry {
         let node = &self.nodes[n];
         let warm = Node::<Tag>::new(n, &self.scenario.fleet).capacity(0);
-        ServerEntry {
-            id: ServerId(n as u64 + 1),
+        EndpointEntry {
+            id: EndpointId(n as u64 + 1),
             presence,
             kind: 0,
             weight: warm,
--- a/crates/emulator/src/day/due.rs
+++ b/crates/emulator/src/day/due.rs
@@ -16,7 +16,7 @@
     TimeIsUp(usize, RequestId),
     AtClient(Try, Answer, Micros),
     Timer(usize, Token),
-    Told(usize, usize, u32, ServerEntry),
+    Told(usize, usize, u32, EndpointEntry),
     Falls(usize),
     Passes(usize),
     Goes(usize),
--- a/crates/emulator/src/day/gateways.rs
+++ b/crates/emulator/src/day/gateways.rs
@@ -13,7 +13,7 @@
             tenant: TenantId(intent.municipio as u32),
             key: Some(intent.key),
             write: self.scenario.classes[intent.class].effect != Effect::SafeToRepeat,
-            time_left_us: intent.waits,
+            remaining_us: intent.waits,
         };
         self.referee
             .see(self.now, Fact::Taken { gateway, request: this.request, effect, gives_up: deadline });
@@ -37,8 +37,8 @@
     fn carry_out(&mut self, gateway: usize, action: Action, events: &mut VecDeque<Event>) {
         match action {
             Action::Send { id, server, timeout_us } => self.send(gateway, id, server, timeout_us),
-            Action::Refuse { id, hold_off_us, reason } => {
-                self.give_up(gateway, id, Answer::Refused, hold_off_us, reason);
+            Action::Refuse { id, retry_after_us, reason } => {
+                self.give_up(gateway, id, Answer::Refused, retry_after_us, reason);
             }
             Action::Fail { id, reason } => self.give_up(gateway, id, Answer::Failed, 0, reason),
             Action::Cancel { id, attempt } => {
@@ -70,7 +70,7 @@
         }
     }
 
-    fn send(&mut self, gateway: usize, request: RequestId, server: ServerId, timeout_us: Micros) {
+    fn send(&mut self, gateway: usize, request: RequestId, server: EndpointId, timeout_us: Micros) {
         let n = if server == ARCHIVE { self.nodes.len() } else { server.0 as usize - 1 };
         let Some(context) = self.gateways[gateway].open.get_mut(&request) else { return };
         let attempt = context.out.len() as u16;
--- a/crates/emulator/src/day/machines.rs
+++ b/crates/emulator/src/day/machines.rs
@@ -16,7 +16,7 @@
             Offered::TurnedAway | Offered::Refused | Offered::FellOver => {
                 let fell = offered == Offered::FellOver;
                 if fell {
-                    self.referee.see(self.now, Fact::FellOver { server: ServerId(n as u64 + 1) });
+                    self.referee.see(self.now, Fact::FellOver { server: EndpointId(n as u64 + 1) });
                     self.announce(n, Presence::Gone);
                 }
                 let outcome =
--- a/crates/emulator/src/day/settings.rs
+++ b/crates/emulator/src/day/settings.rs
@@ -6,10 +6,10 @@
 #[must_use]
 pub fn settings(scenario: &Scenario) -> Settings {
     let class = |class: &crate::scenario::Class| Class {
-        aim_us: micros(class.wanted),
+        latency_objective_us: micros(class.wanted),
         deadline_us: micros(class.deadline),
         worth: class.worth,
-        late_worth: 0.0,
+        late_weight: 0.0,
         effect: repeat(class.effect),
     };
     let total: f64 = scenario.municipios.iter().map(|m| m.share).sum();
@@ -18,16 +18,16 @@
         siblings: scenario.gateways.count as u32,
         classes: scenario.classes.iter().map(class).collect(),
         tenants: scenario.municipios.iter().map(|m| tenant(m.share)).collect(),
-        over_share_worth: 0.2,
+        over_quota_weight: 0.2,
         mode: Mode::Aside,
         origin_kind: Some(1),
         max_attempts: ATTEMPTS,
         cancel: true,
-        max_hold_off_us: HOLD_OFF,
-        weights_last: true,
-        cold_from: scenario.fleet.cold_from,
-        cold_us: micros(scenario.fleet.cold_for),
-        fall_multiple: scenario.fleet.falls_at,
+        max_retry_after_us: HOLD_OFF,
+        weights_are_lasting: true,
+        slow_start_fraction: scenario.fleet.slow_start_fraction,
+        slow_start_us: micros(scenario.fleet.cold_for),
+        overload_multiple: scenario.fleet.falls_at,
         ..Settings::default()
     }
 }
@@ -35,8 +35,8 @@
 /// A class's effect as gateways are told it.
 pub(super) fn repeat(effect: Effect) -> decide::api::Effect {
     match effect {
-        Effect::SafeToRepeat => decide::api::Effect::Retryable,
-        Effect::Keyed => decide::api::Effect::Dedup { scope: Scope::All, span_us: KEYED_SPAN },
-        Effect::NeverTwice => decide::api::Effect::Fragile,
+        Effect::SafeToRepeat => decide::api::Effect::Idempotent,
+        Effect::Keyed => decide::api::Effect::IdempotentWithKey { scope: Scope::All, span_us: KEYED_SPAN },
+        Effect::NeverTwice => decide::api::Effect::NonIdempotent,
     }
 }
--- a/crates/emulator/src/day/troubles.rs
+++ b/crates/emulator/src/day/troubles.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 impl Day<'_> {
-    pub(super) fn told(&mut self, gateway: usize, n: usize, version: u32, entry: ServerEntry) {
+    pub(super) fn told(&mut self, gateway: usize, n: usize, version: u32, entry: EndpointEntry) {
         if version <= self.gateways[gateway].versions[n] {
             return; // newer news overtook it
         }
--- a/crates/emulator/src/node.rs
+++ b/crates/emulator/src/node.rs
@@ -58,7 +58,7 @@
 pub struct Node<T> {
     cores: usize,
     speed: f64,
-    cold_from: f64,
+    slow_start_fraction: f64,
     cold_for: Micros,
     falls_at: f64,
     miss_work: f64,
@@ -81,7 +81,7 @@
         Self {
             cores,
             speed,
-            cold_from: fleet.cold_from,
+            slow_start_fraction: fleet.slow_start_fraction,
             cold_for: micros(fleet.cold_for),
             falls_at: fleet.falls_at,
             miss_work: fleet.miss_work,
@@ -101,7 +101,7 @@
         if self.started == 0 || age >= self.cold_for {
             return 1.0;
         }
-        self.cold_from + (1.0 - self.cold_from) * age as f64 / self.cold_for as f64
+        self.slow_start_fraction + (1.0 - self.slow_start_fraction) * age as f64 / self.cold_for as f64
     }
 
     /// Its capacity now, in microseconds of work a microsecond.
--- a/crates/emulator/src/referee.rs
+++ b/crates/emulator/src/referee.rs
@@ -4,7 +4,7 @@
 //! insides, but for the instant at which the module gave a request up, which no client may be told late.
 
 use crate::Micros;
-use decide::api::{Effect, Outcome, Presence, RequestId, ServerId};
+use decide::api::{Effect, EndpointId, Outcome, Presence, RequestId};
 use rustc_hash::{FxHashMap, FxHasher};
 use serde::Serialize;
 use std::fmt;
@@ -89,7 +89,7 @@
         /// Which gateway.
         gateway: usize,
         /// The server.
-        server: ServerId,
+        server: EndpointId,
         /// Its state.
         presence: Presence,
     },
@@ -102,7 +102,7 @@
         /// Its number.
         attempt: u16,
         /// Where to.
-        server: ServerId,
+        server: EndpointId,
     },
     /// An attempt is out no more.
     Ended {
@@ -135,7 +135,7 @@
     /// A cold node was pushed over.
     FellOver {
         /// Which.
-        server: ServerId,
+        server: EndpointId,
     },
 }
 
@@ -176,7 +176,7 @@
     slack: Slack,
     open: FxHashMap<RequestId, Request>,
     /// Since when a gateway knows that a server drains or is gone.
-    shunned: FxHashMap<(usize, ServerId), Micros>,
+    shunned: FxHashMap<(usize, EndpointId), Micros>,
     findings: Vec<Finding>,
     broken: usize,
     digest: FxHasher,
@@ -230,7 +230,7 @@
             Fact::Answered { request, answer } => self.answered(now, request, answer),
             Fact::Ran { request, times } => {
                 (request.0, times).hash(&mut self.digest);
-                let fragile = self.open.get(&request).is_none_or(|open| open.effect == Effect::Fragile);
+                let fragile = self.open.get(&request).is_none_or(|open| open.effect == Effect::NonIdempotent);
                 if times > 1 && fragile {
                     self.find(Rule::NoSecondRun, now, Some(request), format!("it has run {times} times"));
                 }
@@ -283,7 +283,7 @@
         self.facts
     }
 
-    fn sent(&mut self, now: Micros, gateway: usize, request: RequestId, attempt: u16, server: ServerId) {
+    fn sent(&mut self, now: Micros, gateway: usize, request: RequestId, attempt: u16, server: EndpointId) {
         (request.0, attempt, server.0).hash(&mut self.digest);
         if let Some(since) = self.shunned.get(&(gateway, server)).copied()
             && now > since + self.slack.drain
@@ -303,9 +303,9 @@
         let out = open.attempts.iter().any(|a| a.outcome.is_none());
         let repeats = open.attempts.iter().filter(|a| may_have_run(a.outcome)).map(|a| a.sent).min();
         let allowed = match (open.effect, repeats) {
-            (_, None) | (Effect::Retryable, _) => true,
-            (Effect::Fragile, Some(_)) => false,
-            (Effect::Dedup { span_us, .. }, Some(first)) => now < first + span_us,
+            (_, None) | (Effect::Idempotent, _) => true,
+            (Effect::NonIdempotent, Some(_)) => false,
+            (Effect::IdempotentWithKey { span_us, .. }, Some(first)) => now < first + span_us,
         };
         open.attempts.push(Attempt { number: attempt, sent: now, outcome: None });
         if out {
@@ -335,7 +335,7 @@
         open.answered = true;
         let (gives_up, gave_up) = (open.gives_up, open.gave_up);
         let ran = open.attempts.iter().any(|a| may_have_run(a.outcome));
-        let fragile = open.effect == Effect::Fragile;
+        let fragile = open.effect == Effect::NonIdempotent;
         if now > gives_up + slack {
             let late = (now - gives_up) / 1_000;
             self.find(
@@ -370,7 +370,7 @@
     /// Bounds memory: what is answered and has nothing out can break no rule any more, but run again.
     fn forget(&mut self, request: RequestId) {
         let over = |open: &Request| open.answered && open.attempts.iter().all(|a| a.outcome.is_some());
-        if self.open.get(&request).is_some_and(|open| over(open) && open.effect != Effect::Fragile) {
+        if self.open.get(&request).is_some_and(|open| over(open) && open.effect != Effect::NonIdempotent) {
             self.open.remove(&request);
         }
     }
--- a/crates/emulator/src/scenario.rs
+++ b/crates/emulator/src/scenario.rs
@@ -84,7 +84,8 @@
     /// Objects that a node keeps; those used longest ago go first.
     pub keeps: usize,
     /// The part of its work that a node which has just started can do.
-    pub cold_from: f64,
+    #[serde(rename = "cold_from")]
+    pub slow_start_fraction: f64,
     /// From then on it warms evenly over this time.
     #[serde(with = "humantime_serde")]
     pub cold_for: Duration,
@@ -102,7 +103,7 @@
             two_cores: 1.0,
             room: 60,
             keeps: 900,
-            cold_from: 0.14,
+            slow_start_fraction: 0.14,
             cold_for: Duration::from_secs(24),
             falls_at: 3.0,
             miss_work: 0.2,
@@ -402,7 +403,7 @@
         need(positive(self.fleet.two_cores), "fleet.two_cores", "above 0")?;
         need(self.fleet.keeps > 0, "fleet.keeps", "at least 1")?;
         need(
-            positive(self.fleet.cold_from) && part(self.fleet.cold_from),
+            positive(self.fleet.slow_start_fraction) && part(self.fleet.slow_start_fraction),
             "fleet.cold_from",
             "above 0, to 1",
         )?;
--- a/crates/emulator/tests/cold_hosts.rs
+++ b/crates/emulator/tests/cold_hosts.rs
@@ -1,6 +1,6 @@
 //! What a whole fleet of balancers sends to hosts that warm up, against what the settings allow these.
 
-use decide::api::{Action, Event, ListKind, ServerEntry, ServerId, Settings};
+use decide::api::{Action, EndpointEntry, EndpointId, Event, ListKind, Settings};
 use decide::policy::Router;
 use emulator::day::{self, ARCHIVE, Balancer};
 use emulator::scenario::{Scenario, Trouble, What};
@@ -19,12 +19,12 @@
 const BACK: Micros = 3 * SECOND;
 
 /// Times of sends by balancers that had been told of the start, by host and start.
-type Ledger = Rc<RefCell<BTreeMap<(ServerId, Micros), Vec<Micros>>>>;
+type Ledger = Rc<RefCell<BTreeMap<(EndpointId, Micros), Vec<Micros>>>>;
 
 /// A balancer that is watched, and may be restarted once: it then knows nothing but the list.
 struct Watched {
     router: Router,
-    list: BTreeMap<ServerId, ServerEntry>,
+    list: BTreeMap<EndpointId, EndpointEntry>,
     restart: Option<(Micros, Router)>,
     ledger: Ledger,
 }
@@ -56,17 +56,27 @@
 /// What a deployment's settings say of hosts that warm up.
 #[derive(Debug, Clone, Copy)]
 struct Site {
-    second_copies: bool,
-    fall_multiple: f64,
+    hedged_requests: bool,
+    overload_multiple: f64,
     tip_after: Micros,
-    cold_from: f64,
+    slow_start_fraction: f64,
     cold_for: u64,
 }
 
-const PUSHED: Site =
-    Site { second_copies: false, fall_multiple: 3.0, tip_after: SECOND, cold_from: 0.14, cold_for: 24 };
-const ASKED: Site =
-    Site { second_copies: true, fall_multiple: 3.0, tip_after: 3 * SECOND, cold_from: 0.3, cold_for: 8 };
+const PUSHED: Site = Site {
+    hedged_requests: false,
+    overload_multiple: 3.0,
+    tip_after: SECOND,
+    slow_start_fraction: 0.14,
+    cold_for: 24,
+};
+const ASKED: Site = Site {
+    hedged_requests: true,
+    overload_multiple: 3.0,
+    tip_after: 3 * SECOND,
+    slow_start_fraction: 0.3,
+    cold_for: 8,
+};
 
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Play {
@@ -109,7 +119,7 @@
          [[class]]\nname = \"read\"\npart = 1.0\nwork = \"20ms\"\nwanted = \"250ms\"\ndeadline = \"1s\"\n\
          worth = 1.0\neffect = \"safe-to-repeat\"\n",
         lasts = 4 + site.cold_for,
-        from = site.cold_from,
+        from = site.slow_start_fraction,
         for_s = site.cold_for,
         workers = nodes / 2,
         rate = nodes * per_host,
@@ -144,10 +154,10 @@
         }
     }
     let settings = Settings {
-        second_copies: site.second_copies,
-        cold_from: site.cold_from,
-        fall_multiple: site.fall_multiple,
-        tip_after_us: site.tip_after,
+        hedged_requests: site.hedged_requests,
+        slow_start_fraction: site.slow_start_fraction,
+        overload_multiple: site.overload_multiple,
+        overload_window_us: site.tip_after,
         ..day::settings(&scenario)
     };
     let ledger = Ledger::default();
@@ -164,8 +174,8 @@
         let full = if (server.0 - 1).is_multiple_of(2) { 1.5 } else { 2.0 } * SECOND as f64 / WORK_US;
         let allows = |at: Micros| {
             let age = (at - start) as f64 / (site.cold_for * SECOND) as f64;
-            let warmth = (site.cold_from + (1.0 - site.cold_from) * age).min(1.0);
-            site.fall_multiple * full * warmth * site.tip_after as f64 / SECOND as f64
+            let warmth = (site.slow_start_fraction + (1.0 - site.slow_start_fraction) * age).min(1.0);
+            site.overload_multiple * full * warmth * site.tip_after as f64 / SECOND as f64
         };
         let cold: Vec<Micros> =
             sends.iter().copied().filter(|at| at - start < site.cold_for * SECOND).collect();
@@ -176,7 +186,7 @@
         }
         used += cold.len() as f64;
         let mean = allows(start + site.cold_for * SECOND / 2);
-        allowed += mean / site.fall_multiple * (site.cold_for * SECOND) as f64 / site.tip_after as f64;
+        allowed += mean / site.overload_multiple * (site.cold_for * SECOND) as f64 / site.tip_after as f64;
     }
     assert!(all.len() >= nodes / 4, "hosts have restarted: {}", all.len());
     Seen { worst, used: used / allowed, served: report.score.whole }
--- a/crates/emulator/tests/referee.rs
+++ b/crates/emulator/tests/referee.rs
@@ -84,7 +84,7 @@
             if let (Event::Request(_), Some(Action::Send { id, timeout_us, .. })) =
                 (event, actions.first().cloned())
             {
-                actions.push(Action::Send { id, server: ServerId(1), timeout_us });
+                actions.push(Action::Send { id, server: EndpointId(1), timeout_us });
             }
         }
     };
@@ -106,7 +106,7 @@
             }
         }
     };
-    assert_eq!(settings.classes[3].effect, Effect::Fragile);
+    assert_eq!(settings.classes[3].effect, Effect::NonIdempotent);
     assert_eq!(broken(&failing, again), [Rule::NoSecondRun]);
 }
 
@@ -122,7 +122,7 @@
                     if let Action::Send { server, .. } = action
                         && *server != ARCHIVE
                     {
-                        *server = ServerId(1 + server.0 % 6);
+                        *server = EndpointId(1 + server.0 % 6);
                     }
                 }
             }
@@ -168,8 +168,8 @@
 #[test]
 fn answers_held_back_made_for_others_or_late_are_found_and_no_instant_before() {
     let request = RequestId(1);
-    let taken = (0, Fact::Taken { gateway: 0, request, effect: Effect::Fragile, gives_up: SECOND });
-    let sent = (1, Fact::Sent { gateway: 0, request, attempt: 0, server: ServerId(1) });
+    let taken = (0, Fact::Taken { gateway: 0, request, effect: Effect::NonIdempotent, gives_up: SECOND });
+    let sent = (1, Fact::Sent { gateway: 0, request, attempt: 0, server: EndpointId(1) });
     let ended = |outcome| (2, Fact::Ended { request, attempt: 0, outcome });
     let answered = |at, answer| (at, Fact::Answered { request, answer });
     let own = Answer::Served { made_for: request };
--- a/crates/gateway/src/engine.rs
+++ b/crates/gateway/src/engine.rs
@@ -281,9 +281,11 @@
             Input::Begun { id, attempt, sent, streamed } => self.begun(id, attempt, sent, streamed),
             Input::Dialled(peer, connection) => self.pools.put(&peer, connection),
             Input::Look(figures) => {
-                let (census, open) = (self.router.census(self.now()), self.handle.claims.open.get());
+                let (endpoint_counts, open) =
+                    (self.router.endpoint_counts(self.now()), self.handle.claims.open.get());
                 let tally = self.handle.tally.borrow();
-                let _ = figures.send(figures::worded(&tally, &self.group.names().classes, open, census));
+                let _ =
+                    figures.send(figures::worded(&tally, &self.group.names().classes, open, endpoint_counts));
             }
             Input::MayChange(kind, said) => {
                 let _ = said.send(self.may_change(kind));
@@ -337,11 +339,11 @@
     pub(super) fn config() -> Config {
         let minute = Duration::from_secs(60);
         let class = Class {
-            aim_us: 1_000_000,
+            latency_objective_us: 1_000_000,
             deadline_us: 60_000_000,
             worth: 1.0,
-            late_worth: 0.0,
-            effect: Effect::Retryable,
+            late_weight: 0.0,
+            effect: Effect::Idempotent,
         };
         let bounds = Bounds {
             clients: 1,
--- a/crates/gateway/src/engine/context.rs
+++ b/crates/gateway/src/engine/context.rs
@@ -48,7 +48,7 @@
     /// the first that may have run on. That one is taken to have run when it was decided on, which is earlier; the two
     /// ticks are the module's own margin, and the way to the peer is what the rule's slack is for.
     pub(super) fn window_ends(&self, tick: Duration) -> Option<Instant> {
-        let Effect::Dedup { span_us, .. } = self.effect else { return None };
+        let Effect::IdempotentWithKey { span_us, .. } = self.effect else { return None };
         let first = self.maybe_ran.iter().map(|(_, sent)| *sent).min()?;
         Some(first + Duration::from_micros(span_us).saturating_sub(2 * tick))
     }
@@ -87,7 +87,7 @@
             tenant: incoming.tenant,
             key: incoming.key,
             write: incoming.call.value.is_some(),
-            time_left_us: time_left.as_micros() as Micros,
+            remaining_us: time_left.as_micros() as Micros,
         };
         let client_id = String::from_utf8_lossy(&incoming.call.id);
         log::debug!("request {}: {client_id}, class {}, {:?} left", id.0, incoming.class.0, time_left);
@@ -95,7 +95,7 @@
             call: incoming.call,
             _held: incoming.held,
             class: incoming.class,
-            effect: self.effects.get(incoming.class.0 as usize).copied().unwrap_or(Effect::Fragile),
+            effect: self.effects.get(incoming.class.0 as usize).copied().unwrap_or(Effect::NonIdempotent),
             taken,
             deadline,
             answer: Some(answer),
@@ -126,11 +126,15 @@
     fn carry_out(&mut self, action: Action) {
         match action {
             Action::Send { id, server, timeout_us } => self.send(id, server, timeout_us),
-            Action::Refuse { id, hold_off_us, reason } => {
+            Action::Refuse { id, retry_after_us, reason } => {
                 self.handle.tally.borrow_mut().refuse(reason);
                 self.count_refused();
-                log::debug!("request {}: refused ({}), hold off {hold_off_us} us", id.0, reason.word());
-                self.answer(id, Answer::Refused(hold_off_us.div_ceil(1_000)));
+                log::debug!(
+                    "request {}: rejected ({}), retry after {retry_after_us} us",
+                    id.0,
+                    reason.word()
+                );
+                self.answer(id, Answer::Refused(retry_after_us.div_ceil(1_000)));
                 self.forget(id);
             }
             Action::Fail { id, reason } => {
--- a/crates/gateway/src/engine/fleet_tests.rs
+++ b/crates/gateway/src/engine/fleet_tests.rs
@@ -14,7 +14,7 @@
 use tokio::task::LocalSet;
 use tokio::time::{Instant, advance, timeout};
 use upstream::call::Answer;
-use upstream::group::server_id;
+use upstream::group::endpoint_id;
 use upstream::peer::Ended;
 
 const LEASE: Duration = Duration::from_secs(3_600);
@@ -102,7 +102,7 @@
     }
 
     fn sends_to(&self, host: &str) -> bool {
-        self.engine.group.peer(server_id(host)).is_some_and(|peer| peer.ready())
+        self.engine.group.peer(endpoint_id(host)).is_some_and(|peer| peer.ready())
     }
 
     fn told(&self) -> String {
@@ -148,7 +148,7 @@
         let under = world.engine.under(false);
         advance(short).await;
         assert!(world.engine.fenced());
-        let peer = world.engine.group.peer(server_id("a")).unwrap().clone();
+        let peer = world.engine.group.peer(endpoint_id("a")).unwrap().clone();
         let value = Bytes::from_static(b"value");
         let ended = Ended {
             outcome: Outcome::Ok,
@@ -209,7 +209,7 @@
         config.known = Some(list(1, &[("a", Phase::Ready)]));
         let (mut alone, handle) = Engine::new(&config);
         alone.told(&more, false);
-        assert!(alone.group.peer(server_id("b")).is_some());
+        assert!(alone.group.peer(endpoint_id("b")).is_some());
         assert!(!alone.fenced() && handle.may_change(Kind::Discovery).await.is_ok());
         assert!(handle.fleet_call(crate::fleet::Call::Look).await.is_none());
     };
--- a/crates/gateway/src/engine/tries.rs
+++ b/crates/gateway/src/engine/tries.rs
@@ -1,21 +1,21 @@
 //! The tries of a request: each is sent, may begin to be answered at length, and ends; and connections dialled ahead of them.
 
 use super::{Engine, Input};
-use decide::api::{Effect, Event, Micros, Outcome, RequestId, ServerId};
+use decide::api::{Effect, EndpointId, Event, Micros, Outcome, RequestId};
 use proto::discovery::List;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 use upstream::call::Answer;
-use upstream::group::{Peer, server_id};
+use upstream::group::{Peer, endpoint_id};
 use upstream::peer::{self, Ended, Permit, Streamed, Try};
 
 /// The largest fleet whose peers are dialled as they are listed: the two hundred of a usual one, and room.
 const MOST_DIALLED_AHEAD: usize = 256;
 
 impl Engine {
-    pub(super) fn send(&mut self, id: RequestId, server: ServerId, timeout_us: Micros) {
+    pub(super) fn send(&mut self, id: RequestId, server: EndpointId, timeout_us: Micros) {
         let Some(context) = self.contexts.get_mut(&id) else { return };
         let attempt = context.attempts;
         context.attempts += 1;
@@ -51,7 +51,7 @@
         let fresh = context.stale || (call.value.is_some() && self.pools.stale_lately(&peer));
         let line = if fresh { self.pools.dial(&peer) } else { self.pools.line(&peer) };
         let lines = self.lines.clone();
-        let (dial, fragile) = (self.bounds.dial, context.effect == Effect::Fragile);
+        let (dial, fragile) = (self.bounds.dial, context.effect == Effect::NonIdempotent);
         let written = self.handle.tally.borrow().attempts.clone();
         let budget = self.handle.budget.clone();
         let this =
@@ -140,7 +140,7 @@
             return;
         }
         for member in &list.members {
-            if let Some(peer) = self.group.peer(server_id(&member.id)).cloned() {
+            if let Some(peer) = self.group.peer(endpoint_id(&member.id)).cloned() {
                 self.dial_ahead(&peer);
             }
         }
--- a/crates/gateway/src/figures.rs
+++ b/crates/gateway/src/figures.rs
@@ -1,7 +1,7 @@
 //! The figures of this process: counted once, where the event happens, and read by the door, the log and tests alike.
 
 use decide::api::{ClassId, Outcome, Reason};
-use decide::census::Census;
+use decide::endpoint_counts::EndpointCounts;
 use std::cell::Cell;
 use std::collections::BTreeMap;
 use std::fmt::{self, Write};
@@ -116,7 +116,9 @@
 
 /// The figures as staff fetch them, one `NAME:VALUE|KIND` a line: `c` counts since the start, `g` is the state now.
 #[must_use]
-pub fn worded(tally: &Tally, class_names: &[String], in_flight: usize, census: Census) -> String {
+pub fn worded(
+    tally: &Tally, class_names: &[String], in_flight: usize, endpoint_counts: EndpointCounts,
+) -> String {
     let mut out = String::with_capacity(1024);
     let mut line = |name: &str, class: &str, value: u64, kind: char| {
         let _ = writeln!(out, "{PREFIX}.{name}{class}:{value}|{kind}"); // a String takes all
@@ -131,7 +133,7 @@
     line("reloads_ok", "", tally.reloads.0, 'c');
     line("reloads_failed", "", tally.reloads.1, 'c');
     line("in_flight", "", in_flight as u64, 'g');
-    line("cache_hosts_known", "", census.known, 'g');
-    line("cache_hosts_excluded", "", census.avoided, 'g');
+    line("cache_hosts_known", "", endpoint_counts.known, 'g');
+    line("cache_hosts_excluded", "", endpoint_counts.avoided, 'g');
     out
 }
--- a/crates/gossip/src/belief.rs
+++ b/crates/gossip/src/belief.rs
@@ -2,7 +2,7 @@
 
 use crate::Micros;
 use crate::wire::{Report, Short, Stamp, Word};
-use decide::api::{Load, ServerId};
+use decide::api::{EndpointId, Load};
 use rustc_hash::FxHashMap;
 
 /// The pause between reports, and up to a fifth more: balancers that started together must not go on together.
@@ -59,7 +59,7 @@
     /// What to send to every other balancer.
     pub datagram: Vec<u8>,
     /// For each server asked about, the part of its listed weight to place keys by.
-    pub parts: Vec<(ServerId, f64)>,
+    pub parts: Vec<(EndpointId, f64)>,
 }
 
 #[derive(Debug, Clone)]
@@ -83,7 +83,7 @@
     stamp: Stamp,
     senders: Vec<Option<Heard>>,
     /// Bounded by the servers that the last turn asked about.
-    views: FxHashMap<ServerId, View>,
+    views: FxHashMap<EndpointId, View>,
     last_turn: Option<Micros>,
     counts: Counts,
 }
@@ -180,7 +180,7 @@
 
     fn weigh(
         &mut self, loads: &[Load], sums: &FxHashMap<Short, Word>, passed_us: f64, say: f64,
-    ) -> Vec<(ServerId, f64)> {
+    ) -> Vec<(EndpointId, f64)> {
         let before = std::mem::take(&mut self.views);
         let keeps = |over_us: f64| (-passed_us / over_us).exp();
         let (mut sum_in_the_way, mut all) = (0.0, 0.0);
--- a/crates/gossip/src/wire.rs
+++ b/crates/gossip/src/wire.rs
@@ -8,7 +8,7 @@
 //! | then 4 each | a server's short name (2, big-endian); requests held in the mean, in sixteenths (1); answered and not answered, at most 15 of each (4 bits, 4 bits) |
 
 use crate::Micros;
-use decide::api::ServerId;
+use decide::api::EndpointId;
 use fnv::FnvHasher;
 use std::hash::Hasher;
 use thiserror::Error;
@@ -30,8 +30,8 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Short(pub u16);
 
-impl From<ServerId> for Short {
-    fn from(id: ServerId) -> Self {
+impl From<EndpointId> for Short {
+    fn from(id: EndpointId) -> Self {
         // Every bit of the id counts: ids may be addresses that differ in few of them.
         let mut hasher = FnvHasher::default();
         hasher.write(&id.0.to_be_bytes());
--- a/crates/gossip/tests/golden.rs
+++ b/crates/gossip/tests/golden.rs
@@ -1,12 +1,12 @@
 //! The datagram in the form that balancers of other versions know.
 
-use decide::api::ServerId;
+use decide::api::EndpointId;
 use expect_test::expect_file;
 use gossip::wire::{Report, Short, Stamp, Word};
 
 fn report() -> Report {
     let word = |held, answered, failed| Word { held, answered, failed };
-    let short = |id| Short::from(ServerId(id));
+    let short = |id| Short::from(EndpointId(id));
     Report {
         stamp: Stamp::first(1_764_600_123_456_789).next(),
         words: vec![
--- a/crates/gossip/tests/hearsay.rs
+++ b/crates/gossip/tests/hearsay.rs
@@ -1,6 +1,6 @@
 //! What is believed of what is heard.
 
-use decide::api::{Load, ServerId};
+use decide::api::{EndpointId, Load};
 use gossip::wire::{MAX_BYTES, MAX_ENTRIES, Report, Short, Stamp, Word};
 use gossip::{FRESH_US, GossipState, LEAST, MOST, Micros, PAUSE_US};
 use proptest::prelude::*;
@@ -8,7 +8,7 @@
 const SERVERS: u64 = 6;
 
 fn load(server: u64, held: f64) -> Load {
-    Load { server: ServerId(server), weight: 1.5, held, answered: 2, failed: 0 }
+    Load { server: EndpointId(server), weight: 1.5, held, answered: 2, failed: 0 }
 }
 
 /// What each balancer holds: `held` at server 0, one request at every other.
@@ -16,8 +16,8 @@
     (0..SERVERS).map(|n| load(n, if n == 0 { held } else { 1.0 })).collect()
 }
 
-fn part(parts: &[(ServerId, f64)], server: u64) -> f64 {
-    parts.iter().find(|(id, _)| *id == ServerId(server)).unwrap().1
+fn part(parts: &[(EndpointId, f64)], server: u64) -> f64 {
+    parts.iter().find(|(id, _)| *id == EndpointId(server)).unwrap().1
 }
 
 /// A fleet of balancers that tell one another the same things, as long as `lost` says no.
@@ -32,7 +32,7 @@
         Self { all: (0..balancers).map(|n| GossipState::new(n, balancers, now)).collect(), now }
     }
     /// One turn of each; the parts that the first one yields.
-    fn round(&mut self, loads: &[Load], lost: impl Fn(usize, usize) -> bool) -> Vec<(ServerId, f64)> {
+    fn round(&mut self, loads: &[Load], lost: impl Fn(usize, usize) -> bool) -> Vec<(EndpointId, f64)> {
         self.now += PAUSE_US;
         let turns: Vec<_> = self.all.iter_mut().map(|it| it.turn(self.now, loads)).collect();
         for (from, turn) in turns.iter().enumerate() {
@@ -46,7 +46,7 @@
     }
     fn rounds(
         &mut self, n: usize, loads: &[Load], lost: impl Fn(usize, usize) -> bool,
-    ) -> Vec<(ServerId, f64)> {
+    ) -> Vec<(EndpointId, f64)> {
         (0..n).map(|_| self.round(loads, &lost)).last().unwrap()
     }
 }
@@ -107,7 +107,7 @@
     let honest = loads(1.0);
     let liar = Report {
         stamp: Stamp::first(fleet.now),
-        words: vec![(ServerId(0).into(), Word { held: 15.9, answered: 0, failed: 15 })],
+        words: vec![(EndpointId(0).into(), Word { held: 15.9, answered: 0, failed: 15 })],
     };
     let mut stamp = liar.stamp;
     let mut parts = Vec::new();
@@ -124,7 +124,7 @@
 fn a_report_counts_once_in_order_and_not_for_long() {
     let mut it = GossipState::new(0, 3, 0);
     let report = |life: u16, number: u16| {
-        let words = vec![(ServerId(0).into(), Word { held: 9.0, answered: 1, failed: 0 })];
+        let words = vec![(EndpointId(0).into(), Word { held: 9.0, answered: 1, failed: 0 })];
         Report { stamp: Stamp { life, number }, words }.encode()
     };
     it.hear(1, 1, &report(7, 5));
--- a/crates/simulator-adapter/src/lib.rs
+++ b/crates/simulator-adapter/src/lib.rs
@@ -3,8 +3,8 @@
 //! Big-endian frames: a header, records of a fixed size, then a tail that holds lists and texts.
 
 use decide::api::{
-    Action, CellId, ClassId, Event, Key, ListKind, Micros, Outcome, Presence, Request, RequestId,
-    ServerEntry, ServerId, Settings, TenantId, Token, ZoneId,
+    Action, CellId, ClassId, EndpointEntry, EndpointId, Event, Key, ListKind, Micros, Outcome, Presence,
+    Request, RequestId, Settings, TenantId, Token, ZoneId,
 };
 use decide::settings::SettingsError;
 use std::io::{self, Read};
@@ -141,8 +141,8 @@
     fn size(self, at: usize) -> usize {
         self.u32(at) as usize
     }
-    fn server(self, at: usize) -> ServerId {
-        ServerId(u64::from(self.u32(at)) << 16 | u64::from(self.u16(at + 4)))
+    fn server(self, at: usize) -> EndpointId {
+        EndpointId(u64::from(self.u32(at)) << 16 | u64::from(self.u16(at + 4)))
     }
 }
 
@@ -216,7 +216,7 @@
             tenant: TenantId(r.u32(11)),
             key: Some(Key(r.u64(29))).filter(|key| key.0 != 0),
             write: r.u8(28) & 4 != 0,
-            time_left_us: r.u32(19).into(),
+            remaining_us: r.u32(19).into(),
         })),
         2 => outcome(9).map(|_| WireEvent::Unused)?,
         3 => {
@@ -255,7 +255,7 @@
     })
 }
 
-fn entry(record: usize, r: Record<'_>) -> Result<ServerEntry, WireError> {
+fn entry(record: usize, r: Record<'_>) -> Result<EndpointEntry, WireError> {
     let presence = match r.u8(0) {
         0 => Presence::Gone,
         1 => Presence::Ready,
@@ -263,7 +263,7 @@
         code => return Err(WireError::Unknown { record, what: "server phase", code: code.into() }),
     };
     let weight = f64::from(f32::from_bits(r.u32(9)));
-    Ok(ServerEntry {
+    Ok(EndpointEntry {
         id: r.server(1),
         presence,
         kind: r.u16(7),
@@ -296,9 +296,9 @@
                 r[19..21].copy_from_slice(&server.0.to_be_bytes()[6..]);
                 1
             }
-            Action::Refuse { id, hold_off_us, .. } => {
+            Action::Refuse { id, retry_after_us, .. } => {
                 put_u64(&mut r, 3, id.0);
-                put_u32(&mut r, 11, hold_off_us);
+                put_u32(&mut r, 11, retry_after_us);
                 2
             }
             Action::Fail { id, .. } => {
--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -58,7 +58,7 @@
         event("01 0003 000d6a085d3a91c4 00000000 00002ee0 0003a980 00 00000000 01 91f03b7c55d20a64");
     let Event::Request(request) = request else { panic!("{request:?}") };
     assert_eq!(request.id, RequestId(0x000d_6a08_5d3a_91c4));
-    assert_eq!(request.time_left_us, 240_000);
+    assert_eq!(request.remaining_us, 240_000);
     assert_eq!((request.key, request.write), (Some(Key(0x91f0_3b7c_55d2_0a64)), false));
     assert_eq!(event("04 0003 000000000000004d"), Event::Timer(Token(77)));
     assert_eq!(event("07 0003 000000000000004d"), Event::Expired(RequestId(77)));
@@ -82,7 +82,7 @@
     let batch = batch(&[record], &tail).unwrap();
     let WireEvent::Module(Event::Servers(kind, entries)) = &batch.events[0].1 else { panic!("{batch:?}") };
     assert_eq!((*kind, entries.len()), (ListKind::Cached, 2));
-    assert_eq!(entries[0].id, ServerId(0x0a12_4a07_2bc3));
+    assert_eq!(entries[0].id, EndpointId(0x0a12_4a07_2bc3));
     assert_eq!((entries[1].weight, entries[1].online_since), (1.5, 0x005d_1420));
 }
 
@@ -99,7 +99,7 @@
         bytes.resize(24, 0);
         bytes
     };
-    let server = ServerId(0x0a12_4a07_2bc3);
+    let server = EndpointId(0x0a12_4a07_2bc3);
     assert_eq!(
         encoded(Action::Send { id, server, timeout_us: 80_000 }),
         row("01 0003 000d6a085d3a91c4 00013880 0a124a07 2bc3")
@@ -109,7 +109,7 @@
         row("05 0003 0007a120 000000000000004d")
     );
     assert_eq!(
-        encoded(Action::Refuse { id, hold_off_us: 5, reason: Reason::Shed }),
+        encoded(Action::Refuse { id, retry_after_us: 5, reason: Reason::Shed }),
         row("02 0003 000d6a085d3a91c4 00000005")
     );
     assert_eq!(encoded(Action::Fail { id, reason: Reason::MayHaveRun }), row("03 0003 000d6a085d3a91c4"));
@@ -177,10 +177,13 @@
 fn settings_are_read_unknown_ones_ignored_missing_ones_defaulted() {
     let settings: Settings = FACTS.parse().unwrap();
     assert_eq!((settings.siblings, settings.discovery), (2, Discovery::Ask));
-    assert_eq!((settings.classes[0].effect, settings.classes[0].aim_us), (Effect::Retryable, 5));
-    assert_eq!(settings.classes[1].effect, Effect::Dedup { scope: Scope::Zone, span_us: 9 });
-    assert_eq!((settings.origin_kind, settings.zones, settings.weights_last), (Some(3), 3, false));
-    assert_eq!((settings.tenants[0].quota_per_s, settings.max_hold_off_us), (7.5, 11));
+    assert_eq!(
+        (settings.classes[0].effect, settings.classes[0].latency_objective_us),
+        (Effect::Idempotent, 5)
+    );
+    assert_eq!(settings.classes[1].effect, Effect::IdempotentWithKey { scope: Scope::Zone, span_us: 9 });
+    assert_eq!((settings.origin_kind, settings.zones, settings.weights_are_lasting), (Some(3), 3, false));
+    assert_eq!((settings.tenants[0].quota_per_s, settings.max_retry_after_us), (7.5, 11));
     assert_eq!("".parse::<Settings>().unwrap(), Settings::default());
     assert_eq!("specifics.originKind=-1".parse::<Settings>().unwrap().origin_kind, None);
 }
--- a/crates/spindlebeam/benches/turns.rs
+++ b/crates/spindlebeam/benches/turns.rs
@@ -53,15 +53,15 @@
 
 fn settings() -> Settings {
     let class = Class {
-        aim_us: 500_000,
+        latency_objective_us: 500_000,
         deadline_us: 1_000_000,
         worth: 1.0,
-        late_worth: 0.0,
-        effect: Effect::Retryable,
+        late_weight: 0.0,
+        effect: Effect::Idempotent,
     };
     let settings =
         Settings { classes: vec![class], mode: Mode::Aside, origin_kind: Some(1), ..Settings::default() };
-    Settings { siblings: BALANCERS as u32, second_copies: false, ..settings }
+    Settings { siblings: BALANCERS as u32, hedged_requests: false, ..settings }
 }
 
 fn router(list: &List) -> Router {
@@ -70,7 +70,7 @@
     router
 }
 
-fn entries(list: &List) -> Vec<decide::api::ServerEntry> {
+fn entries(list: &List) -> Vec<decide::api::EndpointEntry> {
     let names =
         Names { kinds: vec!["m".into(), "origin".into()], zones: vec!["a".into()], ..Names::default() };
     UpstreamGroup::new(names, Some(1)).apply(list, false).1
@@ -78,7 +78,7 @@
 
 fn request(id: u64) -> Event {
     let (class, tenant, key) = (ClassId(0), TenantId(0), Some(Key(id.wrapping_mul(0x9e37_79b9_7f4a_7c15))));
-    Event::Request(Request { id: RequestId(id), class, tenant, key, write: false, time_left_us: 900_000 })
+    Event::Request(Request { id: RequestId(id), class, tenant, key, write: false, remaining_us: 900_000 })
 }
 
 fn costs(endpoints: usize) -> Vec<(&'static str, f64)> {
--- a/crates/spindlebeam/tests/start.rs
+++ b/crates/spindlebeam/tests/start.rs
@@ -5,7 +5,7 @@
 use serde_json::json;
 use spindlebeam::config;
 use std::time::Duration;
-use upstream::group::{UpstreamGroup, server_id};
+use upstream::group::{UpstreamGroup, endpoint_id};
 use upstream::setup::Names;
 
 #[test]
@@ -27,10 +27,19 @@
     let config = config::parse(text.to_string().as_bytes()).unwrap();
     let settings = &config.settings;
     assert_eq!((settings.siblings, settings.zone, settings.zones), (4, ZoneId(1), 2));
-    assert_eq!((settings.origin_kind, settings.max_attempts, settings.weights_last), (Some(1), 5, true));
-    assert_eq!(settings.max_hold_off_us, 1_000_000);
-    let effect = Effect::Dedup { scope: Scope::All, span_us: 4_000_000 };
-    let expected = Class { aim_us: 500_000, deadline_us: 1_000_000, worth: 5.0, late_worth: 0.25, effect };
+    assert_eq!(
+        (settings.origin_kind, settings.max_attempts, settings.weights_are_lasting),
+        (Some(1), 5, true)
+    );
+    assert_eq!(settings.max_retry_after_us, 1_000_000);
+    let effect = Effect::IdempotentWithKey { scope: Scope::All, span_us: 4_000_000 };
+    let expected = Class {
+        latency_objective_us: 500_000,
+        deadline_us: 1_000_000,
+        worth: 5.0,
+        late_weight: 0.25,
+        effect,
+    };
     assert_eq!((&settings.classes[..], settings.tenants[0].quota_per_s), (&[expected][..], 30.0));
     assert_eq!((&config.names.classes[0][..], &config.names.kinds[1][..]), ("alta", "origin"));
     assert_eq!((config.seed, config.bounds.dial), (0x8c1f_30d2_7a5b_e964, Duration::from_millis(100)));
@@ -41,8 +50,8 @@
 #[test]
 fn a_peers_number_is_a_stable_hash_of_its_id() {
     // FNV-1a as published: balancers of another build must rank keys alike.
-    assert_eq!(server_id(""), ServerId(0xcbf2_9ce4_8422_2325));
-    assert_eq!(server_id("a"), ServerId(0xaf63_dc4c_8601_ec8c));
+    assert_eq!(endpoint_id(""), EndpointId(0xcbf2_9ce4_8422_2325));
+    assert_eq!(endpoint_id("a"), EndpointId(0xaf63_dc4c_8601_ec8c));
 }
 
 fn read(revision: u64, complete: bool, members: &[(&str, &str, u64)]) -> List {
@@ -64,8 +73,8 @@
     let mut group = UpstreamGroup::new(names, None);
     let (kind, entries, stale) = group.apply(&read(1, true, &[("x", "ready", 5), ("y", "ready", 0)]), true);
     assert_eq!((kind, stale), (ListKind::Cached, vec![]));
-    let expected = ServerEntry {
-        id: server_id("x"),
+    let expected = EndpointEntry {
+        id: endpoint_id("x"),
         presence: Presence::Ready,
         kind: 1,
         weight: 1.0, // a size that compares with nothing counts as an ordinary one
@@ -76,19 +85,23 @@
     assert_eq!(entries[0], expected);
 
     let (kind, _, stale) = group.apply(&read(2, false, &[("x", "ready", 9), ("y", "draining", 0)]), false);
-    assert_eq!((kind, stale), (ListKind::Delta, vec![server_id("x"), server_id("y")]), "restarted; draining");
-    assert!(group.peer(server_id("x")).unwrap().ready() && !group.peer(server_id("y")).unwrap().ready());
+    assert_eq!(
+        (kind, stale),
+        (ListKind::Delta, vec![endpoint_id("x"), endpoint_id("y")]),
+        "restarted; draining"
+    );
+    assert!(group.peer(endpoint_id("x")).unwrap().ready() && !group.peer(endpoint_id("y")).unwrap().ready());
 
-    let before = group.peer(server_id("x")).unwrap().clone();
+    let before = group.peer(endpoint_id("x")).unwrap().clone();
     let (kind, _, stale) = group.apply(&read(3, true, &[("y", "ready", 0)]), false);
-    assert_eq!((kind, stale), (ListKind::Full, vec![server_id("x")]), "what a whole list lacks is gone");
-    assert!(!before.ready() && group.peer(server_id("x")).is_none(), "also for a try that still dials it");
+    assert_eq!((kind, stale), (ListKind::Full, vec![endpoint_id("x")]), "what a whole list lacks is gone");
+    assert!(!before.ready() && group.peer(endpoint_id("x")).is_none(), "also for a try that still dials it");
 
     // Found by reading: what a change called gone was kept for ever, on days that replace peers all the time.
-    let before = group.peer(server_id("y")).unwrap().clone();
+    let before = group.peer(endpoint_id("y")).unwrap().clone();
     let (_, entries, stale) = group.apply(&read(4, false, &[("y", "gone", 0)]), false);
-    assert_eq!((entries[0].presence, stale), (Presence::Gone, vec![server_id("y")]));
-    assert!(!before.ready() && group.peer(server_id("y")).is_none(), "no trace is kept of it");
+    assert_eq!((entries[0].presence, stale), (Presence::Gone, vec![endpoint_id("y")]));
+    assert!(!before.ready() && group.peer(endpoint_id("y")).is_none(), "no trace is kept of it");
 }
 
 #[test]
--- a/crates/upstream/src/group.rs
+++ b/crates/upstream/src/group.rs
@@ -1,7 +1,7 @@
 //! The upstream group: the peers that discovery lists.
 
 use crate::setup::Names;
-use decide::api::{CellId, ListKind, Presence, ServerEntry, ServerId, ZoneId};
+use decide::api::{CellId, EndpointEntry, EndpointId, ListKind, Presence, ZoneId};
 use fnv::FnvHasher;
 use proto::discovery::{List, Member, Phase};
 use rustc_hash::{FxHashMap, FxHashSet};
@@ -14,7 +14,7 @@
 #[derive(Debug)]
 pub struct Peer {
     /// Its number in the module.
-    pub id: ServerId,
+    pub id: EndpointId,
     /// Its name in discovery.
     pub name: String,
     /// Where to reach it.
@@ -34,10 +34,10 @@
 
 /// A stable hash of discovery's id, so that all balancers rank keys alike. Never of address or order: both vary.
 #[must_use]
-pub fn server_id(name: &str) -> ServerId {
+pub fn endpoint_id(name: &str) -> EndpointId {
     let mut hasher = FnvHasher::default();
     hasher.write(name.as_bytes());
-    ServerId(hasher.finish())
+    EndpointId(hasher.finish())
 }
 
 /// Changes of one list that are logged one by one; of more, how many there are. A line for each of some thousand would hold
@@ -49,7 +49,7 @@
 pub struct UpstreamGroup {
     names: Names,
     origin_kind: Option<u16>,
-    peers: FxHashMap<ServerId, Rc<Peer>>,
+    peers: FxHashMap<EndpointId, Rc<Peer>>,
 }
 
 fn place<T: TryFrom<usize>>(names: &[String], name: &str, unknown: T) -> T {
@@ -91,12 +91,12 @@
 
     /// A peer that the list has named.
     #[must_use]
-    pub fn peer(&self, id: ServerId) -> Option<&Rc<Peer>> {
+    pub fn peer(&self, id: EndpointId) -> Option<&Rc<Peer>> {
         self.peers.get(&id)
     }
 
     /// Takes in a list; returns it in the module's form, and the peers to which idle connections are void.
-    pub fn apply(&mut self, list: &List, cached: bool) -> (ListKind, Vec<ServerEntry>, Vec<ServerId>) {
+    pub fn apply(&mut self, list: &List, cached: bool) -> (ListKind, Vec<EndpointEntry>, Vec<EndpointId>) {
         let entries: Vec<_> = list.members.iter().map(|m| self.entry(m)).collect();
         let (mut stale, mut changes) = (Vec::new(), Vec::new());
         if list.complete {
@@ -155,9 +155,9 @@
         (kind, entries, stale)
     }
 
-    fn entry(&self, member: &Member) -> ServerEntry {
-        ServerEntry {
-            id: server_id(&member.id),
+    fn entry(&self, member: &Member) -> EndpointEntry {
+        EndpointEntry {
+            id: endpoint_id(&member.id),
             presence: match member.phase {
                 Phase::Ready => Presence::Ready,
                 Phase::Draining => Presence::Draining,
--- a/crates/upstream/src/peer/mod.rs
+++ b/crates/upstream/src/peer/mod.rs
@@ -7,7 +7,7 @@
 use crate::group::Peer;
 use crate::setup::Bounds;
 use bytes::BytesMut;
-use decide::api::ServerId;
+use decide::api::EndpointId;
 pub use exchange::{Ended, Lines, Permit, Try, dial};
 use rustc_hash::FxHashMap;
 use socket2::SockRef;
@@ -90,9 +90,9 @@
 /// The idle connections of every peer, and the count of all.
 #[derive(Debug)]
 pub struct Pools {
-    idle: FxHashMap<ServerId, Vec<(Instant, Connection)>>,
+    idle: FxHashMap<EndpointId, Vec<(Instant, Connection)>>,
     /// Peers that closed connections without our noticing, and when that was last seen.
-    stale: FxHashMap<ServerId, Instant>,
+    stale: FxHashMap<EndpointId, Instant>,
     open: Rc<Cell<usize>>,
     bounds: Bounds,
     counts: Counts,
@@ -191,7 +191,7 @@
     }
 
     /// Closes a peer's idle connections.
-    pub fn close_idle(&mut self, id: ServerId) {
+    pub fn close_idle(&mut self, id: EndpointId) {
         self.counts.closed += self.idle.remove(&id).map_or(0, |idle| idle.len() as u64);
     }
 
--- a/crates/upstream/tests/host/mod.rs
+++ b/crates/upstream/tests/host/mod.rs
@@ -13,7 +13,7 @@
 use std::time::Duration;
 use tokio::time::{Instant, advance, pause, resume};
 use upstream::call::Call;
-use upstream::group::{Peer, UpstreamGroup, server_id};
+use upstream::group::{Peer, UpstreamGroup, endpoint_id};
 use upstream::held::Budget;
 use upstream::peer::{Ended, Line, Permit, Pools, Try, dial};
 use upstream::setup::{Bounds, Names};
@@ -36,7 +36,7 @@
         let names = Names { kinds: vec!["origin".into()], ..Names::default() };
         let mut host = UpstreamGroup::new(names, Some(0));
         host.apply(&list(&listener, flavor, Phase::Ready), false);
-        let peer = host.peer(server_id("s-1")).unwrap().clone();
+        let peer = host.peer(endpoint_id("s-1")).unwrap().clone();
         let (dial, idle, longest) = (10 * SPAN, 10 * SPAN, SPAN);
         let bounds = Bounds {
             clients: 1,
--- a/crates/upstream/tests/tries.rs
+++ b/crates/upstream/tests/tries.rs
@@ -14,7 +14,7 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 use upstream::call::Call;
-use upstream::group::{Peer, UpstreamGroup, server_id};
+use upstream::group::{Peer, UpstreamGroup, endpoint_id};
 use upstream::held::Budget;
 use upstream::peer::{Line, Permit, Pools, Try};
 use upstream::setup::{Bounds, Names};
@@ -51,7 +51,7 @@
     };
     let mut group = UpstreamGroup::new(Names { kinds: vec!["origin".into()], ..Names::default() }, Some(0));
     group.apply(&List { revision: 1, complete: true, members: vec![member] }, false);
-    group.peer(server_id("s-1")).unwrap().clone()
+    group.peer(endpoint_id("s-1")).unwrap().clone()
 }
 
 async fn outcome(peer: &Rc<Peer>, line: Line, until: Instant) -> Outcome {
