--- a/crates/calendar/src/gate.rs
+++ b/crates/calendar/src/gate.rs
@@ -6,7 +6,7 @@
     Because, Calendar, Change, Kind, Millis, Span, Standing, Steps, Strength, Verdict, Waited, Waiting,
 };
 use hashlink::LinkedHashMap;
-use proto::discovery::{List, Member, Phase};
+use proto::discovery::{EndpointList, EndpointRecord, Phase};
 use std::sync::Arc;
 
 /// Members that are kept: several of the longest lists.
@@ -64,7 +64,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Heard {
     /// For the decision module; in changes, losses come first.
-    pub list: List,
+    pub list: EndpointList,
     /// What became of what.
     pub records: Vec<Record>,
 }
@@ -72,14 +72,14 @@
 /// The members as accepted, and what it takes to judge a change of one.
 #[derive(Debug, Clone, Default)]
 struct Accepted {
-    members: LinkedHashMap<String, Member>,
+    members: LinkedHashMap<String, EndpointRecord>,
     strength: Strength,
     records: Vec<Record>,
     list: u64,
 }
 
 impl Accepted {
-    fn put(&mut self, member: Member) {
+    fn put(&mut self, member: EndpointRecord) {
         self.strength.tell(&member.id, &member.locality, weight(&member));
         if member.phase == Phase::Gone {
             self.members.remove(&member.id);
@@ -97,7 +97,7 @@
     }
     /// The weight to give, and why; or why the change is held.
     fn judge(
-        &self, now: &Now, calendar: &Calendar, new: &Member, kind: Kind,
+        &self, now: &Now, calendar: &Calendar, new: &EndpointRecord, kind: Kind,
     ) -> Result<(f64, Outcome), Outcome> {
         let old = self.members.get(&new.id);
         let from = old.map(|it| it.locality.as_str()).filter(|it| *it != new.locality && kind == Kind::Zone);
@@ -120,7 +120,7 @@
     /// Takes what may be taken of a member's new state, and yields the first change that may not. With `queue`, what only the
     /// end of a freeze lets pass waits its turn.
     fn take(
-        &mut self, now: &Now, calendar: &Calendar, new: &Member, queue: bool,
+        &mut self, now: &Now, calendar: &Calendar, new: &EndpointRecord, queue: bool,
     ) -> (bool, Option<(Kind, Outcome)>) {
         let (mut took, mut held) = (false, None);
         for kind in planned(self.members.get(&new.id), new) {
@@ -154,7 +154,7 @@
 #[derive(Debug, Clone)]
 pub struct Gate {
     accepted: Accepted,
-    waiting: Waiting<Member>,
+    waiting: Waiting<EndpointRecord>,
     /// Whether there is a state that new hosts can be told from.
     known: bool,
 }
@@ -162,17 +162,17 @@
 impl Gate {
     /// A gate of a process that knows `known` from the one before it, or nothing. A process that knows nothing takes all that its
     /// first whole list names, in a freeze too: it must serve, and cannot tell what is new.
-    pub fn new(known: Option<Vec<Member>>, steps: Steps) -> Self {
+    pub fn new(known: Option<Vec<EndpointRecord>>, steps: Steps) -> Self {
         let (is_known, mut accepted) = (known.is_some(), Accepted::default());
         known.into_iter().flatten().take(MAX_MEMBERS).for_each(|it| accepted.put(it));
         Self { accepted, waiting: Waiting::new(steps), known: is_known }
     }
     /// The members as accepted.
-    pub fn members(&self) -> impl Iterator<Item = &Member> {
+    pub fn members(&self) -> impl Iterator<Item = &EndpointRecord> {
         self.accepted.members.values()
     }
     /// What waits.
-    pub fn waiting(&self) -> &Waiting<Member> {
+    pub fn waiting(&self) -> &Waiting<EndpointRecord> {
         &self.waiting
     }
     /// When to call [`Gate::release`] next, on the owner's clock; what waits for a freeze's end is looked at with each step.
@@ -193,11 +193,11 @@
         }
     }
     /// What may be accepted of a list. Losses and facts pass first, and at once.
-    pub fn hear(&mut self, now: &Now, calendar: &Calendar, list: &List) -> Heard {
+    pub fn hear(&mut self, now: &Now, calendar: &Calendar, list: &EndpointList) -> Heard {
         self.turn(now, calendar);
         self.accepted.list = list.revision;
         // Of several states of one host only the last counts.
-        let newest: LinkedHashMap<&str, &Member> =
+        let newest: LinkedHashMap<&str, &EndpointRecord> =
             list.members.iter().map(|it| (it.id.as_str(), it)).collect();
         if !self.known {
             return self.first(now, calendar, list, &newest);
@@ -224,12 +224,13 @@
         };
         self.heard(list.complete, members)
     }
-    fn heard(&mut self, complete: bool, members: Vec<Member>) -> Heard {
+    fn heard(&mut self, complete: bool, members: Vec<EndpointRecord>) -> Heard {
         let records = std::mem::take(&mut self.accepted.records);
-        Heard { list: List { revision: self.accepted.list, complete, members }, records }
+        Heard { list: EndpointList { revision: self.accepted.list, complete, members }, records }
     }
     fn first(
-        &mut self, now: &Now, calendar: &Calendar, list: &List, newest: &LinkedHashMap<&str, &Member>,
+        &mut self, now: &Now, calendar: &Calendar, list: &EndpointList,
+        newest: &LinkedHashMap<&str, &EndpointRecord>,
     ) -> Heard {
         for (host, new) in newest.iter().take(MAX_MEMBERS) {
             self.accepted.put((*new).clone());
@@ -242,7 +243,7 @@
     }
     /// Takes the loss of the hosts that a whole list does not name any more.
     fn left_out(
-        &mut self, calendar: &Calendar, list: &List, newest: &LinkedHashMap<&str, &Member>,
+        &mut self, calendar: &Calendar, list: &EndpointList, newest: &LinkedHashMap<&str, &EndpointRecord>,
     ) -> Vec<String> {
         if !list.complete {
             return Vec::new();
@@ -254,12 +255,12 @@
         }
         let gone: Vec<_> = self.accepted.members.values().filter(|it| !named(&it.id)).cloned().collect();
         for member in &gone {
-            self.accepted.put(Member { phase: Phase::Gone, ..member.clone() });
+            self.accepted.put(EndpointRecord { phase: Phase::Gone, ..member.clone() });
             self.accepted.note(calendar, &member.id, Kind::Gone, Outcome::Taken);
         }
         gone.into_iter().map(|it| it.id).collect()
     }
-    fn take_facts(&mut self, now: &Now, calendar: &Calendar, new: &Member) -> Option<Kind> {
+    fn take_facts(&mut self, now: &Now, calendar: &Calendar, new: &EndpointRecord) -> Option<Kind> {
         let old = self.accepted.members.get(&new.id);
         let kind = facts(old, new)?;
         // A host that drains before it was ever taken is not named either, where it could not have joined.
@@ -278,7 +279,7 @@
     }
     /// Whether any of it is taken.
     fn take_planned(
-        &mut self, now: &Now, calendar: &Calendar, new: &Member, queue: &mut Option<bool>,
+        &mut self, now: &Now, calendar: &Calendar, new: &EndpointRecord, queue: &mut Option<bool>,
     ) -> bool {
         if planned(self.accepted.members.get(&new.id), new).is_empty() {
             self.waiting.cancel(&new.id);
@@ -286,7 +287,8 @@
         }
         // While what waited is taken in steps, nobody goes past it; what a freeze still holds is in nobody's way.
         let queue = *queue.get_or_insert_with(|| {
-            let passes = |it: &Waited<Member>| self.accepted.judge(now, calendar, &it.state, it.kind).is_ok();
+            let passes =
+                |it: &Waited<EndpointRecord>| self.accepted.judge(now, calendar, &it.state, it.kind).is_ok();
             self.waiting.iter().any(|(_, it)| passes(it))
         });
         let (took, held) = self.accepted.take(now, calendar, new, queue);
@@ -300,7 +302,7 @@
         took
     }
     fn hold(
-        &mut self, now: &Now, calendar: &Calendar, new: &Member, kind: Kind, because: Because,
+        &mut self, now: &Now, calendar: &Calendar, new: &EndpointRecord, kind: Kind, because: Because,
         until: Option<Millis>,
     ) {
         let waited = Waited { because: because.clone(), kind, since: now.at, state: new.clone(), until };
@@ -312,8 +314,8 @@
     }
     /// The states to hand on of the hosts that changed; of those that went, the state that says so.
     fn changed<'a>(
-        &self, hosts: impl Iterator<Item = &'a String>, newest: &LinkedHashMap<&str, &Member>,
-    ) -> Vec<Member> {
+        &self, hosts: impl Iterator<Item = &'a String>, newest: &LinkedHashMap<&str, &EndpointRecord>,
+    ) -> Vec<EndpointRecord> {
         let mut out = LinkedHashMap::new();
         for host in hosts.filter(|it| !it.is_empty()) {
             let now = self.accepted.members.get(host).or_else(|| newest.get(host.as_str()).copied());
@@ -330,7 +332,7 @@
         self.turn(now, calendar);
         let Self { accepted, waiting, .. } = self;
         let mut hosts = Vec::new();
-        let look = |host: &str, it: &mut Waited<Member>| {
+        let look = |host: &str, it: &mut Waited<EndpointRecord>| {
             let (took, held) = accepted.take(now, calendar, &it.state, false);
             if took {
                 hosts.push(host.to_owned());
--- a/crates/calendar/src/list.rs
+++ b/crates/calendar/src/list.rs
@@ -1,19 +1,19 @@
 //! What of a member's new state is a fact, and what is by plan.
 
 use crate::Kind;
-use proto::discovery::{Member, Phase};
+use proto::discovery::{EndpointRecord, Phase};
 
 /// The weight that a member serves with.
-pub(crate) fn weight(member: &Member) -> f64 {
+pub(crate) fn weight(member: &EndpointRecord) -> f64 {
     if member.phase == Phase::Ready { member.size.max(0.0) } else { 0.0 }
 }
 
-fn moved(old: &Member, new: &Member) -> bool {
+fn moved(old: &EndpointRecord, new: &EndpointRecord) -> bool {
     (&old.locality, &old.flavor, old.cell) != (&new.locality, &new.flavor, new.cell)
 }
 
 /// The planned kinds that the new state needs leave for.
-pub(crate) fn planned(old: Option<&Member>, new: &Member) -> Vec<Kind> {
+pub(crate) fn planned(old: Option<&EndpointRecord>, new: &EndpointRecord) -> Vec<Kind> {
     let Some(old) = old else {
         return if new.phase == Phase::Ready { vec![Kind::Join] } else { Vec::new() };
     };
@@ -25,7 +25,7 @@
 }
 
 /// The facts in the new state, that pass whatever is frozen.
-pub(crate) fn facts(old: Option<&Member>, new: &Member) -> Option<Kind> {
+pub(crate) fn facts(old: Option<&EndpointRecord>, new: &EndpointRecord) -> Option<Kind> {
     let before = old.map(|it| it.phase);
     let left = if new.phase == Phase::Gone { Kind::Gone } else { Kind::Drain };
     let Some(old) = old else { return (new.phase != Phase::Ready).then_some(left) };
@@ -40,18 +40,20 @@
 }
 
 /// The old state with the new one's facts.
-pub(crate) fn with_facts(old: &Member, new: &Member) -> Member {
+pub(crate) fn with_facts(old: &EndpointRecord, new: &EndpointRecord) -> EndpointRecord {
     let phase = if new.phase == Phase::Ready { old.phase } else { new.phase };
     let size = old.size.min(new.size);
-    Member { host_port: new.host_port, up_since_ms: new.up_since_ms, phase, size, ..old.clone() }
+    EndpointRecord { host_port: new.host_port, up_since_ms: new.up_since_ms, phase, size, ..old.clone() }
 }
 
 /// The state with what one kind of change brings, at most so much weight of it.
-pub(crate) fn with(old: Option<&Member>, new: &Member, kind: Kind, size: f64) -> Member {
+pub(crate) fn with(
+    old: Option<&EndpointRecord>, new: &EndpointRecord, kind: Kind, size: f64,
+) -> EndpointRecord {
     match (old, kind) {
-        (None, _) => Member { size, ..new.clone() },
-        (Some(old), Kind::More) => Member { phase: new.phase, size, ..old.clone() },
-        (Some(old), _) => Member {
+        (None, _) => EndpointRecord { size, ..new.clone() },
+        (Some(old), Kind::More) => EndpointRecord { phase: new.phase, size, ..old.clone() },
+        (Some(old), _) => EndpointRecord {
             locality: new.locality.clone(),
             flavor: new.flavor.clone(),
             cell: new.cell,
--- a/crates/calendar/tests/gate.rs
+++ b/crates/calendar/tests/gate.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use calendar::*;
-use proto::discovery::{List, Member, Phase};
+use proto::discovery::{EndpointList, EndpointRecord, Phase};
 use support::*;
 
 const STEPS: Steps = Steps { hosts: 2, pause: 1_000 };
@@ -11,8 +11,8 @@
 const DURING: &str = "2026-01-25T00:00Z";
 const AFTER: &str = "2026-02-02T00:00Z";
 
-fn host(id: &str, size: f64) -> Member {
-    Member {
+fn host(id: &str, size: f64) -> EndpointRecord {
+    EndpointRecord {
         id: id.into(),
         host_port: "10.0.0.1:6379".parse().unwrap(),
         locality: "a".into(),
@@ -23,17 +23,17 @@
         up_since_ms: 5,
     }
 }
-fn phase(phase: Phase, member: Member) -> Member {
-    Member { phase, ..member }
+fn phase(phase: Phase, member: EndpointRecord) -> EndpointRecord {
+    EndpointRecord { phase, ..member }
 }
-fn three() -> Vec<Member> {
+fn three() -> Vec<EndpointRecord> {
     ["h1", "h2", "h3"].map(|it| host(it, 1.0)).to_vec()
 }
-fn whole(members: Vec<Member>) -> List {
-    List { revision: 3, complete: true, members }
+fn whole(members: Vec<EndpointRecord>) -> EndpointList {
+    EndpointList { revision: 3, complete: true, members }
 }
-fn changes(members: Vec<Member>) -> List {
-    List { revision: 4, complete: false, members }
+fn changes(members: Vec<EndpointRecord>) -> EndpointList {
+    EndpointList { revision: 4, complete: false, members }
 }
 fn now(at: Millis, fleet_time: &str) -> Now {
     Now { at, fleet_time: moment(utc(fleet_time)), standing: Standing::Held }
@@ -46,8 +46,9 @@
 }
 /// What is handed on, as `host:weight`.
 fn told(heard: &Heard) -> String {
-    let one =
-        |it: &Member| format!("{}:{}{}", it.id, it.size, if it.phase == Phase::Ready { "" } else { "-" });
+    let one = |it: &EndpointRecord| {
+        format!("{}:{}{}", it.id, it.size, if it.phase == Phase::Ready { "" } else { "-" })
+    };
     heard.list.members.iter().map(one).collect::<Vec<_>>().join(" ")
 }
 fn outcome<'a>(heard: &'a Heard, host: &str) -> (Kind, &'a Outcome) {
@@ -59,8 +60,8 @@
 #[test]
 fn in_a_freeze_facts_and_losses_pass_and_what_is_planned_waits() {
     let (mut gate, calendar) = (gate(), weeks());
-    let moved = Member { locality: "b".into(), up_since_ms: 9, ..host("h2", 1.0) };
-    let less = Member { locality: "b".into(), ..host("h3", 0.5) };
+    let moved = EndpointRecord { locality: "b".into(), up_since_ms: 9, ..host("h2", 1.0) };
+    let less = EndpointRecord { locality: "b".into(), ..host("h3", 0.5) };
     let heard =
         gate.hear(&now(1, DURING), &calendar, &whole(vec![host("h1", 2.0), host("h4", 4.0), moved, less]));
     assert_eq!(told(&heard), "h1:1.5 h2:1 h3:0.5", "h1 makes good what h3 lost");
@@ -201,7 +202,7 @@
         assert_eq!(told(&gate.release(&now(2_000, DURING), &calendar).unwrap()), "h4:1");
     }
     let alone = Now { at: 1, fleet_time: None, standing: Standing::NoFleet };
-    let list = whole(vec![host("h9", 3.0), Member { locality: "b".into(), ..host("h1", 7.0) }]);
+    let list = whole(vec![host("h9", 3.0), EndpointRecord { locality: "b".into(), ..host("h1", 7.0) }]);
     assert_eq!(gate().hear(&alone, &calendar, &list).list, list);
 }
 
--- a/crates/discovery/src/call.rs
+++ b/crates/discovery/src/call.rs
@@ -4,8 +4,8 @@
 use bytes::BytesMut;
 use futures_util::FutureExt;
 use proto::ProtoError;
-use proto::discovery::{self, Line, LineReader, List, ListError, MAX_LIST};
-use proto::http::{self, Decoder, Piece, Whole};
+use proto::discovery::{self, EndpointList, ListError, MAX_LIST_BYTES, WatchLine, WatchReader};
+use proto::http::{self, BodyEvent, Decoder, ResponseReader};
 use std::net::SocketAddr;
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 use tokio::task::yield_now;
@@ -54,7 +54,7 @@
     }
 
     /// Says what a list has taken, up to now: it is handed on.
-    pub(crate) fn log(&self, list: &List) {
+    pub(crate) fn log(&self, list: &EndpointList) {
         let (revision, members, behind) = (list.revision, list.members.len(), self.last.elapsed());
         let Self { bytes, reads, .. } = self;
         log::debug!(
@@ -67,7 +67,7 @@
 /// What a call came to.
 pub(crate) enum Answered<S> {
     /// The whole list.
-    Listed(List),
+    Listed(EndpointList),
     /// A watch from the revision asked for.
     Watching(Watch<S>),
 }
@@ -80,7 +80,7 @@
         None => "/v1/endpoints".to_owned(),
         Some(revision) => format!("/v1/endpoints?watch=1&from={revision}"),
     };
-    stream.write_all(&http::request("GET", path.as_bytes(), &addr.to_string(), &[])).await?;
+    stream.write_all(&http::encode_request("GET", path.as_bytes(), &addr.to_string(), &[])).await?;
     match from {
         None => whole(stream).await.map(Answered::Listed),
         Some(_) => Watch::open(stream).await.map(Answered::Watching),
@@ -107,8 +107,9 @@
     Ok(())
 }
 
-async fn whole(mut stream: impl AsyncRead + Unpin) -> Result<List> {
-    let (mut whole, mut buffer, mut reading) = (Whole::new(MAX_LIST), BytesMut::new(), Reading::begin());
+async fn whole(mut stream: impl AsyncRead + Unpin) -> Result<EndpointList> {
+    let (mut whole, mut buffer, mut reading) =
+        (ResponseReader::new(MAX_LIST_BYTES), BytesMut::new(), Reading::begin());
     let (head, body) = loop {
         match whole.next(&mut buffer)? {
             Some(answer) => break answer,
@@ -116,7 +117,7 @@
         }
     };
     ensure!(head.status == 200, Status(head.status));
-    let list = discovery::list(&body)?;
+    let list = discovery::parse_endpoint_list(&body)?;
     reading.log(&list);
     Ok(list)
 }
@@ -127,7 +128,7 @@
     decoder: Decoder,
     buffer: BytesMut,
     lines: BytesMut,
-    reader: LineReader,
+    reader: WatchReader,
     /// Since the last line.
     reading: Reading,
 }
@@ -135,44 +136,44 @@
 impl<S: AsyncRead + Unpin> Watch<S> {
     async fn open(stream: S) -> Result<Self> {
         let (decoder, buffer, lines) = (Decoder::default(), BytesMut::new(), BytesMut::new());
-        let (reader, reading) = (LineReader::default(), Reading::begin());
+        let (reader, reading) = (WatchReader::default(), Reading::begin());
         let mut it = Self { stream, decoder, buffer, lines, reader, reading };
         loop {
             match it.decoder.next(&mut it.buffer)? {
                 None => read(&mut it.stream, &mut it.buffer, &mut it.reading, Turns::Given).await?,
-                Some(Piece::Head(head)) => {
+                Some(BodyEvent::Head(head)) => {
                     ensure!(head.status == 200, Status(head.status));
                     return Ok(it);
                 }
-                Some(Piece::Data(_) | Piece::End) => bail!("an answer without a head"),
+                Some(BodyEvent::Data(_) | BodyEvent::End) => bail!("an answer without a head"),
             }
         }
     }
 
     /// The next line. Nothing is lost where this is dropped before it is done: what has come stays in the buffers.
-    pub(crate) async fn next(&mut self) -> Result<Line> {
+    pub(crate) async fn next(&mut self) -> Result<WatchLine> {
         self.line(Turns::Given).await
     }
 
     /// The next line that has come whole already; none where it has not, or the watch is broken.
-    pub(crate) fn next_come(&mut self) -> Option<Line> {
+    pub(crate) fn next_come(&mut self) -> Option<WatchLine> {
         self.line(Turns::Kept).now_or_never()?.ok()
     }
 
-    async fn line(&mut self, turns: Turns) -> Result<Line> {
+    async fn line(&mut self, turns: Turns) -> Result<WatchLine> {
         loop {
             if let Some(line) = self.reader.next(&mut self.lines)? {
                 let reading = std::mem::replace(&mut self.reading, Reading::begin());
-                if let Line::Changed(list) = &line {
+                if let WatchLine::Update(list) = &line {
                     reading.log(list);
                 }
                 return Ok(line);
             }
             match self.decoder.next(&mut self.buffer)? {
                 None => read(&mut self.stream, &mut self.buffer, &mut self.reading, turns).await?,
-                Some(Piece::Data(part)) => self.lines.extend_from_slice(&part),
-                Some(Piece::End) => bail!("the watch ended"),
-                Some(Piece::Head(_)) => bail!("a second head"),
+                Some(BodyEvent::Data(part)) => self.lines.extend_from_slice(&part),
+                Some(BodyEvent::End) => bail!("the watch ended"),
+                Some(BodyEvent::Head(_)) => bail!("a second head"),
             }
         }
     }
--- a/crates/discovery/src/following.rs
+++ b/crates/discovery/src/following.rs
@@ -1,6 +1,6 @@
 //! The following itself: the watch, the calls that are out beside it, and what is made of their answers.
 //!
-//! One [`Agent`] owns all that is open to one address; `docs/design/crossings-list.md` has its states by what may come.
+//! One [`Agent`] owns all that is open to one address; `docs/design/crossings-parse_endpoint_list.md` has its states by what may come.
 
 use crate::call::{Answered, Watch, call, too_busy, unusable};
 use crate::held::Held;
@@ -9,7 +9,7 @@
 use futures_util::StreamExt;
 use futures_util::future::{LocalBoxFuture, OptionFuture, select_all};
 use futures_util::stream::FuturesUnordered;
-use proto::discovery::{Line, List, News};
+use proto::discovery::{EndpointList, WatchEvent, WatchLine};
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -41,8 +41,8 @@
 /// After a move the agent before is heard until the new one has told its list, since what it says still counts as told. What it
 /// has told holds as well against a new one that is behind it ([`Held`]).
 pub async fn follow<D: Dial>(
-    mut found_at: watch::Receiver<SocketAddr>, known: Option<List>, way: Way, balancers: u32, dial: D,
-    news: impl Fn(News),
+    mut found_at: watch::Receiver<SocketAddr>, known: Option<EndpointList>, way: Way, balancers: u32,
+    dial: D, news: impl Fn(WatchEvent),
 ) {
     let pace = || Pace::new(way, balancers);
     let revision = known.as_ref().map(|list| list.revision);
@@ -54,13 +54,13 @@
         tokio::select! {
             biased; // what the agent before has said already goes before the list that ends it
             Some(told) = heard_before => news(match told {
-                News::Told(list) => News::Told(held.told_before(list)),
+                WatchEvent::List(list) => WatchEvent::List(held.told_before(list)),
                 other => other,
             }),
             told = current.next() => news(match told {
-                News::Told(list) => {
+                WatchEvent::List(list) => {
                     former = None;
-                    News::Told(held.told(list, Instant::now()))
+                    WatchEvent::List(held.told(list, Instant::now()))
                 }
                 other => other,
             }),
@@ -91,7 +91,7 @@
     /// The first of them to speak is kept.
     watches: VecDeque<Watch<D::Stream>>,
     /// Told on a watch that was closed since, and not handed on as yet.
-    due: VecDeque<List>,
+    due: VecDeque<EndpointList>,
     calls: Calls<D::Stream>,
     asked_at: Instant,
     /// When the next call is made; at a sound watch, when its silence counts.
@@ -120,7 +120,7 @@
     }
 
     /// The next news. Nothing is lost where this is dropped before it is done.
-    async fn next(&mut self) -> News {
+    async fn next(&mut self) -> WatchEvent {
         loop {
             if let Some(list) = self.due.pop_front() {
                 return self.took(list);
@@ -158,7 +158,7 @@
 
     /// One watch is kept: that which has told the latest, or else spoke first. What has come on the other counts as told, and
     /// is taken off it before it is closed; and off both, so that which is the latest is known.
-    fn spoke(&mut self, at: usize, line: Line) {
+    fn spoke(&mut self, at: usize, line: WatchLine) {
         let mut spoken = vec![(at, line)];
         let doubted = self.watches.len() > 1;
         for (from, watch) in self.watches.iter_mut().enumerate().filter(|_| doubted) {
@@ -166,8 +166,8 @@
             spoken.extend(lines.map(|line| (from, line)));
         }
         let lists = spoken.into_iter().filter_map(|(from, line)| match line {
-            Line::Changed(list) => Some((from, list)),
-            Line::Quiet => None,
+            WatchLine::Update(list) => Some((from, list)),
+            WatchLine::KeepAlive => None,
         });
         let mut lists: Vec<_> = lists.collect();
         lists.sort_by_key(|(_, list)| list.revision);
@@ -185,7 +185,7 @@
         }
     }
 
-    fn answered(&mut self, answered: Answered<D::Stream>) -> News {
+    fn answered(&mut self, answered: Answered<D::Stream>) -> WatchEvent {
         match answered {
             Answered::Listed(list) => {
                 log::info!("discovery: revision {}, {} members", list.revision, list.members.len());
@@ -208,14 +208,14 @@
                     }
                     None => {}
                 }
-                News::Watching
+                WatchEvent::Subscribed
             }
         }
     }
 
     /// Takes in a list. A change that goes back counts from a list that is not held, as after a restart of the agent: it is
     /// told, since it is the latest, and the whole list is asked for.
-    fn took(&mut self, list: List) -> News {
+    fn took(&mut self, list: EndpointList) -> WatchEvent {
         let back = !list.complete && self.revision.is_some_and(|held| list.revision < held);
         self.revision = (!back).then_some(list.revision);
         if back {
@@ -224,7 +224,7 @@
             self.ask_at =
                 Instant::now() + self.pace.backoff(Failure::NoAnswer, Duration::ZERO, fastrand::f64());
         }
-        News::Told(list)
+        WatchEvent::List(list)
     }
 
     /// Makes a call, beside those that are out where calls are free.
@@ -259,7 +259,9 @@
 }
 
 /// The next line of any of these watches, and of which; none where none is open.
-async fn next_line<S: AsyncRead + Unpin>(watches: &mut VecDeque<Watch<S>>) -> Option<(usize, Result<Line>)> {
+async fn next_line<S: AsyncRead + Unpin>(
+    watches: &mut VecDeque<Watch<S>>,
+) -> Option<(usize, Result<WatchLine>)> {
     if watches.is_empty() {
         return None;
     }
--- a/crates/discovery/src/held.rs
+++ b/crates/discovery/src/held.rs
@@ -1,7 +1,7 @@
 //! What was told of hosts that drain or are gone, held against an agent that is behind the one before it.
 
 use crate::pace::{BEHIND, MOST_HELD};
-use proto::discovery::{List, Member, Phase};
+use proto::discovery::{EndpointList, EndpointRecord, Phase};
 use std::collections::{HashMap, HashSet};
 use tokio::time::Instant;
 
@@ -10,7 +10,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct Held {
     /// The hosts told of, as told last.
-    hosts: HashMap<String, Member>,
+    hosts: HashMap<String, EndpointRecord>,
     revision: u64,
     /// The highest revision that was told before discovery moved, until the new agent has reached it.
     before: Option<u64>,
@@ -19,7 +19,7 @@
 }
 
 impl Held {
-    pub(crate) fn new(known: Option<List>) -> Self {
+    pub(crate) fn new(known: Option<EndpointList>) -> Self {
         let mut it = Self::default();
         known.iter().for_each(|list| it.note(list, false));
         it
@@ -32,14 +32,14 @@
     }
 
     /// The agent before has told this. It stays told.
-    pub(crate) fn told_before(&mut self, list: List) -> List {
+    pub(crate) fn told_before(&mut self, list: EndpointList) -> EndpointList {
         self.note(&list, false);
         self.before = self.before.max(Some(list.revision));
         list
     }
 
     /// The agent has told this; yields what of it holds.
-    pub(crate) fn told(&mut self, mut list: List, now: Instant) -> List {
+    pub(crate) fn told(&mut self, mut list: EndpointList, now: Instant) -> EndpointList {
         let until = *self.until.get_or_insert(now + BEHIND);
         let behind = self.before.is_some_and(|before| list.revision < before) && now < until;
         if behind {
@@ -52,7 +52,7 @@
     }
 
     /// Lays what is held over this; whether it is listed at all.
-    fn holds(&self, member: &mut Member) -> bool {
+    fn holds(&self, member: &mut EndpointRecord) -> bool {
         let held = self.hosts.get(&member.id).filter(|held| member.up_since_ms <= held.up_since_ms);
         match held {
             Some(held) if held.phase == Phase::Gone => false,
@@ -65,7 +65,7 @@
         }
     }
 
-    fn note(&mut self, list: &List, behind: bool) {
+    fn note(&mut self, list: &EndpointList, behind: bool) {
         self.revision = list.revision;
         // What an agent that is behind leaves out may be new to it.
         if list.complete && !behind {
--- a/crates/discovery/tests/agent/mod.rs
+++ b/crates/discovery/tests/agent/mod.rs
@@ -5,7 +5,7 @@
 use discovery::{Way, follow};
 use futures_util::FutureExt;
 use futures_util::future::LocalBoxFuture;
-use proto::discovery::{News, Phase};
+use proto::discovery::{Phase, WatchEvent};
 use serde_json::json;
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -114,7 +114,7 @@
         let ready = Rc::new(RefCell::new(Vec::new()));
         let told = ready.clone();
         let news = move |news| {
-            if let News::Told(list) = news {
+            if let WatchEvent::List(list) = news {
                 let mut ready = told.borrow_mut();
                 ready.retain(|(id, _)| !list.complete && list.members.iter().all(|it| it.id != *id));
                 let now = list.members.iter().filter(|it| it.phase == Phase::Ready);
@@ -122,8 +122,9 @@
                 let _ = hears.send((list.revision, Instant::now()));
             }
         };
-        let known =
-            known.map(|revision| proto::discovery::list(list(revision, true, "ready").as_bytes()).unwrap());
+        let known = known.map(|revision| {
+            proto::discovery::parse_endpoint_list(list(revision, true, "ready").as_bytes()).unwrap()
+        });
         spawn_local(follow(found_at, known, way, balancers, dial, news));
         Self { calls, heard, ready, moves, dials }
     }
--- a/crates/discovery/tests/bad_lists.rs
+++ b/crates/discovery/tests/bad_lists.rs
@@ -25,7 +25,9 @@
     fn worded(self) -> String {
         let whole = list(42, true, "draining");
         match self {
-            Self::TooLong => whole.replacen('[', &format!("[{}", " ".repeat(proto::discovery::MAX_LIST)), 1),
+            Self::TooLong => {
+                whole.replacen('[', &format!("[{}", " ".repeat(proto::discovery::MAX_LIST_BYTES)), 1)
+            }
             Self::CutShort => whole[..whole.len() - 2].to_owned(),
             Self::NoJson => whole.replacen(':', ";", 1),
             Self::MemberTwice => {
--- a/crates/front/src/client.rs
+++ b/crates/front/src/client.rs
@@ -97,7 +97,7 @@
 fn encode(answer: Answer) -> Reply {
     let mut out = BytesMut::new();
     match answer {
-        Answer::Served(value) => resp::put_bulk(&mut out, &value),
+        Answer::Served(value) => resp::encode_bulk(&mut out, &value),
         Answer::Streamed(streamed) => return Reply::Streamed(streamed),
         Answer::Refused(0) => out.put_slice(b"-BUSY\r\n"),
         Answer::Refused(ms) => out.put_slice(format!("-BUSY {ms}\r\n").as_bytes()),
@@ -311,7 +311,7 @@
     async fn stream_answer(&mut self) -> io::Result<()> {
         let Some(Reply::Streamed(mut streamed)) = self.replies.pop_front() else { return Ok(()) };
         let mut head = BytesMut::with_capacity(16);
-        resp::put_bulk_head(&mut head, streamed.length());
+        resp::encode_bulk_header(&mut head, streamed.length());
         write(&self.stream, &head).await?;
         while !streamed.done() {
             let bytes = tokio::select! {
--- a/crates/front/src/client/commands.rs
+++ b/crates/front/src/client/commands.rs
@@ -53,7 +53,7 @@
             return None;
         }
         self.awaited_since.get_or_insert_with(Instant::now);
-        let unfinished = match resp::unfinished(&self.input) {
+        let unfinished = match resp::partial_command(&self.input) {
             Ok(found) => found?,
             Err(error) => return Some(self.malformed(error)),
         };
@@ -92,8 +92,8 @@
         let stage = self.schedule().stage_now();
         while !self.ending && self.replies.len() < MOST_WAITING {
             let found = match self.room {
-                Some(_) => resp::next_large_command(&mut self.input),
-                None => resp::next_command(&mut self.input),
+                Some(_) => resp::decode_large_command(&mut self.input),
+                None => resp::decode_command(&mut self.input),
             };
             let room = if let Ok(Some(_)) = found {
                 (self.awaited_since, self.value_until) = (None, None);
--- a/crates/gateway/src/engine.rs
+++ b/crates/gateway/src/engine.rs
@@ -23,7 +23,7 @@
 pub use handle::{Handle, Incoming, Ticket, Unheeded};
 use maintenance::{Keeping, Maintenance, Order, Orders, Verdict, WriteError};
 use orders::{FIRST_ORDERS, ORDERS, ORDERS_SEEN};
-use proto::discovery::{List, News};
+use proto::discovery::{EndpointList, WatchEvent};
 use rustc_hash::FxHashMap;
 use std::collections::VecDeque;
 use std::future::poll_fn;
@@ -62,7 +62,7 @@
     },
     Dialled(Rc<Peer>, Option<Connection>),
     /// What is heard of discovery, and when it was handed on.
-    News(News, Instant),
+    News(WatchEvent, Instant),
     /// A look at the figures.
     Look(oneshot::Sender<String>),
     Order(Order, oneshot::Sender<Verdict>),
@@ -82,7 +82,7 @@
 }
 
 async fn next_input(
-    news: &mut mpsc::UnboundedReceiver<(News, Instant)>, inputs: &mut mpsc::UnboundedReceiver<Input>,
+    news: &mut mpsc::UnboundedReceiver<(WatchEvent, Instant)>, inputs: &mut mpsc::UnboundedReceiver<Input>,
 ) -> Option<Input> {
     tokio::select! {
         biased;
@@ -110,7 +110,7 @@
     handle: Handle,
     inputs: mpsc::UnboundedReceiver<Input>,
     /// What is heard of discovery goes before all that waits: nothing new may go to a host that drains 250 ms later.
-    news: mpsc::UnboundedReceiver<(News, Instant)>,
+    news: mpsc::UnboundedReceiver<(WatchEvent, Instant)>,
     clock: Clock,
     contexts: FxHashMap<RequestId, RequestContext>,
     timers: DelayQueue<Due>,
@@ -137,7 +137,7 @@
     /// The fleet that this balancer acts in agreement with, if any.
     fleet: Option<Box<fleet::Fleet>>,
     /// The list known from before, until the core runs.
-    known: Option<List>,
+    known: Option<EndpointList>,
 }
 
 impl Engine {
@@ -299,8 +299,8 @@
             }
             Input::Looked(looked) => self.looked(looked),
             Input::Wrote(written) => self.keeping.wrote(self.now() / 1_000, &mut self.maintenance, written),
-            Input::News(News::Watching, _) => self.awaits.list = false,
-            Input::News(News::Told(list), handed_on) => {
+            Input::News(WatchEvent::Subscribed, _) => self.awaits.list = false,
+            Input::News(WatchEvent::List(list), handed_on) => {
                 self.take_list(&list, handed_on);
             }
         }
--- a/crates/gateway/src/engine/fleet.rs
+++ b/crates/gateway/src/engine/fleet.rs
@@ -9,7 +9,7 @@
     Because, Calendar, Change, Gate, Heard, Kind, Outcome as Became, Record, Standing, Steps, Verdict,
 };
 use decide::api::{Micros, Outcome};
-use proto::discovery::{List, Member};
+use proto::discovery::{EndpointList, EndpointRecord};
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -117,7 +117,7 @@
         self.tell(Acted::Record(record));
     }
 
-    fn noted(&mut self, heard: Heard) -> List {
+    fn noted(&mut self, heard: Heard) -> EndpointList {
         let first = heard.records.iter().filter(|it| it.outcome == Became::First).count();
         if first > 0 {
             log::info!("topology: {first} hosts of the first list are taken as they are");
@@ -127,7 +127,7 @@
     }
 
     /// What passes of a list.
-    fn hear(&mut self, now: Micros, list: &List) -> List {
+    fn hear(&mut self, now: Micros, list: &EndpointList) -> EndpointList {
         self.list = list.revision;
         self.turn(now);
         let heard = self.gate.hear(&self.moment(now), &self.calendar, list);
@@ -135,7 +135,7 @@
     }
 
     /// What waited and passes now. Looked at when its step is due, or when `news` may let more pass.
-    fn release(&mut self, now: Micros, news: bool) -> Option<List> {
+    fn release(&mut self, now: Micros, news: bool) -> Option<EndpointList> {
         let due = self.gate.wake().is_some_and(|wake| news || wake <= now / 1_000);
         let heard = due.then(|| self.gate.release(&self.moment(now), &self.calendar)).flatten()?;
         Some(self.noted(heard))
@@ -199,7 +199,7 @@
     /// From now on requests are taken under the fleet's lease, and hosts by its calendar; fenced until a lease comes. To be called
     /// before [`Engine::run`].
     pub fn join_fleet(&mut self, port: FleetPort) {
-        let known: Option<Vec<Member>> = self.known.take().map(|list| list.members);
+        let known: Option<Vec<EndpointRecord>> = self.known.take().map(|list| list.members);
         self.clock = port.clock;
         self.handle.join(port.clock, port.calls.clone());
         self.fleet = Some(Box::new(Fleet {
@@ -263,7 +263,7 @@
     }
 
     /// What passes of discovery's list; nothing is held without a fleet.
-    pub(super) fn gated(&mut self, list: &List) -> Option<List> {
+    pub(super) fn gated(&mut self, list: &EndpointList) -> Option<EndpointList> {
         let now = self.clock.now();
         self.fleet.as_mut().map(|fleet| fleet.hear(now, list))
     }
--- a/crates/gateway/src/engine/fleet_tests.rs
+++ b/crates/gateway/src/engine/fleet_tests.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use calendar::{Calendar, Entry, Freeze, Outcome as Became, Place, Proposal, Scope};
 use decide::api::{Outcome, RequestId};
-use proto::discovery::{List, Member, Phase};
+use proto::discovery::{EndpointList, EndpointRecord, Phase};
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::sync::mpsc;
@@ -28,15 +28,15 @@
     _ways: (mpsc::UnboundedSender<Agreed>, mpsc::Receiver<Asked>),
 }
 
-fn member(id: &str, phase: Phase) -> Member {
+fn member(id: &str, phase: Phase) -> EndpointRecord {
     let (locality, flavor) = Default::default();
     let host_port = ([127, 0, 0, 1], 1).into();
-    Member { id: id.into(), host_port, locality, flavor, cell: 0, phase, size: 1.0, up_since_ms: 1 }
+    EndpointRecord { id: id.into(), host_port, locality, flavor, cell: 0, phase, size: 1.0, up_since_ms: 1 }
 }
 
-fn list(revision: u64, members: &[(&str, Phase)]) -> List {
+fn list(revision: u64, members: &[(&str, Phase)]) -> EndpointList {
     let members = members.iter().map(|(id, phase)| member(id, *phase)).collect();
-    List { revision, complete: true, members }
+    EndpointList { revision, complete: true, members }
 }
 
 /// A core that knows host a from before, and has joined a fleet.
--- a/crates/gateway/src/engine/handle.rs
+++ b/crates/gateway/src/engine/handle.rs
@@ -10,7 +10,7 @@
 use decide::api::{ClassId, Key, Micros, Reason, RequestId, TenantId};
 use gossip_transport::GossipTransport;
 use maintenance::{Order, OrderError, Verdict};
-use proto::discovery::News;
+use proto::discovery::WatchEvent;
 use rustc_hash::FxHashSet;
 use std::cell::{Cell, OnceCell, RefCell};
 use std::future::Future;
@@ -60,7 +60,7 @@
 #[derive(Clone)]
 pub struct Handle {
     pub(super) inputs: mpsc::UnboundedSender<Input>,
-    news: mpsc::UnboundedSender<(News, Instant)>,
+    news: mpsc::UnboundedSender<(WatchEvent, Instant)>,
     next: Rc<Cell<u64>>,
     pub(super) claims: Rc<Claims>,
     pub(super) tally: Rc<RefCell<Tally>>,
@@ -116,7 +116,8 @@
 impl Handle {
     /// The handle of a core that takes its inputs at the other end.
     pub(super) fn new(
-        inputs: mpsc::UnboundedSender<Input>, news: mpsc::UnboundedSender<(News, Instant)>, config: &Config,
+        inputs: mpsc::UnboundedSender<Input>, news: mpsc::UnboundedSender<(WatchEvent, Instant)>,
+        config: &Config,
     ) -> Self {
         let (next, ready, draining, fleet) = Default::default();
         let claims = Rc::new(Claims::new(&config.bounds));
@@ -166,7 +167,7 @@
     }
 
     /// Tells the core what is heard of discovery, ahead of all that waits.
-    pub fn hear(&self, news: News) {
+    pub fn hear(&self, news: WatchEvent) {
         let _ = self.news.send((news, Instant::now()));
     }
 
--- a/crates/gateway/src/engine/orders.rs
+++ b/crates/gateway/src/engine/orders.rs
@@ -5,7 +5,7 @@
 use crate::order_file::OrderFile;
 use decide::api::Event;
 use maintenance::{Change, Orders, Step, Verdict};
-use proto::discovery::List;
+use proto::discovery::EndpointList;
 use std::io;
 use std::sync::PoisonError;
 use std::time::Duration;
@@ -25,7 +25,7 @@
 const SLOW_LIST: Duration = Duration::from_millis(50);
 
 /// Says how long a list, or changes to it, took from being handed on to being in force.
-fn log_in_force(list: &List, took: Duration) {
+fn log_in_force(list: &EndpointList, took: Duration) {
     let level = if took >= SLOW_LIST { log::Level::Warn } else { log::Level::Debug };
     let (revision, members) = (list.revision, list.members.len());
     log::log!(level, "discovery: revision {revision}, {members} members, in force after {took:?}");
@@ -33,7 +33,7 @@
 
 impl Engine {
     /// Takes in a list of discovery, or changes to it. What it says of endpoints is in force before any of them is dialled.
-    pub(super) fn take_list(&mut self, list: &List, handed_on: Instant) {
+    pub(super) fn take_list(&mut self, list: &EndpointList, handed_on: Instant) {
         self.told(list, false);
         self.settle();
         log_in_force(list, handed_on.elapsed());
@@ -41,7 +41,7 @@
         self.dial_listed(list);
     }
 
-    pub(super) fn told(&mut self, list: &List, cached: bool) {
+    pub(super) fn told(&mut self, list: &EndpointList, cached: bool) {
         match self.gated(list) {
             Some(passed) => self.let_in(&passed, cached),
             None => self.let_in(list, cached),
@@ -49,12 +49,12 @@
     }
 
     /// What staff have ordered is laid over a list behind the fleet's gate, which holds none of it.
-    pub(super) fn let_in(&mut self, list: &List, cached: bool) {
+    pub(super) fn let_in(&mut self, list: &EndpointList, cached: bool) {
         let laid = self.maintenance.hear(list);
         self.listed(&laid, cached);
     }
 
-    fn listed(&mut self, list: &List, cached: bool) {
+    fn listed(&mut self, list: &EndpointList, cached: bool) {
         let (kind, entries, stale) = self.group.apply(list, cached);
         stale.into_iter().for_each(|id| self.pools.close_idle(id));
         self.events.push_back(Event::EndpointList(kind, entries));
--- a/crates/gateway/src/engine/tries.rs
+++ b/crates/gateway/src/engine/tries.rs
@@ -2,7 +2,7 @@
 
 use super::{Engine, Input};
 use decide::api::{Effect, EndpointId, Event, Micros, Outcome, RequestId};
-use proto::discovery::List;
+use proto::discovery::EndpointList;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::sync::oneshot;
@@ -135,7 +135,7 @@
 
     /// The first try at a peer that was just listed must not wait for a handshake either. Not in a large fleet: most of what
     /// was dialled there would close again unused.
-    pub(super) fn dial_listed(&mut self, list: &List) {
+    pub(super) fn dial_listed(&mut self, list: &EndpointList) {
         if self.group.size() > MOST_DIALLED_AHEAD {
             return;
         }
--- a/crates/gateway/src/setup.rs
+++ b/crates/gateway/src/setup.rs
@@ -2,7 +2,7 @@
 
 use decide::api::Settings;
 use gossip_transport::GossipAddresses;
-use proto::discovery::List;
+use proto::discovery::EndpointList;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 pub use upstream::setup::{Bounds, Names};
@@ -25,7 +25,7 @@
     /// Seed of the module's random numbers.
     pub seed: u64,
     /// The list as held before the start; it may be old.
-    pub known: Option<List>,
+    pub known: Option<EndpointList>,
     /// The module's settings.
     pub settings: Settings,
     /// Names that the settings give to numbers.
--- a/crates/gateway/tests/left.rs
+++ b/crates/gateway/tests/left.rs
@@ -4,7 +4,7 @@
 use decide::api::{Class, ClassId, Effect, Key, Settings, TenantId};
 use gateway::engine::{Engine, Handle, Incoming, Ticket};
 use gateway::setup::{Bounds, Config, Names};
-use proto::discovery::{List, Member, News, Phase};
+use proto::discovery::{EndpointList, EndpointRecord, Phase, WatchEvent};
 use std::io::Read;
 use std::net::TcpListener;
 use std::rc::Rc;
@@ -19,7 +19,8 @@
     let class = Class { latency_objective_us, deadline_us, priority_weight: 1.0, late_weight: 0.0, effect };
     let (id, host_port, phase) = ("s-1".into(), host.local_addr().unwrap(), Phase::Ready);
     let (locality, flavor) = (String::new(), String::new());
-    let member = Member { id, host_port, locality, flavor, cell: 0, phase, size: 1.0, up_since_ms: 0 };
+    let member =
+        EndpointRecord { id, host_port, locality, flavor, cell: 0, phase, size: 1.0, up_since_ms: 0 };
     let nowhere = ([127, 0, 0, 1], 1).into();
     Config {
         name: "n0".into(),
@@ -29,7 +30,7 @@
         folder: None,
         discovery: nowhere,
         seed: 1,
-        known: Some(List { revision: 1, complete: true, members: vec![member] }),
+        known: Some(EndpointList { revision: 1, complete: true, members: vec![member] }),
         settings: Settings { classes: vec![class], ..Settings::default() },
         names: Names::default(),
         bounds: Bounds {
@@ -81,7 +82,7 @@
         stream.set_read_timeout(Some(MINUTE)).unwrap();
         let mut buffer = BytesMut::new();
         loop {
-            if let Some(command) = proto::resp::next_command(&mut buffer).unwrap() {
+            if let Some(command) = proto::resp::decode_command(&mut buffer).unwrap() {
                 return command.0[0].clone();
             }
             let mut chunk = [0; 512];
@@ -104,7 +105,7 @@
     let waiting: Vec<_> = ["1", "2", "3"].map(|word| submitted(&handle, word)).into();
     let mut list = config.known.unwrap();
     list.members[0].phase = Phase::Draining;
-    handle.hear(News::Told(list));
+    handle.hear(WatchEvent::List(list));
     let tasks = tokio::task::LocalSet::new();
     tasks.spawn_local(engine.run());
     for ticket in waiting {
--- a/crates/maintenance/src/lib.rs
+++ b/crates/maintenance/src/lib.rs
@@ -13,7 +13,7 @@
 pub use orders::{Order, OrderError, Orders, UnreadableOrders};
 
 use hashlink::LruCache;
-use proto::discovery::{List, Member, Phase};
+use proto::discovery::{EndpointList, EndpointRecord, Phase};
 use rustc_hash::{FxBuildHasher, FxHashMap};
 use std::fmt;
 
@@ -28,7 +28,7 @@
 pub struct Maintenance {
     /// The kind of member that is the origin, which no order touches.
     origin_flavor: Option<String>,
-    listed: FxHashMap<String, Member>,
+    listed: FxHashMap<String, EndpointRecord>,
     known: LruCache<String, (), FxBuildHasher>,
     orders: Orders,
 }
@@ -49,7 +49,7 @@
 
     /// Takes in a list of discovery, and yields it with the orders laid over.
     #[must_use]
-    pub fn hear(&mut self, list: &List) -> List {
+    pub fn hear(&mut self, list: &EndpointList) -> EndpointList {
         if list.complete {
             self.listed.clear();
         }
@@ -65,7 +65,7 @@
             self.orders.heard_of_start(&member.id, member.up_since_ms);
         }
         let members = list.members.iter().map(|member| self.laid_over(member)).collect();
-        List { members, ..*list }
+        EndpointList { members, ..*list }
     }
 
     /// Carries out an order, and yields the hosts about which there is something new to tell, as [`Maintenance::tell`]
@@ -101,12 +101,16 @@
 
     /// The change of the list that brings its reader up to date about these hosts; those not listed now are left out.
     #[must_use]
-    pub fn tell(&self, hosts: &[String]) -> List {
+    pub fn tell(&self, hosts: &[String]) -> EndpointList {
         let listed = hosts.iter().filter_map(|id| self.listed.get(id));
-        List { revision: 0, complete: false, members: listed.map(|member| self.laid_over(member)).collect() }
+        EndpointList {
+            revision: 0,
+            complete: false,
+            members: listed.map(|member| self.laid_over(member)).collect(),
+        }
     }
 
-    fn laid_over(&self, member: &Member) -> Member {
+    fn laid_over(&self, member: &EndpointRecord) -> EndpointRecord {
         let mut laid = member.clone();
         if self.orders.is_out(&member.id) && member.phase == Phase::Ready {
             laid.phase = Phase::Draining;
--- a/crates/maintenance/tests/golden.rs
+++ b/crates/maintenance/tests/golden.rs
@@ -2,7 +2,7 @@
 
 use expect_test::expect_file;
 use maintenance::{Maintenance, Order, Orders};
-use proto::discovery::list;
+use proto::discovery::parse_endpoint_list;
 use serde_json::json;
 
 fn given() -> Maintenance {
@@ -13,7 +13,7 @@
     };
     let members = [member("origin", 0), member("s-a", 5), member("s-b", 6), member("s-c", 7)];
     let text = json!({"revision": 1, "complete": true, "members": members}).to_string();
-    let _ = maintenance.hear(&list(text.as_bytes()).unwrap());
+    let _ = maintenance.hear(&parse_endpoint_list(text.as_bytes()).unwrap());
     let orders = [
         (1_764_600_000_100, Order::Disable("s-a".into())),
         (1_764_600_000_200, Order::Disable("s-b".into())),
--- a/crates/maintenance/tests/keeping.rs
+++ b/crates/maintenance/tests/keeping.rs
@@ -1,7 +1,7 @@
 //! Orders on their way to a disk that may stand still: time and the disk are what the tests say.
 
 use maintenance::{Change, Keeping, Maintenance, Order, OrderError, Orders, Step, Verdict, WriteError};
-use proto::discovery::list;
+use proto::discovery::parse_endpoint_list;
 use serde_json::json;
 
 struct Rig {
@@ -16,7 +16,7 @@
         let mut maintenance = Maintenance::new(None, Orders::default());
         let member = |id| json!({"id": id, "host_port": "127.0.0.1:1", "flavor": "m", "phase": "ready", "up_since_ms": 0});
         let members = json!({"revision": 1, "complete": true, "members": [member("a"), member("b")]});
-        let _ = maintenance.hear(&list(members.to_string().as_bytes()).unwrap());
+        let _ = maintenance.hear(&parse_endpoint_list(members.to_string().as_bytes()).unwrap());
         Self { keeping: Keeping::new(true), maintenance, now: 1_000 }
     }
     fn steps(&mut self) -> Vec<Step<u32>> {
--- a/crates/maintenance/tests/orders.rs
+++ b/crates/maintenance/tests/orders.rs
@@ -1,19 +1,22 @@
 //! Orders laid over lists, without sockets, files or clocks.
 
 use maintenance::{Maintenance, Order, OrderError, Orders};
-use proto::discovery::{List, Phase, list};
+use proto::discovery::{EndpointList, Phase, parse_endpoint_list};
 use serde_json::json;
 
-fn read(complete: bool, members: &[(&str, &str, u64)]) -> List {
+fn read(complete: bool, members: &[(&str, &str, u64)]) -> EndpointList {
     let member = |(id, phase, since): &(&str, &str, u64)| {
         let flavor = if *id == "origin" { "origin" } else { "m" };
         json!({"id": id, "host_port": "127.0.0.1:1", "flavor": flavor, "phase": phase, "up_since_ms": since})
     };
     let members: Vec<_> = members.iter().map(member).collect();
-    list(json!({"revision": 1, "complete": complete, "members": members}).to_string().as_bytes()).unwrap()
+    parse_endpoint_list(
+        json!({"revision": 1, "complete": complete, "members": members}).to_string().as_bytes(),
+    )
+    .unwrap()
 }
 
-fn told(list: &List) -> Vec<(&str, Phase, u64)> {
+fn told(list: &EndpointList) -> Vec<(&str, Phase, u64)> {
     list.members.iter().map(|it| (&it.id[..], it.phase, it.up_since_ms)).collect()
 }
 
--- a/crates/proto/src/discovery.rs
+++ b/crates/proto/src/discovery.rs
@@ -14,7 +14,7 @@
 /// A member with the longest names and the deepest indentation; a usual one takes 150 bytes.
 const LARGEST_MEMBER: usize = 1024;
 /// The longest line or list, in bytes: twice what the largest fleet may come to. Bounds the memory that one may take.
-pub const MAX_LIST: usize = 2 * LARGEST_FLEET * LARGEST_MEMBER;
+pub const MAX_LIST_BYTES: usize = 2 * LARGEST_FLEET * LARGEST_MEMBER;
 
 /// The state that discovery gives a member.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
@@ -30,7 +30,7 @@
 
 /// A peer as discovery lists it.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
-pub struct Member {
+pub struct EndpointRecord {
     /// Its lasting name, the same at every balancer.
     pub id: String,
     /// Where this balancer reaches it.
@@ -56,29 +56,29 @@
 
 /// The list, or changes to it.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
-pub struct List {
+pub struct EndpointList {
     /// The version that this brings the holder to.
     pub revision: u64,
     /// Whether these are all members.
     pub complete: bool,
     /// The members, or those that changed.
-    pub members: Vec<Member>,
+    pub members: Vec<EndpointRecord>,
 }
 
 /// What is heard of discovery.
 #[derive(Debug)]
-pub enum News {
+pub enum WatchEvent {
     /// It has taken up our watch: what it has to tell is on its way.
-    Watching,
+    Subscribed,
     /// A list.
-    Told(List),
+    List(EndpointList),
 }
 
 /// Why a list, or a line of a watch, cannot be used. What follows it on its connection cannot be trusted.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum ListError {
     /// It is longer than any fleet's.
-    #[error("the list is longer than {MAX_LIST} bytes")]
+    #[error("the list is longer than {MAX_LIST_BYTES} bytes")]
     TooLong,
     /// It is not in the form of JSON.
     #[error("the list is no JSON: its byte {0} cannot stand there")]
@@ -88,20 +88,21 @@
     Form(String),
     /// A whole list has a member twice.
     #[error("the list has {0} twice")]
-    Twice(String),
+    Duplicate(String),
 }
 
 /// Reads one list.
 ///
 /// # Errors
 /// When it is not in the form of a list, with what is wrong and where.
-pub fn list(text: &[u8]) -> Result<List, ListError> {
-    let list: List = serde_json::from_slice(text).map_err(|error| ListError::Form(error.to_string()))?;
+pub fn parse_endpoint_list(text: &[u8]) -> Result<EndpointList, ListError> {
+    let list: EndpointList =
+        serde_json::from_slice(text).map_err(|error| ListError::Form(error.to_string()))?;
     let mut ids = FxHashSet::default();
     // Among changes, a member may come again: the last counts.
     for member in list.members.iter().filter(|_| list.complete) {
         if !ids.insert(member.id.as_str()) {
-            return Err(ListError::Twice(member.id.clone()));
+            return Err(ListError::Duplicate(member.id.clone()));
         }
     }
     Ok(list)
@@ -109,31 +110,31 @@
 
 /// What a line of a watch says.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Line {
+pub enum WatchLine {
     /// Nothing changed.
-    Quiet,
+    KeepAlive,
     /// Changes, or the whole list.
-    Changed(List),
+    Update(EndpointList),
 }
 
 /// Reads the lines of a watch. A list that is indented goes on over several lines. Each byte is looked at once as it comes,
 /// in pieces of any size, and once more when its list has come to its end.
 #[derive(Debug, Default)]
-pub struct LineReader {
+pub struct WatchReader {
     scan: Scan,
     /// Bytes of the buffer that were looked at.
     looked_at: usize,
 }
 
-impl LineReader {
+impl WatchReader {
     /// Takes the next whole line off the buffer, to which more is only added in between; `None` while it has not all come.
     ///
     /// # Errors
     /// When the line is too long or no list.
-    pub fn next(&mut self, buffer: &mut BytesMut) -> Result<Option<Line>, ListError> {
+    pub fn next(&mut self, buffer: &mut BytesMut) -> Result<Option<WatchLine>, ListError> {
         while let Some(byte) = buffer.get(self.looked_at).copied() {
             self.looked_at += 1;
-            if self.looked_at > MAX_LIST {
+            if self.looked_at > MAX_LIST_BYTES {
                 return Err(ListError::TooLong);
             }
             match self.scan.byte(byte) {
@@ -141,12 +142,12 @@
                 Scanned::Wrong => return Err(ListError::Syntax(self.looked_at - 1)),
                 Scanned::Blank => {
                     self.take(buffer);
-                    return Ok(Some(Line::Quiet));
+                    return Ok(Some(WatchLine::KeepAlive));
                 }
                 Scanned::Object => {
-                    let found = list(&buffer[..self.looked_at]);
+                    let found = parse_endpoint_list(&buffer[..self.looked_at]);
                     self.take(buffer);
-                    return Ok(Some(Line::Changed(found?)));
+                    return Ok(Some(WatchLine::Update(found?)));
                 }
             }
         }
--- a/crates/proto/src/http.rs
+++ b/crates/proto/src/http.rs
@@ -1,6 +1,6 @@
 //! The client's side of HTTP/1.1, as far as the origin and discovery need it.
 
-use crate::{MAX_VALUE, ProtoError};
+use crate::{MAX_BUFFERED_VALUE_BYTES, ProtoError};
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use httparse::{Header, ParserConfig, Response, Status};
 use memchr::memchr_iter;
@@ -25,7 +25,7 @@
 
 /// What the head of an answer tells.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Head {
+pub struct ResponseHead {
     /// The status code.
     pub status: u16,
     /// `Srv-Declined: 1`: the request never ran.
@@ -42,12 +42,12 @@
     UntilEnd,
 }
 
-impl Head {
+impl ResponseHead {
     /// The length of the body, where it is stated and more than is read as one message.
     #[must_use]
     pub fn large(&self) -> Option<usize> {
         match self.body {
-            Body::Length(n) if n > MAX_VALUE => Some(n),
+            Body::Length(n) if n > MAX_BUFFERED_VALUE_BYTES => Some(n),
             _ => None,
         }
     }
@@ -67,9 +67,9 @@
 
 /// What the decoder found next.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Piece {
+pub enum BodyEvent {
     /// The head of an answer.
-    Head(Head),
+    Head(ResponseHead),
     /// A part of the body, a slice of the buffer it was read into.
     Data(Bytes),
     /// The answer is whole.
@@ -86,7 +86,7 @@
 
 impl Default for Decoder {
     fn default() -> Self {
-        Self { state: State::Head, interim: 0, max_length: MAX_VALUE }
+        Self { state: State::Head, interim: 0, max_length: MAX_BUFFERED_VALUE_BYTES }
     }
 }
 
@@ -113,7 +113,7 @@
     if ends_of_lines_are_whole(&text[..used.unwrap_or(text.len())]) { Ok(used) } else { Err(Unusable) }
 }
 
-fn head(text: &[u8]) -> Step<Head> {
+fn head(text: &[u8]) -> Step<ResponseHead> {
     // Guards against bytes ahead of an answer: httparse passes over empty lines there.
     if text.first().is_some_and(|byte| *byte != b'H') {
         return Err(Unusable);
@@ -129,10 +129,10 @@
     Ok(Some((meaning(&answer)?, used)))
 }
 
-fn meaning(answer: &Response<'_, '_>) -> Result<Head, Unusable> {
+fn meaning(answer: &Response<'_, '_>) -> Result<ResponseHead, Unusable> {
     let status = answer.code.ok_or(Unusable)?;
     let keep = answer.version == Some(1);
-    let mut found = Head { status, declined: false, keep, body: Body::Length(0) };
+    let mut found = ResponseHead { status, declined: false, keep, body: Body::Length(0) };
     let (mut length, mut ends) = (None, false);
     for Header { name, value } in answer.headers.iter() {
         if name.eq_ignore_ascii_case("content-length") {
@@ -219,7 +219,7 @@
     ///
     /// # Errors
     /// When the bytes are no answer; the connection cannot go on.
-    pub fn next(&mut self, buffer: &mut BytesMut) -> Result<Option<Piece>, ProtoError> {
+    pub fn next(&mut self, buffer: &mut BytesMut) -> Result<Option<BodyEvent>, ProtoError> {
         loop {
             match self.state {
                 State::Head => {
@@ -239,17 +239,17 @@
                         Body::Chunked => State::ChunkLine,
                         Body::UntilEnd => State::UntilEnd,
                     };
-                    return Ok(Some(Piece::Head(head)));
+                    return Ok(Some(BodyEvent::Head(head)));
                 }
                 State::Length(0) => {
                     self.state = State::Head;
-                    return Ok(Some(Piece::End));
+                    return Ok(Some(BodyEvent::End));
                 }
                 // Most are small: waited for and given as one slice.
                 State::Length(n) if buffer.len() < n => return Ok(None),
                 State::Length(n) => {
                     self.state = State::Length(0);
-                    return Ok(Some(Piece::Data(buffer.split_to(n).freeze())));
+                    return Ok(Some(BodyEvent::Data(buffer.split_to(n).freeze())));
                 }
                 State::ChunkLine => {
                     let Some(n) = take(buffer, MAX_CHUNK_LINE, "chunk", |text| line(text, chunk_line))?
@@ -263,10 +263,10 @@
                     let part = buffer.split_to(n.min(buffer.len())).freeze();
                     let left = n - part.len();
                     self.state = if left == 0 { State::ChunkEnd } else { State::Chunk(left) };
-                    return Ok(Some(Piece::Data(part)));
+                    return Ok(Some(BodyEvent::Data(part)));
                 }
                 State::UntilEnd if buffer.is_empty() => return Ok(None),
-                State::UntilEnd => return Ok(Some(Piece::Data(buffer.split().freeze()))),
+                State::UntilEnd => return Ok(Some(BodyEvent::Data(buffer.split().freeze()))),
                 State::ChunkEnd => {
                     if take(buffer, 2, "chunk", |text| line(text, |input| crlf.void().parse_next(input)))?
                         .is_none()
@@ -280,7 +280,7 @@
                         return Ok(None);
                     }
                     self.state = State::Head;
-                    return Ok(Some(Piece::End));
+                    return Ok(Some(BodyEvent::End));
                 }
             }
         }
@@ -289,24 +289,24 @@
 
 impl Decoder {
     /// The connection has ended, after a whole message of TCP and not by a reset: whether that ends the body.
-    pub fn ended(&mut self) -> Option<Piece> {
+    pub fn ended(&mut self) -> Option<BodyEvent> {
         (self.state == State::UntilEnd).then(|| {
             self.state = State::Head;
-            Piece::End
+            BodyEvent::End
         })
     }
 }
 
 /// Gathers the pieces of one answer with a body of bounded size.
 #[derive(Debug, Default)]
-pub struct Whole {
+pub struct ResponseReader {
     decoder: Decoder,
-    head: Option<Head>,
+    head: Option<ResponseHead>,
     first: Bytes,
     more: BytesMut,
 }
 
-impl Whole {
+impl ResponseReader {
     /// Gathers an answer whose body has at most `max` bytes.
     #[must_use]
     pub fn new(max: usize) -> Self {
@@ -317,11 +317,11 @@
     ///
     /// # Errors
     /// When the bytes are no answer, or its body is too long.
-    pub fn next(&mut self, buffer: &mut BytesMut) -> Result<Option<(Head, Bytes)>, ProtoError> {
+    pub fn next(&mut self, buffer: &mut BytesMut) -> Result<Option<(ResponseHead, Bytes)>, ProtoError> {
         while let Some(piece) = self.decoder.next(buffer)? {
             match piece {
-                Piece::Head(head) => self.head = Some(head),
-                Piece::Data(part) => {
+                BodyEvent::Head(head) => self.head = Some(head),
+                BodyEvent::Data(part) => {
                     if self.first.len() + self.more.len() + part.len() > self.decoder.max_length {
                         return Err(ProtoError::TooLong("body"));
                     }
@@ -330,7 +330,7 @@
                         false => self.more.put_slice(&part),
                     }
                 }
-                Piece::End => {
+                BodyEvent::End => {
                     let first = std::mem::take(&mut self.first);
                     let body = if self.more.is_empty() {
                         first
@@ -347,7 +347,7 @@
 
 /// Writes the head of a request; the body, if any, follows as it is.
 #[must_use]
-pub fn request(method: &str, path: &[u8], host: &str, headers: &[(&str, &[u8])]) -> BytesMut {
+pub fn encode_request(method: &str, path: &[u8], host: &str, headers: &[(&str, &[u8])]) -> BytesMut {
     let mut out = BytesMut::with_capacity(256);
     for part in [method.as_bytes(), b" ", path, b" HTTP/1.1\r\nHost: ", host.as_bytes(), b"\r\n"] {
         out.put_slice(part);
--- a/crates/proto/src/resp.rs
+++ b/crates/proto/src/resp.rs
@@ -1,6 +1,6 @@
 //! RESP2: the commands of clients, the answers of peers, and what is written to both.
 
-use crate::{LARGEST_VALUE, MAX_VALUE, ProtoError};
+use crate::{MAX_BUFFERED_VALUE_BYTES, MAX_VALUE_BYTES, ProtoError};
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use std::ops::Range;
 use winnow::ascii::{crlf, dec_int};
@@ -15,7 +15,7 @@
 /// Most bytes of a command's words other than its value.
 const MAX_HEAD: usize = 4 * 1024;
 /// Most bytes of a command, or of an answer's parts, together.
-const MAX_MESSAGE: usize = MAX_VALUE + MAX_HEAD;
+const MAX_MESSAGE: usize = MAX_BUFFERED_VALUE_BYTES + MAX_HEAD;
 /// Longest line: a count, a length, a status or an error.
 const MAX_LINE: usize = 512;
 
@@ -36,7 +36,7 @@
 
 /// What a peer answered.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Answer {
+pub enum Reply {
     /// The value or the write's receipt.
     Served(Bytes),
     /// The peer lacks the key; `pending` when it has told another request to fetch it.
@@ -48,18 +48,18 @@
     Busy,
     /// Failed; it may have run. The text is the peer's.
     Failed(Bytes),
-    /// Served, with a large value that follows on the connection; behind it comes its [`Tail`].
+    /// Served, with a large value that follows on the connection; behind it comes its [`ReplyTail`].
     Large {
         /// The value's length.
         length: usize,
         /// What follows it.
-        tail: Tail,
+        tail: ReplyTail,
     },
 }
 
 /// What follows a large value: the end of its line, and so many parts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Tail(usize);
+pub struct ReplyTail(usize);
 
 fn number(input: &mut Input<'_>) -> Parsed<i64> {
     terminated(dec_int, crlf).parse_next(input)
@@ -72,7 +72,7 @@
         return Ok(None);
     }
     // Guards memory: a length is refused before any of its bytes are waited for.
-    let len = usize::try_from(len).ok().filter(|&len| len <= LARGEST_VALUE);
+    let len = usize::try_from(len).ok().filter(|&len| len <= MAX_VALUE_BYTES);
     len.map(Some).ok_or_else(|| ErrMode::Cut(ContextError::new()))
 }
 
@@ -122,7 +122,8 @@
 /// The start of an array whose first part is a large value: how many parts it has, and the value's length.
 fn large(input: &mut Input<'_>) -> Parsed<(usize, usize)> {
     let parts = preceded(b'*', number).verify(|n| (1..=MAX_WORDS).contains(n)).parse_next(input)?;
-    let mut length = preceded(b'$', bulk_length).verify_map(|len| len.filter(|len| *len > MAX_VALUE));
+    let mut length =
+        preceded(b'$', bulk_length).verify_map(|len| len.filter(|len| *len > MAX_BUFFERED_VALUE_BYTES));
     Ok((parts as usize, length.parse_next(input)?))
 }
 
@@ -163,7 +164,7 @@
 ///
 /// # Errors
 /// When the bytes are no command; the connection cannot go on.
-pub fn next_command(buffer: &mut BytesMut) -> Result<Option<Command>, ProtoError> {
+pub fn decode_command(buffer: &mut BytesMut) -> Result<Option<Command>, ProtoError> {
     command_of(buffer, MAX_MESSAGE)
 }
 
@@ -177,13 +178,13 @@
 ///
 /// # Errors
 /// When the bytes are no command; the connection cannot go on.
-pub fn next_large_command(buffer: &mut BytesMut) -> Result<Option<Command>, ProtoError> {
-    command_of(buffer, MAX_HEAD + LARGEST_VALUE)
+pub fn decode_large_command(buffer: &mut BytesMut) -> Result<Option<Command>, ProtoError> {
+    command_of(buffer, MAX_HEAD + MAX_VALUE_BYTES)
 }
 
 /// A command of which everything has come but its last word.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Unfinished {
+pub struct PartialCommand {
     /// The words ahead of the last.
     pub words: Command,
     /// Bytes of the whole command, as it states them.
@@ -196,24 +197,28 @@
 ///
 /// # Errors
 /// When the bytes are no command; the connection cannot go on.
-pub fn unfinished(buffer: &[u8]) -> Result<Option<Unfinished>, ProtoError> {
-    let Some(((words, length), end)) = run(buffer, MAX_HEAD + LARGEST_VALUE, "command", last_word)? else {
+pub fn partial_command(buffer: &[u8]) -> Result<Option<PartialCommand>, ProtoError> {
+    let Some(((words, length), end)) = run(buffer, MAX_HEAD + MAX_VALUE_BYTES, "command", last_word)? else {
         return Ok(None);
     };
     let words = Command(words.into_iter().map(|at| Bytes::copy_from_slice(&buffer[at])).collect());
-    Ok(Some(Unfinished { words, bytes: end + length + 2, large: length > MAX_VALUE }))
+    Ok(Some(PartialCommand { words, bytes: end + length + 2, large: length > MAX_BUFFERED_VALUE_BYTES }))
 }
 
 /// Takes a peer's next whole answer off the buffer; `None` while it has not all come.
 ///
 /// # Errors
 /// When the bytes are no answer; the connection cannot go on.
-pub fn next_answer(buffer: &mut BytesMut) -> Result<Option<Answer>, ProtoError> {
-    let whole = if buffer.len() > MAX_VALUE { None } else { run(buffer, MAX_MESSAGE, "answer", answer)? };
+pub fn decode_reply(buffer: &mut BytesMut) -> Result<Option<Reply>, ProtoError> {
+    let whole = if buffer.len() > MAX_BUFFERED_VALUE_BYTES {
+        None
+    } else {
+        run(buffer, MAX_MESSAGE, "answer", answer)?
+    };
     let Some((shape, end)) = whole else {
         if let Ok(Some(((parts, length), end))) = run(buffer, usize::MAX, "answer", large) {
             buffer.advance(end);
-            return Ok(Some(Answer::Large { length, tail: Tail(parts - 1) }));
+            return Ok(Some(Reply::Large { length, tail: ReplyTail(parts - 1) }));
         }
         return match run(buffer, MAX_MESSAGE, "answer", answer)? {
             Some((shape, end)) => answer_of(buffer, shape, end).map(Some),
@@ -223,22 +228,22 @@
     answer_of(buffer, shape, end).map(Some)
 }
 
-fn answer_of(buffer: &mut BytesMut, shape: Shape, end: usize) -> Result<Answer, ProtoError> {
+fn answer_of(buffer: &mut BytesMut, shape: Shape, end: usize) -> Result<Reply, ProtoError> {
     let message = buffer.split_to(end).freeze();
     Ok(match shape {
         Shape::Error(at) => {
             let text = message.slice(at);
             let busy = text.strip_prefix(b"BUSY").is_some_and(|rest| rest.first().is_none_or(|b| *b == b' '));
-            if busy { Answer::Busy } else { Answer::Failed(text) }
+            if busy { Reply::Busy } else { Reply::Failed(text) }
         }
         Shape::Array(parts) => match &parts[0] {
-            Part::Bulk(at) => Answer::Served(message.slice(at.clone())),
+            Part::Bulk(at) => Reply::Served(message.slice(at.clone())),
             Part::Null => {
                 let note = parts.get(1).map(|part| match part {
                     Part::Bulk(at) | Part::Line(at) => &message[at.clone()],
                     Part::Null => &[],
                 });
-                Answer::Miss { pending: note == Some(b"pending") }
+                Reply::Miss { pending: note == Some(b"pending") }
             }
             Part::Line(_) => return Err(ProtoError::Malformed("answer")),
         },
@@ -249,7 +254,9 @@
 ///
 /// # Errors
 /// When the bytes are nothing of the kind; the connection cannot go on.
-pub fn next_tail(buffer: &mut BytesMut, Tail(parts): Tail) -> Result<Option<()>, ProtoError> {
+pub fn decode_reply_tail(
+    buffer: &mut BytesMut, ReplyTail(parts): ReplyTail,
+) -> Result<Option<()>, ProtoError> {
     let Some(((), end)) = run(buffer, MAX_MESSAGE, "answer", tail(parts))? else { return Ok(None) };
     buffer.advance(end);
     Ok(Some(()))
@@ -263,12 +270,12 @@
 }
 
 /// Appends what goes ahead of the bytes of a bulk string; a line end goes behind them.
-pub fn put_bulk_head(out: &mut BytesMut, length: usize) {
+pub fn encode_bulk_header(out: &mut BytesMut, length: usize) {
     put_count(out, b'$', length);
 }
 
 /// Appends one bulk string.
-pub fn put_bulk(out: &mut BytesMut, bytes: &[u8]) {
+pub fn encode_bulk(out: &mut BytesMut, bytes: &[u8]) {
     out.reserve(bytes.len() + 16);
     put_count(out, b'$', bytes.len());
     out.put_slice(bytes);
@@ -276,9 +283,9 @@
 }
 
 /// Appends a command of these words.
-pub fn put_command(out: &mut BytesMut, words: &[&[u8]]) {
+pub fn encode_command(out: &mut BytesMut, words: &[&[u8]]) {
     put_count(out, b'*', words.len());
     for word in words {
-        put_bulk(out, word);
+        encode_bulk(out, word);
     }
 }
--- a/crates/proto/tests/bad_lists.rs
+++ b/crates/proto/tests/bad_lists.rs
@@ -1,14 +1,14 @@
 //! Lists that cannot be used: each is an error that names what is wrong and where, and takes nothing else with it.
 
 use bytes::BytesMut;
-use proto::discovery::{Line, LineReader, ListError, MAX_LIST, list};
+use proto::discovery::{ListError, MAX_LIST_BYTES, WatchLine, WatchReader, parse_endpoint_list};
 use std::fmt::Write;
 
 const GOOD: &str =
     r#"{"revision":7,"complete":true,"members":[{"id":"s-1","host_port":"127.0.0.1:1","phase":"ready"}]}"#;
 
-fn read(text: &str) -> Result<Option<Line>, ListError> {
-    LineReader::default().next(&mut BytesMut::from(format!("{text}\n").as_bytes()))
+fn read(text: &str) -> Result<Option<WatchLine>, ListError> {
+    WatchReader::default().next(&mut BytesMut::from(format!("{text}\n").as_bytes()))
 }
 
 #[test]
@@ -35,9 +35,9 @@
         assert_ne!(text, GOOD, "{what}");
         let error = read(&text).expect_err(what).to_string();
         assert!(error.contains(says), "{what}: {error}");
-        assert!(list(text.as_bytes()).is_err(), "{what}, as a whole answer");
+        assert!(parse_endpoint_list(text.as_bytes()).is_err(), "{what}, as a whole answer");
     }
-    assert!(matches!(read(GOOD), Ok(Some(Line::Changed(_)))));
+    assert!(matches!(read(GOOD), Ok(Some(WatchLine::Update(_)))));
 }
 
 #[test]
@@ -47,15 +47,15 @@
         let members = [member("ready"), member("draining")].join(",");
         format!(r#"{{"revision":7,"complete":{complete},"members":[{members}]}}"#)
     };
-    assert_eq!(read(&both(true)), Err(ListError::Twice("s-1".into())));
-    assert!(matches!(read(&both(false)), Ok(Some(Line::Changed(list))) if list.members.len() == 2));
+    assert_eq!(read(&both(true)), Err(ListError::Duplicate("s-1".into())));
+    assert!(matches!(read(&both(false)), Ok(Some(WatchLine::Update(list))) if list.members.len() == 2));
 }
 
 #[test]
 fn a_line_that_is_cut_short_is_awaited_and_the_next_reader_takes_the_next_good_one() {
     let mut buffer = BytesMut::from(&GOOD.as_bytes()[..GOOD.len() / 2]);
-    assert_eq!(LineReader::default().next(&mut buffer), Ok(None));
-    assert!(matches!(read(GOOD), Ok(Some(Line::Changed(list))) if list.revision == 7));
+    assert_eq!(WatchReader::default().next(&mut buffer), Ok(None));
+    assert!(matches!(read(GOOD), Ok(Some(WatchLine::Update(list))) if list.revision == 7));
 }
 
 #[test]
@@ -70,8 +70,8 @@
         .unwrap();
     }
     text.push_str("]}");
-    assert!(text.len() > 1_300_000 && text.len() < MAX_LIST, "{}", text.len());
-    assert!(matches!(read(&text), Ok(Some(Line::Changed(list))) if list.members.len() == 4_800));
-    let beyond = text.replacen('[', &format!("[{}", " ".repeat(MAX_LIST)), 1);
-    assert_eq!(LineReader::default().next(&mut BytesMut::from(beyond.as_bytes())), Err(ListError::TooLong));
+    assert!(text.len() > 1_300_000 && text.len() < MAX_LIST_BYTES, "{}", text.len());
+    assert!(matches!(read(&text), Ok(Some(WatchLine::Update(list))) if list.members.len() == 4_800));
+    let beyond = text.replacen('[', &format!("[{}", " ".repeat(MAX_LIST_BYTES)), 1);
+    assert_eq!(WatchReader::default().next(&mut BytesMut::from(beyond.as_bytes())), Err(ListError::TooLong));
 }
--- a/crates/proto/tests/parsers.rs
+++ b/crates/proto/tests/parsers.rs
@@ -3,10 +3,10 @@
 use bytes::BytesMut;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
-use proto::discovery::{Line, LineReader, ListError, MAX_LIST, Phase};
-use proto::http::Whole;
-use proto::resp::{self, Answer};
-use proto::{MAX_VALUE, ProtoError};
+use proto::discovery::{ListError, MAX_LIST_BYTES, Phase, WatchLine, WatchReader};
+use proto::http::ResponseReader;
+use proto::resp::{self, Reply};
+use proto::{MAX_BUFFERED_VALUE_BYTES, ProtoError};
 
 fn config() -> Config {
     Config { cases: 48, failure_persistence: None, rng_seed: RngSeed::Fixed(7), ..Config::default() }
@@ -29,13 +29,13 @@
     Ok(found)
 }
 
-fn lines(bytes: &[u8], cuts: &[usize]) -> Result<Vec<Line>, ListError> {
-    let mut reader = LineReader::default();
+fn lines(bytes: &[u8], cuts: &[usize]) -> Result<Vec<WatchLine>, ListError> {
+    let mut reader = WatchReader::default();
     fed(bytes, cuts, |buffer| reader.next(buffer))
 }
 
 fn http(bytes: &[u8], cuts: &[usize]) -> Result<Vec<(u16, Vec<u8>)>, ProtoError> {
-    let mut whole = Whole::new(MAX_VALUE);
+    let mut whole = ResponseReader::new(MAX_BUFFERED_VALUE_BYTES);
     fed(bytes, cuts, |buffer| Ok(whole.next(buffer)?.map(|(head, body)| (head.status, body.to_vec()))))
 }
 
@@ -49,9 +49,9 @@
     ) {
         let mut bytes = BytesMut::new();
         let slices: Vec<&[u8]> = words.iter().map(Vec::as_slice).collect();
-        resp::put_command(&mut bytes, &slices);
-        resp::put_command(&mut bytes, &[b"PING"]);
-        let found = fed(&bytes, &cuts, resp::next_command).unwrap();
+        resp::encode_command(&mut bytes, &slices);
+        resp::encode_command(&mut bytes, &[b"PING"]);
+        let found = fed(&bytes, &cuts, resp::decode_command).unwrap();
         prop_assert_eq!(found.len(), 2);
         prop_assert_eq!(found[0].0.iter().map(|w| w.to_vec()).collect::<Vec<_>>(), words);
     }
@@ -61,15 +61,15 @@
         value in prop::collection::vec(any::<u8>(), 0..300), cuts in prop::collection::vec(any::<usize>(), 0..12),
     ) {
         let mut bytes = BytesMut::from("*3\r\n");
-        resp::put_bulk(&mut bytes, &value);
+        resp::encode_bulk(&mut bytes, &value);
         bytes.extend_from_slice(b"$3\r\nhit\r\n*-1\r\n".strip_suffix(b"*-1\r\n").unwrap());
         bytes.extend_from_slice(b"$-1\r\n*3\r\n$-1\r\n$7\r\npending\r\n$-1\r\n-BUSY\r\n-ERR failed\r\n");
-        let found = fed(&bytes, &cuts, resp::next_answer).unwrap();
+        let found = fed(&bytes, &cuts, resp::decode_reply).unwrap();
         let expected = [
-            Answer::Served(value.into()),
-            Answer::Miss { pending: true },
-            Answer::Busy,
-            Answer::Failed("ERR failed".into()),
+            Reply::Served(value.into()),
+            Reply::Miss { pending: true },
+            Reply::Busy,
+            Reply::Failed("ERR failed".into()),
         ];
         prop_assert_eq!(&found[..], &expected[..]);
     }
@@ -78,9 +78,9 @@
     fn large_answers_and_commands_survive_any_cut(
         extra in 1..3_000_usize, cuts in prop::collection::vec(any::<usize>(), 0..12),
     ) {
-        let value = vec![b'\n'; MAX_VALUE + extra];
+        let value = vec![b'\n'; MAX_BUFFERED_VALUE_BYTES + extra];
         let mut bytes = BytesMut::from("*3\r\n");
-        resp::put_bulk(&mut bytes, &value);
+        resp::encode_bulk(&mut bytes, &value);
         bytes.extend_from_slice(b"$3\r\nhit\r\n$-1\r\n-BUSY\r\n");
         // As a connection does: the value is taken off as it comes, then its tail, then the next answer.
         let (mut left, mut behind) = (0, None);
@@ -92,31 +92,31 @@
                 return Ok(None);
             }
             if let Some(tail) = behind {
-                return Ok(resp::next_tail(buffer, tail)?.map(|()| {
+                return Ok(resp::decode_reply_tail(buffer, tail)?.map(|()| {
                     behind = None;
                     "tail"
                 }));
             }
-            Ok(match resp::next_answer(buffer)? {
-                Some(Answer::Large { length, tail }) => {
+            Ok(match resp::decode_reply(buffer)? {
+                Some(Reply::Large { length, tail }) => {
                     (left, behind) = (length, Some(tail));
                     Some("large")
                 }
-                Some(Answer::Busy) => Some("busy"),
+                Some(Reply::Busy) => Some("busy"),
                 other => other.map(|_| "other"),
             })
         });
         prop_assert_eq!(found.unwrap(), ["large", "tail", "busy"]);
 
         let mut bytes = BytesMut::new();
-        resp::put_command(&mut bytes, &[b"CACHE.SET", &value]);
+        resp::encode_command(&mut bytes, &[b"CACHE.SET", &value]);
         let (whole, head) = (bytes.len(), bytes.len() - value.len() - 2);
-        prop_assert_eq!(resp::unfinished(&bytes[..head - 1]).unwrap(), None);
+        prop_assert_eq!(resp::partial_command(&bytes[..head - 1]).unwrap(), None);
         for cut in cuts.iter().map(|cut| head + cut % (value.len() + 2)) {
-            let found = resp::unfinished(&bytes[..cut]).unwrap().unwrap();
+            let found = resp::partial_command(&bytes[..cut]).unwrap().unwrap();
             prop_assert_eq!((found.words.0.len(), found.bytes, found.large), (1, whole, true));
         }
-        prop_assert_eq!(fed(&bytes, &cuts, resp::next_large_command).unwrap().len(), 1);
+        prop_assert_eq!(fed(&bytes, &cuts, resp::decode_large_command).unwrap().len(), 1);
     }
 
     #[test]
@@ -145,8 +145,8 @@
              \"host_port\":\"127.0.0.1:6379\",\"phase\":\"draining\"}}]}}\n"
         );
         let found = lines(line.as_bytes(), &cuts).unwrap();
-        prop_assert_eq!(&found[0], &Line::Quiet);
-        let Line::Changed(list) = &found[1] else { panic!("{found:?}") };
+        prop_assert_eq!(&found[0], &WatchLine::KeepAlive);
+        let WatchLine::Update(list) = &found[1] else { panic!("{found:?}") };
         prop_assert_eq!((list.revision, list.members[0].phase), (revision, Phase::Draining));
         // Lists may come indented, the first of a watch as well.
         let value: serde_json::Value = serde_json::from_str(&line).unwrap();
@@ -163,8 +163,8 @@
     ) {
         let bytes = [start.as_bytes(), &noise].concat();
         // Whatever is found must not depend on how the bytes were cut.
-        prop_assert_eq!(fed(&bytes, &cuts, resp::next_command).ok(), fed(&bytes, &[], resp::next_command).ok());
-        prop_assert_eq!(fed(&bytes, &cuts, resp::next_answer).ok(), fed(&bytes, &[], resp::next_answer).ok());
+        prop_assert_eq!(fed(&bytes, &cuts, resp::decode_command).ok(), fed(&bytes, &[], resp::decode_command).ok());
+        prop_assert_eq!(fed(&bytes, &cuts, resp::decode_reply).ok(), fed(&bytes, &[], resp::decode_reply).ok());
         prop_assert_eq!(http(&bytes, &cuts).ok(), http(&bytes, &[]).ok());
         prop_assert_eq!(lines(&bytes, &cuts).ok(), lines(&bytes, &[]).ok());
     }
@@ -172,11 +172,11 @@
 
 #[test]
 fn what_never_ends_is_refused_before_it_fills_the_memory() {
-    let long = vec![b'1'; 2 * MAX_VALUE];
+    let long = vec![b'1'; 2 * MAX_BUFFERED_VALUE_BYTES];
     let with = |start: &[u8]| [start, &long].concat();
-    assert!(fed(&with(b"*1\r\n$"), &[], resp::next_command).is_err(), "a length without end");
-    assert!(fed(&with(b"*2\r\n$65536\r\n"), &[], resp::next_command).is_err(), "words without end");
-    assert!(fed(&with(b"-"), &[], resp::next_answer).is_err(), "a line without end");
+    assert!(fed(&with(b"*1\r\n$"), &[], resp::decode_command).is_err(), "a length without end");
+    assert!(fed(&with(b"*2\r\n$65536\r\n"), &[], resp::decode_command).is_err(), "words without end");
+    assert!(fed(&with(b"-"), &[], resp::decode_reply).is_err(), "a line without end");
     assert!(http(&with(b"HTTP/1.1 200 OK\r\nA: "), &[]).is_err(), "a header without end");
     assert!(http(b"HTTP/1.1 200 OK\r\nContent-Length: 65537\r\n\r\n", &[]).is_err(), "a body too long");
     let chunks = with(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1ffff\r\n");
@@ -187,11 +187,11 @@
         http(&with(b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n"), &[]).is_err(),
         "beyond the longest value"
     );
-    assert!(fed(b"*1\r\n$4194305\r\n", &[], resp::next_answer).is_err(), "beyond the largest value");
-    assert!(resp::unfinished(b"*1\r\n$4194305\r\n").is_err());
+    assert!(fed(b"*1\r\n$4194305\r\n", &[], resp::decode_reply).is_err(), "beyond the largest value");
+    assert!(resp::partial_command(b"*1\r\n$4194305\r\n").is_err());
     assert!(http(b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n", &[]).is_err());
     assert!(http(&b"HTTP/1.1 100 Continue\r\n\r\n".repeat(9), &[]).is_err(), "interim answers without end");
-    let line = [&b"{\"a\":\""[..], &vec![b'x'; MAX_LIST]].concat();
+    let line = [&b"{\"a\":\""[..], &vec![b'x'; MAX_LIST_BYTES]].concat();
     assert_eq!(lines(&line, &[]), Err(ListError::TooLong), "a line without end");
 }
 
--- a/crates/spindlebeam/benches/turns.rs
+++ b/crates/spindlebeam/benches/turns.rs
@@ -8,7 +8,7 @@
 use decide::policy::Router;
 use gossip::GossipState;
 use maintenance::{Maintenance, Orders};
-use proto::discovery::{Line, LineReader, List};
+use proto::discovery::{EndpointList, WatchLine, WatchReader};
 use std::hint::black_box;
 use std::time::Instant;
 use upstream::group::UpstreamGroup;
@@ -44,9 +44,9 @@
     if indented { format!("{list:#}\n") } else { format!("{list}\n") }
 }
 
-fn read(text: &str) -> List {
-    match LineReader::default().next(&mut BytesMut::from(text.as_bytes())) {
-        Ok(Some(Line::Changed(list))) => list,
+fn read(text: &str) -> EndpointList {
+    match WatchReader::default().next(&mut BytesMut::from(text.as_bytes())) {
+        Ok(Some(WatchLine::Update(list))) => list,
         other => unreachable!("{other:?}"),
     }
 }
@@ -68,13 +68,13 @@
     Settings { balancers: BALANCERS as u32, hedged_requests: false, ..settings }
 }
 
-fn router(list: &List) -> Router {
+fn router(list: &EndpointList) -> Router {
     let (mut router, mut out) = (Router::new(settings(), 1, 1), Vec::new());
     router.handle(1, Event::EndpointList(ListKind::Full, entries(list)), &mut out);
     router
 }
 
-fn entries(list: &List) -> Vec<decide::api::EndpointEntry> {
+fn entries(list: &EndpointList) -> Vec<decide::api::EndpointEntry> {
     let names =
         Names { kinds: vec!["m".into(), "origin".into()], zones: vec!["a".into()], ..Names::default() };
     UpstreamGroup::new(names, Some(1)).apply(list, false).1
@@ -93,13 +93,13 @@
         // All but the last byte, and of that the time for a piece as it is read.
         let pieces = text.len().div_ceil(READ) as f64;
         let whole =
-            median(|| BytesMut::from(&text[..]), |mut buffer| LineReader::default().next(&mut buffer));
+            median(|| BytesMut::from(&text[..]), |mut buffer| WatchReader::default().next(&mut buffer));
         whole / pieces
     };
     let ended = |text: &str| {
         let almost = || {
             let (mut reader, mut buffer) =
-                (LineReader::default(), BytesMut::from(&text.as_bytes()[..text.len() - 1]));
+                (WatchReader::default(), BytesMut::from(&text.as_bytes()[..text.len() - 1]));
             let _ = reader.next(&mut buffer);
             buffer.extend_from_slice(b"\n");
             (reader, buffer)
--- a/crates/spindlebeam/src/config.rs
+++ b/crates/spindlebeam/src/config.rs
@@ -9,7 +9,7 @@
 use front::operator::MOST_CALLERS;
 use gateway::setup::{Bounds, Config, Names};
 use gossip_transport::GossipAddresses;
-use proto::discovery::List;
+use proto::discovery::EndpointList;
 use serde::Deserialize;
 use serde::de::DeserializeOwned;
 use serde_json::Value;
@@ -40,7 +40,7 @@
         self.told::<String>(path)?.map(|text| address(path, &text)).transpose()
     }
     /// The list known before. One that cannot be read is as good as none: discovery tells all, and the start goes on.
-    fn known(&self) -> Option<List> {
+    fn known(&self) -> Option<EndpointList> {
         self.told("known").unwrap_or_else(|error| {
             log::warn!("configuration: {error}; started without the list known before");
             None
--- a/crates/spindlebeam/tests/fleet_agreement.rs
+++ b/crates/spindlebeam/tests/fleet_agreement.rs
@@ -1,6 +1,6 @@
 //! Whole programs that agree with one another: what each may do while links, processes and disks between them fail.
 
-use proto::resp::put_command;
+use proto::resp::encode_command;
 use serde_json::Value;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -84,7 +84,7 @@
     }
     fn write(&mut self, words: &[&[u8]]) {
         let mut out = bytes::BytesMut::new();
-        put_command(&mut out, words);
+        encode_command(&mut out, words);
         self.0.get_mut().write_all(&out).unwrap();
     }
     fn read(&mut self) -> String {
--- a/crates/spindlebeam/tests/platform/client.rs
+++ b/crates/spindlebeam/tests/platform/client.rs
@@ -19,7 +19,7 @@
 fn command(words: &[&str]) -> BytesMut {
     let mut bytes = BytesMut::new();
     let words: Vec<&[u8]> = words.iter().map(|word| word.as_bytes()).collect();
-    proto::resp::put_command(&mut bytes, &words);
+    proto::resp::encode_command(&mut bytes, &words);
     bytes
 }
 
--- a/crates/spindlebeam/tests/platform/peer.rs
+++ b/crates/spindlebeam/tests/platform/peer.rs
@@ -2,7 +2,7 @@
 
 use super::PATIENCE;
 use bytes::BytesMut;
-use proto::resp::next_command;
+use proto::resp::decode_command;
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::sync::mpsc::{Receiver, Sender, channel};
@@ -154,7 +154,7 @@
 }
 
 fn resp_request(buffer: &mut BytesMut) -> Option<Vec<String>> {
-    let command = next_command(buffer).expect("the balancer writes commands")?;
+    let command = decode_command(buffer).expect("the balancer writes commands")?;
     Some(command.0.iter().map(|word| String::from_utf8(word.to_vec()).unwrap()).collect())
 }
 
--- a/crates/spindlebeam/tests/start.rs
+++ b/crates/spindlebeam/tests/start.rs
@@ -1,7 +1,7 @@
 //! What the program is told: its configuration and discovery's lists, as the decision module gets them.
 
 use decide::api::*;
-use proto::discovery::{List, list};
+use proto::discovery::{EndpointList, parse_endpoint_list};
 use serde_json::json;
 use spindlebeam::config;
 use std::time::Duration;
@@ -54,7 +54,7 @@
     assert_eq!(endpoint_id("a"), EndpointId(0xaf63_dc4c_8601_ec8c));
 }
 
-fn read(revision: u64, complete: bool, members: &[(&str, &str, u64)]) -> List {
+fn read(revision: u64, complete: bool, members: &[(&str, &str, u64)]) -> EndpointList {
     let members: Vec<_> = members
         .iter()
         .map(|(id, phase, since)| {
@@ -62,8 +62,10 @@
                    "phase": phase, "size": 0.0, "up_since_ms": since})
         })
         .collect();
-    list(json!({"revision": revision, "complete": complete, "members": members}).to_string().as_bytes())
-        .unwrap()
+    parse_endpoint_list(
+        json!({"revision": revision, "complete": complete, "members": members}).to_string().as_bytes(),
+    )
+    .unwrap()
 }
 
 #[test]
--- a/crates/testfleet/src/clients.rs
+++ b/crates/testfleet/src/clients.rs
@@ -2,7 +2,7 @@
 
 use crate::journal::Journal;
 use bytes::BytesMut;
-use proto::resp::put_command;
+use proto::resp::encode_command;
 use std::io;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -272,9 +272,9 @@
     let key = question.key.as_bytes();
     if question.write {
         options.push_str(&format!(",k={id}"));
-        put_command(&mut out, &[b"CACHE.SET", key, id.as_bytes(), options.as_bytes(), b"a value"]);
+        encode_command(&mut out, &[b"CACHE.SET", key, id.as_bytes(), options.as_bytes(), b"a value"]);
     } else {
-        put_command(&mut out, &[b"CACHE.GET", key, id.as_bytes(), options.as_bytes()]);
+        encode_command(&mut out, &[b"CACHE.GET", key, id.as_bytes(), options.as_bytes()]);
     }
     out
 }
--- a/crates/testfleet/src/hosts.rs
+++ b/crates/testfleet/src/hosts.rs
@@ -4,7 +4,7 @@
 use crate::journal::Journal;
 use crate::relay::{Caller, Callers};
 use bytes::BytesMut;
-use proto::resp::{Command, next_command, put_bulk};
+use proto::resp::{Command, decode_command, encode_bulk};
 use rustc_hash::FxHashSet;
 use std::io;
 use std::net::SocketAddr;
@@ -166,7 +166,7 @@
     async fn serve(self: Arc<Self>, mut stream: TcpStream, number: u64, caller: Option<Caller>) {
         let mut buffer = BytesMut::new();
         loop {
-            let Ok(command) = next_command(&mut buffer) else { return };
+            let Ok(command) = decode_command(&mut buffer) else { return };
             let Some(command) = command else {
                 match stream.read_buf(&mut buffer).await {
                     Ok(n) if n > 0 => continue,
@@ -241,7 +241,7 @@
 
 fn hit(key: &str) -> BytesMut {
     let mut out = BytesMut::from(&b"*3\r\n"[..]);
-    put_bulk(&mut out, format!("value of {key}").as_bytes());
+    encode_bulk(&mut out, format!("value of {key}").as_bytes());
     out.extend_from_slice(b"$3\r\nhit\r\n$-1\r\n");
     out
 }
--- a/crates/upstream/src/group.rs
+++ b/crates/upstream/src/group.rs
@@ -3,7 +3,7 @@
 use crate::setup::Names;
 use decide::api::{CellId, EndpointEntry, EndpointId, ListKind, Presence, ZoneId};
 use fnv::FnvHasher;
-use proto::discovery::{List, Member, Phase};
+use proto::discovery::{EndpointList, EndpointRecord, Phase};
 use rustc_hash::{FxHashMap, FxHashSet};
 use std::cell::Cell;
 use std::hash::Hasher;
@@ -96,7 +96,9 @@
     }
 
     /// Takes in a list; returns it in the module's form, and the peers to which idle connections are void.
-    pub fn apply(&mut self, list: &List, cached: bool) -> (ListKind, Vec<EndpointEntry>, Vec<EndpointId>) {
+    pub fn apply(
+        &mut self, list: &EndpointList, cached: bool,
+    ) -> (ListKind, Vec<EndpointEntry>, Vec<EndpointId>) {
         let entries: Vec<_> = list.members.iter().map(|m| self.entry(m)).collect();
         let (mut stale, mut changes) = (Vec::new(), Vec::new());
         if list.complete {
@@ -155,7 +157,7 @@
         (kind, entries, stale)
     }
 
-    fn entry(&self, member: &Member) -> EndpointEntry {
+    fn entry(&self, member: &EndpointRecord) -> EndpointEntry {
         EndpointEntry {
             id: endpoint_id(&member.id),
             presence: match member.phase {
--- a/crates/upstream/src/peer/answers.rs
+++ b/crates/upstream/src/peer/answers.rs
@@ -5,8 +5,8 @@
 use crate::held::{Budget, Held};
 use bytes::{BufMut, Bytes, BytesMut};
 use decide::api::Outcome;
-use proto::http::{Decoder, Piece};
-use proto::{LARGEST_VALUE, MAX_VALUE, ProtoError, resp};
+use proto::http::{BodyEvent, Decoder};
+use proto::{MAX_BUFFERED_VALUE_BYTES, MAX_VALUE_BYTES, ProtoError, resp};
 use std::time::Duration;
 use tokio::io::AsyncReadExt;
 use tokio::time::timeout;
@@ -38,15 +38,17 @@
     /// Whole, and whether its connection can be used again.
     Whole(Ended, bool),
     /// A large value follows, and behind it its tail.
-    Large { length: usize, keep: bool, tail: Option<resp::Tail> },
+    Large { length: usize, keep: bool, tail: Option<resp::ReplyTail> },
 }
 
 /// Reads what follows a large value, so that its connection can be used again.
-pub(super) async fn read_tail(mut connection: Connection, tail: Option<resp::Tail>) -> Option<Connection> {
+pub(super) async fn read_tail(
+    mut connection: Connection, tail: Option<resp::ReplyTail>,
+) -> Option<Connection> {
     let Some(tail) = tail else { return Some(connection) };
     let read = async {
         loop {
-            match resp::next_tail(&mut connection.buffer, tail) {
+            match resp::decode_reply_tail(&mut connection.buffer, tail) {
                 Ok(None) => more(&mut connection).await.ok()?,
                 Ok(Some(())) => return Some(()),
                 Err(_) => return None,
@@ -60,18 +62,18 @@
     connection: &mut Connection, name: &str, lines: &Lines,
 ) -> Result<Read, Broken> {
     loop {
-        let Some(answer) = resp::next_answer(&mut connection.buffer)? else {
+        let Some(answer) = resp::decode_reply(&mut connection.buffer)? else {
             more(connection).await?;
             continue;
         };
         let ended = match answer {
-            resp::Answer::Served(value) => Ended { value, ..Outcome::Ok.into() },
-            resp::Answer::Large { length, tail } => {
+            resp::Reply::Served(value) => Ended { value, ..Outcome::Ok.into() },
+            resp::Reply::Large { length, tail } => {
                 return Ok(Read::Large { length, keep: true, tail: Some(tail) });
             }
-            resp::Answer::Miss { pending } => Ended { pending, ..Outcome::Miss.into() },
-            resp::Answer::Busy => Outcome::Rejected.into(),
-            resp::Answer::Failed(text) => {
+            resp::Reply::Miss { pending } => Ended { pending, ..Outcome::Miss.into() },
+            resp::Reply::Busy => Outcome::Rejected.into(),
+            resp::Reply::Failed(text) => {
                 if let Some(more) = text.starts_with(b"SYNTAX").then(|| lines.refused.line()).flatten() {
                     let text = String::from_utf8_lossy(&text);
                     log::error!("peer {name} refused our command: -{text}{more}");
@@ -86,10 +88,10 @@
 pub(super) async fn read_http(
     connection: &mut Connection, budget: &Budget, name: &str, lines: &Lines,
 ) -> Result<Read, Broken> {
-    let mut decoder = Decoder::new(LARGEST_VALUE);
+    let mut decoder = Decoder::new(MAX_VALUE_BYTES);
     let head = loop {
         match decoder.next(&mut connection.buffer)? {
-            Some(Piece::Head(head)) => break head,
+            Some(BodyEvent::Head(head)) => break head,
             _ => more(connection).await?,
         }
     };
@@ -107,14 +109,14 @@
             },
         };
         match piece {
-            Piece::Head(_) => {}
-            Piece::Data(part) if value.is_empty() && gathered.is_empty() => value = part,
-            Piece::Data(part) => {
+            BodyEvent::Head(_) => {}
+            BodyEvent::Data(part) if value.is_empty() && gathered.is_empty() => value = part,
+            BodyEvent::Data(part) => {
                 let length = gathered.len().max(value.len()) + part.len();
-                if length > LARGEST_VALUE {
+                if length > MAX_VALUE_BYTES {
                     return Err(ProtoError::TooLong("body").into());
                 }
-                if length > MAX_VALUE {
+                if length > MAX_BUFFERED_VALUE_BYTES {
                     let room = match &mut held {
                         Some(held) => held.grow(part.len()),
                         None => {
@@ -136,7 +138,7 @@
                 }
                 gathered.put_slice(&part);
             }
-            Piece::End => break,
+            BodyEvent::End => break,
         }
     }
     let value = if gathered.is_empty() { value } else { gathered.freeze() };
--- a/crates/upstream/src/peer/exchange.rs
+++ b/crates/upstream/src/peer/exchange.rs
@@ -254,7 +254,7 @@
     let (mut head, options) = (BytesMut::with_capacity(256), call.options_with_time(ms));
     let mut words: Vec<&[u8]> = vec![&call.command, &call.key, &call.id, &options];
     words.extend(call.value.as_deref());
-    resp::put_command(&mut head, &words);
+    resp::encode_command(&mut head, &words);
     (head, Bytes::new())
 }
 
@@ -263,12 +263,12 @@
     let options = call.options_with_time(ms);
     let headers: [(&str, &[u8]); 2] = [("Req-Id", &call.id), ("Req-Extra", &options)];
     match &call.value {
-        None => (http::request("GET", &path, &host, &headers), Bytes::new()),
+        None => (http::encode_request("GET", &path, &host, &headers), Bytes::new()),
         Some(value) => {
             let length = value.len().to_string();
             let [id, extra] = headers;
             let headers = [id, extra, ("Content-Length", length.as_bytes())];
-            (http::request("PUT", &path, &host, &headers), value.clone())
+            (http::encode_request("PUT", &path, &host, &headers), value.clone())
         }
     }
 }
--- a/crates/upstream/src/peer/streamed.rs
+++ b/crates/upstream/src/peer/streamed.rs
@@ -3,7 +3,7 @@
 use super::Connection;
 use crate::held::Held;
 use bytes::{Buf, Bytes};
-use proto::MAX_VALUE;
+use proto::MAX_BUFFERED_VALUE_BYTES;
 use std::fmt;
 use std::io;
 use std::time::Duration;
@@ -117,7 +117,7 @@
         if self.done()
             && let Source::Peer { mut connection, back } = std::mem::replace(&mut self.source, Source::Taken)
         {
-            if connection.buffer.capacity() > MAX_VALUE {
+            if connection.buffer.capacity() > MAX_BUFFERED_VALUE_BYTES {
                 connection.buffer = bytes::BytesMut::from(&connection.buffer[..]); // a pool keeps no windows
             }
             let _ = back.send(connection); // its try waits for it
--- a/crates/upstream/tests/answers.rs
+++ b/crates/upstream/tests/answers.rs
@@ -4,7 +4,7 @@
 
 use decide::api::Outcome;
 use host::*;
-use proto::{LARGEST_VALUE, MAX_VALUE};
+use proto::{MAX_BUFFERED_VALUE_BYTES, MAX_VALUE_BYTES};
 use rstest::rstest;
 use socket2::SockRef;
 use std::cell::RefCell;
@@ -37,8 +37,8 @@
 #[case(LENGTHLESS, 3, Then::Ends, Outcome::Ok)]
 #[case(LENGTHLESS, 3, Then::Resets, Outcome::Reset)]
 #[case(LENGTHLESS, 0, Then::Resets, Outcome::Reset)]
-#[case(LENGTHLESS, MAX_VALUE + 9, Then::Ends, Outcome::Ok)]
-#[case(LENGTHLESS, MAX_VALUE + 9, Then::Resets, Outcome::Reset)]
+#[case(LENGTHLESS, MAX_BUFFERED_VALUE_BYTES + 9, Then::Ends, Outcome::Ok)]
+#[case(LENGTHLESS, MAX_BUFFERED_VALUE_BYTES + 9, Then::Resets, Outcome::Reset)]
 #[case(LENGTHLESS, 3, Then::Rests, Outcome::Timeout)]
 #[case("HTTP/1.1 200 OK\r\n\r\n", 3, Then::Ends, Outcome::Error)]
 #[case("HTTP/1.1 200 OK\r\nConnection: close\r\n", 0, Then::Resets, Outcome::Reset)]
@@ -89,9 +89,9 @@
 #[case("origin", "HTTP/1.1 200 OK\r\nA: ", "b", 64 << 10)]
 #[case("origin", "", "HTTP/1.1 100 Continue\r\n\r\n", 64 << 10)]
 #[case("origin", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1;", "b", 64 << 10)]
-#[case("origin", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", "1\r\na\r\n", LARGEST_VALUE)]
+#[case("origin", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", "1\r\na\r\n", MAX_VALUE_BYTES)]
 #[case("origin", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\nA: ", "b", 64 << 10)]
-#[case("origin", LENGTHLESS, "b", LARGEST_VALUE)]
+#[case("origin", LENGTHLESS, "b", MAX_VALUE_BYTES)]
 #[case("m", "-", "b", 64 << 10)]
 #[case("m", "*3\r\n$", "1", 64 << 10)]
 #[case("m", "*99999999\r\n", "$-1\r\n", 1 << 20)]
--- a/crates/upstream/tests/crossings.rs
+++ b/crates/upstream/tests/crossings.rs
@@ -5,7 +5,7 @@
 use bytes::{Bytes, BytesMut};
 use decide::api::Outcome;
 use host::*;
-use proto::MAX_VALUE;
+use proto::MAX_BUFFERED_VALUE_BYTES;
 use proto::discovery::Phase;
 use rstest::rstest;
 use socket2::SockRef;
@@ -182,7 +182,7 @@
 fn whole(sent: &mut BytesMut) -> bool {
     // The value that is written for long is longer than a command may be.
     match sent.len() {
-        0..=MAX_VALUE => proto::resp::next_command(sent).unwrap().is_some(),
+        0..=MAX_BUFFERED_VALUE_BYTES => proto::resp::decode_command(sent).unwrap().is_some(),
         length => length > LONG,
     }
 }
--- a/crates/upstream/tests/host/mod.rs
+++ b/crates/upstream/tests/host/mod.rs
@@ -1,8 +1,8 @@
 //! A peer of which a test is the far end, and tries at it.
 
 use bytes::Bytes;
-use proto::MAX_VALUE;
-use proto::discovery::{List, Member, Phase};
+use proto::MAX_BUFFERED_VALUE_BYTES;
+use proto::discovery::{EndpointList, EndpointRecord, Phase};
 use socket2::SockRef;
 use std::cell::Cell;
 use std::future::{Future, poll_fn};
@@ -73,17 +73,18 @@
             permit,
             fragile: false,
             lines,
-            budget: Budget::new(2 * MAX_VALUE),
+            budget: Budget::new(2 * MAX_BUFFERED_VALUE_BYTES),
             written,
         }
     }
 }
 
-pub fn list(listener: &TcpListener, flavor: &str, phase: Phase) -> List {
+pub fn list(listener: &TcpListener, flavor: &str, phase: Phase) -> EndpointList {
     let (id, locality) = ("s-1".into(), String::new());
     let (host_port, flavor) = (listener.local_addr().unwrap(), flavor.into());
-    let member = Member { id, host_port, locality, flavor, cell: 0, phase, size: 1.0, up_since_ms: 0 };
-    List { revision: 1, complete: true, members: vec![member] }
+    let member =
+        EndpointRecord { id, host_port, locality, flavor, cell: 0, phase, size: 1.0, up_since_ms: 0 };
+    EndpointList { revision: 1, complete: true, members: vec![member] }
 }
 
 /// Lets it come as far as it can without the far end.
--- a/crates/upstream/tests/tries.rs
+++ b/crates/upstream/tests/tries.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use decide::api::Outcome;
-use proto::discovery::{List, Member, Phase};
+use proto::discovery::{EndpointList, EndpointRecord, Phase};
 use rstest::rstest;
 use socket2::{Domain, Socket, Type};
 use std::cell::Cell;
@@ -39,7 +39,7 @@
 }
 
 fn peer(addr: SocketAddr, flavor: &str) -> Rc<Peer> {
-    let member = Member {
+    let member = EndpointRecord {
         id: "s-1".into(),
         host_port: addr,
         locality: String::new(),
@@ -50,7 +50,7 @@
         up_since_ms: 0,
     };
     let mut group = UpstreamGroup::new(Names { kinds: vec!["origin".into()], ..Names::default() }, Some(0));
-    group.apply(&List { revision: 1, complete: true, members: vec![member] }, false);
+    group.apply(&EndpointList { revision: 1, complete: true, members: vec![member] }, false);
     group.peer(endpoint_id("s-1")).unwrap().clone()
 }
 
