--- a/crates/agreement/examples/measure_log.rs
+++ b/crates/agreement/examples/measure_log.rs
@@ -53,7 +53,8 @@
         (sim.balancers[*by as usize].life == *life).then(|| sim.outcome(*by, *id).expect("has ended"))
     };
     let ended: Vec<_> = ids.iter().filter_map(ended).collect();
-    totals.given_up += ended.iter().filter(|outcome| **outcome == agreement::Outcome::GivenUp).count() as u64;
+    totals.given_up +=
+        ended.iter().filter(|outcome| **outcome == agreement::ProposalOutcome::TimedOut).count() as u64;
     totals.seeds += 1;
     totals.decided += sim.agreed.len() as u64;
     totals.messages += sim.sent;
--- a/crates/agreement/src/gate.rs
+++ b/crates/agreement/src/gate.rs
@@ -1,9 +1,9 @@
 //! Whether a member may vote: one that may have voted before and does not remember it must not.
 use crate::{
-    Micros, Number, Why,
+    Micros, NodeId, VotingBlock,
     journal::Head,
     message::{Memory, OfYou},
-    segment::{Member, Segment},
+    segment::{Segment, Voter},
 };
 use std::collections::BTreeMap;
 
@@ -18,12 +18,12 @@
     Outside,
     Asking,
     Open,
-    Shut(Why),
+    Shut(VotingBlock),
 }
 
 pub(crate) struct Gate {
     pub(crate) state: State,
-    answers: BTreeMap<Number, (Memory, OfYou)>,
+    answers: BTreeMap<NodeId, (Memory, OfYou)>,
     since: Micros,
     next: Micros,
 }
@@ -34,17 +34,17 @@
     }
 
     /// Looks at the segment anew; one that is open stays so as long as its store is the member's.
-    pub(crate) fn enter(&mut self, now: Micros, me: Option<&Member>, head: &Head) {
+    pub(crate) fn enter(&mut self, now: Micros, me: Option<&Voter>, head: &Head) {
         let Some(member) = me else {
             self.state = State::Outside;
             return;
         };
         let own = member.generation == head.generation;
-        if matches!(self.state, State::Shut(Why::Disk(_) | Why::OldStore { .. })) {
+        if matches!(self.state, State::Shut(VotingBlock::StorageFailed(_) | VotingBlock::StaleStore { .. })) {
             return;
         }
         if member.generation != 0 && !own {
-            self.state = State::Shut(Why::NoMemory);
+            self.state = State::Shut(VotingBlock::LostState);
         } else if self.state != State::Open {
             self.state = State::Asking;
             self.answers.clear();
@@ -61,20 +61,20 @@
         due
     }
 
-    pub(crate) fn fail(&mut self, why: Why) {
+    pub(crate) fn fail(&mut self, why: VotingBlock) {
         self.state = State::Shut(why);
     }
 
-    pub(crate) fn answer(&mut self, from: Number, mine: Memory, of_you: OfYou, writes: u64) {
+    pub(crate) fn answer(&mut self, from: NodeId, mine: Memory, of_you: OfYou, writes: u64) {
         if of_you.writes > writes && self.state != State::Outside {
-            self.fail(Why::OldStore { ours: writes, heard: of_you.writes });
+            self.fail(VotingBlock::StaleStore { ours: writes, heard: of_you.writes });
         } else if self.state == State::Asking {
             self.answers.insert(from, (mine, of_you));
         }
     }
 
     /// Whether the answers let this member vote; says so once.
-    pub(crate) fn opens(&mut self, now: Micros, me: Number, segment: &Segment, head: &Head) -> bool {
+    pub(crate) fn opens(&mut self, now: Micros, me: NodeId, segment: &Segment, head: &Head) -> bool {
         let Some(member) = segment.member(me) else { return false };
         if self.state != State::Asking {
             return false;
@@ -89,7 +89,7 @@
             let lost = answers.iter().any(|(_, (_, of))| of.founded.is_some() && of.founded != own);
             let strange = !vouched && answers.iter().any(|(_, (memory, _))| memory.any);
             if lost || (all && strange) {
-                self.fail(Why::NoMemory);
+                self.fail(VotingBlock::LostState);
             }
             if lost || strange || !all {
                 return false;
@@ -102,10 +102,10 @@
     }
 
     /// The stores of the others that had no memory either.
-    pub(crate) fn founders(&self) -> Vec<Member> {
+    pub(crate) fn founders(&self) -> Vec<Voter> {
         let without = self.answers.iter().filter(|answer| !answer.1.0.any);
         without
-            .map(|(number, (memory, _))| Member { number: *number, generation: memory.generation })
+            .map(|(number, (memory, _))| Voter { node_id: *number, generation: memory.generation })
             .collect()
     }
 }
--- a/crates/agreement/src/journal.rs
+++ b/crates/agreement/src/journal.rs
@@ -3,8 +3,8 @@
 //! `omnipaxos` panics when a write fails; here none can: writes are noted, made durable in one batch ([`Journal::flush`]) before
 //! anything is sent, and when that fails the member is silent from then on.
 use crate::{
-    Change, Entry, Number, Stamped, Store,
-    segment::{Member, Segment},
+    Entry, NodeId, Stamped, Store, StoreChange,
+    segment::{Segment, Voter},
 };
 use bytes::Bytes;
 use omnipaxos::{
@@ -35,15 +35,15 @@
     pub(crate) decided: u64,
     pub(crate) stop: Option<StopSign>,
     /// Most writes heard of from each member's store.
-    pub(crate) heard: Vec<(Member, u64)>,
+    pub(crate) heard: Vec<(Voter, u64)>,
     /// Stores that had no memory at the founding.
-    pub(crate) founders: Vec<Member>,
+    pub(crate) founders: Vec<Voter>,
 }
 
 pub(crate) struct Journal<E> {
     pub(crate) head: Head,
     pub(crate) accepted: Vec<Stamped<E>>,
-    changes: Vec<Change>,
+    changes: Vec<StoreChange>,
     head_changed: bool,
     failed: bool,
 }
@@ -53,7 +53,7 @@
         Journal { head, accepted, changes: Vec::new(), head_changed: true, failed: false }
     }
 
-    pub(crate) fn note(&mut self, change: Change) {
+    pub(crate) fn note(&mut self, change: StoreChange) {
         if !self.failed {
             self.changes.push(change);
         }
@@ -65,18 +65,18 @@
     }
 
     /// Remembers how far a member's store has counted; goes to disk along with the next change.
-    pub(crate) fn heard(&mut self, member: Member, writes: u64) {
+    pub(crate) fn heard(&mut self, member: Voter, writes: u64) {
         match self.head.heard.iter_mut().find(|heard| heard.0 == member) {
             Some(heard) => heard.1 = heard.1.max(writes),
             None => {
-                self.head.heard.retain(|heard| heard.0.number != member.number);
+                self.head.heard.retain(|heard| heard.0.node_id != member.node_id);
                 self.head.heard.push((member, writes));
             }
         }
     }
 
-    pub(crate) fn heard_of(&self, number: Number, generation: u64) -> u64 {
-        let heard = self.head.heard.iter().find(|heard| heard.0 == Member { number, generation });
+    pub(crate) fn heard_of(&self, number: NodeId, generation: u64) -> u64 {
+        let heard = self.head.heard.iter().find(|heard| heard.0 == Voter { node_id: number, generation });
         heard.map_or(0, |heard| heard.1)
     }
 
@@ -94,7 +94,7 @@
     fn cut(&mut self, from: usize, entries: Vec<Stamped<E>>) {
         let from = from.min(self.accepted.len());
         let bytes = entries.iter().map(encode).collect();
-        self.note(Change::Accepted { from: from as u64, entries: bytes });
+        self.note(StoreChange::Accepted { from: from as u64, entries: bytes });
         self.accepted.truncate(from);
         self.accepted.extend(entries);
     }
@@ -106,7 +106,7 @@
         }
         self.head.writes += 1;
         let mut changes = std::mem::take(&mut self.changes);
-        changes.push(Change::Head(encode(&self.head)));
+        changes.push(StoreChange::Head(encode(&self.head)));
         self.head_changed = false;
         store.write(&changes).map_err(|error| {
             self.failed = true;
--- a/crates/agreement/src/learn.rs
+++ b/crates/agreement/src/learn.rs
@@ -1,5 +1,5 @@
 //! Who is told of news, and who is asked by one that is behind.
-use crate::{Micros, Number, Revision, message::Leader};
+use crate::{Micros, NodeId, Revision, message::Leader};
 use rustc_hash::FxHashMap;
 
 /// How often a balancer tells its revision unasked, in microseconds.
@@ -12,17 +12,17 @@
 const ANSWERS: u32 = 32;
 
 pub(crate) struct Learn {
-    others: Vec<(Number, bool)>,
-    heard: FxHashMap<Number, Revision>,
+    others: Vec<(NodeId, bool)>,
+    heard: FxHashMap<NodeId, Revision>,
     pub(crate) leader: Option<Leader>,
-    asked: Option<(Number, Micros)>,
+    asked: Option<(NodeId, Micros)>,
     next: Micros,
     pub(crate) news: bool,
     answered: u32,
 }
 
 impl Learn {
-    pub(crate) fn new(me: Number, everyone: &[(Number, u16)]) -> Self {
+    pub(crate) fn new(me: NodeId, everyone: &[(NodeId, u16)]) -> Self {
         let zone = everyone.iter().find(|other| other.0 == me).map(|own| own.1);
         let others = everyone.iter().filter(|other| other.0 != me);
         let others = others.map(|other| (other.0, Some(other.1) == zone)).collect();
@@ -31,11 +31,11 @@
         Learn { others, heard, leader, asked, next: 0, news: false, answered: 0 }
     }
 
-    pub(crate) fn knows(&self, number: Number) -> bool {
+    pub(crate) fn knows(&self, number: NodeId) -> bool {
         self.others.iter().any(|other| other.0 == number)
     }
 
-    pub(crate) fn heard(&mut self, from: Number, revision: Revision, leader: Option<Leader>) {
+    pub(crate) fn heard(&mut self, from: NodeId, revision: Revision, leader: Option<Leader>) {
         self.heard.insert(from, revision);
         self.leader = self.leader.max(leader);
     }
@@ -46,7 +46,7 @@
     }
 
     /// Whom to tell now, if it is time or there is news.
-    pub(crate) fn tell(&mut self, now: Micros, random: &mut fastrand::Rng) -> Vec<Number> {
+    pub(crate) fn tell(&mut self, now: Micros, random: &mut fastrand::Rng) -> Vec<NodeId> {
         if now < self.next && !self.news {
             return Vec::new();
         }
@@ -58,13 +58,13 @@
     }
 
     /// Whom to ask now, if this balancer is behind.
-    pub(crate) fn ask(&mut self, now: Micros, have: Revision, random: &mut fastrand::Rng) -> Option<Number> {
+    pub(crate) fn ask(&mut self, now: Micros, have: Revision, random: &mut fastrand::Rng) -> Option<NodeId> {
         let waits = self.asked.is_some_and(|asked| now < asked.1 + ASK_AGAIN_US);
         if waits || self.best() <= have {
             return None;
         }
         let last = self.asked.map(|asked| asked.0);
-        let ahead = |other: &&(Number, bool)| self.heard.get(&other.0).is_some_and(|heard| *heard > have);
+        let ahead = |other: &&(NodeId, bool)| self.heard.get(&other.0).is_some_and(|heard| *heard > have);
         let ahead: Vec<_> = self.others.iter().filter(ahead).collect();
         let near: Vec<_> = ahead.iter().filter(|other| other.1 && Some(other.0) != last).collect();
         let asked = match random.choice(near) {
--- a/crates/agreement/src/lib.rs
+++ b/crates/agreement/src/lib.rs
@@ -6,7 +6,7 @@
 //! council, who may vote after losing its memory, stamps, proposals decided at most once, and how those outside the council learn.
 //!
 //! The crate does no I/O, reads no clock and draws no randomness but from its seed. It leaves to its owner the datagrams, the
-//! time ([`Agreement::tick`] each [`TICK_US`]), the disk ([`Store`]), the replicated state and its snapshots.
+//! time ([`Agreement::tick`] each [`TICK_INTERVAL_US`]), the disk ([`Store`]), the replicated state and its snapshots.
 #![forbid(unsafe_code)]
 #![warn(unreachable_pub)]
 
@@ -30,5 +30,5 @@
 pub use crate::agreement::Agreement;
 pub use api::*;
 pub use message::Message;
-pub use segment::Member;
-pub use store::{Change, Kept, MemoryStore, Store};
+pub use segment::Voter;
+pub use store::{MemoryStore, Store, StoreChange, StoredState};
--- a/crates/agreement/src/load.rs
+++ b/crates/agreement/src/load.rs
@@ -48,7 +48,7 @@
     let image: Option<Image> = kept.snapshot.as_ref().map(|bytes| decode("snapshot", bytes)).transpose()?;
     let behind = image.as_ref().map_or(0, |image| image.revision);
     let mut items = Vec::new();
-    for (revision, bytes) in (kept.first..).zip(&kept.items).filter(|item| item.0 > behind) {
+    for (revision, bytes) in (kept.first_revision..).zip(&kept.items).filter(|item| item.0 > behind) {
         items.push((revision, decode("item", bytes)?));
     }
     if items.first().is_some_and(|item| item.0 != behind + 1) {
--- a/crates/agreement/src/log.rs
+++ b/crates/agreement/src/log.rs
@@ -1,6 +1,6 @@
 //! The decided part of the log as this balancer keeps it, behind a snapshot of what came before.
 use crate::{
-    Change, Entry, Number, Revision,
+    Entry, NodeId, Revision, StoreChange,
     journal::{Journal, encode},
     message::Image,
     segment::{Item, Segment},
@@ -23,7 +23,7 @@
     segment: Segment,
     image: Option<Image>,
     last_at: u64,
-    names: FxHashSet<(Number, u64)>,
+    names: FxHashSet<(NodeId, u64)>,
 }
 
 impl<E: Entry> Log<E> {
@@ -50,7 +50,7 @@
     }
 
     /// Whether a proposal made when `after` was known is in the log; none if that is too long ago to tell.
-    pub(crate) fn has(&self, name: (Number, u64), after: Revision) -> Option<bool> {
+    pub(crate) fn has(&self, name: (NodeId, u64), after: Revision) -> Option<bool> {
         (after + 1 >= self.first).then(|| self.names.contains(&name))
     }
 
@@ -106,7 +106,7 @@
         }
         let at = self.items[(revision - self.first) as usize].at();
         let image = Image { revision, at, segment: self.segment_at(revision), bytes };
-        journal.note(Change::Snapshot(encode(&image)));
+        journal.note(StoreChange::Snapshot(encode(&image)));
         self.image = Some(image);
         let to = revision.saturating_sub(KEPT);
         if to >= self.first {
@@ -115,7 +115,7 @@
                 self.names.remove(&item.name());
             }
             self.first = to + 1;
-            journal.note(Change::Trim(to));
+            journal.note(StoreChange::Trim(to));
         }
     }
 
--- a/crates/agreement/src/message.rs
+++ b/crates/agreement/src/message.rs
@@ -1,12 +1,12 @@
 //! What balancers say to one another about the log.
 use crate::{
-    Number, Revision,
+    NodeId, Revision,
     segment::{Exchange, Item, Segment},
 };
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 
-/// One message; opaque to the owner, at most [`crate::MESSAGE_BYTES`] in postcard.
+/// One message; opaque to the owner, at most [`crate::MAX_MESSAGE_BYTES`] in postcard.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Message<E>(pub(crate) Said<E>);
 
@@ -30,7 +30,7 @@
     Snapshot(Image),
     Propose {
         name: u64,
-        from: Number,
+        from: NodeId,
         after: Revision,
         hops: u8,
         what: What<E>,
@@ -54,7 +54,7 @@
 pub(crate) struct Leader {
     pub(crate) segment: u32,
     pub(crate) round: u32,
-    pub(crate) number: Number,
+    pub(crate) number: NodeId,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
--- a/crates/agreement/src/pieces.rs
+++ b/crates/agreement/src/pieces.rs
@@ -2,23 +2,23 @@
 //!
 //! The sender sends the first few; the receiver asks for what is missing, so that loss costs one question and the rate is the
 //! receiver's. What is half built, and what is kept to be asked for, has bounds; beyond them the oldest goes.
-use crate::{Micros, Number, SNAPSHOT_BYTES};
+use crate::{MAX_SNAPSHOT_BYTES, Micros, NodeId};
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 
-/// Bytes of the message in one piece; with its head below [`crate::MESSAGE_BYTES`].
+/// Bytes of the message in one piece; with its head below [`crate::MAX_MESSAGE_BYTES`].
 pub const PIECE_BYTES: usize = 1_000;
 /// Pieces of one message: a whole snapshot with its head.
-pub const MOST_PIECES: u32 = (SNAPSHOT_BYTES / PIECE_BYTES) as u32 + 64;
+pub const MOST_PIECES: u32 = (MAX_SNAPSHOT_BYTES / PIECE_BYTES) as u32 + 64;
 /// Messages half built at once; each is from another peer as a rule.
 pub const HALF_BUILT: usize = 16;
 /// Bytes half built at once: a few snapshots.
-pub const HALF_BUILT_BYTES: usize = 4 * SNAPSHOT_BYTES;
+pub const HALF_BUILT_BYTES: usize = 4 * MAX_SNAPSHOT_BYTES;
 /// Messages kept for receivers to ask for.
 pub const KEPT: usize = 64;
 /// Bytes kept for receivers to ask for; the pieces share the message's memory.
-pub const KEPT_BYTES: usize = 8 * SNAPSHOT_BYTES;
+pub const KEPT_BYTES: usize = 8 * MAX_SNAPSHOT_BYTES;
 /// Pieces asked for at once.
 const ASKED: usize = 64;
 /// Pieces sent unasked.
@@ -54,7 +54,7 @@
 }
 
 struct Half {
-    from: Number,
+    from: NodeId,
     id: u64,
     parts: Vec<Option<Bytes>>,
     got: usize,
@@ -67,11 +67,11 @@
 /// Both ends of what goes in pieces.
 pub struct Pieces {
     next: u64,
-    kept: VecDeque<(Number, u64, Bytes)>,
+    kept: VecDeque<(NodeId, u64, Bytes)>,
     half: VecDeque<Half>,
-    done: VecDeque<(Number, u64)>,
+    done: VecDeque<(NodeId, u64)>,
     sent: usize,
-    ready: Vec<(Number, Piece)>,
+    ready: Vec<(NodeId, Piece)>,
 }
 
 impl Pieces {
@@ -88,7 +88,7 @@
     }
 
     /// Takes a message to send; one longer than [`MOST_PIECES`] is dropped.
-    pub fn send(&mut self, to: Number, message: Bytes) {
+    pub fn send(&mut self, to: NodeId, message: Bytes) {
         let count = message.len().div_ceil(PIECE_BYTES) as u64;
         if count == 0 || count > u64::from(MOST_PIECES) {
             return;
@@ -103,7 +103,7 @@
         }
     }
 
-    fn part(&mut self, to: Number, id: u64, message: &Bytes, index: u32) {
+    fn part(&mut self, to: NodeId, id: u64, message: &Bytes, index: u32) {
         let start = index as usize * PIECE_BYTES;
         if start >= message.len() || self.sent >= PER_TICK {
             return;
@@ -115,7 +115,7 @@
     }
 
     /// Takes a piece that came in; gives the message once it is whole.
-    pub fn hear(&mut self, now: Micros, from: Number, piece: Piece) -> Option<Vec<u8>> {
+    pub fn hear(&mut self, now: Micros, from: NodeId, piece: Piece) -> Option<Vec<u8>> {
         match piece {
             Piece::Want { id, missing } => {
                 let kept = self.kept.iter().find(|kept| kept.0 == from && kept.1 == id)?;
@@ -145,7 +145,7 @@
         }
     }
 
-    fn place(&mut self, now: Micros, from: Number, id: u64, count: u32) -> usize {
+    fn place(&mut self, now: Micros, from: NodeId, id: u64, count: u32) -> usize {
         if let Some(place) = self.half.iter().position(|half| half.from == from && half.id == id) {
             return place;
         }
@@ -164,7 +164,7 @@
         }
     }
 
-    fn finished(&mut self, from: Number, id: u64) {
+    fn finished(&mut self, from: NodeId, id: u64) {
         self.done.push_back((from, id));
         if self.done.len() > 4 * KEPT {
             self.done.pop_front();
@@ -183,7 +183,7 @@
     }
 
     /// What is to be sent.
-    pub fn take(&mut self) -> Vec<(Number, Piece)> {
+    pub fn take(&mut self) -> Vec<(NodeId, Piece)> {
         std::mem::take(&mut self.ready)
     }
 }
@@ -200,7 +200,7 @@
         }
     }
 
-    fn ask(&mut self, now: Micros, ready: &mut Vec<(Number, Piece)>) {
+    fn ask(&mut self, now: Micros, ready: &mut Vec<(NodeId, Piece)>) {
         let missing = self.parts.iter().enumerate().filter(|part| part.1.is_none());
         let missing: Vec<u32> = missing.take(ASKED).map(|part| part.0 as u32).collect();
         self.asked = now;
--- a/crates/agreement/src/proposals.rs
+++ b/crates/agreement/src/proposals.rs
@@ -1,5 +1,7 @@
 //! This balancer's proposals that are under way: repeated under the same name until they are decided or given up.
-use crate::{GIVE_UP_US, Micros, Number, Outcome, Revision, message::What, segment::Exchange};
+use crate::{
+    Micros, NodeId, PROPOSAL_TIMEOUT_US, ProposalOutcome, Revision, message::What, segment::Exchange,
+};
 
 /// When a proposal is sent again, in microseconds: longer than a decision takes.
 const AGAIN_US: Micros = 300_000;
@@ -9,7 +11,7 @@
     pub(crate) after: Revision,
     pub(crate) what: What<E>,
     /// Whose store's name has to be asked for first.
-    pub(crate) asks: Option<Number>,
+    pub(crate) asks: Option<NodeId>,
     pub(crate) tries: u32,
     made: Micros,
     next: Micros,
@@ -27,7 +29,7 @@
     pub(crate) fn count(&self) -> usize {
         self.under_way.len()
     }
-    pub(crate) fn add(&mut self, now: Micros, after: Revision, what: What<E>, asks: Option<Number>) -> u64 {
+    pub(crate) fn add(&mut self, now: Micros, after: Revision, what: What<E>, asks: Option<NodeId>) -> u64 {
         let name = self.next;
         self.next = self.next.wrapping_add(1);
         self.under_way.push(Proposal { name, after, what, asks, tries: 0, made: now, next: now });
@@ -46,7 +48,7 @@
     }
 
     /// A store's name is known.
-    pub(crate) fn store_is(&mut self, from: Number, generation: u64) {
+    pub(crate) fn store_is(&mut self, from: NodeId, generation: u64) {
         for proposal in self.under_way.iter_mut().filter(|proposal| proposal.asks == Some(from)) {
             if let What::Exchange(Exchange { taken_in: Some(member), .. }) = &mut proposal.what {
                 member.generation = generation;
@@ -56,14 +58,17 @@
         }
     }
 
-    pub(crate) fn decided(&mut self, name: u64, revision: Revision) -> Option<(u64, Outcome)> {
+    pub(crate) fn decided(&mut self, name: u64, revision: Revision) -> Option<(u64, ProposalOutcome)> {
         let place = self.under_way.iter().position(|proposal| proposal.name == name)?;
         self.under_way.swap_remove(place);
-        Some((name, Outcome::Decided(revision)))
+        Some((name, ProposalOutcome::Committed(revision)))
     }
 
-    pub(crate) fn given_up(&mut self, now: Micros) -> Vec<(u64, Outcome)> {
-        let late = |proposal: &mut Proposal<E>| now >= proposal.made + GIVE_UP_US;
-        self.under_way.extract_if(.., late).map(|proposal| (proposal.name, Outcome::GivenUp)).collect()
+    pub(crate) fn given_up(&mut self, now: Micros) -> Vec<(u64, ProposalOutcome)> {
+        let late = |proposal: &mut Proposal<E>| now >= proposal.made + PROPOSAL_TIMEOUT_US;
+        self.under_way
+            .extract_if(.., late)
+            .map(|proposal| (proposal.name, ProposalOutcome::TimedOut))
+            .collect()
     }
 }
--- a/crates/agreement/src/turns.rs
+++ b/crates/agreement/src/turns.rs
@@ -1,15 +1,15 @@
 //! What is done with what comes in, and what each tick has to do.
 use crate::{
-    Action, Change, Entry, MESSAGE_BYTES, Message, Micros, Number, Revision, Stamped, Store,
+    Action, Entry, MAX_MESSAGE_BYTES, Message, Micros, NodeId, Revision, Stamped, Store, StoreChange,
     agreement::Agreement,
     gate::State,
     journal::encode,
     message::{Frame, Image, Leader, Memory, OfYou, Said, What},
-    segment::{Item, Member},
-    voter::Voter,
+    segment::{Item, Voter},
+    voter::Replica,
 };
 
-/// Bytes of new items told along with a revision; with the rest below [`MESSAGE_BYTES`].
+/// Bytes of new items told along with a revision; with the rest below [`MAX_MESSAGE_BYTES`].
 const NEWS_BYTES: usize = 900;
 
 impl<E: Entry, S: Store> Agreement<E, S> {
@@ -26,7 +26,7 @@
     }
 
     /// Takes a message that another balancer sent; `from` is known by its address.
-    pub fn hear(&mut self, now: Micros, from: Number, message: Message<E>) {
+    pub fn hear(&mut self, now: Micros, from: NodeId, message: Message<E>) {
         if !self.learn.knows(from) {
             return;
         }
@@ -42,7 +42,7 @@
         self.settle(now);
     }
 
-    fn heard(&mut self, now: Micros, from: Number, said: Said<E>) {
+    fn heard(&mut self, now: Micros, from: NodeId, said: Said<E>) {
         match said {
             Said::Rumour { revision, leader, first, items } => {
                 let leader = leader.filter(|leader| self.is_credible(leader));
@@ -74,16 +74,16 @@
     }
 
     fn is_credible(&self, leader: &Leader) -> bool {
-        let known = self.learn.knows(leader.number) || leader.number == self.settings.me;
+        let known = self.learn.knows(leader.number) || leader.number == self.settings.node_id;
         known && leader.segment <= self.log.segment().id + 1
     }
 
-    pub(crate) fn say(&mut self, to: Number, said: Said<E>) {
-        if to == self.settings.me {
+    pub(crate) fn say(&mut self, to: NodeId, said: Said<E>) {
+        if to == self.settings.node_id {
             return;
         }
         let bytes = encode(&said);
-        if bytes.len() <= MESSAGE_BYTES {
+        if bytes.len() <= MAX_MESSAGE_BYTES {
             self.actions.push_back(Action::Send { to, message: Message(said) });
         } else {
             self.pieces.send(to, bytes);
@@ -101,7 +101,7 @@
             return;
         }
         let stop = matches!(item, Item::Stop(_));
-        self.shared.lock().note(Change::Items { from: revision, items: vec![encode(&item)] });
+        self.shared.lock().note(StoreChange::Items { from: revision, items: vec![encode(&item)] });
         self.log.push(item.clone());
         self.learn.news = true;
         self.applied_item(revision, item);
@@ -113,13 +113,13 @@
     fn applied_item(&mut self, revision: Revision, item: Item<E>) {
         let (from, name) = item.name();
         self.actions.push_back(match item {
-            Item::Entry(stamped) => Action::Decided { revision, stamped },
-            Item::Stop(stop) => Action::Council { revision, at: stop.at, members: stop.entry },
+            Item::Entry(stamped) => Action::Committed { revision, stamped },
+            Item::Stop(stop) => Action::VotersChanged { revision, at: stop.timestamp, members: stop.entry },
         });
-        if from == self.settings.me
+        if from == self.settings.node_id
             && let Some((id, outcome)) = self.proposals.decided(name, revision)
         {
-            self.actions.push_back(Action::Proposal { id, outcome });
+            self.actions.push_back(Action::ProposalFinished { id, outcome });
         }
     }
 
@@ -134,8 +134,8 @@
         }
         {
             let mut journal = self.shared.lock();
-            journal.note(Change::Snapshot(encode(&image)));
-            journal.note(Change::Trim(image.revision));
+            journal.note(StoreChange::Snapshot(encode(&image)));
+            journal.note(StoreChange::Trim(image.revision));
         }
         self.restored(&image);
         self.log.restore(image);
@@ -148,8 +148,8 @@
     /// Goes over to the log's segment, if it is another than the one voted in so far.
     fn enter(&mut self, now: Micros) {
         let segment = self.log.segment().clone();
-        let me = segment.member(self.settings.me).copied();
-        let mut led = self.voter.as_ref().is_some_and(Voter::was_leader);
+        let me = segment.member(self.settings.node_id).copied();
+        let mut led = self.voter.as_ref().is_some_and(Replica::was_leader);
         let mut journal = self.shared.lock();
         if journal.head.segment.id < segment.id {
             journal.enter(segment);
@@ -171,7 +171,7 @@
 
     fn make_voter(&mut self) {
         self.session += 1;
-        self.voter = Voter::new(self.settings.me, self.shared.clone(), self.session);
+        self.voter = Replica::new(self.settings.node_id, self.shared.clone(), self.session);
     }
 
     pub(crate) fn take_decided(&mut self, now: Micros) {
@@ -191,12 +191,12 @@
         let segment = self.log.segment();
         // A snapshot or items may have come from a segment that the journal has not entered yet.
         if journal.head.segment.id == segment.id
-            && self.gate.opens(now, self.settings.me, segment, &journal.head)
+            && self.gate.opens(now, self.settings.node_id, segment, &journal.head)
         {
             let head = journal.head();
             if !head.founded {
                 for founder in self.gate.founders() {
-                    if !head.founders.iter().any(|known| known.number == founder.number) {
+                    if !head.founders.iter().any(|known| known.node_id == founder.node_id) {
                         head.founders.push(founder);
                     }
                 }
@@ -219,15 +219,15 @@
         }
         let memory = self.memory();
         for member in self.log.segment().members.clone() {
-            self.say(member.number, Said::MayI(memory));
+            self.say(member.node_id, Said::MayI(memory));
         }
     }
 
-    fn asked_whether_may_vote(&mut self, from: Number, theirs: Memory) {
+    fn asked_whether_may_vote(&mut self, from: NodeId, theirs: Memory) {
         let mine = self.memory();
         let mut journal = self.shared.lock();
-        let known = journal.head.founders.iter().find(|founder| founder.number == from).copied();
-        let founder = Member { number: from, generation: theirs.generation };
+        let known = journal.head.founders.iter().find(|founder| founder.node_id == from).copied();
+        let founder = Voter { node_id: from, generation: theirs.generation };
         // Only the first one counts: a second store without memory under the same number has lost the first one's votes.
         if known.is_none() && !theirs.any && !mine.any && self.log.segment().member(from).is_some() {
             journal.head().founders.push(founder);
@@ -238,7 +238,7 @@
         self.say(from, Said::Memory { mine, of_you });
     }
 
-    fn vote(&mut self, now: Micros, from: Number, frame: Frame) {
+    fn vote(&mut self, now: Micros, from: NodeId, frame: Frame) {
         let segment = self.log.segment();
         if frame.segment > segment.id {
             let next = self.log.applied() + 1;
@@ -253,7 +253,7 @@
             }
             return;
         }
-        self.shared.lock().heard(Member { number: from, generation: frame.generation }, frame.writes);
+        self.shared.lock().heard(Voter { node_id: from, generation: frame.generation }, frame.writes);
         if let Some(voter) = &mut self.voter {
             self.fleet_clock.heard(now, frame.fleet_time);
             voter.hear(from, frame.body);
@@ -295,7 +295,7 @@
         }
     }
 
-    fn answer(&mut self, from: Number, have: Revision) {
+    fn answer(&mut self, from: NodeId, have: Revision) {
         if have >= self.log.applied() || !self.learn.may_answer() {
             return;
         }
@@ -308,15 +308,15 @@
 
     pub(crate) fn send_proposals(&mut self, now: Micros) {
         for (id, outcome) in self.proposals.given_up(now) {
-            self.actions.push_back(Action::Proposal { id, outcome });
+            self.actions.push_back(Action::ProposalFinished { id, outcome });
         }
-        let me = self.settings.me;
+        let me = self.settings.node_id;
         let due: Vec<_> =
             self.proposals.due(now).map(|p| (p.name, p.after, p.what.clone(), p.asks, p.tries)).collect();
         for (name, after, what, asks, tries) in due {
             if let Some(store) = asks {
                 self.say(store, Said::WhichStore);
-            } else if self.voter.as_ref().is_some_and(Voter::leads) {
+            } else if self.voter.as_ref().is_some_and(Replica::leads) {
                 self.proposed(name, me, after, 0, what);
             } else if let Some(to) = self.proposed_to(tries) {
                 self.say(to, Said::Propose { name, from: me, after, hops: 0, what });
@@ -325,16 +325,16 @@
     }
 
     /// The leader, or at each third try some member: what is known of the leader may be old.
-    fn proposed_to(&mut self, tries: u32) -> Option<Number> {
+    fn proposed_to(&mut self, tries: u32) -> Option<NodeId> {
         let leader =
-            self.leader_known().map(|leader| leader.number).filter(|leader| *leader != self.settings.me);
+            self.leader_known().map(|leader| leader.number).filter(|leader| *leader != self.settings.node_id);
         if let Some(leader) = leader.filter(|_| !tries.is_multiple_of(3)) {
             return Some(leader);
         }
-        self.random.choice(&self.log.segment().members).map(|member| member.number)
+        self.random.choice(&self.log.segment().members).map(|member| member.node_id)
     }
 
-    fn proposed(&mut self, name: u64, from: Number, after: Revision, hops: u8, what: What<E>) {
+    fn proposed(&mut self, name: u64, from: NodeId, after: Revision, hops: u8, what: What<E>) {
         let Some(voter) = &mut self.voter else { return };
         if !voter.leads() {
             let leader = voter.leader().map(|leader| leader.0);
@@ -349,11 +349,13 @@
         }
         let at = self.unix.max(self.log.last_at() + 1).max(voter.last_at() + 1);
         match what {
-            What::Entry(entry) => voter.append(Stamped { at, from, proposal: name, entry }),
+            What::Entry(entry) => {
+                voter.append(Stamped { timestamp: at, proposer: from, proposal_id: name, entry })
+            }
             What::Exchange(exchange) => {
                 let known = exchange.taken_in.is_none_or(|member| member.generation != 0);
                 if let Some(entry) = exchange.apply(&self.log.segment().members).filter(|_| known) {
-                    voter.stop(&Stamped { at, from, proposal: name, entry });
+                    voter.stop(&Stamped { timestamp: at, proposer: from, proposal_id: name, entry });
                 }
             }
         }
@@ -364,7 +366,12 @@
         if voter.takes() && voter.is_long() {
             let at = self.unix.max(self.log.last_at() + 1).max(voter.last_at() + 1);
             let entry = self.log.segment().members.clone();
-            voter.stop(&Stamped { at, from: self.settings.me, proposal: self.random.u64(..), entry });
+            voter.stop(&Stamped {
+                timestamp: at,
+                proposer: self.settings.node_id,
+                proposal_id: self.random.u64(..),
+                entry,
+            });
         }
     }
 }
--- a/crates/agreement/src/voter.rs
+++ b/crates/agreement/src/voter.rs
@@ -1,9 +1,9 @@
 //! One segment's agreement: `omnipaxos` over ordered links, fed nothing that it would fall over.
 use crate::{
-    Entry, Micros, Number, Revision, Stamped,
+    Entry, Micros, NodeId, Revision, Stamped,
     journal::Shared,
     link::{Body, Came, Link},
-    segment::{Item, Member, SEGMENT, Segment},
+    segment::{Item, SEGMENT, Segment, Voter},
 };
 use omnipaxos::{
     ClusterConfig, OmniPaxos, ServerConfig,
@@ -14,7 +14,7 @@
         sequence_paxos::{PaxosMessage, PaxosMsg},
     },
     storage::StopSign,
-    util::{LogSync, NodeId},
+    util::{LogSync, NodeId as PaxosId},
 };
 use std::collections::BTreeMap;
 
@@ -32,30 +32,30 @@
 const MOST_PLACES: usize = 1 << 20;
 const MOST_ROUNDS: u32 = 1 << 30;
 
-pub(crate) struct Voter<E: Entry> {
-    me: NodeId,
+pub(crate) struct Replica<E: Entry> {
+    me: PaxosId,
     paxos: OmniPaxos<Stamped<E>, Shared<E>>,
     shared: Shared<E>,
     segment: Segment,
-    links: BTreeMap<Number, Link>,
-    replied: BTreeMap<NodeId, u32>,
-    asked: Vec<(Number, Vec<u8>)>,
+    links: BTreeMap<NodeId, Link>,
+    replied: BTreeMap<PaxosId, u32>,
+    asked: Vec<(NodeId, Vec<u8>)>,
     ticks: u64,
     read: usize,
     bytes: (usize, usize),
 }
 
-fn node(number: Number) -> NodeId {
-    NodeId::from(number) + 1
+fn node(number: NodeId) -> PaxosId {
+    PaxosId::from(number) + 1
 }
 
-fn number(node: NodeId) -> Number {
-    node.saturating_sub(1) as Number
+fn number(node: PaxosId) -> NodeId {
+    node.saturating_sub(1) as NodeId
 }
 
-impl<E: Entry> Voter<E> {
+impl<E: Entry> Replica<E> {
     /// `session` must be above any that this epoch has used.
-    pub(crate) fn new(me: Number, shared: Shared<E>, session: u32) -> Option<Self> {
+    pub(crate) fn new(me: NodeId, shared: Shared<E>, session: u32) -> Option<Self> {
         let (segment, epoch) = {
             let journal = shared.lock();
             (journal.head.segment.clone(), journal.head.epoch)
@@ -67,14 +67,14 @@
             buffer_size: 64,
             ..Default::default()
         };
-        let nodes = segment.members.iter().map(|member| node(member.number)).collect();
+        let nodes = segment.members.iter().map(|member| node(member.node_id)).collect();
         let cluster = ClusterConfig { configuration_id: segment.id, nodes, flexible_quorum: None };
         let paxos = cluster.build_for_server(server, shared.clone()).ok()?;
-        let others = segment.members.iter().filter(|member| member.number != me);
-        let links = others.map(|member| (member.number, Link::new(epoch, session))).collect();
+        let others = segment.members.iter().filter(|member| member.node_id != me);
+        let links = others.map(|member| (member.node_id, Link::new(epoch, session))).collect();
         let me = node(me);
         let (replied, asked) = (BTreeMap::new(), Vec::new());
-        Some(Voter { me, paxos, shared, segment, links, replied, asked, ticks: 0, read: 0, bytes: (0, 0) })
+        Some(Replica { me, paxos, shared, segment, links, replied, asked, ticks: 0, read: 0, bytes: (0, 0) })
     }
 
     /// The highest session used so far.
@@ -100,7 +100,7 @@
     }
 
     /// Who leads, and in which round.
-    pub(crate) fn leader(&self) -> Option<(Number, u32)> {
+    pub(crate) fn leader(&self) -> Option<(NodeId, u32)> {
         let promise = self.shared.lock().head.promise;
         self.paxos.get_current_leader().map(|leader| (number(leader.0), promise.n))
     }
@@ -132,20 +132,20 @@
     }
 
     /// Looks a proposal up among those not yet decided.
-    pub(crate) fn has(&self, name: (Number, u64)) -> bool {
-        self.shared.lock().accepted.iter().rev().any(|entry| (entry.from, entry.proposal) == name)
+    pub(crate) fn has(&self, name: (NodeId, u64)) -> bool {
+        self.shared.lock().accepted.iter().rev().any(|entry| (entry.proposer, entry.proposal_id) == name)
     }
 
     pub(crate) fn last_at(&self) -> u64 {
-        self.shared.lock().accepted.last().map_or(0, |entry| entry.at)
+        self.shared.lock().accepted.last().map_or(0, |entry| entry.timestamp)
     }
 
     pub(crate) fn append(&mut self, stamped: Stamped<E>) {
         let _ = self.paxos.append(stamped);
     }
 
-    pub(crate) fn stop(&mut self, stop: &Stamped<Vec<Member>>) {
-        let nodes = stop.entry.iter().map(|member| node(member.number)).collect();
+    pub(crate) fn stop(&mut self, stop: &Stamped<Vec<Voter>>) {
+        let nodes = stop.entry.iter().map(|member| node(member.node_id)).collect();
         let next = ClusterConfig { configuration_id: self.segment.id + 1, nodes, flexible_quorum: None };
         let _ = self.paxos.reconfigure(next, postcard::to_allocvec(stop).ok());
     }
@@ -169,7 +169,7 @@
         items
     }
 
-    pub(crate) fn hear(&mut self, from: Number, body: Body) {
+    pub(crate) fn hear(&mut self, from: NodeId, body: Body) {
         let Some(link) = self.links.get_mut(&from) else { return };
         for came in link.hear(body) {
             match came {
@@ -188,7 +188,7 @@
         }
     }
 
-    fn beat(&mut self, from: Number, message: BLEMessage) {
+    fn beat(&mut self, from: NodeId, message: BLEMessage) {
         if message.from != node(from) || message.to != self.me {
             return;
         }
@@ -202,7 +202,7 @@
         self.paxos.handle_incoming(Message::BLE(message));
     }
 
-    fn message(&mut self, from: Number, mut message: PaxosMessage<Stamped<E>>) {
+    fn message(&mut self, from: NodeId, mut message: PaxosMessage<Stamped<E>>) {
         let ours = message.from == node(from) && message.to == self.me;
         if ours && self.may_be_handled(&mut message.msg) {
             self.paxos.handle_incoming(Message::SequencePaxos(message));
@@ -280,7 +280,7 @@
     }
 
     /// What is to be sent now. What it says must be durable before.
-    pub(crate) fn outgoing(&mut self, now: Micros) -> Vec<(Number, Body)> {
+    pub(crate) fn outgoing(&mut self, now: Micros) -> Vec<(NodeId, Body)> {
         let mut messages = Vec::new();
         self.paxos.take_outgoing_messages(&mut messages);
         let mut rounds = Vec::new();
@@ -309,6 +309,6 @@
     }
 }
 
-fn parse(sign: &StopSign) -> Option<Stamped<Vec<Member>>> {
+fn parse(sign: &StopSign) -> Option<Stamped<Vec<Voter>>> {
     postcard::from_bytes(sign.metadata.as_ref()?).ok()
 }
--- a/crates/agreement/tests/agreement.rs
+++ b/crates/agreement/tests/agreement.rs
@@ -1,6 +1,6 @@
 //! What the log promises, on a virtual clock and a network that does its worst.
 mod common;
-use agreement::{Outcome, Why};
+use agreement::{ProposalOutcome, VotingBlock};
 use common::{SECOND, Sim};
 
 fn started(seed: u64, balancers: u16, council: u16) -> Sim {
@@ -73,7 +73,7 @@
     sim.balancers[1].disk = Default::default();
     sim.start(1);
     sim.run(5 * SECOND);
-    assert_eq!(sim.balancers[1].why, Some(Why::NoMemory));
+    assert_eq!(sim.balancers[1].why, Some(VotingBlock::LostState));
     assert!(!sim.node(1).votes());
     let id = sim.exchange(6, None, Some(1));
     assert!(sim.decided(6, id, 5 * SECOND));
@@ -98,7 +98,7 @@
     sim.start(1);
     let id = sim.propose(0, vec![2]);
     sim.run(12 * SECOND);
-    assert_eq!(sim.outcome(0, id), Some(Outcome::GivenUp));
+    assert_eq!(sim.outcome(0, id), Some(ProposalOutcome::TimedOut));
     assert_eq!(sim.agreed.len(), 1);
 }
 
@@ -115,7 +115,7 @@
     sim.balancers[2].disk = old;
     sim.start(2);
     sim.run(5 * SECOND);
-    assert!(matches!(sim.balancers[2].why, Some(Why::OldStore { ours, heard }) if ours < heard));
+    assert!(matches!(sim.balancers[2].why, Some(VotingBlock::StaleStore { ours, heard }) if ours < heard));
     assert!(!sim.node(2).votes());
 }
 
@@ -126,7 +126,7 @@
     sim.balancers[leader as usize].disk.0.borrow_mut().1 = true;
     let id = sim.propose(4, vec![1]);
     assert!(sim.decided(4, id, 9 * SECOND));
-    assert_eq!(sim.balancers[leader as usize].why, Some(Why::Disk("disk is full".into())));
+    assert_eq!(sim.balancers[leader as usize].why, Some(VotingBlock::StorageFailed("disk is full".into())));
     sim.run(3 * SECOND);
     sim.assert_alike();
 }
--- a/crates/agreement/tests/common/mod.rs
+++ b/crates/agreement/tests/common/mod.rs
@@ -24,10 +24,10 @@
 
 impl Store for Disk {
     type Error = String;
-    fn load(&mut self) -> Result<Kept, String> {
+    fn load(&mut self) -> Result<StoredState, String> {
         self.0.borrow_mut().0.load().map_err(|never: Infallible| match never {})
     }
-    fn write(&mut self, changes: &[Change]) -> Result<(), String> {
+    fn write(&mut self, changes: &[StoreChange]) -> Result<(), String> {
         let mut disk = self.0.borrow_mut();
         if disk.1 {
             return Err("disk is full".into());
@@ -45,9 +45,9 @@
     pub disk: Disk,
     pub life: u64,
     pub next: Revision,
-    pub why: Option<Why>,
+    pub why: Option<VotingBlock>,
     pub leads: bool,
-    pub outcomes: HashMap<u64, Outcome>,
+    pub outcomes: HashMap<u64, ProposalOutcome>,
     pub restored: u64,
     /// The replicated state: the count and a sum over all entries.
     pub state: (u64, u64),
@@ -56,14 +56,14 @@
 
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    Tick(Number),
-    Deliver(Number, Number, Vec<u8>),
+    Tick(NodeId),
+    Deliver(NodeId, NodeId, Vec<u8>),
 }
 
 pub struct Sim {
     pub now: Micros,
     pub random: fastrand::Rng,
-    pub council: Vec<Number>,
+    pub council: Vec<NodeId>,
     pub balancers: Vec<Balancer>,
     events: BinaryHeap<Reverse<(Micros, u64, Event)>>,
     count: u64,
@@ -71,17 +71,17 @@
     pub loss: f64,
     pub double: f64,
     pub delay: (Micros, Micros),
-    pub cut: HashSet<(Number, Number)>,
+    pub cut: HashSet<(NodeId, NodeId)>,
     /// All that was ever decided.
-    pub agreed: BTreeMap<Revision, (u64, Number, u64, Entry)>,
-    names: HashMap<(Number, u64), Revision>,
+    pub agreed: BTreeMap<Revision, (u64, NodeId, u64, Entry)>,
+    names: HashMap<(NodeId, u64), Revision>,
     pub snapshot_each: u64,
     pub longest: usize,
     pub sent: u64,
     /// Whether a member has come back with another disk than its own.
     pub disk_replaced: bool,
     /// Messages as sent, the first of them, to be damaged by tests.
-    pub recorded: Vec<(Number, Number, Vec<u8>)>,
+    pub recorded: Vec<(NodeId, NodeId, Vec<u8>)>,
 }
 
 /// Messages recorded at most.
@@ -110,7 +110,7 @@
         };
         for number in 0..balancers {
             sim.start(number);
-            let phase = sim.random.u64(..TICK_US);
+            let phase = sim.random.u64(..TICK_INTERVAL_US);
             sim.push(phase, Event::Tick(number));
         }
         sim
@@ -121,10 +121,10 @@
         self.events.push(Reverse((self.now + after, self.count, event)));
     }
 
-    pub fn start(&mut self, number: Number) {
+    pub fn start(&mut self, number: NodeId) {
         let everyone = (0..self.balancers.len() as u16).map(|n| (n, n % 3)).collect();
         let life = self.random.u64(..);
-        let settings = Settings { me: number, life, council: self.council.clone(), everyone };
+        let settings = Settings { node_id: number, life, voters: self.council.clone(), nodes: everyone };
         let balancer = &mut self.balancers[number as usize];
         let disk = balancer.disk.clone();
         *balancer = Balancer { disk: disk.clone(), life, next: 1, ..Default::default() };
@@ -132,7 +132,7 @@
         self.drain(number);
     }
 
-    pub fn stop(&mut self, number: Number) {
+    pub fn stop(&mut self, number: NodeId) {
         self.balancers[number as usize].node = None;
     }
 
@@ -160,7 +160,7 @@
                         node.tick(now, unix);
                     }
                     self.drain(number);
-                    self.push(TICK_US, Event::Tick(number));
+                    self.push(TICK_INTERVAL_US, Event::Tick(number));
                 }
                 Event::Deliver(from, to, bytes) => {
                     let now = self.now;
@@ -174,39 +174,39 @@
         false
     }
 
-    fn up(&mut self, number: Number) -> Option<&mut Node> {
+    fn up(&mut self, number: NodeId) -> Option<&mut Node> {
         let balancer = &mut self.balancers[number as usize];
         balancer.node.as_mut().filter(|_| !balancer.stalled)
     }
 
-    pub fn node(&mut self, number: Number) -> &mut Node {
+    pub fn node(&mut self, number: NodeId) -> &mut Node {
         self.balancers[number as usize].node.as_mut().expect("is up")
     }
 
-    pub fn propose(&mut self, number: Number, entry: Entry) -> u64 {
+    pub fn propose(&mut self, number: NodeId, entry: Entry) -> u64 {
         let now = self.now;
         let id = self.node(number).propose(now, entry).expect("is taken");
         self.drain(number);
         id
     }
 
-    pub fn exchange(&mut self, by: Number, out: Option<Number>, taken_in: Option<Number>) -> u64 {
+    pub fn exchange(&mut self, by: NodeId, out: Option<NodeId>, taken_in: Option<NodeId>) -> u64 {
         let now = self.now;
         let id = self.node(by).change_council(now, out, taken_in).expect("is taken");
         self.drain(by);
         id
     }
 
-    pub fn outcome(&self, number: Number, id: u64) -> Option<Outcome> {
+    pub fn outcome(&self, number: NodeId, id: u64) -> Option<ProposalOutcome> {
         self.balancers[number as usize].outcomes.get(&id).copied()
     }
 
-    pub fn decided(&mut self, number: Number, id: u64, within: Micros) -> bool {
+    pub fn decided(&mut self, number: NodeId, id: u64, within: Micros) -> bool {
         let end = self.now + within;
-        self.run_until(end, |sim| matches!(sim.outcome(number, id), Some(Outcome::Decided(_))))
+        self.run_until(end, |sim| matches!(sim.outcome(number, id), Some(ProposalOutcome::Committed(_))))
     }
 
-    pub fn leader(&self) -> Option<Number> {
+    pub fn leader(&self) -> Option<NodeId> {
         (0..self.balancers.len()).find(|n| self.balancers[*n].leads).map(|n| n as u16)
     }
 
@@ -214,7 +214,7 @@
         self.balancers.iter().filter(|b| b.node.is_some() && b.next > revision).count()
     }
 
-    pub fn isolate(&mut self, some: &[Number]) {
+    pub fn isolate(&mut self, some: &[NodeId]) {
         for a in 0..self.balancers.len() as u16 {
             for b in 0..self.balancers.len() as u16 {
                 if some.contains(&a) != some.contains(&b) {
@@ -224,17 +224,17 @@
         }
     }
 
-    fn drain(&mut self, number: Number) {
+    fn drain(&mut self, number: NodeId) {
         loop {
             let balancer = &mut self.balancers[number as usize];
             let Some(action) = balancer.node.as_mut().and_then(Agreement::poll) else { return };
             match action {
                 Action::Send { to, message } => self.send(number, to, &message),
-                Action::Decided { revision, stamped } => {
+                Action::Committed { revision, stamped } => {
                     let s = stamped;
-                    self.check(number, revision, (s.at, s.from, s.proposal, s.entry));
+                    self.check(number, revision, (s.timestamp, s.proposer, s.proposal_id, s.entry));
                 }
-                Action::Council { revision, at, members } => {
+                Action::VotersChanged { revision, at, members } => {
                     self.check(
                         number,
                         revision,
@@ -247,16 +247,16 @@
                     balancer.restored += 1;
                     balancer.state = postcard::from_bytes(&snapshot).expect("own snapshot");
                 }
-                Action::Leads(leads) => balancer.leads = leads,
-                Action::CannotVote(why) => balancer.why = Some(why),
-                Action::Proposal { id, outcome } => {
+                Action::LeadershipChanged(leads) => balancer.leads = leads,
+                Action::VotingBlocked(why) => balancer.why = Some(why),
+                Action::ProposalFinished { id, outcome } => {
                     assert!(balancer.outcomes.insert(id, outcome).is_none(), "one outcome each");
                 }
             }
         }
     }
 
-    fn check(&mut self, number: Number, revision: Revision, what: (u64, Number, u64, Entry)) {
+    fn check(&mut self, number: NodeId, revision: Revision, what: (u64, NodeId, u64, Entry)) {
         let now = self.now;
         let balancer = &mut self.balancers[number as usize];
         assert_eq!(revision, balancer.next, "{number} is given revisions in order, each once");
@@ -280,11 +280,11 @@
         self.agreed.insert(revision, what);
     }
 
-    fn send(&mut self, from: Number, to: Number, message: &Message<Entry>) {
+    fn send(&mut self, from: NodeId, to: NodeId, message: &Message<Entry>) {
         let bytes = postcard::to_allocvec(message).expect("can be encoded");
         self.longest = self.longest.max(bytes.len());
         self.sent += 1;
-        assert!(bytes.len() <= MESSAGE_BYTES, "a message of {} bytes", bytes.len());
+        assert!(bytes.len() <= MAX_MESSAGE_BYTES, "a message of {} bytes", bytes.len());
         if self.recorded.len() < RECORDED {
             self.recorded.push((from, to, bytes.clone()));
         }
@@ -322,7 +322,7 @@
 }
 
 /// Draws one fault more or takes one back. At most a minority of the council is down, and one that lost its disk comes back.
-pub fn fault(sim: &mut Sim, away: &mut Option<(Number, Option<Disk>)>, council: Number) {
+pub fn fault(sim: &mut Sim, away: &mut Option<(NodeId, Option<Disk>)>, council: NodeId) {
     let all = sim.balancers.len() as u16;
     match sim.random.u8(..10) {
         0 => sim.loss = f64::from(sim.random.u8(..35)) / 100.0,
@@ -370,7 +370,7 @@
     }
 }
 
-fn come_back(sim: &mut Sim, away: &mut Option<(Number, Option<Disk>)>) {
+fn come_back(sim: &mut Sim, away: &mut Option<(NodeId, Option<Disk>)>) {
     if let Some((number, old)) = away.take() {
         if let Some(old) = old {
             sim.stop(number);
@@ -381,7 +381,7 @@
 }
 
 /// Takes all faults back.
-pub fn peace(sim: &mut Sim, away: &mut Option<(Number, Option<Disk>)>) {
+pub fn peace(sim: &mut Sim, away: &mut Option<(NodeId, Option<Disk>)>) {
     come_back(sim, away);
     (sim.loss, sim.double, sim.delay) = (0.0, 0.0, (500, 15_000));
     sim.cut.clear();
--- a/crates/agreement/tests/golden.rs
+++ b/crates/agreement/tests/golden.rs
@@ -5,7 +5,7 @@
 
 mod common;
 
-use agreement::{Action, Agreement, Change, Kept, MemoryStore, Message, Settings, Store};
+use agreement::{Action, Agreement, MemoryStore, Message, Settings, Store, StoreChange, StoredState};
 use bytes::Bytes;
 use common::{Disk, Entry, SECOND, Sim};
 use expect_test::expect_file;
@@ -66,8 +66,8 @@
     expect_file!["golden/messages.txt"].assert_eq(&text);
 }
 
-fn lines(kept: &Kept) -> String {
-    let mut text = format!("first {}\n", kept.first);
+fn lines(kept: &StoredState) -> String {
+    let mut text = format!("first {}\n", kept.first_revision);
     let mut line = |name: &str, bytes: &Bytes| writeln!(text, "{name} {}", hex(bytes)).unwrap();
     kept.head.iter().for_each(|bytes| line("head", bytes));
     kept.accepted.iter().for_each(|bytes| line("accepted", bytes));
@@ -76,12 +76,12 @@
     text
 }
 
-fn kept(text: &str) -> Kept {
-    let mut kept = Kept::default();
+fn kept(text: &str) -> StoredState {
+    let mut kept = StoredState::default();
     for line in text.lines() {
         let (name, value) = line.split_once(' ').unwrap();
         match name {
-            "first" => kept.first = value.parse().unwrap(),
+            "first" => kept.first_revision = value.parse().unwrap(),
             "head" => kept.head = Some(unhex(value).into()),
             "accepted" => kept.accepted.push(unhex(value).into()),
             "item" => kept.items.push(unhex(value).into()),
@@ -106,14 +106,14 @@
     let kept = kept(include_str!("golden/stored.txt"));
     let mut store = MemoryStore::default();
     let changes = [
-        Change::Head(kept.head.unwrap()),
-        Change::Accepted { from: 0, entries: kept.accepted },
-        Change::Items { from: kept.first, items: kept.items },
-        Change::Snapshot(kept.snapshot.unwrap()),
+        StoreChange::Head(kept.head.unwrap()),
+        StoreChange::Accepted { from: 0, entries: kept.accepted },
+        StoreChange::Items { from: kept.first_revision, items: kept.items },
+        StoreChange::Snapshot(kept.snapshot.unwrap()),
     ];
     let Ok(()) = store.write(&changes);
     let everyone = (0..7).map(|number| (number, number % 3)).collect();
-    let settings = Settings { me: 0, life: 1, council: vec![0, 1, 2], everyone };
+    let settings = Settings { node_id: 0, life: 1, voters: vec![0, 1, 2], nodes: everyone };
     let mut node: Agreement<Entry, MemoryStore> = Agreement::new(settings, store, 1, SECOND);
     let mut text = String::new();
     while let Some(action) = node.poll() {
@@ -121,12 +121,19 @@
             Action::Restore { revision, at, snapshot } => {
                 writeln!(text, "snapshot {revision} {at} {}", hex(&snapshot)).unwrap();
             }
-            Action::Decided { revision, stamped: it } => {
-                writeln!(text, "entry {revision} {} {} {} {}", it.at, it.from, it.proposal, hex(&it.entry))
-                    .unwrap();
+            Action::Committed { revision, stamped: it } => {
+                writeln!(
+                    text,
+                    "entry {revision} {} {} {} {}",
+                    it.timestamp,
+                    it.proposer,
+                    it.proposal_id,
+                    hex(&it.entry)
+                )
+                .unwrap();
             }
-            Action::Council { revision, at, members } => {
-                let members: Vec<_> = members.iter().map(|it| (it.number, it.generation)).collect();
+            Action::VotersChanged { revision, at, members } => {
+                let members: Vec<_> = members.iter().map(|it| (it.node_id, it.generation)).collect();
                 writeln!(text, "members {revision} {at} {members:?}").unwrap();
             }
             _ => {}
--- a/crates/fleet/src/part.rs
+++ b/crates/fleet/src/part.rs
@@ -4,7 +4,7 @@
 use crate::file::FleetFile;
 use crate::wire::{Body, Envelope, Unheard};
 use crate::{Micros, view};
-use agreement::{Agreement, NotNow, Revision, Store, Why};
+use agreement::{Agreement, ProposeError, Revision, Store, VotingBlock};
 use audit::lease::{Granter, Lease};
 use audit::ledger::{Ledger, Report};
 use calendar::{Applied, Calendar, Proposal};
@@ -20,7 +20,7 @@
 /// A tick so much later than it was due: this process stood still, and must not accuse others of it.
 const STALLED: Micros = 1_000_000;
 /// Proposals of the door under way at most; each comes to an end by itself.
-const ASKED_AT_MOST: usize = agreement::PROPOSALS;
+const ASKED_AT_MOST: usize = agreement::MAX_PENDING_PROPOSALS;
 
 /// What the owner has to do, or to know.
 #[derive(Debug)]
@@ -42,7 +42,7 @@
     /// Who votes from now on.
     Council(Vec<u16>),
     /// This member of the council does not vote.
-    CannotVote(Why),
+    CannotVote(VotingBlock),
     /// What became of a proposal of [`Fleet::propose`].
     Proposed(u64, Result<(Revision, Option<Applied>), GivenUp>),
 }
@@ -114,7 +114,7 @@
         let seat = |it: &crate::Listed| Seat { address: it.address, zone: zones[usize::from(it.number)] };
         let council = file.balancers.iter().filter(|it| it.council).map(|it| it.number).collect();
         let everyone = file.balancers.iter().map(|it| (it.number, zones[usize::from(it.number)])).collect();
-        let settings = agreement::Settings { me, life, council, everyone };
+        let settings = agreement::Settings { node_id: me, life, voters: council, nodes: everyone };
         let roster: Roster = file.balancers.iter().map(|it| (it.number, seat(it))).collect();
         let own = seat(&file.balancers[usize::from(me)]);
         let member = Member { number: me, life, address: own.address, zone: own.zone };
@@ -235,7 +235,7 @@
         }
         self.agreement.tick(now, unix);
         if let Some(ask) = self.lease.ask(now) {
-            let council: Vec<u16> = self.agreement.council().iter().map(|it| it.number).collect();
+            let council: Vec<u16> = self.agreement.council().iter().map(|it| it.node_id).collect();
             for number in council {
                 match number == self.me {
                     true if self.leads => self.granter.asked(ask),
@@ -262,9 +262,9 @@
     ///
     /// # Errors
     /// When too many are under way.
-    pub fn propose(&mut self, now: Micros, proposal: Box<Proposal>) -> Result<u64, NotNow> {
+    pub fn propose(&mut self, now: Micros, proposal: Box<Proposal>) -> Result<u64, ProposeError> {
         if self.asked.len() >= ASKED_AT_MOST {
-            return Err(NotNow::Full);
+            return Err(ProposeError::TooManyPending);
         }
         let id = self.agreement.propose(now, Entry::Calendar(proposal))?;
         self.asked.insert(id, None);
@@ -278,7 +278,7 @@
     /// When that is no change, or too many are under way.
     pub fn change_council(
         &mut self, now: Micros, out: Option<u16>, taken_in: Option<u16>,
-    ) -> Result<u64, NotNow> {
+    ) -> Result<u64, ProposeError> {
         let id = self.agreement.change_council(now, out, taken_in)?;
         self.settle(now);
         Ok(id)
@@ -288,7 +288,7 @@
     pub fn report(&mut self, now: Micros, report: Report) {
         self.ledger.hear(&report);
         let mut to: Vec<u16> =
-            self.agreement.council().iter().map(|it| it.number).filter(|it| *it != self.me).collect();
+            self.agreement.council().iter().map(|it| it.node_id).filter(|it| *it != self.me).collect();
         to.extend(self.drawn(1));
         to.iter().for_each(|number| self.send(*number, Body::Report(report.clone())));
         self.settle(now);
@@ -344,7 +344,7 @@
     }
 
     fn of_council(&self, number: u16) -> bool {
-        self.agreement.council().iter().any(|it| it.number == number)
+        self.agreement.council().iter().any(|it| it.node_id == number)
     }
 
     /// Of the council only the leader grants, but one bad link to it must not cost a lease that all others would vouch for.
--- a/crates/fleet/src/settle.rs
+++ b/crates/fleet/src/settle.rs
@@ -4,7 +4,7 @@
 use crate::entry::Entry;
 use crate::part::{Fleet, GivenUp, Output};
 use crate::wire::Body;
-use agreement::{Action, Outcome, Revision, Store};
+use agreement::{Action, ProposalOutcome, Revision, Store};
 use membership::{Member, Membership, Roster, Seat};
 
 /// Revisions after which a snapshot of the state is made.
@@ -36,10 +36,11 @@
     fn agreed(&mut self, now: Micros, action: Action<Entry>) {
         match action {
             Action::Send { to, message } => self.send(to, Body::Agreement(Box::new(message))),
-            Action::Decided { revision, stamped } => {
-                let applied = self.state.apply(now, revision, stamped.at, &stamped.entry, &mut self.lease);
-                if stamped.from == self.me
-                    && let Some(asked) = self.asked.get_mut(&stamped.proposal)
+            Action::Committed { revision, stamped } => {
+                let applied =
+                    self.state.apply(now, revision, stamped.timestamp, &stamped.entry, &mut self.lease);
+                if stamped.proposer == self.me
+                    && let Some(asked) = self.asked.get_mut(&stamped.proposal_id)
                 {
                     *asked = Some((revision, applied.clone()));
                 }
@@ -54,20 +55,20 @@
                     self.changed(true);
                 }
             }
-            Action::Council { members, .. } => {
-                self.out.push_back(Output::Council(members.iter().map(|it| it.number).collect()));
+            Action::VotersChanged { members, .. } => {
+                self.out.push_back(Output::Council(members.iter().map(|it| it.node_id).collect()));
             }
-            Action::Leads(leads) => {
+            Action::LeadershipChanged(leads) => {
                 self.leads = leads;
                 self.granter.forget();
                 self.out.push_back(Output::Leads(leads));
             }
-            Action::CannotVote(why) => self.out.push_back(Output::CannotVote(why)),
-            Action::Proposal { id, outcome } => {
+            Action::VotingBlocked(why) => self.out.push_back(Output::CannotVote(why)),
+            Action::ProposalFinished { id, outcome } => {
                 if let Some(applied) = self.asked.remove(&id) {
                     let came_to = match outcome {
-                        Outcome::Decided(revision) => Ok(applied.unwrap_or((revision, None))),
-                        Outcome::GivenUp => Err(GivenUp),
+                        ProposalOutcome::Committed(revision) => Ok(applied.unwrap_or((revision, None))),
+                        ProposalOutcome::TimedOut => Err(GivenUp),
                     };
                     self.out.push_back(Output::Proposed(id, came_to));
                 }
--- a/crates/fleet/tests/common/mod.rs
+++ b/crates/fleet/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! A fleet on a virtual clock: every balancer's part, and a network between them that a seed spoils.
 #![allow(dead_code, reason = "each test program uses a part of it")]
 
-use agreement::{Change as Written, Kept, MemoryStore, Store};
+use agreement::{MemoryStore, Store, StoreChange as Written, StoredState};
 use audit::lease::Standing;
 use calendar::{Calendar, Change, Entry, Freeze, Kind, Place, Proposal, Scope, Span, Verdict};
 use fleet::{Fleet, FleetFile, Micros, Output, Start};
@@ -50,7 +50,7 @@
 
 impl Store for Disk {
     type Error = Infallible;
-    fn load(&mut self) -> Result<Kept, Infallible> {
+    fn load(&mut self) -> Result<StoredState, Infallible> {
         self.0.borrow_mut().load()
     }
     fn write(&mut self, changes: &[Written]) -> Result<(), Infallible> {
@@ -165,7 +165,7 @@
             seed: self.random.u64(..),
         };
         self.parts[n] = Some(Fleet::new(self.file.clone(), begin, self.local(n)));
-        let after = self.random.u64(0..agreement::TICK_US);
+        let after = self.random.u64(0..agreement::TICK_INTERVAL_US);
         self.push(after, Event::Tick(n, self.lives[n]));
         self.carry_out(n);
     }
@@ -264,7 +264,7 @@
                     if let Some(part) = self.parts[n].as_mut().filter(|_| self.lives[n] == life) {
                         part.tick(local, unix);
                         self.carry_out(n);
-                        self.push(agreement::TICK_US, Event::Tick(n, life));
+                        self.push(agreement::TICK_INTERVAL_US, Event::Tick(n, life));
                         self.ticked = n;
                         look(self);
                     }
--- a/crates/spindlebeam/src/fleet.rs
+++ b/crates/spindlebeam/src/fleet.rs
@@ -3,7 +3,7 @@
 //! It runs beside the core's thread, so that neither a vote nor a disk that stands still waits in a request's way; what the core
 //! needs goes over as copies (`gateway::fleet`).
 
-use agreement::{Change, Kept, MemoryStore, Store, Why};
+use agreement::{MemoryStore, Store, StoreChange, StoredState, VotingBlock};
 use anyhow::{Context, Result, ensure};
 use audit::lease::Standing;
 use bytes::Bytes;
@@ -53,13 +53,13 @@
 
 impl Store for Memory {
     type Error = String;
-    fn load(&mut self) -> Result<Kept, String> {
+    fn load(&mut self) -> Result<StoredState, String> {
         match self {
             Memory::Disk(keep) => keep.load().map_err(|error| error.to_string()),
             Memory::None(store) => store.load().map_err(|error| error.to_string()),
         }
     }
-    fn write(&mut self, changes: &[Change]) -> Result<(), String> {
+    fn write(&mut self, changes: &[StoreChange]) -> Result<(), String> {
         match self {
             Memory::Disk(keep) => keep.write(changes).map_err(|error| error.to_string()),
             Memory::None(store) => store.write(changes).map_err(|error| error.to_string()),
@@ -189,7 +189,7 @@
     }
 
     async fn run(mut self, mut calls: Calls, mut acted: mpsc::Receiver<Acted>) -> Result<()> {
-        let mut tick = interval(Duration::from_micros(agreement::TICK_US));
+        let mut tick = interval(Duration::from_micros(agreement::TICK_INTERVAL_US));
         tick.set_missed_tick_behavior(MissedTickBehavior::Delay);
         let (mut spans, mut report) = (interval(SPANS_EVERY), interval(REPORT_EVERY));
         let mut buffer = [0; fleet::wire::MAX_BYTES + 1];
@@ -312,12 +312,14 @@
     }
 }
 
-fn worded(why: &Why) -> String {
+fn worded(why: &VotingBlock) -> String {
     match why {
-        Why::NoMemory => "it starts without memory, and others have some: it may have voted before".into(),
-        Why::OldStore { ours, heard } => {
+        VotingBlock::LostState => {
+            "it starts without memory, and others have some: it may have voted before".into()
+        }
+        VotingBlock::StaleStore { ours, heard } => {
             format!("its disk counts {ours} writes, and others have heard of {heard}: it is an old one")
         }
-        Why::Disk(error) => format!("its disk failed: {error}"),
+        VotingBlock::StorageFailed(error) => format!("its disk failed: {error}"),
     }
 }
--- a/crates/storage/src/store.rs
+++ b/crates/storage/src/store.rs
@@ -1,6 +1,6 @@
 //! The store of a member of the council in one `redb` file.
 use crate::Error;
-use agreement::{Change, Kept, Store};
+use agreement::{Store, StoreChange, StoredState};
 use bytes::Bytes;
 use redb::{
     Builder, Database, ReadableDatabase, ReadableTable, StorageBackend, TableDefinition, WriteTransaction,
@@ -75,9 +75,9 @@
         })
     }
 
-    fn read(&self) -> Result<Kept, redb::Error> {
+    fn read(&self) -> Result<StoredState, redb::Error> {
         let transaction = self.database.begin_read()?;
-        let mut kept = Kept::default();
+        let mut kept = StoredState::default();
         let Some(single) = known(transaction.open_table(SINGLE))? else { return Ok(kept) };
         let bytes =
             |key| Ok::<_, redb::Error>(single.get(key)?.map(|held| Bytes::copy_from_slice(held.value())));
@@ -89,10 +89,10 @@
         for row in transaction.open_table(ITEMS)?.iter()? {
             let (revision, item) = row?;
             if kept.items.is_empty() {
-                kept.first = revision.value();
+                kept.first_revision = revision.value();
             }
-            if revision.value() != kept.first + kept.items.len() as u64 {
-                let gap = format!("no item at revision {}", kept.first + kept.items.len() as u64);
+            if revision.value() != kept.first_revision + kept.items.len() as u64 {
+                let gap = format!("no item at revision {}", kept.first_revision + kept.items.len() as u64);
                 return Err(redb::Error::Corrupted(gap));
             }
             kept.items.push(Bytes::copy_from_slice(item.value()));
@@ -122,22 +122,22 @@
     }
 }
 
-fn apply(transaction: &WriteTransaction, change: &Change) -> Result<(), redb::Error> {
+fn apply(transaction: &WriteTransaction, change: &StoreChange) -> Result<(), redb::Error> {
     match change {
-        Change::Head(head) => {
+        StoreChange::Head(head) => {
             transaction.open_table(SINGLE)?.insert(HEAD, &head[..])?;
         }
-        Change::Snapshot(snapshot) => {
+        StoreChange::Snapshot(snapshot) => {
             transaction.open_table(SINGLE)?.insert(SNAPSHOT, &snapshot[..])?;
         }
-        Change::Accepted { from, entries } => {
+        StoreChange::Accepted { from, entries } => {
             let mut table = transaction.open_table(ACCEPTED)?;
             table.retain_in(*from.., |_, _| false)?;
             for (place, entry) in (*from..).zip(entries) {
                 table.insert(place, &entry[..])?;
             }
         }
-        Change::Items { from, items } => {
+        StoreChange::Items { from, items } => {
             let mut table = transaction.open_table(ITEMS)?;
             let end = table.last()?.map(|last| last.0.value() + 1);
             // Items behind a snapshot that was taken over do not follow on those before it.
@@ -148,7 +148,7 @@
                 table.insert(revision, &item[..])?;
             }
         }
-        Change::Trim(to) => {
+        StoreChange::Trim(to) => {
             transaction.open_table(ITEMS)?.retain_in(..=*to, |_, _| false)?;
         }
     }
@@ -158,11 +158,11 @@
 impl Store for Keep {
     type Error = Error;
 
-    fn load(&mut self) -> Result<Kept, Error> {
+    fn load(&mut self) -> Result<StoredState, Error> {
         guarded(&self.file, || self.read())?.map_err(|source| Error::Read { file: self.file.clone(), source })
     }
 
-    fn write(&mut self, changes: &[Change]) -> Result<(), Error> {
+    fn write(&mut self, changes: &[StoreChange]) -> Result<(), Error> {
         self.transact(|transaction| {
             // All tables from the first batch on: one missing later is damage, not an empty store.
             transaction.open_table(SINGLE)?;
--- a/crates/storage/tests/golden.rs
+++ b/crates/storage/tests/golden.rs
@@ -1,6 +1,6 @@
 //! The file on disk in the form that the next version finds: tables, keys and values.
 
-use agreement::{Change, Store};
+use agreement::{Store, StoreChange};
 use bytes::Bytes;
 use expect_test::expect_file;
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition, TableHandle};
@@ -15,15 +15,15 @@
 fn write(file: &Path) {
     let mut keep = Keep::open(file).unwrap();
     keep.write(&[
-        Change::Head(bytes(1)),
-        Change::Accepted { from: 0, entries: vec![bytes(2), bytes(3), bytes(4)] },
-        Change::Items { from: 1, items: vec![bytes(5), bytes(6), bytes(7)] },
+        StoreChange::Head(bytes(1)),
+        StoreChange::Accepted { from: 0, entries: vec![bytes(2), bytes(3), bytes(4)] },
+        StoreChange::Items { from: 1, items: vec![bytes(5), bytes(6), bytes(7)] },
     ])
     .unwrap();
     keep.write(&[
-        Change::Snapshot(bytes(8)),
-        Change::Trim(1),
-        Change::Accepted { from: 2, entries: vec![bytes(9)] },
+        StoreChange::Snapshot(bytes(8)),
+        StoreChange::Trim(1),
+        StoreChange::Accepted { from: 2, entries: vec![bytes(9)] },
     ])
     .unwrap();
     keep.append_spans(&[bytes(10), bytes(11)]).unwrap();
@@ -76,10 +76,10 @@
     let kept = keep.load().unwrap();
     assert_eq!(kept.head, Some(bytes(1)));
     assert_eq!(kept.accepted, [bytes(2), bytes(3), bytes(9)]);
-    assert_eq!((kept.first, kept.items), (2, vec![bytes(6), bytes(7)]));
+    assert_eq!((kept.first_revision, kept.items), (2, vec![bytes(6), bytes(7)]));
     assert_eq!(kept.snapshot, Some(bytes(8)));
     let spans: Vec<_> = keep.spans(0, 9).unwrap().into_iter().map(|(_, value)| value).collect();
     assert_eq!(spans, [bytes(10), bytes(11)]);
-    keep.write(&[Change::Items { from: 4, items: vec![bytes(12)] }]).unwrap();
+    keep.write(&[StoreChange::Items { from: 4, items: vec![bytes(12)] }]).unwrap();
     assert_eq!(keep.load().unwrap().items, [bytes(6), bytes(7), bytes(12)]);
 }
--- a/crates/storage/tests/keep.rs
+++ b/crates/storage/tests/keep.rs
@@ -1,5 +1,5 @@
 //! What the file promises: nothing forgotten, and an error with its name when it cannot be kept.
-use agreement::{Change, MemoryStore, Store};
+use agreement::{MemoryStore, Store, StoreChange};
 use bytes::Bytes;
 use redb::{StorageBackend, backends::FileBackend};
 use std::{
@@ -13,24 +13,24 @@
 };
 use storage::{Error, Keep};
 
-fn changes() -> Vec<Vec<Change>> {
+fn changes() -> Vec<Vec<StoreChange>> {
     let bytes = |n: u64| Bytes::from(vec![n as u8; 100 + n as usize]);
-    let mut all = vec![vec![Change::Head(bytes(1))]];
+    let mut all = vec![vec![StoreChange::Head(bytes(1))]];
     for n in 0..40 {
         let entries = vec![bytes(n), bytes(n + 1)];
         let items = vec![bytes(n)];
         all.push(vec![
-            Change::Accepted { from: n, entries },
-            Change::Items { from: n + 1, items },
-            Change::Head(bytes(n)),
+            StoreChange::Accepted { from: n, entries },
+            StoreChange::Items { from: n + 1, items },
+            StoreChange::Head(bytes(n)),
         ]);
     }
     all.push(vec![
-        Change::Snapshot(bytes(9)),
-        Change::Trim(17),
-        Change::Accepted { from: 20, entries: vec![] },
+        StoreChange::Snapshot(bytes(9)),
+        StoreChange::Trim(17),
+        StoreChange::Accepted { from: 20, entries: vec![] },
     ]);
-    all.push(vec![Change::Items { from: 60, items: vec![bytes(60), bytes(61)] }]);
+    all.push(vec![StoreChange::Items { from: 60, items: vec![bytes(60), bytes(61)] }]);
     all
 }
 
@@ -143,7 +143,7 @@
     let backend = Full(FileBackend::new(opened).expect("opens"), full.clone());
     let mut keep = Keep::with_backend(&file, backend).expect("opens");
     full.store(true, Ordering::Relaxed);
-    let promise = [Change::Head(Bytes::from_static(b"a promise"))];
+    let promise = [StoreChange::Head(Bytes::from_static(b"a promise"))];
     let error = keep.write(&promise).expect_err("is full");
     assert!(matches!(error, Error::Write { .. }) && error.to_string().contains("log.redb"), "{error}");
     full.store(false, Ordering::Relaxed);
