--- a/crates/agreement/src/agreement.rs
+++ b/crates/agreement/src/agreement.rs
@@ -107,7 +107,7 @@
 
     /// Proposes that one member leaves the council and another is taken in (one of them may be left out). Taking in one that
     /// is a member already renews it under the store that it has now.
-    pub fn change_council(
+    pub fn change_voters(
         &mut self, now: Micros, out: Option<NodeId>, taken_in: Option<NodeId>,
     ) -> Result<u64, ProposeError> {
         let member = taken_in.map(|number| Voter { node_id: number, generation: 1 });
@@ -155,7 +155,7 @@
     }
 
     /// The highest revision heard of, when it is above ours.
-    pub fn behind(&self) -> Option<Revision> {
+    pub fn lag(&self) -> Option<Revision> {
         Some(self.learn.best()).filter(|best| *best > self.log.applied())
     }
 
@@ -165,12 +165,12 @@
     }
 
     /// Who votes now.
-    pub fn council(&self) -> &[Voter] {
+    pub fn voters(&self) -> &[Voter] {
         &self.log.segment().members
     }
 
     /// Whether this balancer votes.
-    pub fn votes(&self) -> bool {
+    pub fn is_voting(&self) -> bool {
         self.voter.is_some()
     }
 
--- a/crates/agreement/src/turns.rs
+++ b/crates/agreement/src/turns.rs
@@ -26,7 +26,7 @@
     }
 
     /// Takes a message that another balancer sent; `from` is known by its address.
-    pub fn hear(&mut self, now: Micros, from: NodeId, message: Message<E>) {
+    pub fn handle_message(&mut self, now: Micros, from: NodeId, message: Message<E>) {
         if !self.learn.knows(from) {
             return;
         }
--- a/crates/agreement/tests/agreement.rs
+++ b/crates/agreement/tests/agreement.rs
@@ -74,11 +74,11 @@
     sim.start(1);
     sim.run(5 * SECOND);
     assert_eq!(sim.balancers[1].why, Some(VotingBlock::LostState));
-    assert!(!sim.node(1).votes());
+    assert!(!sim.node(1).is_voting());
     let id = sim.exchange(6, None, Some(1));
     assert!(sim.decided(6, id, 5 * SECOND));
     sim.run(3 * SECOND);
-    assert!(sim.node(1).votes());
+    assert!(sim.node(1).is_voting());
     sim.stop(0);
     let id = sim.propose(5, vec![2]);
     assert!(sim.decided(5, id, 8 * SECOND), "its vote is needed now");
@@ -116,7 +116,7 @@
     sim.start(2);
     sim.run(5 * SECOND);
     assert!(matches!(sim.balancers[2].why, Some(VotingBlock::StaleStore { ours, heard }) if ours < heard));
-    assert!(!sim.node(2).votes());
+    assert!(!sim.node(2).is_voting());
 }
 
 #[test]
@@ -180,7 +180,7 @@
     sim.run(8 * SECOND);
     assert!(sim.agreed.len() > 3_502, "segments took revisions of their own: {}", sim.agreed.len());
     assert!(sim.balancers[4].restored == 1 && sim.balancers[2].restored == 1);
-    assert!(sim.node(2).votes());
+    assert!(sim.node(2).is_voting());
     sim.assert_alike();
 }
 
--- a/crates/agreement/tests/common/mod.rs
+++ b/crates/agreement/tests/common/mod.rs
@@ -165,7 +165,7 @@
                 Event::Deliver(from, to, bytes) => {
                     let now = self.now;
                     if let Some(node) = self.up(to) {
-                        node.hear(now, from, postcard::from_bytes(&bytes).expect("own message"));
+                        node.handle_message(now, from, postcard::from_bytes(&bytes).expect("own message"));
                     }
                     self.drain(to);
                 }
@@ -192,7 +192,7 @@
 
     pub fn exchange(&mut self, by: NodeId, out: Option<NodeId>, taken_in: Option<NodeId>) -> u64 {
         let now = self.now;
-        let id = self.node(by).change_council(now, out, taken_in).expect("is taken");
+        let id = self.node(by).change_voters(now, out, taken_in).expect("is taken");
         self.drain(by);
         id
     }
@@ -302,7 +302,7 @@
         for number in self.council.clone() {
             let balancer = &self.balancers[number as usize];
             let node = balancer.node.as_ref();
-            let (votes, leader) = (node.map(|node| node.votes()), node.and_then(|node| node.leader()));
+            let (votes, leader) = (node.map(|node| node.is_voting()), node.and_then(|node| node.leader()));
             let (next, leads, why) = (balancer.next, balancer.leads, &balancer.why);
             println!("{number}: votes {votes:?} leads {leads} leader {leader:?} next {next} why {why:?}");
         }
--- a/crates/agreement/tests/garbage.rs
+++ b/crates/agreement/tests/garbage.rs
@@ -30,7 +30,7 @@
 fn hear(sim: &mut Sim, from: u16, to: u16, bytes: &[u8]) -> bool {
     let Ok(message) = postcard::from_bytes::<Message<Entry>>(bytes) else { return false };
     let now = sim.now;
-    sim.node(to).hear(now, from, message);
+    sim.node(to).handle_message(now, from, message);
     sim.now += 1_000;
     let now = sim.now;
     sim.node(to).tick(now, now);
--- a/crates/fleet/src/part.rs
+++ b/crates/fleet/src/part.rs
@@ -172,7 +172,7 @@
     /// Whether this one votes in the council.
     #[must_use]
     pub fn votes(&self) -> bool {
-        self.agreement.votes()
+        self.agreement.is_voting()
     }
 
     /// The calendar as far as the log is applied.
@@ -204,7 +204,7 @@
         self.counts.heard += 1;
         match envelope.body {
             Body::Membership(bytes) => self.membership.hear(now, &bytes),
-            Body::Agreement(message) => self.agreement.hear(now, envelope.from, *message),
+            Body::Agreement(message) => self.agreement.handle_message(now, envelope.from, *message),
             Body::Ask(ask)
                 if self.leads && (ask.number == envelope.from || self.of_council(envelope.from)) =>
             {
@@ -235,7 +235,7 @@
         }
         self.agreement.tick(now, unix);
         if let Some(ask) = self.lease.ask(now) {
-            let council: Vec<u16> = self.agreement.council().iter().map(|it| it.node_id).collect();
+            let council: Vec<u16> = self.agreement.voters().iter().map(|it| it.node_id).collect();
             for number in council {
                 match number == self.me {
                     true if self.leads => self.granter.asked(ask),
@@ -279,7 +279,7 @@
     pub fn change_council(
         &mut self, now: Micros, out: Option<u16>, taken_in: Option<u16>,
     ) -> Result<u64, ProposeError> {
-        let id = self.agreement.change_council(now, out, taken_in)?;
+        let id = self.agreement.change_voters(now, out, taken_in)?;
         self.settle(now);
         Ok(id)
     }
@@ -288,7 +288,7 @@
     pub fn report(&mut self, now: Micros, report: Report) {
         self.ledger.hear(&report);
         let mut to: Vec<u16> =
-            self.agreement.council().iter().map(|it| it.node_id).filter(|it| *it != self.me).collect();
+            self.agreement.voters().iter().map(|it| it.node_id).filter(|it| *it != self.me).collect();
         to.extend(self.drawn(1));
         to.iter().for_each(|number| self.send(*number, Body::Report(report.clone())));
         self.settle(now);
@@ -344,7 +344,7 @@
     }
 
     fn of_council(&self, number: u16) -> bool {
-        self.agreement.council().iter().any(|it| it.node_id == number)
+        self.agreement.voters().iter().any(|it| it.node_id == number)
     }
 
     /// Of the council only the leader grants, but one bad link to it must not cost a lease that all others would vouch for.
--- a/crates/fleet/src/settle.rs
+++ b/crates/fleet/src/settle.rs
@@ -22,7 +22,7 @@
                 break;
             }
         }
-        let caught_up = self.agreement.behind().is_none() && self.agreement.applied() > 0;
+        let caught_up = self.agreement.lag().is_none() && self.agreement.applied() > 0;
         if caught_up && !self.caught_up {
             self.out.push_back(Output::CaughtUp(self.agreement.applied()));
         }
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -17,7 +17,7 @@
     };
     let name = |number: u16| fleet.file.balancers.get(usize::from(number)).map(|it| it.name.as_str());
     let holding: Vec<_> = fleet.state.holders.holding(now).filter_map(|(number, _)| name(number)).collect();
-    let council: Vec<_> = fleet.agreement.council().iter().filter_map(|it| name(it.node_id)).collect();
+    let council: Vec<_> = fleet.agreement.voters().iter().filter_map(|it| name(it.node_id)).collect();
     let members: Vec<_> = fleet.membership.members().filter_map(|it| name(it.number)).collect();
     let time = fleet.lease.fleet_time(now);
     let stragglers = time.map(|span| fleet.ledger.stragglers(span.latest, BEHIND.0, BEHIND.1));
@@ -33,10 +33,10 @@
         "standing": standing,
         "fleet_time_us": time.map(|span| [span.earliest, span.latest]),
         "revision": fleet.agreement.applied(),
-        "behind": fleet.agreement.behind(),
+        "behind": fleet.agreement.lag(),
         "council": council,
         "leader": fleet.agreement.leader().and_then(name),
-        "votes": fleet.agreement.votes(),
+        "votes": fleet.agreement.is_voting(),
         "members": members,
         "holding": holding,
         "calendar": {"revision": fleet.state.calendar.revision(), "entries": fleet.state.calendar.entries().collect::<Vec<_>>()},
