--- a/crates/fleet/src/part.rs
+++ b/crates/fleet/src/part.rs
@@ -8,7 +8,7 @@
 use audit::lease::{Granter, Lease};
 use audit::ledger::{Ledger, Report};
 use calendar::{Applied, Calendar, Proposal};
-use membership::{Member, Membership, Roster, Seat, Timer};
+use membership::{Member, MemberSlot, Membership, Roster, Timer};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 
@@ -27,7 +27,7 @@
 pub enum Output {
     /// Send a datagram.
     Send(SocketAddr, Vec<u8>),
-    /// Hand the timer to [`Fleet::fell_due`] after this span.
+    /// Hand the timer to [`Fleet::handle_timer`] after this span.
     Timer(Micros, Timer),
     /// The lease has changed: the core is to have a copy.
     Lease(Box<Lease>),
@@ -106,12 +106,13 @@
 }
 
 impl<S: Store> Fleet<S> {
-    /// Starts; `start.me` is a number of the file.
+    /// Starts; `start.local_member` is a number of the file.
     pub fn new(file: FleetFile, start: Start<S>, now: Micros) -> Self {
         let Start { me, life, store, seed } = start;
         let zones = file.zones();
         let leases = file.leases();
-        let seat = |it: &crate::Listed| Seat { address: it.address, zone: zones[usize::from(it.number)] };
+        let seat =
+            |it: &crate::Listed| MemberSlot { address: it.address, zone: zones[usize::from(it.number)] };
         let council = file.balancers.iter().filter(|it| it.council).map(|it| it.number).collect();
         let everyone = file.balancers.iter().map(|it| (it.number, zones[usize::from(it.number)])).collect();
         let settings = agreement::Settings { node_id: me, life, voters: council, nodes: everyone };
@@ -203,7 +204,7 @@
         }
         self.counts.heard += 1;
         match envelope.body {
-            Body::Membership(bytes) => self.membership.hear(now, &bytes),
+            Body::Membership(bytes) => self.membership.handle_datagram(now, &bytes),
             Body::Agreement(message) => self.agreement.handle_message(now, envelope.from, *message),
             Body::Ask(ask)
                 if self.leads && (ask.number == envelope.from || self.of_council(envelope.from)) =>
@@ -222,7 +223,7 @@
 
     /// A timer has fallen due.
     pub fn fell_due(&mut self, now: Micros, timer: Timer) {
-        self.membership.fell_due(now, timer);
+        self.membership.handle_timer(now, timer);
         self.settle(now);
     }
 
@@ -231,7 +232,7 @@
         let gap = now.saturating_sub(self.ticked);
         self.ticked = now;
         if gap > STALLED {
-            self.membership.stalled(now, gap);
+            self.membership.handle_stall(now, gap);
         }
         self.agreement.tick(now, unix);
         if let Some(ask) = self.lease.ask(now) {
--- a/crates/fleet/src/settle.rs
+++ b/crates/fleet/src/settle.rs
@@ -5,7 +5,7 @@
 use crate::part::{Fleet, GivenUp, Output};
 use crate::wire::Body;
 use agreement::{Action, ProposalOutcome, Revision, Store};
-use membership::{Member, Membership, Roster, Seat};
+use membership::{Member, MemberSlot, Membership, Roster};
 
 /// Revisions after which a snapshot of the state is made.
 const SNAPSHOT_EVERY: Revision = 512;
@@ -103,10 +103,10 @@
     fn start_anew(&mut self, now: Micros, life: u64) {
         let zones = self.file.zones();
         let seat = |it: &crate::Listed| {
-            (it.number, Seat { address: it.address, zone: zones[usize::from(it.number)] })
+            (it.number, MemberSlot { address: it.address, zone: zones[usize::from(it.number)] })
         };
         let roster: Roster = self.file.balancers.iter().map(seat).collect();
-        let member = Member { life, ..*self.membership.me() };
+        let member = Member { life, ..*self.membership.local_member() };
         let seed = self.random.u64(..);
         self.membership = Membership::new(member, roster, membership::Settings::default(), seed);
         let others: Vec<_> = self.others().map(|it| self.file.balancers[usize::from(it)].address).collect();
--- a/crates/membership/examples/measure_members.rs
+++ b/crates/membership/examples/measure_members.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::{Fleet, LIFE, MS, S};
-use membership::{Action, Micros, Why};
+use membership::{Action, DownReason, Micros};
 
 type Play = fn(usize, u64) -> Option<Micros>;
 
@@ -53,7 +53,7 @@
             fleet.run(10 * S);
             let before = fleet.counts();
             fleet.run(30 * S);
-            let sum = |of: fn(&membership::Counts) -> u64| {
+            let sum = |of: fn(&membership::Counters) -> u64| {
                 let all = fleet.counts();
                 all.iter().map(of).sum::<u64>() as f64 - before.iter().map(of).sum::<u64>() as f64
             };
@@ -159,7 +159,7 @@
     let (mut times, mut longest) = (0, 0);
     for (at, number, action) in &fleet.log {
         match action {
-            Action::Down(it, why) if *why != Why::NewLife => {
+            Action::Down(it, why) if *why != DownReason::Superseded => {
                 times += 1;
                 since.insert((*number, it.number), *at);
             }
--- a/crates/membership/src/counts.rs
+++ b/crates/membership/src/counters.rs
@@ -2,7 +2,7 @@
 
 /// Why a datagram was dropped unread, or a part of one passed over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Bad {
+pub enum DatagramError {
     /// Longer than a datagram may be.
     TooLong,
     /// Not a datagram of this family.
@@ -19,7 +19,7 @@
 
 /// What a member did and heard since it was made.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Counts {
+pub struct Counters {
     /// Datagrams sent.
     pub sent: u64,
     /// Bytes in them.
@@ -56,15 +56,15 @@
     pub unsent: u64,
 }
 
-impl Counts {
-    pub(crate) fn bad(&mut self, why: Bad) {
+impl Counters {
+    pub(crate) fn bad(&mut self, why: DatagramError) {
         *match why {
-            Bad::TooLong => &mut self.too_long,
-            Bad::Garbled => &mut self.garbled,
-            Bad::Unknown => &mut self.unknown,
-            Bad::OldLife => &mut self.old_life,
-            Bad::NotForUs => &mut self.not_for_us,
-            Bad::OurOwn => &mut self.our_own,
+            DatagramError::TooLong => &mut self.too_long,
+            DatagramError::Garbled => &mut self.garbled,
+            DatagramError::Unknown => &mut self.unknown,
+            DatagramError::OldLife => &mut self.old_life,
+            DatagramError::NotForUs => &mut self.not_for_us,
+            DatagramError::OurOwn => &mut self.our_own,
         } += 1;
     }
 }
--- a/crates/membership/src/edge.rs
+++ b/crates/membership/src/edge.rs
@@ -18,7 +18,7 @@
         /// Its bytes, at most [`crate::MAX_DATAGRAM`].
         datagram: Bytes,
     },
-    /// Hand the timer to [`crate::Membership::fell_due`] after this span, once.
+    /// Hand the timer to [`crate::Membership::handle_timer`] after this span, once.
     Timer {
         /// How long from now.
         after: Micros,
@@ -28,7 +28,7 @@
     /// This member is in.
     Up(Member),
     /// This member is out.
-    Down(Member, Why),
+    Down(Member, DownReason),
     /// This one found itself suspected and said that it lives.
     Refuted,
     /// This one found itself declared down, or an earlier life's ghost in its place, and goes on as this life.
@@ -40,15 +40,15 @@
 
 /// Why a member is out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Why {
+pub enum DownReason {
     /// It answered neither this one nor those asked to try, and did not say that it lives.
-    Silent,
+    Unresponsive,
     /// Others say so.
-    Told,
+    Gossip,
     /// It said that it leaves.
     Left,
     /// A later life of its number is in.
-    NewLife,
+    Superseded,
 }
 
 /// Something that is due later. Means something only to the membership that asked for it.
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -14,7 +14,7 @@
 #![warn(unreachable_pub, missing_docs)]
 
 mod accusations;
-mod counts;
+mod counters;
 mod edge;
 mod health;
 mod membership;
@@ -22,10 +22,10 @@
 mod settings;
 mod wire;
 
-pub use counts::{Bad, Counts};
-pub use edge::{Action, Timer, Why};
+pub use counters::{Counters, DatagramError};
+pub use edge::{Action, DownReason, Timer};
 pub use membership::Membership;
-pub use roster::{Member, Roster, Seat};
+pub use roster::{Member, MemberSlot, Roster};
 pub use settings::{MAX_DATAGRAM, Settings};
 
 /// Microseconds on the owner's clock: a span, or a point in time.
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -14,8 +14,8 @@
 
 use crate::Micros;
 use crate::accusations::Accusations;
-use crate::counts::{Bad, Counts};
-use crate::edge::{Action, Timer, What, Why};
+use crate::counters::{Counters, DatagramError};
+use crate::edge::{Action, DownReason, Timer, What};
 use crate::health::Health;
 use crate::roster::{Member, Roster};
 use crate::settings::Settings;
@@ -52,7 +52,7 @@
     lives: BTreeMap<u16, u64>,
     accusations: Accusations,
     health: Health,
-    counts: Counts,
+    counts: Counters,
     incarnation: Incarnation,
     /// Somebody who is in knows this life.
     connected: bool,
@@ -68,7 +68,7 @@
 }
 
 impl Membership {
-    /// A member that knows of nobody yet. `me` is to be on the roster; the same seed and inputs yield the same actions.
+    /// A member that knows of nobody yet. `local_member` is to be on the roster; the same seed and inputs yield the same actions.
     pub fn new(me: Member, roster: Roster, settings: Settings, seed: u64) -> Self {
         let id = Id { number: me.number, life: me.life };
         let random = SmallRng::seed_from_u64(seed);
@@ -84,7 +84,7 @@
             lives: BTreeMap::new(),
             accusations: Accusations::default(),
             health: Health::default(),
-            counts: Counts::default(),
+            counts: Counters::default(),
             incarnation: 0,
             connected: false,
             silent: false,
@@ -98,7 +98,7 @@
     }
 
     /// This member, under the life that it has now.
-    pub fn me(&self) -> &Member {
+    pub fn local_member(&self) -> &Member {
         &self.me
     }
 
@@ -118,7 +118,7 @@
     }
 
     /// What it did and heard.
-    pub fn counts(&self) -> Counts {
+    pub fn counters(&self) -> Counters {
         self.counts
     }
 
@@ -137,7 +137,7 @@
             self.announce(number);
         }
         self.seek_anew(now);
-        self.settle(now, Why::Told);
+        self.settle(now, DownReason::Gossip);
     }
 
     /// Says to some that it leaves, and falls silent.
@@ -150,12 +150,12 @@
             let to = Id { number, life: self.view[&number].life };
             self.tell(to, gone.clone());
         }
-        self.settle(now, Why::Told);
+        self.settle(now, DownReason::Gossip);
         self.silent = true;
     }
 
     /// The owner saw that the process stood still for `gap`: answers may lie unread, and timers are overdue because of it.
-    pub fn stalled(&mut self, now: Micros, gap: Micros) {
+    pub fn handle_stall(&mut self, now: Micros, gap: Micros) {
         if self.silent || gap < self.settings.probe_wait {
             return;
         }
@@ -173,39 +173,39 @@
             }
             self.seek_anew(now);
         }
-        self.settle(now, Why::Told);
+        self.settle(now, DownReason::Gossip);
     }
 
     /// A timer of this membership is due.
-    pub fn fell_due(&mut self, now: Micros, timer: Timer) {
+    pub fn handle_timer(&mut self, now: Micros, timer: Timer) {
         if self.silent {
             return;
         }
         let late = now.saturating_sub(timer.due);
         if late > self.settings.probe_period && self.health.quiet(now).is_none() {
-            self.stalled(now, late);
+            self.handle_stall(now, late);
         }
         let why = match timer.what {
             What::Seek(round) => {
                 if round == self.round {
                     self.seek(now);
                 }
-                Why::Told
+                DownReason::Gossip
             }
             What::Accused { id, incarnation, reminders, verdict } => {
                 self.accused(now, id, incarnation, reminders, verdict);
-                Why::Silent
+                DownReason::Unresponsive
             }
             What::Foca(timer) => {
                 self.foca_due(now, late, timer);
-                Why::Told
+                DownReason::Gossip
             }
         };
         self.settle(now, why);
     }
 
     /// A datagram came in.
-    pub fn hear(&mut self, now: Micros, datagram: &[u8]) {
+    pub fn handle_datagram(&mut self, now: Micros, datagram: &[u8]) {
         if self.silent {
             return;
         }
@@ -215,7 +215,7 @@
             Ok(heard) => heard,
             Err(why) => {
                 self.counts.bad(why);
-                return self.settle(now, Why::Told);
+                return self.settle(now, DownReason::Gossip);
             }
         };
         self.first_heard.get_or_insert(now);
@@ -237,10 +237,10 @@
         let kept = if whole { None } else { Some(wire::write(&heard.header, &heard.news)) };
         let before = self.counts.refutations;
         if self.foca.handle_data(kept.as_deref().unwrap_or(datagram), &mut self.out).is_err() {
-            self.counts.bad(Bad::Garbled);
+            self.counts.bad(DatagramError::Garbled);
         }
         let left = heard.news.iter().any(|it| it.state() == State::Down && it.incarnation() == LEAVING);
-        self.settle_news(now, if left { &heard.news } else { &[] }, Why::Told);
+        self.settle_news(now, if left { &heard.news } else { &[] }, DownReason::Gossip);
         if self.counts.refutations > before {
             // Whoever passed the suspicion on hears at once that it is wrong, before chance brings the news there.
             self.announce(heard.header.src.number);
@@ -248,27 +248,27 @@
         if let Some(life) = later {
             self.meet_later_life(now, life);
         }
-        self.settle(now, Why::Told);
+        self.settle(now, DownReason::Gossip);
     }
 
     /// Lets through what is for this life, from a member of the roster that no later life has replaced.
-    fn admit(&mut self, heard: Heard) -> Result<Heard, Bad> {
+    fn admit(&mut self, heard: Heard) -> Result<Heard, DatagramError> {
         let (from, to, ours) = (heard.header.src, heard.header.dst, *self.foca.identity());
         if from.number == ours.number {
-            return Err(Bad::OurOwn);
+            return Err(DatagramError::OurOwn);
         }
         if !wire::rostered(&heard.header, &self.roster) {
-            return Err(Bad::Unknown);
+            return Err(DatagramError::Unknown);
         }
         let any_life = heard.header.message == Message::Announce;
         if to.number != ours.number || (to != ours && !any_life) {
-            return Err(Bad::NotForUs);
+            return Err(DatagramError::NotForUs);
         }
         match self.lives.get(&from.number) {
             Some(&life) if life > from.life => {
                 // A late datagram, or one who started without memory and a clock gone back: the latter learns what to exceed.
                 self.tell(from, foca::Member::alive(Id { number: from.number, life }));
-                Err(Bad::OldLife)
+                Err(DatagramError::OldLife)
             }
             _ => Ok(heard),
         }
--- a/crates/membership/src/membership/settle.rs
+++ b/crates/membership/src/membership/settle.rs
@@ -1,18 +1,18 @@
 //! Turns what foca wants done into actions, with the stretched times and the reminders of this crate.
 
 use super::{
-    Action, Duration, Id, LEAVING, Member, Membership, Message, Micros, OwnedNotification, State, What, Why,
-    wire,
+    Action, DownReason, Duration, Id, LEAVING, Member, Membership, Message, Micros, OwnedNotification, State,
+    What, wire,
 };
 
 impl Membership {
     /// Takes all that foca left, until nothing more follows.
-    pub(super) fn settle(&mut self, now: Micros, why: Why) {
+    pub(super) fn settle(&mut self, now: Micros, why: DownReason) {
         self.settle_news(now, &[], why);
     }
 
     /// The same, where some of the news may say that a member left.
-    pub(super) fn settle_news(&mut self, now: Micros, news: &[foca::Member<Id>], why: Why) {
+    pub(super) fn settle_news(&mut self, now: Micros, news: &[foca::Member<Id>], why: DownReason) {
         while self.out.backlog() > 0 {
             while let Some(notice) = self.out.to_notify() {
                 self.notice(now, notice, news, why);
@@ -27,17 +27,19 @@
         }
     }
 
-    fn notice(&mut self, now: Micros, notice: OwnedNotification<Id>, news: &[foca::Member<Id>], why: Why) {
+    fn notice(
+        &mut self, now: Micros, notice: OwnedNotification<Id>, news: &[foca::Member<Id>], why: DownReason,
+    ) {
         match notice {
             OwnedNotification::MemberUp(id) => self.up(id),
             OwnedNotification::MemberDown(id) => {
                 let said = |it: &foca::Member<Id>| *it.id() == id && it.state() == State::Down;
                 let left = news.iter().any(|it| said(it) && it.incarnation() == LEAVING);
-                self.down(id.number, if left { Why::Left } else { why });
+                self.down(id.number, if left { DownReason::Left } else { why });
             }
             OwnedNotification::Rename(_, after) => {
                 // One that was in stays in under its later life, or is said to be out right after this.
-                if self.down(after.number, Why::NewLife) {
+                if self.down(after.number, DownReason::Superseded) {
                     self.up(after);
                 }
             }
@@ -57,7 +59,7 @@
         }
     }
 
-    fn down(&mut self, number: u16, why: Why) -> bool {
+    fn down(&mut self, number: u16, why: DownReason) -> bool {
         self.accusations.forget(number);
         let gone: Option<Member> = self.view.remove(&number);
         self.actions.extend(gone.map(|member| Action::Down(member, why)));
--- a/crates/membership/src/roster.rs
+++ b/crates/membership/src/roster.rs
@@ -20,7 +20,7 @@
 
 /// A place on the roster.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Seat {
+pub struct MemberSlot {
     /// Where whoever has this number is reached.
     pub address: SocketAddr,
     /// The zone it stands in.
@@ -30,7 +30,7 @@
 /// All who may be members, by number.
 #[derive(Clone, Debug, Default)]
 pub struct Roster {
-    seats: BTreeMap<u16, Seat>,
+    seats: BTreeMap<u16, MemberSlot>,
 }
 
 impl Roster {
@@ -52,8 +52,8 @@
     }
 }
 
-impl FromIterator<(u16, Seat)> for Roster {
-    fn from_iter<I: IntoIterator<Item = (u16, Seat)>>(seats: I) -> Self {
+impl FromIterator<(u16, MemberSlot)> for Roster {
+    fn from_iter<I: IntoIterator<Item = (u16, MemberSlot)>>(seats: I) -> Self {
         Self { seats: seats.into_iter().collect() }
     }
 }
--- a/crates/membership/src/wire.rs
+++ b/crates/membership/src/wire.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::MAX_DATAGRAM;
-use crate::counts::Bad;
+use crate::counters::DatagramError;
 use crate::roster::Roster;
 
 /// Names a member on the wire; where it is reached stands on the roster and is never taken from a datagram.
@@ -39,19 +39,19 @@
 }
 
 /// Reads a datagram to its end: nothing of one that is damaged is believed.
-pub(crate) fn read(mut data: &[u8]) -> Result<Heard, Bad> {
+pub(crate) fn read(mut data: &[u8]) -> Result<Heard, DatagramError> {
     if data.len() > MAX_DATAGRAM {
-        return Err(Bad::TooLong);
+        return Err(DatagramError::TooLong);
     }
-    let header: Header<Id> = PostcardCodec.decode_header(&mut data).map_err(|_| Bad::Garbled)?;
+    let header: Header<Id> = PostcardCodec.decode_header(&mut data).map_err(|_| DatagramError::Garbled)?;
     let mut news = Vec::new();
     if let Some((count, rest)) = data.split_first_chunk() {
         data = rest;
         for _ in 0..u16::from_be_bytes(*count) {
-            news.push(PostcardCodec.decode_member(&mut data).map_err(|_| Bad::Garbled)?);
+            news.push(PostcardCodec.decode_member(&mut data).map_err(|_| DatagramError::Garbled)?);
         }
     }
-    if data.is_empty() { Ok(Heard { header, news }) } else { Err(Bad::Garbled) }
+    if data.is_empty() { Ok(Heard { header, news }) } else { Err(DatagramError::Garbled) }
 }
 
 /// The sender's mark on a datagram that foca wrote.
--- a/crates/membership/tests/common/mod.rs
+++ b/crates/membership/tests/common/mod.rs
@@ -7,7 +7,7 @@
 use std::net::{Ipv4Addr, SocketAddr};
 
 use bytes::Bytes;
-use membership::{Action, Counts, Member, Membership, Micros, Roster, Seat, Settings, Timer};
+use membership::{Action, Counters, Member, MemberSlot, Membership, Micros, Roster, Settings, Timer};
 
 pub const MS: Micros = 1_000;
 pub const S: Micros = 1_000_000;
@@ -93,7 +93,7 @@
     /// Starts a process of this number without memory; the first three are asked to let it in.
     pub fn start(&mut self, number: usize, life: u64) {
         let seats =
-            (0..self.all.len()).map(|n| (n as u16, Seat { address: address(n), zone: (n % 3) as u16 }));
+            (0..self.all.len()).map(|n| (n as u16, MemberSlot { address: address(n), zone: (n % 3) as u16 }));
         let me = Member { number: number as u16, life, address: address(number), zone: (number % 3) as u16 };
         let roster: Roster = seats.collect();
         let seed = self.random.u64(..);
@@ -201,8 +201,8 @@
             return;
         }
         match event {
-            Event::Datagram(_, datagram) => self.with(number, |it, now| it.hear(now, &datagram)),
-            Event::Timer(_, _, timer) => self.with(number, |it, now| it.fell_due(now, timer)),
+            Event::Datagram(_, datagram) => self.with(number, |it, now| it.handle_datagram(now, &datagram)),
+            Event::Timer(_, _, timer) => self.with(number, |it, now| it.handle_timer(now, timer)),
         }
     }
 
@@ -217,7 +217,7 @@
         datagrams.truncate(200);
         if self.told_of_stalls {
             let gap = self.all[number].gap;
-            self.with(number, |it, now| it.stalled(now, gap));
+            self.with(number, |it, now| it.handle_stall(now, gap));
         }
         for event in timers.into_iter().chain(datagrams) {
             self.happen(event);
@@ -232,8 +232,8 @@
         self.all[number].membership.as_ref().expect("a process that runs")
     }
 
-    pub fn counts(&self) -> Vec<Counts> {
-        self.living().iter().map(|&n| self.member(n).counts()).collect()
+    pub fn counts(&self) -> Vec<Counters> {
+        self.living().iter().map(|&n| self.member(n).counters()).collect()
     }
 
     /// Who of those that live has a wrong view of those that live, their lives included.
@@ -246,7 +246,7 @@
     }
 
     fn life(&self, number: usize) -> (u16, u64) {
-        let me = self.member(number).me();
+        let me = self.member(number).local_member();
         (me.number, me.life)
     }
 
--- a/crates/membership/tests/fleet.rs
+++ b/crates/membership/tests/fleet.rs
@@ -2,7 +2,7 @@
 mod common;
 
 use common::{Fleet, LIFE, MS, S};
-use membership::{Action, Micros, Why};
+use membership::{Action, DownReason, Micros};
 
 /// At 20 % loss, the longest that a living member is out of anyone's view.
 const OUT_AT_MOST: Micros = 2 * S;
@@ -103,7 +103,7 @@
         let renewed =
             fleet.log.iter().any(|(_, n, it)| *n == 9 && matches!(it, Action::Renewed(me) if me.life > LIFE));
         assert!(renewed, "its owner sees its new life");
-        assert_eq!(fleet.member(9).counts().suspicions, 0);
+        assert_eq!(fleet.member(9).counters().suspicions, 0);
         assert_eq!(downs(&fleet), vec![]);
     }
 }
@@ -117,10 +117,10 @@
         for number in 0..20 {
             let phase = fleet.random.u64(0..300) * MS;
             fleet.run(phase);
-            let before = fleet.member(number).counts().suspicions;
+            let before = fleet.member(number).counters().suspicions;
             fleet.stall(number, S);
             fleet.run(3 * S);
-            assert_eq!(fleet.member(number).counts().suspicions, before, "{number}, told: {told}");
+            assert_eq!(fleet.member(number).counters().suspicions, before, "{number}, told: {told}");
         }
     }
 }
@@ -132,7 +132,7 @@
     fleet.run(15 * S);
     assert!(fleet.log.iter().any(|(_, n, it)| *n == 9 && *it == Action::Refuted));
     assert_eq!(downs(&fleet), vec![]);
-    assert_eq!(fleet.member(9).me().life, LIFE);
+    assert_eq!(fleet.member(9).local_member().life, LIFE);
 }
 
 #[test]
@@ -142,9 +142,10 @@
         fleet.start(7, life);
         assert!(fleet.settles_within(3 * S).is_some(), "{} wrong", fleet.wrong().len());
         fleet.run(10 * S);
-        assert!(fleet.member(7).me().life > LIFE);
+        assert!(fleet.member(7).local_member().life > LIFE);
         assert_eq!(downs(&fleet), vec![]);
-        let replaced = |it: &Action| matches!(it, Action::Down(ghost, Why::NewLife) if ghost.number == 7);
+        let replaced =
+            |it: &Action| matches!(it, Action::Down(ghost, DownReason::Superseded) if ghost.number == 7);
         assert_eq!(fleet.log.iter().filter(|(_, _, it)| replaced(it)).count(), 29);
     }
 }
@@ -161,7 +162,7 @@
     assert!(fleet.settles_within(3 * S).is_some());
     fleet.log.clear();
     for (to, datagram) in late {
-        fleet.with(to, |it, now| it.hear(now, &datagram));
+        fleet.with(to, |it, now| it.handle_datagram(now, &datagram));
     }
     fleet.run(5 * S);
     assert_eq!(fleet.log, vec![]);
@@ -173,7 +174,7 @@
     let mut fleet = Fleet::settled(50, 12);
     fleet.leave(7);
     assert!(fleet.settles_within(S).is_some());
-    let left = |it: &Action| matches!(it, Action::Down(gone, Why::Left) if gone.number == 7);
+    let left = |it: &Action| matches!(it, Action::Down(gone, DownReason::Left) if gone.number == 7);
     assert_eq!(fleet.log.iter().filter(|(_, _, it)| left(it)).count(), 49);
 }
 
@@ -189,9 +190,9 @@
         _ => None,
     });
     fleet.kept = Some(Vec::new());
-    fleet.with(0, |it, now| it.hear(now, &asked.unwrap()));
+    fleet.with(0, |it, now| it.handle_datagram(now, &asked.unwrap()));
     for (_, answer) in fleet.kept.take().unwrap() {
-        old.hear(fleet.now, &answer);
+        old.handle_datagram(fleet.now, &answer);
     }
     let after: Vec<_> = std::iter::from_fn(|| old.poll()).collect();
     assert!(after.contains(&Action::Replaced(LIFE + S)), "{after:?}");
@@ -202,7 +203,7 @@
 /// Who declared whom out, replacements aside.
 fn downs(fleet: &Fleet) -> Vec<(usize, u16)> {
     let out = |(_, n, it): &(Micros, usize, Action)| match it {
-        Action::Down(gone, why) if *why != Why::NewLife => Some((*n, gone.number)),
+        Action::Down(gone, why) if *why != DownReason::Superseded => Some((*n, gone.number)),
         _ => None,
     };
     fleet.log.iter().filter_map(out).collect()
--- a/crates/membership/tests/noise.rs
+++ b/crates/membership/tests/noise.rs
@@ -18,7 +18,7 @@
     let mut fleet = Fleet::settled(3, 2);
     for (to, datagram) in larger.kept.take().unwrap() {
         if to < 3 {
-            fleet.with(to, |it, now| it.hear(now, &datagram));
+            fleet.with(to, |it, now| it.handle_datagram(now, &datagram));
         }
     }
     fleet.run(5 * S);
@@ -38,11 +38,11 @@
     let kept = fleet.kept.take().unwrap();
     let (_, other) = kept.iter().find(|(to, _)| *to == 1).unwrap().clone();
     fleet.with(0, |it, now| {
-        it.hear(now, &[0; MAX_DATAGRAM + 1]);
-        it.hear(now, &[]);
-        it.hear(now, &other);
+        it.handle_datagram(now, &[0; MAX_DATAGRAM + 1]);
+        it.handle_datagram(now, &[]);
+        it.handle_datagram(now, &other);
     });
-    let counts = fleet.member(0).counts();
+    let counts = fleet.member(0).counters();
     assert_eq!((counts.too_long, counts.garbled), (1, 1));
     assert_eq!(counts.not_for_us + counts.our_own, 1);
 }
@@ -93,7 +93,7 @@
         let mut fleet = Fleet::new(6, 6);
         fleet.start(0, 2);
         for datagram in datagrams {
-            fleet.with(0, |it, now| it.hear(now, &datagram));
+            fleet.with(0, |it, now| it.handle_datagram(now, &datagram));
             fleet.run(30 * MS);
         }
         prop_assert!((1..=6).contains(&fleet.member(0).len()));
