--- a/crates/audit/benches/counting.rs
+++ b/crates/audit/benches/counting.rs
@@ -1,20 +1,21 @@
 //! What it costs to count one try under the version in force.
 
-use audit::counting::{Counting, Kind};
-use audit::lease::Span;
+use audit::counting::{ActivityCounter, CountKind};
+use audit::lease::TimeInterval;
 use audit::version::Version;
 use criterion::{Criterion, criterion_group, criterion_main};
 use std::hint::black_box;
 
 fn count(criterion: &mut Criterion) {
-    let now = Span { earliest: 1, latest: 2 };
-    let mut counting = Counting::new(0, 1, Version::default(), now);
+    let now = TimeInterval { earliest: 1, latest: 2 };
+    let mut counting = ActivityCounter::new(0, 1, Version::default(), now);
     let earlier = counting.version();
     counting.turn_to(Version { calendar: 1, ..Version::default() }, now);
-    criterion
-        .bench_function("count", |it| it.iter(|| black_box(&mut counting).count(black_box(Kind::ReadOk))));
+    criterion.bench_function("count", |it| {
+        it.iter(|| black_box(&mut counting).count(black_box(CountKind::ReadOk)))
+    });
     criterion.bench_function("count under an earlier version", |it| {
-        it.iter(|| black_box(&mut counting).count_under(black_box(earlier), black_box(Kind::ReadOk)));
+        it.iter(|| black_box(&mut counting).count_under(black_box(earlier), black_box(CountKind::ReadOk)));
     });
     criterion.bench_function("report", |it| it.iter(|| black_box(&mut counting).report(now)));
 }
--- a/crates/audit/src/counting.rs
+++ b/crates/audit/src/counting.rs
@@ -1,7 +1,7 @@
 //! What one balancer counts under the version it acts on, and how it tells the fleet.
 
-use crate::lease::Span;
-use crate::ledger::{Entry, PIECES, Piece, Report};
+use crate::lease::TimeInterval;
+use crate::ledger::{ActivityPeriod, ActivityReport, LedgerEntry, MAX_PERIODS_PER_REPORT};
 use crate::version::Version;
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
@@ -16,7 +16,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[repr(u8)]
 #[allow(missing_docs)]
-pub enum Kind {
+pub enum CountKind {
     ReadOk,
     ReadError,
     ReadFull,
@@ -38,7 +38,7 @@
 }
 
 /// How many kinds there are.
-pub const KINDS: usize = Kind::ChangeRefused as usize + 1;
+pub const KINDS: usize = CountKind::ChangeRefused as usize + 1;
 
 /// The small name of a span under one version, for what is begun in it and ends later.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -47,13 +47,13 @@
 /// One span, and how often it was told since it last changed.
 #[derive(Clone, Copy, Debug)]
 struct Slot {
-    piece: Piece,
+    piece: ActivityPeriod,
     told: u8,
 }
 
 /// Counts under the version in force, at the cost of one addition.
 #[derive(Clone, Debug)]
-pub struct Counting {
+pub struct ActivityCounter {
     number: u16,
     life: u64,
     sequence: u64,
@@ -65,17 +65,17 @@
     unplaced: u64,
 }
 
-impl Counting {
+impl ActivityCounter {
     /// A balancer that begins to act on `version`.
-    pub fn new(number: u16, life: u64, version: Version, now: Span) -> Self {
+    pub fn new(number: u16, life: u64, version: Version, now: TimeInterval) -> Self {
         let mut ring = [None; VERSIONS];
-        ring[0] = Some(Slot { piece: Piece::new(0, version, now), told: 0 });
+        ring[0] = Some(Slot { piece: ActivityPeriod::new(0, version, now), told: 0 });
         Self { number, life, sequence: 0, current: 0, ring, counts: [0; KINDS], unplaced: 0 }
     }
 
     /// One more of this kind, under the version in force.
     #[inline]
-    pub fn count(&mut self, kind: Kind) {
+    pub fn count(&mut self, kind: CountKind) {
         self.counts[kind as usize] += 1;
     }
 
@@ -85,7 +85,7 @@
     }
 
     /// One more of this kind, under the version that it began with.
-    pub fn count_under(&mut self, id: VersionId, kind: Kind) {
+    pub fn count_under(&mut self, id: VersionId, kind: CountKind) {
         if id.0 == self.current {
             return self.count(kind);
         }
@@ -100,7 +100,7 @@
 
     /// A change of topology was accepted or refused; those of a span are digested whatever their order.
     pub fn changed(&mut self, change: &[u8], accepted: bool) {
-        self.count(if accepted { Kind::ChangeAccepted } else { Kind::ChangeRefused });
+        self.count(if accepted { CountKind::ChangeAccepted } else { CountKind::ChangeRefused });
         if let Some(slot) = &mut self.ring[index(self.current)] {
             let digest = xxh3_64_with_seed(change, u64::from(accepted));
             slot.piece.digest = slot.piece.digest.wrapping_add(digest);
@@ -109,7 +109,7 @@
 
     /// From now on another version is in force. Yields the oldest span where its place is needed, for the own ledger
     /// ([`Ledger::take`](crate::ledger::Ledger::take)): no place is used anew before its counts are there.
-    pub fn turn_to(&mut self, version: Version, now: Span) -> Option<Entry> {
+    pub fn turn_to(&mut self, version: Version, now: TimeInterval) -> Option<LedgerEntry> {
         self.close(now);
         let unchanged = self.ring[index(self.current)].is_some_and(|it| it.piece.version == version);
         if unchanged {
@@ -117,20 +117,25 @@
         }
         self.current += 1;
         self.counts = [0; KINDS];
-        let opened = Slot { piece: Piece::new(self.current, version, now), told: 0 };
+        let opened = Slot { piece: ActivityPeriod::new(self.current, version, now), told: 0 };
         let oldest = self.ring[index(self.current)].replace(opened)?;
-        Some(Entry { number: self.number, life: self.life, told: self.sequence + 1, piece: oldest.piece })
+        Some(LedgerEntry {
+            number: self.number,
+            life: self.life,
+            told: self.sequence + 1,
+            piece: oldest.piece,
+        })
     }
 
     /// What to tell the fleet now: the span in progress, and the oldest of those that ended and were not told often enough.
     /// Counts are those since the span's start, so that what one report loses the next makes good.
-    pub fn report(&mut self, now: Span) -> Report {
+    pub fn report(&mut self, now: TimeInterval) -> ActivityReport {
         self.close(now);
         self.sequence += 1;
-        let mut pieces = Vec::with_capacity(PIECES);
+        let mut pieces = Vec::with_capacity(MAX_PERIODS_PER_REPORT);
         for serial in self.current.saturating_sub(VERSIONS as u64 - 1)..self.current {
             match &mut self.ring[index(serial)] {
-                Some(slot) if slot.told < TOLD_ENOUGH && pieces.len() + 1 < PIECES => {
+                Some(slot) if slot.told < TOLD_ENOUGH && pieces.len() + 1 < MAX_PERIODS_PER_REPORT => {
                     slot.told += 1;
                     pieces.push(slot.piece);
                 }
@@ -138,7 +143,7 @@
             }
         }
         pieces.extend(self.ring[index(self.current)].map(|it| it.piece));
-        Report { number: self.number, life: self.life, sequence: self.sequence, at: now, pieces }
+        ActivityReport { number: self.number, life: self.life, sequence: self.sequence, at: now, pieces }
     }
 
     /// What was counted too late for its version to be remembered.
@@ -147,7 +152,7 @@
     }
 
     /// Brings the span in progress up to now.
-    fn close(&mut self, now: Span) {
+    fn close(&mut self, now: TimeInterval) {
         if let Some(slot) = &mut self.ring[index(self.current)] {
             slot.piece.to = now;
             slot.piece.counts = self.counts;
--- a/crates/audit/src/lease/granter.rs
+++ b/crates/audit/src/lease/granter.rs
@@ -1,6 +1,6 @@
 //! The leader's side: asks gathered into few entries of the log.
 
-use super::{Ask, Grant};
+use super::{LeaseGrant, LeaseRequest};
 use crate::Micros;
 use std::collections::BTreeMap;
 
@@ -9,7 +9,7 @@
 
 /// Gathers asks and yields what to propose; the newest ask of each balancer, so that the roster bounds it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Granter {
+pub struct LeaseGranter {
     roster: u16,
     every: Micros,
     /// Life and serial of each that waits.
@@ -17,7 +17,7 @@
     next: Micros,
 }
 
-impl Granter {
+impl LeaseGranter {
     /// Of a leader among so many balancers, with a pause of [`GRANT_EVERY`].
     pub fn new(roster: u16) -> Self {
         Self::with_pause(roster, GRANT_EVERY)
@@ -29,7 +29,7 @@
     }
 
     /// An ask has come in. One late or doubled never takes a newer one's place; one of another life does, as that is what speaks now.
-    pub fn asked(&mut self, ask: Ask) {
+    pub fn asked(&mut self, ask: LeaseRequest) {
         if ask.number >= self.roster {
             return;
         }
@@ -41,16 +41,18 @@
 
     /// The grants to propose now as one entry, if any wait and the last entry is long enough ago. One that is not agreed is not missed:
     /// whoever got no lease asks again.
-    pub fn due(&mut self, now: Micros) -> Option<Vec<Grant>> {
+    pub fn due(&mut self, now: Micros) -> Option<Vec<LeaseGrant>> {
         if self.waiting.is_empty() || now < self.next {
             return None;
         }
         self.next = now.saturating_add(self.every);
         let waiting = std::mem::take(&mut self.waiting);
-        Some(waiting.into_iter().map(|(number, (life, serial))| Grant { number, life, serial }).collect())
+        Some(
+            waiting.into_iter().map(|(number, (life, serial))| LeaseGrant { number, life, serial }).collect(),
+        )
     }
 
-    /// When [`Granter::due`] next has something, if anything waits.
+    /// When [`LeaseGranter::due`] next has something, if anything waits.
     pub fn next_due(&self) -> Option<Micros> {
         (!self.waiting.is_empty()).then_some(self.next)
     }
--- a/crates/audit/src/lease/holders.rs
+++ b/crates/audit/src/lease/holders.rs
@@ -1,6 +1,6 @@
 //! Who holds a lease in the fleet's eyes, from the applied log.
 
-use super::{Grant, Settings};
+use super::{LeaseGrant, Settings};
 use crate::Micros;
 use std::collections::BTreeMap;
 
@@ -20,20 +20,20 @@
 /// A lease counts from when it was *heard of*, which is never before it was asked for, so that it ends here later than for its holder.
 /// "Holds none" is as good as the log applied: one behind in the log may not know of a grant yet.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Holders {
+pub struct LeaseHolders {
     settings: Settings,
     held: BTreeMap<(u16, u64), Held>,
     applied: u64,
 }
 
-impl Holders {
+impl LeaseHolders {
     /// Nobody holds one yet.
     pub fn new(settings: Settings) -> Self {
         Self { settings, held: BTreeMap::new(), applied: 0 }
     }
 
     /// The entry `revision` with these grants, or a snapshot up to it, is applied. A revision already seen changes nothing.
-    pub fn granted(&mut self, now: Micros, revision: u64, grants: &[Grant]) {
+    pub fn granted(&mut self, now: Micros, revision: u64, grants: &[LeaseGrant]) {
         if revision <= self.applied {
             return;
         }
@@ -66,10 +66,11 @@
         self.held.iter().filter(move |(_, it)| now < it.ends).map(|(key, _)| *key)
     }
 
-    /// The last grant of each life, for a snapshot of the log: taken in again by [`Holders::granted`] and by
+    /// The last grant of each life, for a snapshot of the log: taken in again by [`LeaseHolders::granted`] and by
     /// [`Lease::granted`](super::Lease::granted).
-    pub fn grants(&self) -> Vec<Grant> {
-        let grant = |(key, it): (&(u16, u64), &Held)| Grant { number: key.0, life: key.1, serial: it.serial };
+    pub fn grants(&self) -> Vec<LeaseGrant> {
+        let grant =
+            |(key, it): (&(u16, u64), &Held)| LeaseGrant { number: key.0, life: key.1, serial: it.serial };
         self.held.iter().map(grant).collect()
     }
 }
--- a/crates/audit/src/lease/holding.rs
+++ b/crates/audit/src/lease/holding.rs
@@ -1,7 +1,7 @@
 //! One balancer's own lease: asked for, held, ended, and what it may do in each.
 
 use super::hearing::Hearing;
-use super::{Ask, Grant, Settings, Span};
+use super::{LeaseGrant, LeaseRequest, Settings, TimeInterval};
 use crate::{FleetMicros, Micros};
 use std::collections::VecDeque;
 
@@ -13,7 +13,7 @@
 
 /// What a balancer may do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Standing {
+pub enum LeaseState {
     /// A lease is in force: all is allowed.
     Held,
     /// No lease, and the fault is ours: others are still granted theirs, or too few are heard. Nothing new is taken.
@@ -81,7 +81,7 @@
     }
 
     /// What to send to the leader, if it is time to ask again. To be sent now: the lease is counted from here.
-    pub fn ask(&mut self, now: Micros) -> Option<Ask> {
+    pub fn ask(&mut self, now: Micros) -> Option<LeaseRequest> {
         if now < self.next_ask {
             return None;
         }
@@ -91,7 +91,7 @@
             self.sent.pop_front();
         }
         self.sent.push_back(Sent { serial: self.serial, at: now });
-        Some(Ask { number: self.number, life: self.life, serial: self.serial })
+        Some(LeaseRequest { number: self.number, life: self.life, serial: self.serial })
     }
 
     /// When [`Lease::ask`] next has something to send.
@@ -103,7 +103,7 @@
     ///
     /// To be called in the log's order and only when *all* up to `revision` is applied: that whoever holds a lease has applied what it
     /// was granted behind rests on this. A revision already seen changes nothing.
-    pub fn granted(&mut self, now: Micros, revision: u64, at: FleetMicros, grants: &[Grant]) {
+    pub fn granted(&mut self, now: Micros, revision: u64, at: FleetMicros, grants: &[LeaseGrant]) {
         if revision <= self.applied {
             return;
         }
@@ -127,7 +127,7 @@
     }
 
     /// Guards what came into force against being undone: the next leader's stamps may lie behind by the way of a message.
-    fn never_back(&mut self, now: Micros, before: Option<Span>) {
+    fn never_back(&mut self, now: Micros, before: Option<TimeInterval>) {
         let after = self.fleet_time(now);
         if let (Some(before), Some(after), Some(anchor)) = (before, after, &mut self.anchor) {
             anchor.ahead = before.earliest.saturating_sub(after.latest);
@@ -147,15 +147,15 @@
     }
 
     /// How we stand, and when that is to be looked at again: a lease ends then, or what was heard is no longer fresh.
-    pub fn standing(&self, now: Micros) -> (Standing, Micros) {
+    pub fn standing(&self, now: Micros) -> (LeaseState, Micros) {
         if now < self.ends {
-            return (Standing::Held, self.ends);
+            return (LeaseState::Held, self.ends);
         }
         let orphaned_until = self.others.orphaned_until(now, self.granted_at(), &self.settings);
         if now < orphaned_until {
-            return (Standing::Orphaned, orphaned_until);
+            return (LeaseState::Orphaned, orphaned_until);
         }
-        (Standing::Fenced, self.others.changes_at(now, self.settings.fresh))
+        (LeaseState::Fenced, self.others.changes_at(now, self.settings.fresh))
     }
 
     /// Until when new requests may be taken; 0 if none may.
@@ -178,10 +178,10 @@
     }
 
     /// What fleet time is now, from the last grant; nothing before the first.
-    pub fn fleet_time(&self, now: Micros) -> Option<Span> {
+    pub fn fleet_time(&self, now: Micros) -> Option<TimeInterval> {
         let Anchor { stamp, asked, heard, ahead } = self.anchor?;
         let stamp = stamp.saturating_add(ahead);
-        Some(Span {
+        Some(TimeInterval {
             earliest: stamp.saturating_add(self.settings.shorter(now.saturating_sub(heard))),
             latest: stamp.saturating_add(self.settings.longer(now.saturating_sub(asked))),
         })
--- a/crates/audit/src/lease/mod.rs
+++ b/crates/audit/src/lease/mod.rs
@@ -5,9 +5,9 @@
 mod holders;
 mod holding;
 
-pub use granter::{GRANT_EVERY, Granter};
-pub use holders::Holders;
-pub use holding::{Lease, Standing};
+pub use granter::{GRANT_EVERY, LeaseGranter};
+pub use holders::LeaseHolders;
+pub use holding::{Lease, LeaseState};
 
 use crate::{FleetMicros, Micros};
 use serde::{Deserialize, Serialize};
@@ -77,7 +77,7 @@
 
 /// A balancer asks for a lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Ask {
+pub struct LeaseRequest {
     /// Who asks: its place in the fleet file.
     pub number: u16,
     /// Drawn at its start.
@@ -88,7 +88,7 @@
 
 /// A lease for what was asked under this serial, once the log entry that holds it is applied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Grant {
+pub struct LeaseGrant {
     /// Whose lease.
     pub number: u16,
     /// In which life: a restart inherits nothing.
@@ -99,7 +99,7 @@
 
 /// What fleet time is, as far as is known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Span {
+pub struct TimeInterval {
     /// It is not earlier.
     pub earliest: FleetMicros,
     /// It is not later.
--- a/crates/audit/src/ledger/account.rs
+++ b/crates/audit/src/ledger/account.rs
@@ -1,7 +1,9 @@
 //! What one balancer told, in each of its lives.
 
-use super::{Entry, Heard, LIVES_KEPT, Report, SPANS_KEPT};
-use crate::lease::Span;
+use super::{
+    ActivityReport, LedgerEntry, MAX_INCARNATIONS_PER_BALANCER, MAX_PERIODS_PER_BALANCER, ReportStatus,
+};
+use crate::lease::TimeInterval;
 use std::collections::VecDeque;
 
 /// Reports that may be overtaken and still be told from doubled ones: the bits of the word they are noted in.
@@ -11,7 +13,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Life {
     pub(super) life: u64,
-    pub(super) at: Span,
+    pub(super) at: TimeInterval,
     highest: u64,
     /// Bit n: the report n before the highest was heard.
     seen: u64,
@@ -20,12 +22,12 @@
 }
 
 impl Life {
-    fn new(life: u64, at: Span) -> Self {
+    fn new(life: u64, at: TimeInterval) -> Self {
         Self { life, at, highest: 0, seen: 0, heard: 0, repeated: 0 }
     }
 
     /// All up to what a span from disk was told by counts as heard: it holds what they told.
-    fn restore(&mut self, entry: &Entry) {
+    fn restore(&mut self, entry: &LedgerEntry) {
         if entry.told > self.highest {
             self.heard += entry.told - self.highest;
             self.highest = entry.told;
@@ -39,30 +41,30 @@
         self.highest.saturating_sub(self.heard)
     }
 
-    fn hear(&mut self, report: &Report) -> Heard {
+    fn hear(&mut self, report: &ActivityReport) -> ReportStatus {
         if report.sequence > self.highest {
             let ahead = report.sequence - self.highest;
             self.seen = if ahead < WINDOW { self.seen << ahead } else { 0 } | 1;
             self.highest = report.sequence;
             self.at = report.at;
             self.heard += 1;
-            return Heard::Newest;
+            return ReportStatus::Newest;
         }
         let ago = self.highest - report.sequence;
         if report.sequence == 0 || ago >= WINDOW || self.seen & (1 << ago) != 0 {
             self.repeated += 1;
-            return Heard::Repeated;
+            return ReportStatus::Repeated;
         }
         self.seen |= 1 << ago;
         self.heard += 1;
-        Heard::Late
+        ReportStatus::Late
     }
 }
 
 /// A span in memory, and whether it is to be kept on disk.
 #[derive(Clone, Copy, Debug)]
 struct Kept {
-    entry: Entry,
+    entry: LedgerEntry,
     changed: bool,
 }
 
@@ -75,7 +77,7 @@
 }
 
 impl Account {
-    pub(super) fn hear(&mut self, report: &Report) -> Heard {
+    pub(super) fn hear(&mut self, report: &ActivityReport) -> ReportStatus {
         let known = self.lives.iter_mut().find(|it| it.life == report.life);
         let heard = match known {
             Some(life) => life.hear(report),
@@ -86,10 +88,14 @@
                 heard
             }
         };
-        if matches!(heard, Heard::Newest | Heard::Late) {
+        if matches!(heard, ReportStatus::Newest | ReportStatus::Late) {
             for piece in &report.pieces {
-                let entry =
-                    Entry { number: report.number, life: report.life, told: report.sequence, piece: *piece };
+                let entry = LedgerEntry {
+                    number: report.number,
+                    life: report.life,
+                    told: report.sequence,
+                    piece: *piece,
+                };
                 self.keep(entry, true);
             }
         }
@@ -97,7 +103,7 @@
     }
 
     /// Takes a span in from disk: what is known of its life goes on from there.
-    pub(super) fn restore(&mut self, entry: Entry) {
+    pub(super) fn restore(&mut self, entry: LedgerEntry) {
         if let Some(life) = self.lives.iter_mut().find(|it| it.life == entry.life) {
             life.restore(&entry);
         } else {
@@ -109,14 +115,14 @@
     }
 
     fn begin(&mut self, life: Life) {
-        if self.lives.len() == LIVES_KEPT {
+        if self.lives.len() == MAX_INCARNATIONS_PER_BALANCER {
             self.forget_first_life();
         }
         self.lives.push_back(life);
     }
 
     /// Takes a span in where nothing newer is told of it.
-    pub(super) fn keep(&mut self, entry: Entry, changed: bool) {
+    pub(super) fn keep(&mut self, entry: LedgerEntry, changed: bool) {
         if let Some(kept) = self.spans.iter_mut().find(|it| it.entry.key() == entry.key()) {
             if kept.entry.told < entry.told {
                 let differs = kept.entry.piece != entry.piece;
@@ -124,13 +130,13 @@
             }
             return;
         }
-        if self.spans.len() == SPANS_KEPT {
+        if self.spans.len() == MAX_PERIODS_PER_BALANCER {
             self.forget_first_span();
         }
         self.spans.push_back(Kept { entry, changed });
     }
 
-    pub(super) fn take_changed(&mut self) -> Vec<Entry> {
+    pub(super) fn take_changed(&mut self) -> Vec<LedgerEntry> {
         let changed = self.spans.iter_mut().filter(|it| it.changed);
         changed
             .map(|it| {
@@ -140,7 +146,7 @@
             .collect()
     }
 
-    pub(super) fn entries(&self) -> impl Iterator<Item = &Entry> {
+    pub(super) fn entries(&self) -> impl Iterator<Item = &LedgerEntry> {
         self.spans.iter().map(|it| &it.entry)
     }
 
@@ -150,7 +156,7 @@
     }
 
     /// The last span of the life that told last.
-    pub(super) fn last(&self) -> Option<(&Life, &Entry)> {
+    pub(super) fn last(&self) -> Option<(&Life, &LedgerEntry)> {
         let life = self.living()?;
         let spans = self.entries().filter(|it| it.life == life.life);
         Some((life, spans.max_by_key(|it| it.piece.serial)?))
--- a/crates/audit/src/ledger/mod.rs
+++ b/crates/audit/src/ledger/mod.rs
@@ -3,52 +3,52 @@
 mod account;
 mod query;
 
-pub use query::{Acted, Acts, Known, Straggler};
+pub use query::{CurrentActivity, KnownUntil, LaggingNode, PastActivity};
 
 use crate::counting::KINDS;
-use crate::lease::Span;
+use crate::lease::TimeInterval;
 use crate::version::Version;
 use account::Account;
 use serde::{Deserialize, Serialize};
 
-/// Spans in one report: so many fit [`REPORT_BYTES`] at the largest of all numbers.
-pub const PIECES: usize = 3;
+/// Spans in one report: so many fit [`MAX_REPORT_BYTES`] at the largest of all numbers.
+pub const MAX_PERIODS_PER_REPORT: usize = 3;
 
 /// The most bytes that a report takes: it shares a datagram.
-pub const REPORT_BYTES: usize = 1_100;
+pub const MAX_REPORT_BYTES: usize = 1_100;
 
 /// Spans kept of each balancer in memory: 300 balancers take 3 MB. Older ones are on disk, where there is one.
-pub const SPANS_KEPT: usize = 32;
+pub const MAX_PERIODS_PER_BALANCER: usize = 32;
 
 /// Lives kept of each balancer: how many starts a balancer may make while reports of its first are still under way.
-pub const LIVES_KEPT: usize = 4;
+pub const MAX_INCARNATIONS_PER_BALANCER: usize = 4;
 
 /// A time during which a balancer acted on one version, and what it did in it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Piece {
+pub struct ActivityPeriod {
     /// Counted up with each span of a life, so that a missing one shows.
     pub serial: u64,
     /// What it acted on.
     pub version: Version,
     /// It began within this.
-    pub from: Span,
+    pub from: TimeInterval,
     /// It ended, or was last told of, within this.
-    pub to: Span,
-    /// By [`Kind`](crate::counting::Kind), since it began.
+    pub to: TimeInterval,
+    /// By [`CountKind`](crate::counting::Kind), since it began.
     pub counts: [u64; KINDS],
     /// Of the changes of topology accepted and refused, in any order.
     pub digest: u64,
 }
 
-impl Piece {
-    pub(crate) fn new(serial: u64, version: Version, now: Span) -> Self {
+impl ActivityPeriod {
+    pub(crate) fn new(serial: u64, version: Version, now: TimeInterval) -> Self {
         Self { serial, version, from: now, to: now, counts: [0; KINDS], digest: 0 }
     }
 }
 
 /// What a balancer tells of itself.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Report {
+pub struct ActivityReport {
     /// Who tells.
     pub number: u16,
     /// In which life.
@@ -56,12 +56,12 @@
     /// Counted up with each report of a life, from 1.
     pub sequence: u64,
     /// When it was made.
-    pub at: Span,
+    pub at: TimeInterval,
     /// Its spans, the one in progress last.
-    pub pieces: Vec<Piece>,
+    pub pieces: Vec<ActivityPeriod>,
 }
 
-impl Report {
+impl ActivityReport {
     /// As it travels.
     pub fn to_bytes(&self) -> Vec<u8> {
         postcard::to_allocvec(self).unwrap_or_default()
@@ -69,16 +69,16 @@
 
     /// Nothing if it is no report, or larger than one may be.
     pub fn from_bytes(bytes: &[u8]) -> Option<Self> {
-        if bytes.len() > REPORT_BYTES {
+        if bytes.len() > MAX_REPORT_BYTES {
             return None;
         }
-        postcard::from_bytes(bytes).ok().filter(|it: &Self| it.pieces.len() <= PIECES)
+        postcard::from_bytes(bytes).ok().filter(|it: &Self| it.pieces.len() <= MAX_PERIODS_PER_REPORT)
     }
 }
 
 /// One span of one balancer, as it is kept.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Entry {
+pub struct LedgerEntry {
     /// Whose.
     pub number: u16,
     /// In which life.
@@ -86,10 +86,10 @@
     /// The report that last told of it; a later one takes its place.
     pub told: u64,
     /// What it did.
-    pub piece: Piece,
+    pub piece: ActivityPeriod,
 }
 
-impl Entry {
+impl LedgerEntry {
     /// As it is kept on disk.
     pub fn to_bytes(&self) -> Vec<u8> {
         postcard::to_allocvec(self).unwrap_or_default()
@@ -108,7 +108,7 @@
 
 /// What came of a report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Heard {
+pub enum ReportStatus {
     /// The newest of its life.
     Newest,
     /// Overtaken on the way; what it alone tells is taken in.
@@ -132,30 +132,30 @@
     }
 
     /// A report came in, in whatever order.
-    pub fn hear(&mut self, report: &Report) -> Heard {
+    pub fn hear(&mut self, report: &ActivityReport) -> ReportStatus {
         match self.accounts.get_mut(usize::from(report.number)) {
-            Some(account) if report.pieces.len() <= PIECES => account.hear(report),
-            _ => Heard::Refused,
+            Some(account) if report.pieces.len() <= MAX_PERIODS_PER_REPORT => account.hear(report),
+            _ => ReportStatus::Refused,
         }
     }
 
     /// A span of this balancer itself, that its counting needs the place of.
-    pub fn take(&mut self, entry: Entry) {
+    pub fn take(&mut self, entry: LedgerEntry) {
         if let Some(account) = self.accounts.get_mut(usize::from(entry.number)) {
             account.keep(entry, true);
         }
     }
 
     /// A span from disk.
-    pub fn restore(&mut self, entry: Entry) {
+    pub fn restore(&mut self, entry: LedgerEntry) {
         if let Some(account) = self.accounts.get_mut(usize::from(entry.number)) {
             account.restore(entry);
         }
     }
 
-    /// The spans that changed since this was last called, for the disk. To be called at least once in [`SPANS_KEPT`] changes of
+    /// The spans that changed since this was last called, for the disk. To be called at least once in [`MAX_PERIODS_PER_BALANCER`] changes of
     /// version of any balancer; [`Ledger::unkept`] tells of those that it came too late for.
-    pub fn take_changed(&mut self) -> Vec<Entry> {
+    pub fn take_changed(&mut self) -> Vec<LedgerEntry> {
         self.accounts.iter_mut().flat_map(Account::take_changed).collect()
     }
 
--- a/crates/audit/src/ledger/query.rs
+++ b/crates/audit/src/ledger/query.rs
@@ -1,15 +1,15 @@
 //! What operators ask of the ledger.
 
-use super::{Entry, Ledger};
+use super::{Ledger, LedgerEntry};
 use crate::counting::KINDS;
-use crate::lease::Span;
+use crate::lease::TimeInterval;
 use crate::version::Version;
 use crate::{FleetMicros, Micros};
 use serde::Serialize;
 
 /// What a balancer acts on as far as is known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
-pub struct Acts {
+pub struct CurrentActivity {
     /// Who.
     pub number: u16,
     /// In which life.
@@ -17,7 +17,7 @@
     /// On what.
     pub version: Version,
     /// Since when.
-    pub since: Span,
+    pub since: TimeInterval,
     /// Known until then; later it may have acted on anything.
     pub known_until: FleetMicros,
     /// Reports of this life that were made and not heard.
@@ -28,15 +28,15 @@
 
 /// What a balancer did under a version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
-pub struct Acted {
+pub struct PastActivity {
     /// Who.
     pub number: u16,
     /// In which life.
     pub life: u64,
     /// It began within this.
-    pub from: Span,
+    pub from: TimeInterval,
     /// It ended, or was last told of, within this.
-    pub to: Span,
+    pub to: TimeInterval,
     /// By kind, over the whole of the span.
     pub counts: [u64; KINDS],
     /// Of its changes of topology.
@@ -47,7 +47,7 @@
 
 /// How far a balancer's account goes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
-pub struct Known {
+pub struct KnownUntil {
     /// The life that told last.
     pub life: u64,
     /// What was told reaches to here at least; of a killed balancer nothing later is ever said.
@@ -56,7 +56,7 @@
 
 /// A balancer that is behind, or silent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
-pub struct Straggler {
+pub struct LaggingNode {
     /// Who.
     pub number: u16,
     /// How many revisions it is behind the newest that anybody acts on, at the time it was last heard of.
@@ -69,9 +69,9 @@
 
 impl Ledger {
     /// Who acts on what, as last told.
-    pub fn now(&self) -> Vec<Acts> {
+    pub fn now(&self) -> Vec<CurrentActivity> {
         let told = self.accounts.iter().filter_map(|it| it.last());
-        told.map(|(life, entry)| Acts {
+        told.map(|(life, entry)| CurrentActivity {
             number: entry.number,
             life: entry.life,
             version: entry.piece.version,
@@ -84,13 +84,13 @@
     }
 
     /// Who acted on a version between two points of fleet time.
-    pub fn acted_on(&self, version: &Version, from: FleetMicros, to: FleetMicros) -> Vec<Acted> {
+    pub fn acted_on(&self, version: &Version, from: FleetMicros, to: FleetMicros) -> Vec<PastActivity> {
         let entries = self.accounts.iter().flat_map(|it| it.entries());
-        let maybe = entries.filter(|Entry { piece, .. }| {
+        let maybe = entries.filter(|LedgerEntry { piece, .. }| {
             piece.version == *version && piece.from.earliest <= to && from <= piece.to.latest
         });
         maybe
-            .map(|Entry { number, life, piece, .. }| Acted {
+            .map(|LedgerEntry { number, life, piece, .. }| PastActivity {
                 number: *number,
                 life: *life,
                 from: piece.from,
@@ -103,21 +103,21 @@
     }
 
     /// Until when a balancer's doings are known; nothing if it never told any.
-    pub fn known(&self, number: u16) -> Option<Known> {
+    pub fn known(&self, number: u16) -> Option<KnownUntil> {
         let life = self.accounts.get(usize::from(number))?.living()?;
-        Some(Known { life: life.life, until: life.at.earliest })
+        Some(KnownUntil { life: life.life, until: life.at.earliest })
     }
 
     /// Who is more than `revisions` behind, or behind or silent for longer than `time`. `now` is fleet time.
-    pub fn stragglers(&self, now: FleetMicros, revisions: u64, time: Micros) -> Vec<Straggler> {
+    pub fn stragglers(&self, now: FleetMicros, revisions: u64, time: Micros) -> Vec<LaggingNode> {
         let numbered = self.accounts.iter().zip(0u16..);
         let all = numbered.map(|(account, number)| {
             let Some((life, entry)) = account.last() else {
-                return Straggler { number, revisions: 0, behind_for: 0, silent_for: None };
+                return LaggingNode { number, revisions: 0, behind_for: 0, silent_for: None };
             };
             let (revisions, since) = self.behind(&entry.piece.version);
             let behind_for = since.map_or(0, |it| now.saturating_sub(it));
-            Straggler {
+            LaggingNode {
                 number,
                 revisions,
                 behind_for,
--- a/crates/audit/tests/golden.rs
+++ b/crates/audit/tests/golden.rs
@@ -1,8 +1,8 @@
 //! Reports and spans in the form that goes between balancers and to disk, and the answers' JSON.
 
-use audit::counting::{Counting, KINDS, Kind};
-use audit::lease::{Ask, Grant, Span};
-use audit::ledger::{Entry, Ledger, Piece, Report};
+use audit::counting::{ActivityCounter, CountKind, KINDS};
+use audit::lease::{LeaseGrant, LeaseRequest, TimeInterval};
+use audit::ledger::{ActivityPeriod, ActivityReport, Ledger, LedgerEntry};
 use audit::version::Version;
 use expect_test::expect_file;
 use std::fmt::Write;
@@ -23,24 +23,24 @@
     }
 }
 
-fn span(at: u64) -> Span {
-    Span { earliest: at, latest: at + 10 }
+fn span(at: u64) -> TimeInterval {
+    TimeInterval { earliest: at, latest: at + 10 }
 }
 
-fn piece() -> Piece {
+fn piece() -> ActivityPeriod {
     let counts = std::array::from_fn(|kind| 1_000 + kind as u64);
-    Piece { serial: 8, version: version(5), from: span(100), to: span(200), counts, digest: 9 }
+    ActivityPeriod { serial: 8, version: version(5), from: span(100), to: span(200), counts, digest: 9 }
 }
 
 #[test]
 fn reports_and_stored_spans_keep_their_form() {
     let report =
-        Report { number: 300, life: 10, sequence: 11, at: span(250), pieces: vec![piece(), piece()] };
-    let entry = Entry { number: 300, life: 10, told: 11, piece: piece() };
-    assert_eq!(Report::from_bytes(&report.to_bytes()), Some(report.clone()));
-    assert_eq!(Entry::from_bytes(&entry.to_bytes()), Some(entry));
-    let ask = postcard::to_allocvec(&Ask { number: 300, life: 10, serial: 1_000 }).unwrap();
-    let grant = postcard::to_allocvec(&Grant { number: 300, life: 10, serial: 1_000 }).unwrap();
+        ActivityReport { number: 300, life: 10, sequence: 11, at: span(250), pieces: vec![piece(), piece()] };
+    let entry = LedgerEntry { number: 300, life: 10, told: 11, piece: piece() };
+    assert_eq!(ActivityReport::from_bytes(&report.to_bytes()), Some(report.clone()));
+    assert_eq!(LedgerEntry::from_bytes(&entry.to_bytes()), Some(entry));
+    let ask = postcard::to_allocvec(&LeaseRequest { number: 300, life: 10, serial: 1_000 }).unwrap();
+    let grant = postcard::to_allocvec(&LeaseGrant { number: 300, life: 10, serial: 1_000 }).unwrap();
     let mut text = String::new();
     writeln!(text, "report {}", hex(&report.to_bytes())).unwrap();
     writeln!(text, "span {}", hex(&entry.to_bytes())).unwrap();
@@ -50,27 +50,27 @@
 
 #[test]
 fn counts_keep_their_places_and_digests_their_values() {
-    const ALL: [Kind; KINDS] = [
-        Kind::ReadOk,
-        Kind::ReadError,
-        Kind::ReadFull,
-        Kind::ReadTimeout,
-        Kind::ReadUnreachable,
-        Kind::WriteOk,
-        Kind::WriteError,
-        Kind::WriteFull,
-        Kind::WriteTimeout,
-        Kind::WriteUnreachable,
-        Kind::FetchOk,
-        Kind::FetchError,
-        Kind::FetchFull,
-        Kind::FetchTimeout,
-        Kind::FetchUnreachable,
-        Kind::Refused,
-        Kind::ChangeAccepted,
-        Kind::ChangeRefused,
+    const ALL: [CountKind; KINDS] = [
+        CountKind::ReadOk,
+        CountKind::ReadError,
+        CountKind::ReadFull,
+        CountKind::ReadTimeout,
+        CountKind::ReadUnreachable,
+        CountKind::WriteOk,
+        CountKind::WriteError,
+        CountKind::WriteFull,
+        CountKind::WriteTimeout,
+        CountKind::WriteUnreachable,
+        CountKind::FetchOk,
+        CountKind::FetchError,
+        CountKind::FetchFull,
+        CountKind::FetchTimeout,
+        CountKind::FetchUnreachable,
+        CountKind::Refused,
+        CountKind::ChangeAccepted,
+        CountKind::ChangeRefused,
     ];
-    let mut counting = Counting::new(1, 2, version(5), span(0));
+    let mut counting = ActivityCounter::new(1, 2, version(5), span(0));
     for (place, kind) in ALL.into_iter().enumerate() {
         (0..=place).for_each(|_| counting.count(kind));
     }
@@ -85,8 +85,8 @@
     let mut ledger = Ledger::new(3);
     let mut old = piece();
     old.version.calendar = 2;
-    ledger.hear(&Report { number: 0, life: 10, sequence: 1, at: span(250), pieces: vec![piece()] });
-    ledger.hear(&Report { number: 1, life: 20, sequence: 4, at: span(260), pieces: vec![old] });
+    ledger.hear(&ActivityReport { number: 0, life: 10, sequence: 1, at: span(250), pieces: vec![piece()] });
+    ledger.hear(&ActivityReport { number: 1, life: 20, sequence: 4, at: span(260), pieces: vec![old] });
     let answers = serde_json::json!({
         "now": ledger.now(),
         "acted_on": ledger.acted_on(&version(5), 0, 1_000),
--- a/crates/audit/tests/lapse.rs
+++ b/crates/audit/tests/lapse.rs
@@ -1,7 +1,7 @@
 //! 300 leases whose asks are spread, when their council stops at once and when only one's asks are lost.
 
 use audit::Micros;
-use audit::lease::{Grant, Granter, Lease, Settings, Standing};
+use audit::lease::{Lease, LeaseGrant, LeaseGranter, LeaseState, Settings};
 
 const FLEET: u16 = 300;
 const LEASE: Micros = 8_000_000;
@@ -16,8 +16,8 @@
 struct Fleet {
     now: Micros,
     leases: Vec<Lease>,
-    granter: Granter,
-    log: Vec<(Micros, Vec<Grant>)>,
+    granter: LeaseGranter,
+    log: Vec<(Micros, Vec<LeaseGrant>)>,
     applied: usize,
     random: fastrand::Rng,
 }
@@ -27,7 +27,7 @@
         let settings = Settings::new(LEASE, FRESH, FLEET);
         let mut random = fastrand::Rng::with_seed(seed);
         let leases = (0..FLEET).map(|number| Lease::new(number, random.u64(..), settings, 0)).collect();
-        Self { now: 0, leases, granter: Granter::new(FLEET), log: Vec::new(), applied: 0, random }
+        Self { now: 0, leases, granter: LeaseGranter::new(FLEET), log: Vec::new(), applied: 0, random }
     }
 
     /// One turn of all; `arrives` says whose ask comes to a leader, `granting` whether there is one.
@@ -62,7 +62,7 @@
         }
     }
 
-    fn count(&self, standing: Standing) -> usize {
+    fn count(&self, standing: LeaseState) -> usize {
         self.leases.iter().filter(|it| it.standing(self.now).0 == standing).count()
     }
 }
@@ -75,13 +75,13 @@
     while fleet.now < stops + 4 * LEASE {
         fleet.turn(fleet.now < stops, |_, random| random.u8(..100) >= lost);
         if fleet.now > stops {
-            most = most.max(fleet.count(Standing::Fenced));
+            most = most.max(fleet.count(LeaseState::Fenced));
         }
         // Whoever waits for its turn at the lease's end takes requests meanwhile.
         let serving = fleet.leases.iter().filter(|it| it.serve_until(fleet.now) > 0).count();
-        assert_eq!(serving, usize::from(FLEET) - fleet.count(Standing::Fenced), "seed {seed}");
+        assert_eq!(serving, usize::from(FLEET) - fleet.count(LeaseState::Fenced), "seed {seed}");
     }
-    assert_eq!(fleet.count(Standing::Orphaned), usize::from(FLEET), "seed {seed}");
+    assert_eq!(fleet.count(LeaseState::Orphaned), usize::from(FLEET), "seed {seed}");
     most
 }
 
@@ -107,13 +107,13 @@
     while fleet.now < 20_000_000 {
         fleet.turn(true, |_, _| true);
     }
-    assert_eq!(fleet.count(Standing::Held), usize::from(FLEET));
+    assert_eq!(fleet.count(LeaseState::Held), usize::from(FLEET));
     let lost = fleet.now;
     while fleet.now < lost + 3 * LEASE {
         fleet.turn(true, |number, _| number != 7);
         let (standing, _) = fleet.leases[7].standing(fleet.now);
-        assert_ne!(standing, Standing::Orphaned, "{} after its last ask came in", fleet.now - lost);
-        assert!(fleet.now < lost + LEASE || standing == Standing::Fenced);
+        assert_ne!(standing, LeaseState::Orphaned, "{} after its last ask came in", fleet.now - lost);
+        assert!(fleet.now < lost + LEASE || standing == LeaseState::Fenced);
     }
-    assert_eq!(fleet.count(Standing::Held), usize::from(FLEET) - 1);
+    assert_eq!(fleet.count(LeaseState::Held), usize::from(FLEET) - 1);
 }
--- a/crates/audit/tests/lease.rs
+++ b/crates/audit/tests/lease.rs
@@ -1,7 +1,9 @@
 //! What a lease allows, whatever happens to its holder, its council and its clock.
 
 use audit::Micros;
-use audit::lease::{Ask, Grant, Granter, Holders, Lease, Settings, Span, Standing};
+use audit::lease::{
+    Lease, LeaseGrant, LeaseGranter, LeaseHolders, LeaseRequest, LeaseState, Settings, TimeInterval,
+};
 
 const SECOND: Micros = 1_000_000;
 const LEASE: Micros = 8 * SECOND;
@@ -14,8 +16,8 @@
     Settings::new(LEASE, FRESH, roster)
 }
 
-fn grant(ask: Ask) -> Grant {
-    Grant { number: ask.number, life: ask.life, serial: ask.serial }
+fn grant(ask: LeaseRequest) -> LeaseGrant {
+    LeaseGrant { number: ask.number, life: ask.life, serial: ask.serial }
 }
 
 /// Balancer 0 of 12, which asked at `START` and applied its grant a second later.
@@ -42,12 +44,12 @@
 fn a_lease_counts_from_asking_and_ends_by_itself_in_a_process_that_was_stopped() {
     let lease = held();
     let until = START + OWN;
-    assert_eq!(lease.standing(START + SECOND), (Standing::Held, until));
+    assert_eq!(lease.standing(START + SECOND), (LeaseState::Held, until));
     assert_eq!((lease.serve_until(START + SECOND), lease.change_until(START + SECOND)), (until, until));
     assert_eq!(lease.revision(until - 1), Some(1));
     // Stopped here, and looked at for the first time when it is past.
     for now in [until, START + 900 * SECOND] {
-        assert_eq!(lease.standing(now), (Standing::Fenced, Micros::MAX));
+        assert_eq!(lease.standing(now), (LeaseState::Fenced, Micros::MAX));
         assert_eq!((lease.serve_until(now), lease.change_until(now), lease.revision(now)), (0, 0, None));
     }
 }
@@ -59,17 +61,22 @@
         assert_eq!(lease.granted_at(), None);
         all_say(&mut lease, START, START + LEASE, |_| last);
         let now = START + LEASE;
-        assert_eq!((lease.standing(now).0, lease.serve_until(now)), (Standing::Fenced, 0));
+        assert_eq!((lease.standing(now).0, lease.serve_until(now)), (LeaseState::Fenced, 0));
         let mut orphan = lease.clone();
         all_say(&mut orphan, now, now + SECOND, |_| last);
-        assert_eq!(orphan.standing(now + SECOND).0, Standing::Orphaned);
+        assert_eq!(orphan.standing(now + SECOND).0, LeaseState::Orphaned);
         orphan.heard(now + SECOND, 3, Some(90_001));
-        assert_eq!(orphan.standing(now + SECOND).0, Standing::Fenced, "somebody was granted one");
+        assert_eq!(orphan.standing(now + SECOND).0, LeaseState::Fenced, "somebody was granted one");
         let ask = lease.ask(now).unwrap();
-        lease.granted(now, 1, 0, &[Grant { life: 8, ..grant(ask) }, Grant { number: 1, ..grant(ask) }]);
+        lease.granted(
+            now,
+            1,
+            0,
+            &[LeaseGrant { life: 8, ..grant(ask) }, LeaseGrant { number: 1, ..grant(ask) }],
+        );
         assert_eq!(lease.serve_until(now), 0, "another life's grant, and another's, are not ours");
         lease.granted(now, 2, 0, &[grant(ask)]);
-        assert_eq!((lease.standing(now).0, lease.granted_at()), (Standing::Held, Some(0)));
+        assert_eq!((lease.standing(now).0, lease.granted_at()), (LeaseState::Held, Some(0)));
     }
 }
 
@@ -81,14 +88,14 @@
     assert!(lease.serve_until(ends - 1) > ends, "no turn is needed at the lease's end");
     assert_eq!(lease.change_until(ends - 1), ends);
     let (standing, until) = lease.standing(ends);
-    assert_eq!(standing, Standing::Orphaned);
+    assert_eq!(standing, LeaseState::Orphaned);
     assert_eq!((lease.serve_until(ends), lease.change_until(ends)), (until, 0));
     assert!(until <= ends + FRESH);
-    assert_eq!(lease.standing(until).0, Standing::Fenced, "it ends by itself in a stopped process");
+    assert_eq!(lease.standing(until).0, LeaseState::Fenced, "it ends by itself in a stopped process");
     // What lay in its socket meanwhile is no proof.
     let woken = until + 60 * SECOND;
     (1..12).for_each(|number| lease.heard(woken, number, stamp(START)));
-    assert_eq!(lease.standing(woken), (Standing::Fenced, woken + FRESH));
+    assert_eq!(lease.standing(woken), (LeaseState::Fenced, woken + FRESH));
 }
 
 #[test]
@@ -104,10 +111,10 @@
                 (1..12).for_each(|it| lease.heard(now, it, if it == 1 { said(now) } else { said(START) }));
                 assert!(lease.serve_until(now) <= ends, "stopped at {now}, it would go on past its lease");
             }
-            assert_eq!((lease.standing(ends).0, lease.serve_until(ends)), (Standing::Fenced, 0));
+            assert_eq!((lease.standing(ends).0, lease.serve_until(ends)), (LeaseState::Fenced, 0));
             // Read on waking, sent while it was stopped.
             (2..12).for_each(|it| lease.heard(ends, it, said(START)));
-            assert_eq!(lease.standing(ends).0, Standing::Fenced, "stopped for {stopped}");
+            assert_eq!(lease.standing(ends).0, LeaseState::Fenced, "stopped for {stopped}");
         }
     }
 }
@@ -116,28 +123,28 @@
 fn one_granted_long_before_another_or_that_hears_nearly_nobody_is_fenced() {
     let (mut lease, ends) = (held(), START + OWN);
     all_say(&mut lease, START, ends, |_| stamp(START + 5 * SECOND));
-    assert_eq!(lease.standing(ends).0, Standing::Orphaned, "one ask lost, late and gathered");
+    assert_eq!(lease.standing(ends).0, LeaseState::Orphaned, "one ask lost, late and gathered");
     let mut late = held();
     all_say(&mut late, START, ends, |_| stamp(START + 5 * SECOND + 1));
-    assert_eq!(late.standing(ends).0, Standing::Fenced, "granted much later: the fault is ours");
+    assert_eq!(late.standing(ends).0, LeaseState::Fenced, "granted much later: the fault is ours");
     all_say(&mut late, ends, ends + SECOND, |_| stamp(START));
-    assert_eq!(late.standing(ends + SECOND).0, Standing::Orphaned, "theirs have ended as well by now");
+    assert_eq!(late.standing(ends + SECOND).0, LeaseState::Orphaned, "theirs have ended as well by now");
     let mut lone = held();
     for now in (START..=ends).step_by(SECOND as usize / 2) {
         [1, 2, 0, 12, 99].into_iter().for_each(|number| lone.heard(now, number, None));
     }
     let standing = lone.standing(ends).0;
-    assert_eq!(standing, Standing::Fenced, "two others of twelve, itself and strangers are too few");
+    assert_eq!(standing, LeaseState::Fenced, "two others of twelve, itself and strangers are too few");
     lone.heard(ends, 3, None);
-    assert_eq!(lone.standing(ends).0, Standing::Orphaned);
-    lone.granted(ends, 2, 95_000, &[Grant { number: 3, life: 3, serial: 3 }]);
-    assert_eq!(lone.standing(ends).0, Standing::Fenced, "the log goes on, whatever is said");
+    assert_eq!(lone.standing(ends).0, LeaseState::Orphaned);
+    lone.granted(ends, 2, 95_000, &[LeaseGrant { number: 3, life: 3, serial: 3 }]);
+    assert_eq!(lone.standing(ends).0, LeaseState::Fenced, "the log goes on, whatever is said");
 }
 
 #[test]
 fn a_holder_sees_its_lease_end_before_others_do_at_the_worst_of_rates() {
     let mut lease = Lease::new(0, 7, settings(12), 0);
-    let mut holders = Holders::new(settings(12));
+    let mut holders = LeaseHolders::new(settings(12));
     let ask = lease.ask(0).unwrap();
     lease.granted(0, 1, 0, &[grant(ask)]);
     holders.granted(0, 1, &[grant(ask)]);
@@ -155,10 +162,10 @@
 fn fleet_time_lies_between_asking_and_hearing_and_no_step_of_a_stamp_moves_a_lease() {
     let mut lease = held();
     let now = START + 3 * SECOND;
-    let span = Span { earliest: 90_000 + 2 * SECOND - 2_000, latest: 90_000 + 3 * SECOND + 3_000 };
+    let span = TimeInterval { earliest: 90_000 + 2 * SECOND - 2_000, latest: 90_000 + 3 * SECOND + 3_000 };
     assert_eq!(lease.fleet_time(now), Some(span));
     let before = lease.standing(now);
-    let other = Grant { number: 3, life: 3, serial: 3 };
+    let other = LeaseGrant { number: 3, life: 3, serial: 3 };
     lease.granted(now, 2, 3_600 * SECOND, &[other]);
     assert_eq!((lease.standing(now), lease.fleet_time(now)), (before, Some(span)));
     let ask = lease.ask(now).unwrap();
@@ -183,8 +190,8 @@
 
 #[test]
 fn the_granter_puts_the_asks_of_half_a_second_into_one_entry_newest_serial_each() {
-    let mut granter = Granter::new(3);
-    let ask = |number, life, serial| Ask { number, life, serial };
+    let mut granter = LeaseGranter::new(3);
+    let ask = |number, life, serial| LeaseRequest { number, life, serial };
     assert_eq!(granter.due(START), None);
     granter.asked(ask(1, 1, 1));
     assert_eq!(granter.due(START), Some(vec![grant(ask(1, 1, 1))]));
--- a/crates/audit/tests/ledger.rs
+++ b/crates/audit/tests/ledger.rs
@@ -1,15 +1,18 @@
 //! What the ledger says of who acted on what, from reports that are lost, doubled and overtaken.
 
 use audit::Micros;
-use audit::counting::{Counting, KINDS, Kind, VERSIONS};
-use audit::lease::Span;
-use audit::ledger::{Entry, Heard, Ledger, PIECES, Piece, REPORT_BYTES, Report, SPANS_KEPT};
+use audit::counting::{ActivityCounter, CountKind, KINDS, VERSIONS};
+use audit::lease::TimeInterval;
+use audit::ledger::{
+    ActivityPeriod, ActivityReport, Ledger, LedgerEntry, MAX_PERIODS_PER_BALANCER, MAX_PERIODS_PER_REPORT,
+    MAX_REPORT_BYTES, ReportStatus,
+};
 use audit::version::Version;
 
 const SECOND: Micros = 1_000_000;
 
-fn at(second: u64) -> Span {
-    Span { earliest: second * SECOND, latest: second * SECOND + 5_000 }
+fn at(second: u64) -> TimeInterval {
+    TimeInterval { earliest: second * SECOND, latest: second * SECOND + 5_000 }
 }
 
 fn calendar(revision: u64) -> Version {
@@ -18,14 +21,14 @@
 
 fn reads(ledger: &Ledger, version: u64) -> Vec<(u16, u64)> {
     let acted = ledger.acted_on(&calendar(version), 0, u64::MAX);
-    acted.iter().map(|it| (it.number, it.counts[Kind::ReadOk as usize])).collect()
+    acted.iter().map(|it| (it.number, it.counts[CountKind::ReadOk as usize])).collect()
 }
 
 /// A balancer that counts `n` reads in each of `seconds`, and reports after each.
-fn reports(counting: &mut Counting, seconds: std::ops::Range<u64>, n: u64) -> Vec<Report> {
+fn reports(counting: &mut ActivityCounter, seconds: std::ops::Range<u64>, n: u64) -> Vec<ActivityReport> {
     seconds
         .map(|second| {
-            (0..n).for_each(|_| counting.count(Kind::ReadOk));
+            (0..n).for_each(|_| counting.count(CountKind::ReadOk));
             counting.report(at(second))
         })
         .collect()
@@ -33,45 +36,49 @@
 
 #[test]
 fn lost_doubled_and_overtaken_reports_are_noticed_and_nothing_counts_twice() {
-    let mut counting = Counting::new(2, 9, calendar(1), at(0));
+    let mut counting = ActivityCounter::new(2, 9, calendar(1), at(0));
     let told = reports(&mut counting, 1..7, 10);
     let mut ledger = Ledger::new(300);
     let heard: Vec<_> = [0, 0, 3, 1, 1, 3].iter().map(|it| ledger.hear(&told[*it])).collect();
-    use Heard::{Late, Newest, Repeated};
+    use ReportStatus::{Late, Newest, Repeated};
     assert_eq!(heard, [Newest, Repeated, Newest, Late, Repeated, Repeated]);
     assert_eq!(reads(&ledger, 1), [(2, 40)], "the newest count, though an older one came after it");
     assert_eq!((ledger.now()[0].missing, ledger.now()[0].repeated), (1, 3));
     ledger.hear(&told[5]);
     assert_eq!(reads(&ledger, 1), [(2, 60)], "what lost reports told is made good");
-    let far = Report { sequence: 1_000, ..told[5].clone() };
+    let far = ActivityReport { sequence: 1_000, ..told[5].clone() };
     assert_eq!(
         (ledger.hear(&far), ledger.hear(&told[4])),
         (Newest, Repeated),
         "too old to be told from a doubled one"
     );
-    assert_eq!(ledger.hear(&Report { number: 300, ..far.clone() }), Heard::Refused);
+    assert_eq!(ledger.hear(&ActivityReport { number: 300, ..far.clone() }), ReportStatus::Refused);
     assert_eq!(
-        ledger.hear(&Report { sequence: 2_000, pieces: vec![far.pieces[0]; PIECES + 1], ..far }),
-        Heard::Refused
+        ledger.hear(&ActivityReport {
+            sequence: 2_000,
+            pieces: vec![far.pieces[0]; MAX_PERIODS_PER_REPORT + 1],
+            ..far
+        }),
+        ReportStatus::Refused
     );
 }
 
 #[test]
 fn a_try_counts_under_the_version_it_began_with_and_ended_spans_are_told_until_heard() {
-    let mut counting = Counting::new(0, 9, calendar(1), at(0));
+    let mut counting = ActivityCounter::new(0, 9, calendar(1), at(0));
     let begun = counting.version();
     assert_eq!(counting.turn_to(calendar(2), at(5)), None);
     counting.turn_to(calendar(2), at(6));
-    counting.count_under(begun, Kind::ReadOk);
-    counting.count(Kind::ReadOk);
-    counting.count_under(counting.version(), Kind::ReadOk);
+    counting.count_under(begun, CountKind::ReadOk);
+    counting.count(CountKind::ReadOk);
+    counting.count_under(counting.version(), CountKind::ReadOk);
     let lost = [counting.report(at(7)), counting.report(at(8))];
     assert!(lost.iter().all(|it| it.pieces.len() == 2));
     let mut ledger = Ledger::new(1);
     ledger.hear(&counting.report(at(9)));
     assert_eq!((reads(&ledger, 1), reads(&ledger, 2)), (vec![(0, 1)], vec![(0, 2)]));
     assert_eq!(counting.report(at(10)).pieces.len(), 1, "told three times");
-    counting.count_under(begun, Kind::ReadOk);
+    counting.count_under(begun, CountKind::ReadOk);
     ledger.hear(&counting.report(at(11)));
     assert_eq!(reads(&ledger, 1), [(0, 2)], "told again as it changed");
     let ended = ledger.acted_on(&calendar(1), 0, u64::MAX)[0];
@@ -80,24 +87,24 @@
     let handed: Vec<_> = (3..30).filter_map(|it| counting.turn_to(calendar(it), at(10 + it))).collect();
     assert_eq!(handed.len(), 29 - VERSIONS);
     assert_eq!((handed[0].piece.version, handed[0].piece.counts[0]), (calendar(1), 2));
-    counting.count_under(begun, Kind::ReadOk);
+    counting.count_under(begun, CountKind::ReadOk);
     assert_eq!(counting.unplaced(), 1);
 }
 
 #[test]
 fn a_killed_balancer_is_known_until_its_last_word_and_its_next_life_is_another() {
     let mut ledger = Ledger::new(3);
-    let mut first = Counting::new(1, 77, calendar(1), at(0));
+    let mut first = ActivityCounter::new(1, 77, calendar(1), at(0));
     let told = reports(&mut first, 1..5, 1);
-    told.iter().take(3).for_each(|it| assert_eq!(ledger.hear(it), Heard::Newest));
+    told.iter().take(3).for_each(|it| assert_eq!(ledger.hear(it), ReportStatus::Newest));
     assert_eq!(ledger.known(1).map(|it| (it.life, it.until)), Some((77, 3 * SECOND)));
     assert_eq!(ledger.acted_on(&calendar(1), 3 * SECOND + 5_001, u64::MAX), [], "nothing is said of later");
     assert!(!ledger.acted_on(&calendar(1), 3 * SECOND + 1, u64::MAX)[0].certain);
     assert!(ledger.acted_on(&calendar(1), 0, 3 * SECOND)[0].certain);
     assert_eq!((ledger.known(0), ledger.known(9)), (None, None));
-    let mut next = Counting::new(1, 5, calendar(2), at(20));
+    let mut next = ActivityCounter::new(1, 5, calendar(2), at(20));
     ledger.hear(&next.report(at(21)));
-    assert_eq!(ledger.hear(&told[3]), Heard::Newest, "a late word of the first life");
+    assert_eq!(ledger.hear(&told[3]), ReportStatus::Newest, "a late word of the first life");
     assert_eq!(ledger.known(1).map(|it| (it.life, it.until)), Some((5, 21 * SECOND)));
     assert_eq!(ledger.now()[0].version, calendar(2));
     assert_eq!(reads(&ledger, 1), [(1, 4)]);
@@ -107,7 +114,7 @@
 fn stragglers_are_those_behind_by_revisions_or_by_time_and_those_not_heard() {
     let mut ledger = Ledger::new(5);
     for (number, version) in [(0, 9), (1, 9), (2, 8), (3, 5)] {
-        let mut counting = Counting::new(number, 1, calendar(version), at(10));
+        let mut counting = ActivityCounter::new(number, 1, calendar(version), at(10));
         ledger.hear(&counting.report(at(if number == 1 { 11 } else { 20 })));
     }
     let numbers = |now, revisions, time| -> Vec<u16> {
@@ -122,13 +129,13 @@
 #[test]
 fn changes_digest_alike_in_any_order_and_apart_by_verdict() {
     let digest = |changes: &[(&str, bool)]| {
-        let mut counting = Counting::new(0, 1, calendar(1), at(0));
+        let mut counting = ActivityCounter::new(0, 1, calendar(1), at(0));
         changes.iter().for_each(|(change, accepted)| counting.changed(change.as_bytes(), *accepted));
         let piece = counting.report(at(1)).pieces[0];
         (
             piece.digest,
-            piece.counts[Kind::ChangeAccepted as usize],
-            piece.counts[Kind::ChangeRefused as usize],
+            piece.counts[CountKind::ChangeAccepted as usize],
+            piece.counts[CountKind::ChangeRefused as usize],
         )
     };
     assert_eq!(
@@ -145,7 +152,7 @@
 fn the_largest_report_fits_its_bytes_and_none_that_is_broken_is_read() {
     let most = u64::MAX;
     let (span, version) = (
-        Span { earliest: most, latest: most },
+        TimeInterval { earliest: most, latest: most },
         Version {
             program: most,
             configuration: most,
@@ -156,24 +163,35 @@
             epoch: most,
         },
     );
-    let piece = Piece { serial: most, version, from: span, to: span, counts: [most; KINDS], digest: most };
-    let report =
-        Report { number: u16::MAX, life: most, sequence: most, at: span, pieces: vec![piece; PIECES] };
+    let piece =
+        ActivityPeriod { serial: most, version, from: span, to: span, counts: [most; KINDS], digest: most };
+    let report = ActivityReport {
+        number: u16::MAX,
+        life: most,
+        sequence: most,
+        at: span,
+        pieces: vec![piece; MAX_PERIODS_PER_REPORT],
+    };
     let bytes = report.to_bytes();
-    assert!(bytes.len() <= REPORT_BYTES, "{} bytes", bytes.len());
-    assert_eq!(Report::from_bytes(&bytes), Some(report.clone()));
-    (0..bytes.len()).for_each(|cut| assert_eq!(Report::from_bytes(&bytes[..cut]), None));
-    assert_eq!(Report::from_bytes(&Report { pieces: vec![piece; PIECES + 1], ..report }.to_bytes()), None);
+    assert!(bytes.len() <= MAX_REPORT_BYTES, "{} bytes", bytes.len());
+    assert_eq!(ActivityReport::from_bytes(&bytes), Some(report.clone()));
+    (0..bytes.len()).for_each(|cut| assert_eq!(ActivityReport::from_bytes(&bytes[..cut]), None));
+    assert_eq!(
+        ActivityReport::from_bytes(
+            &ActivityReport { pieces: vec![piece; MAX_PERIODS_PER_REPORT + 1], ..report }.to_bytes()
+        ),
+        None
+    );
     assert!(serde_json::to_string(&piece).is_ok());
 }
 
 #[test]
 fn spans_are_bounded_and_what_is_kept_on_disk_is_known_again_after_a_restart() {
     let mut ledger = Ledger::new(2);
-    let mut counting = Counting::new(1, 4, calendar(0), at(0));
+    let mut counting = ActivityCounter::new(1, 4, calendar(0), at(0));
     let mut disk = std::collections::BTreeMap::new();
     for second in 1..=100 {
-        counting.count(Kind::ReadOk);
+        counting.count(CountKind::ReadOk);
         ledger.hear(&counting.report(at(second)));
         counting.turn_to(calendar(second), at(second));
         disk.extend(ledger.take_changed().into_iter().map(|it| (it.key(), it.to_bytes())));
@@ -182,12 +200,12 @@
     disk.extend(ledger.take_changed().into_iter().map(|it| (it.key(), it.to_bytes())));
     assert_eq!((ledger.unkept(), disk.len()), (0, 101));
     let spans: usize = (0..=100).map(|it| reads(&ledger, it).len()).sum();
-    assert_eq!(spans, SPANS_KEPT);
+    assert_eq!(spans, MAX_PERIODS_PER_BALANCER);
     let mut restored = Ledger::new(2);
-    disk.values().for_each(|it| restored.restore(Entry::from_bytes(it).unwrap()));
+    disk.values().for_each(|it| restored.restore(LedgerEntry::from_bytes(it).unwrap()));
     assert_eq!(restored.known(1), ledger.known(1));
     assert_eq!(restored.now()[0].version, calendar(100));
     assert_eq!(restored.take_changed(), [], "what came from disk need not go there");
-    assert_eq!(restored.hear(&counting.report(at(102))), Heard::Newest);
-    assert_eq!(Entry::from_bytes(&[255; 7]), None);
+    assert_eq!(restored.hear(&counting.report(at(102))), ReportStatus::Newest);
+    assert_eq!(LedgerEntry::from_bytes(&[255; 7]), None);
 }
--- a/crates/audit/tests/model.rs
+++ b/crates/audit/tests/model.rs
@@ -4,7 +4,7 @@
 //! for any time while its clock goes on, and one starts anew. Clocks differ in offset and, by one in a thousand, in rate.
 
 use audit::Micros;
-use audit::lease::{Ask, Grant, Granter, Holders, Lease, Settings};
+use audit::lease::{Lease, LeaseGrant, LeaseGranter, LeaseHolders, LeaseRequest, Settings};
 use stateright::{Checker, HasDiscoveries, Model, Property};
 use std::collections::BTreeSet;
 
@@ -25,7 +25,7 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Entry {
-    Grants(Vec<Grant>, Micros),
+    Grants(Vec<LeaseGrant>, Micros),
     Freeze(Micros),
 }
 
@@ -33,7 +33,7 @@
 struct Balancer {
     life: u64,
     lease: Lease,
-    holders: Holders,
+    holders: LeaseHolders,
     applied: usize,
     /// Only used where a lease is counted from hearing: its end.
     from_hearing: Micros,
@@ -43,8 +43,8 @@
 struct Fleet {
     tick: u64,
     balancers: Vec<Balancer>,
-    granter: Granter,
-    leader: Holders,
+    granter: LeaseGranter,
+    leader: LeaseHolders,
     log: Vec<Entry>,
     /// All asks ever sent: each may still arrive, again or never.
     asks: BTreeSet<(u16, u64, u64)>,
@@ -57,7 +57,7 @@
 enum Step {
     Tick,
     Ask(usize),
-    Arrive(Ask),
+    Arrive(LeaseRequest),
     Propose,
     Freeze,
     Learn(usize),
@@ -108,7 +108,7 @@
         Balancer {
             life,
             lease: Lease::new(number as u16, life, self.settings(), clock(number, tick)),
-            holders: Holders::new(self.settings()),
+            holders: LeaseHolders::new(self.settings()),
             applied: 0,
             from_hearing: 0,
         }
@@ -178,8 +178,8 @@
         vec![Fleet {
             tick: 0,
             balancers: (0..self.balancers).map(|number| self.start(number, number as u64, 0)).collect(),
-            granter: Granter::with_pause(self.balancers as u16, 10_000),
-            leader: Holders::new(self.settings()),
+            granter: LeaseGranter::with_pause(self.balancers as u16, 10_000),
+            leader: LeaseHolders::new(self.settings()),
             log: Vec::new(),
             asks: BTreeSet::new(),
             arrived: 0,
@@ -196,7 +196,10 @@
         }
         if fleet.arrived <= self.asks {
             steps.extend(
-                fleet.asks.iter().map(|&(number, life, serial)| Step::Arrive(Ask { number, life, serial })),
+                fleet
+                    .asks
+                    .iter()
+                    .map(|&(number, life, serial)| Step::Arrive(LeaseRequest { number, life, serial })),
             );
         }
         steps.push(Step::Propose);
--- a/crates/fleet/examples/measure_fleet/main.rs
+++ b/crates/fleet/examples/measure_fleet/main.rs
@@ -7,7 +7,7 @@
 mod faults;
 mod referee;
 
-use audit::lease::Standing;
+use audit::lease::LeaseState;
 use common::{SECOND, Site, freeze};
 use faults::Faults;
 use fleet::Micros;
@@ -45,7 +45,7 @@
 
 fn settled(count: usize, seed: u64) -> Site {
     let mut site = Site::start(count, COUNCIL, "10s", seed);
-    site.until(60 * SECOND, |it| it.all_stand(Standing::Held));
+    site.until(60 * SECOND, |it| it.all_stand(LeaseState::Held));
     site
 }
 
@@ -74,9 +74,9 @@
     }
     faults.end_all(&mut site, &mut referee);
     let from = site.now;
-    while !site.all_stand(Standing::Held) && referee.violation.is_none() {
+    while !site.all_stand(LeaseState::Held) && referee.violation.is_none() {
         if site.now - from >= RECOVERED {
-            let not = (0..count).filter(|n| site.standing(*n) != Some(Standing::Held)).collect::<Vec<_>>();
+            let not = (0..count).filter(|n| site.standing(*n) != Some(LeaseState::Held)).collect::<Vec<_>>();
             referee.violation = Some(format!("not held within {}: {not:?}", seconds(RECOVERED)));
         }
         watched(&mut site, &mut referee, SECOND / 10);
--- a/crates/fleet/examples/measure_fleet/referee.rs
+++ b/crates/fleet/examples/measure_fleet/referee.rs
@@ -1,7 +1,7 @@
 //! The referee: keeps a book of its own of what was agreed when, in true time, and looks at every tick whether the fleet keeps to it.
 
 use crate::common::{SECOND, Site, takes_a_join};
-use audit::lease::Standing;
+use audit::lease::LeaseState;
 use calendar::{Entry, Life};
 use fleet::Micros;
 use std::collections::BTreeMap;
@@ -58,7 +58,7 @@
         let Some(part) = &site.parts[n] else { return };
         let local = site.local(n);
         let held =
-            part.lease().standing(local).0 == Standing::Held && part.lease().serve_until(local) > local;
+            part.lease().standing(local).0 == LeaseState::Held && part.lease().serve_until(local) > local;
         let Some(revision) = part.lease().revision(local).filter(|_| held) else { return };
         let heard = site.applied.get(revision as usize - 1).copied();
         if heard.is_none_or(|heard| site.now >= heard + BINDING) {
@@ -112,7 +112,7 @@
 impl ShutOut {
     pub fn sample(&mut self, site: &Site, faultless: impl Fn(usize) -> bool) {
         let some: Vec<usize> = (0..site.parts.len()).filter(|n| faultless(*n)).collect();
-        let out = some.iter().filter(|n| site.standing(**n) == Some(Standing::Fenced)).count();
+        let out = some.iter().filter(|n| site.standing(**n) == Some(LeaseState::Fenced)).count();
         let part = out as f64 / some.len().max(1) as f64;
         self.worst = self.worst.max(part);
         self.sum += part;
--- a/crates/fleet/src/entry.rs
+++ b/crates/fleet/src/entry.rs
@@ -1,7 +1,7 @@
 //! What the log holds, and the state that it makes: who was granted a lease, and the calendar.
 
 use crate::Micros;
-use audit::lease::{Grant, Holders, Lease, Settings};
+use audit::lease::{Lease, LeaseGrant, LeaseHolders, Settings};
 use calendar::{Applied, Calendar, Proposal};
 use serde::{Deserialize, Serialize};
 
@@ -9,7 +9,7 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Entry {
     /// Leases granted, those of half a second together.
-    Leases(Vec<Grant>),
+    Leases(Vec<LeaseGrant>),
     /// A change of the calendar.
     Calendar(Box<Proposal>),
 }
@@ -17,14 +17,14 @@
 /// The state that the log makes, the same at every balancer that has applied as much of it.
 #[derive(Debug, Clone)]
 pub(crate) struct State {
-    pub(crate) holders: Holders,
+    pub(crate) holders: LeaseHolders,
     pub(crate) calendar: Calendar,
 }
 
 /// The state as a snapshot carries it. Grants go with it, so that one brought up by a snapshot has its lease at once.
 #[derive(Serialize, Deserialize)]
 struct Image {
-    grants: Vec<Grant>,
+    grants: Vec<LeaseGrant>,
     calendar: Vec<u8>,
 }
 
@@ -32,7 +32,7 @@
     /// The state before the first entry. A freeze binds no sooner than every lease without it has ended.
     pub(crate) fn new(settings: Settings) -> Self {
         let binding = settings.longer(settings.lease).div_ceil(1_000) + 1;
-        Self { holders: Holders::new(settings), calendar: Calendar::new(binding) }
+        Self { holders: LeaseHolders::new(settings), calendar: Calendar::new(binding) }
     }
 
     /// Applies an entry; yields what became of a change of the calendar.
--- a/crates/fleet/src/part.rs
+++ b/crates/fleet/src/part.rs
@@ -5,8 +5,8 @@
 use crate::wire::{Body, Envelope, Unheard};
 use crate::{Micros, view};
 use agreement::{Agreement, ProposeError, Revision, Store, VotingBlock};
-use audit::lease::{Granter, Lease};
-use audit::ledger::{Ledger, Report};
+use audit::lease::{Lease, LeaseGranter};
+use audit::ledger::{ActivityReport, Ledger};
 use calendar::{Applied, Calendar, Proposal};
 use membership::{Member, MemberSlot, Membership, Roster, Timer};
 use std::collections::{BTreeMap, VecDeque};
@@ -90,7 +90,7 @@
     pub(crate) membership: Membership,
     pub(crate) agreement: Agreement<Entry, S>,
     pub(crate) lease: Lease,
-    pub(crate) granter: Granter,
+    pub(crate) granter: LeaseGranter,
     pub(crate) state: State,
     pub(crate) ledger: Ledger,
     pub(crate) leads: bool,
@@ -124,7 +124,7 @@
             membership: Membership::new(member, roster, membership::Settings::default(), seed),
             agreement: Agreement::new(settings, store, seed, now),
             lease: Lease::new(me, life, leases, now),
-            granter: Granter::new(count),
+            granter: LeaseGranter::new(count),
             state: State::new(leases),
             ledger: Ledger::new(count),
             leads: false,
@@ -286,7 +286,7 @@
     }
 
     /// Tells the fleet what this balancer decided on which version: the council, which sees all, and a few drawn others.
-    pub fn report(&mut self, now: Micros, report: Report) {
+    pub fn report(&mut self, now: Micros, report: ActivityReport) {
         self.ledger.hear(&report);
         let mut to: Vec<u16> =
             self.agreement.voters().iter().map(|it| it.node_id).filter(|it| *it != self.me).collect();
@@ -296,18 +296,18 @@
     }
 
     /// Takes in a span of this balancer's own whose place its counts need.
-    pub fn take_span(&mut self, span: audit::ledger::Entry) {
+    pub fn take_span(&mut self, span: audit::ledger::LedgerEntry) {
         self.ledger.take(span);
     }
 
     /// Spans of the ledger that are not on disk yet, as bytes.
     pub fn take_spans(&mut self) -> Vec<Vec<u8>> {
-        self.ledger.take_changed().iter().map(audit::ledger::Entry::to_bytes).collect()
+        self.ledger.take_changed().iter().map(audit::ledger::LedgerEntry::to_bytes).collect()
     }
 
     /// Takes in a span from disk; bytes that are none are passed over.
     pub fn restore_span(&mut self, bytes: &[u8]) {
-        if let Some(entry) = audit::ledger::Entry::from_bytes(bytes) {
+        if let Some(entry) = audit::ledger::LedgerEntry::from_bytes(bytes) {
             self.ledger.restore(entry);
         }
     }
@@ -349,7 +349,7 @@
     }
 
     /// Of the council only the leader grants, but one bad link to it must not cost a lease that all others would vouch for.
-    fn hand_on(&mut self, ask: audit::lease::Ask) {
+    fn hand_on(&mut self, ask: audit::lease::LeaseRequest) {
         let leader = self.agreement.leader().filter(|it| *it != self.me && *it != ask.number);
         if let Some(leader) = leader.filter(|_| self.of_council(self.me)) {
             self.send(leader, Body::Ask(ask));
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -2,7 +2,7 @@
 
 use crate::{Fleet, Micros};
 use agreement::Store;
-use audit::lease::Standing;
+use audit::lease::LeaseState;
 use serde_json::{Value, json};
 
 /// Versions behind, and time without news, from which a balancer is listed as a straggler.
@@ -11,9 +11,9 @@
 pub(crate) fn of<S: Store>(fleet: &Fleet<S>, now: Micros) -> Value {
     let (standing, _) = fleet.lease.standing(now);
     let standing = match standing {
-        Standing::Held => "held",
-        Standing::Fenced => "fenced",
-        Standing::Orphaned => "orphaned",
+        LeaseState::Held => "held",
+        LeaseState::Fenced => "fenced",
+        LeaseState::Orphaned => "orphaned",
     };
     let name = |number: u16| fleet.file.balancers.get(usize::from(number)).map(|it| it.name.as_str());
     let holding: Vec<_> = fleet.state.holders.holding(now).filter_map(|(number, _)| name(number)).collect();
@@ -23,7 +23,7 @@
     let stragglers = time.map(|span| fleet.ledger.stragglers(span.latest, BEHIND.0, BEHIND.1));
     let acts = fleet.ledger.now();
     // Under the version that each was last known to act on; what it did under others is in the ledger.
-    let did = |it: &audit::ledger::Acts| {
+    let did = |it: &audit::ledger::CurrentActivity| {
         let all = fleet.ledger.acted_on(&it.version, 0, u64::MAX);
         all.into_iter().find(|did| did.number == it.number && did.life == it.life)
     };
--- a/crates/fleet/src/wire.rs
+++ b/crates/fleet/src/wire.rs
@@ -2,8 +2,8 @@
 
 use crate::Entry;
 use agreement::Message;
-use audit::lease::Ask;
-use audit::ledger::Report;
+use audit::lease::LeaseRequest;
+use audit::ledger::ActivityReport;
 use serde::{Deserialize, Serialize};
 
 /// Longest datagram.
@@ -19,11 +19,11 @@
     /// Of the log.
     Agreement(Box<Message<Entry>>),
     /// An ask for a lease, to the council.
-    Ask(Ask),
+    Ask(LeaseRequest),
     /// That the sender is there, and fleet time of the last grant to it that it has applied.
     Word(Option<u64>),
     /// What it decided on which version.
-    Report(Report),
+    Report(ActivityReport),
 }
 
 /// A datagram.
--- a/crates/fleet/tests/common/mod.rs
+++ b/crates/fleet/tests/common/mod.rs
@@ -2,7 +2,7 @@
 #![allow(dead_code, reason = "each test program uses a part of it")]
 
 use agreement::{MemoryStore, Store, StoreChange as Written, StoredState};
-use audit::lease::Standing;
+use audit::lease::LeaseState;
 use calendar::{Calendar, Change, Entry, Freeze, Kind, Place, Proposal, Scope, Span, Verdict};
 use fleet::{Fleet, FleetFile, Micros, Output, Start};
 use std::cell::RefCell;
@@ -285,11 +285,11 @@
         }
     }
 
-    pub fn standing(&self, n: usize) -> Option<Standing> {
+    pub fn standing(&self, n: usize) -> Option<LeaseState> {
         self.parts[n].as_ref().map(|part| part.lease().standing(self.local(n)).0)
     }
 
-    pub fn all_stand(&self, standing: Standing) -> bool {
+    pub fn all_stand(&self, standing: LeaseState) -> bool {
         (0..self.parts.len())
             .filter(|n| !self.stopped.contains(n))
             .filter_map(|n| self.standing(n))
@@ -319,9 +319,9 @@
     let Some(part) = &site.parts[n] else { return false };
     let (lease, now) = (part.lease(), site.local(n));
     let standing = match lease.standing(now).0 {
-        Standing::Held => calendar::Standing::Held,
-        Standing::Fenced => calendar::Standing::Fenced,
-        Standing::Orphaned => calendar::Standing::Orphaned,
+        LeaseState::Held => calendar::Standing::Held,
+        LeaseState::Fenced => calendar::Standing::Fenced,
+        LeaseState::Orphaned => calendar::Standing::Orphaned,
     };
     let span = lease.fleet_time(now);
     let span = span.map(|it| Span { earliest: it.earliest / 1_000, latest: it.latest.div_ceil(1_000) });
--- a/crates/fleet/tests/fleet.rs
+++ b/crates/fleet/tests/fleet.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use audit::lease::Standing;
+use audit::lease::LeaseState;
 use common::{SECOND, Site, freeze, takes_a_join, text};
 use fleet::wire::{Body, Envelope, MAX_BYTES, Unheard};
 use fleet::{FleetFile, Micros};
@@ -17,7 +17,7 @@
 fn settled(count: usize, council: usize, seed: u64, loss: f64) -> Site {
     let mut site = Site::start(count, council, "4s", seed);
     site.loss = loss;
-    site.until(15 * SECOND, |it| it.all_stand(Standing::Held));
+    site.until(15 * SECOND, |it| it.all_stand(LeaseState::Held));
     site
 }
 
@@ -55,9 +55,9 @@
         assert!(it.now < cut + LEASE || !may_serve(it, 17), "it serves past its lease");
         assert!(it.now < binds || (0..30).all(|n| !takes_a_join(it, n)), "a join against the freeze");
     });
-    assert_eq!(site.standing(17), Some(Standing::Fenced));
+    assert_eq!(site.standing(17), Some(LeaseState::Fenced));
     site.cut.clear();
-    let back = site.until(5 * SECOND, |it| it.standing(17) == Some(Standing::Held));
+    let back = site.until(5 * SECOND, |it| it.standing(17) == Some(LeaseState::Held));
     assert!(back < 5 * SECOND && site.parts[17].as_ref().unwrap().calendar().agreed("deadline").is_some());
 }
 
@@ -76,7 +76,7 @@
         most_out = most_out.max((5..40).filter(|n| !may_serve(it, *n)).count());
     });
     assert!(most_out <= out, "{most_out} balancers were shut out at a time");
-    assert!((5..40).all(|n| site.standing(n) == Some(Standing::Orphaned) && !takes_a_join(&site, n)));
+    assert!((5..40).all(|n| site.standing(n) == Some(LeaseState::Orphaned) && !takes_a_join(&site, n)));
     assert!(site.now - lost > LEASE);
 }
 
@@ -89,7 +89,7 @@
         assert!(!may_serve(&site, stopped), "on waking, before anything is heard");
         assert!((0..20).filter(|n| *n != stopped).all(|n| may_serve(&site, n)));
         site.stopped.clear();
-        site.until(5 * SECOND, |it| it.standing(stopped) == Some(Standing::Held));
+        site.until(5 * SECOND, |it| it.standing(stopped) == Some(LeaseState::Held));
     }
 }
 
@@ -99,7 +99,7 @@
     for n in 0..9 {
         site.clocks[n] = (n as i64 - 4) * 30 * SECOND as i64;
     }
-    site.until(15 * SECOND, |it| it.all_stand(Standing::Held));
+    site.until(15 * SECOND, |it| it.all_stand(LeaseState::Held));
     let mut last = [0; 9];
     for _ in 0..3 {
         let leader = site.leader().unwrap();
@@ -119,7 +119,7 @@
             }
         });
         site.cut.clear();
-        site.until(15 * SECOND, |it| it.all_stand(Standing::Held));
+        site.until(15 * SECOND, |it| it.all_stand(LeaseState::Held));
     }
 }
 
@@ -136,7 +136,7 @@
         site.run(2 * SECOND);
         site.cut.clear();
     }
-    site.until(15 * SECOND, |it| it.all_stand(Standing::Held));
+    site.until(15 * SECOND, |it| it.all_stand(LeaseState::Held));
     let lost = (before.earliest + site.now - begun).saturating_sub(of(&site, 8).latest);
     assert!(lost < SECOND / 10, "fleet time lost {lost} us");
 }
@@ -153,7 +153,7 @@
         site.run_watching(2 * SECOND, |it| {
             assert!((0..30).filter(|n| !some.contains(n)).all(|n| may_serve(it, n)), "seed {}", it.seed);
         });
-        site.until(5 * SECOND, |it| it.all_stand(Standing::Held));
+        site.until(5 * SECOND, |it| it.all_stand(LeaseState::Held));
         assert_eq!(knowing(&site, "deadline"), 30);
     }
 }
--- a/crates/fleet/tests/golden.rs
+++ b/crates/fleet/tests/golden.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use agreement::Store;
-use audit::lease::Span;
-use audit::ledger::{Piece, Report};
+use audit::lease::TimeInterval;
+use audit::ledger::{ActivityPeriod, ActivityReport};
 use audit::version::Version;
 use calendar::Proposal;
 use common::{SECOND, Site, freeze};
@@ -20,7 +20,7 @@
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-fn report() -> Report {
+fn report() -> ActivityReport {
     let version = Version {
         program: 1,
         configuration: 2,
@@ -30,10 +30,11 @@
         bookings: 6,
         epoch: 7,
     };
-    let (from, to) = (Span { earliest: 100, latest: 110 }, Span { earliest: 200, latest: 220 });
+    let (from, to) =
+        (TimeInterval { earliest: 100, latest: 110 }, TimeInterval { earliest: 200, latest: 220 });
     let counts = std::array::from_fn(|kind| 1_000 + kind as u64);
-    let piece = Piece { serial: 8, version, from, to, counts, digest: 9 };
-    Report { number: 0, life: 10, sequence: 11, at: to, pieces: vec![piece] }
+    let piece = ActivityPeriod { serial: 8, version, from, to, counts, digest: 9 };
+    ActivityReport { number: 0, life: 10, sequence: 11, at: to, pieces: vec![piece] }
 }
 
 fn played() -> Site {
--- a/crates/gateway/src/engine/fleet.rs
+++ b/crates/gateway/src/engine/fleet.rs
@@ -2,7 +2,7 @@
 
 use super::Engine;
 use crate::fleet::{Acted, Agreed, FleetPort};
-use audit::counting::{Counting, Kind as Counted, VersionId};
+use audit::counting::{ActivityCounter, CountKind as Counted, VersionId};
 use audit::lease::{self, Lease};
 use audit::version::Version;
 use calendar::{
@@ -30,7 +30,7 @@
     calendar: Arc<Calendar>,
     gate: Gate,
     /// From the first known fleet time on: spans without one could not be laid beside those of others.
-    counting: Option<Counting>,
+    counting: Option<ActivityCounter>,
     /// The revision of the list last heard.
     list: u64,
     standing: Standing,
@@ -54,9 +54,9 @@
     /// How things stand now: looked at for each change, so that a process that was stopped finds its lease past.
     fn moment(&self, now: Micros) -> calendar::Now {
         let standing = match self.lease.as_ref().map(|lease| lease.standing(now).0) {
-            Some(lease::Standing::Held) => Standing::Held,
-            Some(lease::Standing::Orphaned) => Standing::Orphaned,
-            Some(lease::Standing::Fenced) | None => Standing::Fenced,
+            Some(lease::LeaseState::Held) => Standing::Held,
+            Some(lease::LeaseState::Orphaned) => Standing::Orphaned,
+            Some(lease::LeaseState::Fenced) | None => Standing::Fenced,
         };
         let fleet_time = self.lease.as_ref().and_then(|lease| lease.fleet_time(now)).map(in_millis);
         calendar::Now { at: now / 1_000, fleet_time, standing }
@@ -83,7 +83,7 @@
         let version = self.version();
         let port = &self.port;
         let counting =
-            self.counting.get_or_insert_with(|| Counting::new(port.number, port.life, version, span));
+            self.counting.get_or_insert_with(|| ActivityCounter::new(port.number, port.life, version, span));
         if let Some(entry) = counting.turn_to(version, span) {
             self.tell(Acted::Entry(entry));
         }
@@ -155,7 +155,7 @@
 }
 
 /// Fleet time in milliseconds, no narrower than it is in microseconds.
-fn in_millis(span: lease::Span) -> calendar::Span {
+fn in_millis(span: lease::TimeInterval) -> calendar::Span {
     calendar::Span { earliest: span.earliest / 1_000, latest: span.latest.div_ceil(1_000) }
 }
 
--- a/crates/gateway/src/engine/fleet_tests.rs
+++ b/crates/gateway/src/engine/fleet_tests.rs
@@ -3,7 +3,7 @@
 use super::tests::{config, submitted};
 use super::{Engine, Handle, Input, Ticket};
 use crate::fleet::{Acted, Agreed, Asked, Clock, FleetPort, Kind, Record};
-use audit::lease::{Grant, Lease, Settings};
+use audit::lease::{Lease, LeaseGrant, Settings};
 use bytes::Bytes;
 use calendar::{Calendar, Entry, Freeze, Outcome as Became, Place, Proposal, Scope};
 use decide::api::{Outcome, RequestId};
@@ -59,7 +59,7 @@
     let span = LEASE.as_micros() as u64;
     let mut lease = Lease::new(0, 7, Settings::new(span, span, 3), now);
     let serial = lease.ask(now).unwrap().serial;
-    lease.granted(now, 1, STAMP, &[Grant { number: 0, life: 7, serial }]);
+    lease.granted(now, 1, STAMP, &[LeaseGrant { number: 0, life: 7, serial }]);
     lease
 }
 
--- a/crates/gateway/src/fleet.rs
+++ b/crates/gateway/src/fleet.rs
@@ -52,9 +52,9 @@
     /// A change of topology was taken or is held.
     Record(Record),
     /// What was counted, each second.
-    Report(ledger::Report),
+    Report(ledger::ActivityReport),
     /// A span whose place is needed, for the own ledger.
-    Entry(ledger::Entry),
+    Entry(ledger::LedgerEntry),
 }
 
 /// A call that comes through the door; answered with a status and a JSON body.
--- a/crates/spindlebeam/src/fleet.rs
+++ b/crates/spindlebeam/src/fleet.rs
@@ -5,7 +5,7 @@
 
 use agreement::{MemoryStore, Store, StoreChange, StoredState, VotingBlock};
 use anyhow::{Context, Result, ensure};
-use audit::lease::Standing;
+use audit::lease::LeaseState;
 use bytes::Bytes;
 use fleet::{Fleet, FleetFile, Output, Start};
 use gateway::fleet::{Acted, Agreed, Call, Clock, FleetPort};
@@ -164,7 +164,7 @@
     agreed: mpsc::UnboundedSender<Agreed>,
     timers: DelayQueue<membership::Timer>,
     asked: HashMap<u64, oneshot::Sender<(u16, String)>>,
-    standing: Option<Standing>,
+    standing: Option<LeaseState>,
     joined: bool,
 }
 
@@ -291,11 +291,11 @@
             return;
         }
         match standing {
-            Standing::Held => log::info!("fleet: lease held"),
-            Standing::Fenced => {
+            LeaseState::Held => log::info!("fleet: lease held"),
+            LeaseState::Fenced => {
                 log::warn!("fleet: fenced: no lease, and the fault is here: nothing new is taken")
             }
-            Standing::Orphaned => {
+            LeaseState::Orphaned => {
                 log::error!("fleet: orphaned: the council is lost; requests go on, planned changes wait");
             }
         }
