--- a/crates/audit/benches/counting.rs
+++ b/crates/audit/benches/counting.rs
@@ -10,7 +10,7 @@
     let now = TimeInterval { earliest: 1, latest: 2 };
     let mut counting = ActivityCounter::new(0, 1, Version::default(), now);
     let earlier = counting.version();
-    counting.turn_to(Version { calendar: 1, ..Version::default() }, now);
+    counting.switch_version(Version { calendar: 1, ..Version::default() }, now);
     criterion.bench_function("count", |it| {
         it.iter(|| black_box(&mut counting).count(black_box(CountKind::ReadOk)))
     });
--- a/crates/audit/src/counting.rs
+++ b/crates/audit/src/counting.rs
@@ -99,7 +99,7 @@
     }
 
     /// A change of topology was accepted or refused; those of a span are digested whatever their order.
-    pub fn changed(&mut self, change: &[u8], accepted: bool) {
+    pub fn record_topology_change(&mut self, change: &[u8], accepted: bool) {
         self.count(if accepted { CountKind::ChangeAccepted } else { CountKind::ChangeRefused });
         if let Some(slot) = &mut self.ring[index(self.current)] {
             let digest = xxh3_64_with_seed(change, u64::from(accepted));
@@ -108,8 +108,8 @@
     }
 
     /// From now on another version is in force. Yields the oldest span where its place is needed, for the own ledger
-    /// ([`Ledger::take`](crate::ledger::Ledger::take)): no place is used anew before its counts are there.
-    pub fn turn_to(&mut self, version: Version, now: TimeInterval) -> Option<LedgerEntry> {
+    /// ([`Ledger::record_own_entry`](crate::ledger::Ledger::take)): no place is used anew before its counts are there.
+    pub fn switch_version(&mut self, version: Version, now: TimeInterval) -> Option<LedgerEntry> {
         self.close(now);
         let unchanged = self.ring[index(self.current)].is_some_and(|it| it.piece.version == version);
         if unchanged {
--- a/crates/audit/src/lease/granter.rs
+++ b/crates/audit/src/lease/granter.rs
@@ -29,7 +29,7 @@
     }
 
     /// An ask has come in. One late or doubled never takes a newer one's place; one of another life does, as that is what speaks now.
-    pub fn asked(&mut self, ask: LeaseRequest) {
+    pub fn handle_request(&mut self, ask: LeaseRequest) {
         if ask.number >= self.roster {
             return;
         }
@@ -41,7 +41,7 @@
 
     /// The grants to propose now as one entry, if any wait and the last entry is long enough ago. One that is not agreed is not missed:
     /// whoever got no lease asks again.
-    pub fn due(&mut self, now: Micros) -> Option<Vec<LeaseGrant>> {
+    pub fn poll_grants(&mut self, now: Micros) -> Option<Vec<LeaseGrant>> {
         if self.waiting.is_empty() || now < self.next {
             return None;
         }
@@ -52,13 +52,13 @@
         )
     }
 
-    /// When [`LeaseGranter::due`] next has something, if anything waits.
+    /// When [`LeaseGranter::poll_grants`] next has something, if anything waits.
     pub fn next_due(&self) -> Option<Micros> {
         (!self.waiting.is_empty()).then_some(self.next)
     }
 
     /// This one leads no longer: what waits is asked of another.
-    pub fn forget(&mut self) {
+    pub fn clear(&mut self) {
         self.waiting.clear();
     }
 }
--- a/crates/audit/src/lease/holders.rs
+++ b/crates/audit/src/lease/holders.rs
@@ -33,7 +33,7 @@
     }
 
     /// The entry `revision` with these grants, or a snapshot up to it, is applied. A revision already seen changes nothing.
-    pub fn granted(&mut self, now: Micros, revision: u64, grants: &[LeaseGrant]) {
+    pub fn apply_grants(&mut self, now: Micros, revision: u64, grants: &[LeaseGrant]) {
         if revision <= self.applied {
             return;
         }
@@ -62,7 +62,7 @@
     }
 
     /// Number and life of all that hold one.
-    pub fn holding(&self, now: Micros) -> impl Iterator<Item = (u16, u64)> {
+    pub fn current(&self, now: Micros) -> impl Iterator<Item = (u16, u64)> {
         self.held.iter().filter(move |(_, it)| now < it.ends).map(|(key, _)| *key)
     }
 
--- a/crates/audit/src/lease/holding.rs
+++ b/crates/audit/src/lease/holding.rs
@@ -81,7 +81,7 @@
     }
 
     /// What to send to the leader, if it is time to ask again. To be sent now: the lease is counted from here.
-    pub fn ask(&mut self, now: Micros) -> Option<LeaseRequest> {
+    pub fn poll_request(&mut self, now: Micros) -> Option<LeaseRequest> {
         if now < self.next_ask {
             return None;
         }
@@ -94,8 +94,8 @@
         Some(LeaseRequest { number: self.number, life: self.life, serial: self.serial })
     }
 
-    /// When [`Lease::ask`] next has something to send.
-    pub fn next_ask(&self) -> Micros {
+    /// When [`Lease::poll_request`] next has something to send.
+    pub fn next_request_at(&self) -> Micros {
         self.next_ask
     }
 
@@ -103,7 +103,7 @@
     ///
     /// To be called in the log's order and only when *all* up to `revision` is applied: that whoever holds a lease has applied what it
     /// was granted behind rests on this. A revision already seen changes nothing.
-    pub fn granted(&mut self, now: Micros, revision: u64, at: FleetMicros, grants: &[LeaseGrant]) {
+    pub fn apply_grants(&mut self, now: Micros, revision: u64, at: FleetMicros, grants: &[LeaseGrant]) {
         if revision <= self.applied {
             return;
         }
@@ -135,7 +135,7 @@
     }
 
     /// Another balancer said what its last grant was stamped, by its own [`Lease::granted_at`].
-    pub fn heard(&mut self, now: Micros, number: u16, granted_at: Option<FleetMicros>) {
+    pub fn record_peer_grant(&mut self, now: Micros, number: u16, granted_at: Option<FleetMicros>) {
         if number < self.settings.roster && number != self.number {
             self.others.heard(now, number, granted_at, self.settings.fresh);
         }
@@ -147,7 +147,7 @@
     }
 
     /// How we stand, and when that is to be looked at again: a lease ends then, or what was heard is no longer fresh.
-    pub fn standing(&self, now: Micros) -> (LeaseState, Micros) {
+    pub fn state(&self, now: Micros) -> (LeaseState, Micros) {
         if now < self.ends {
             return (LeaseState::Held, self.ends);
         }
--- a/crates/audit/src/ledger/mod.rs
+++ b/crates/audit/src/ledger/mod.rs
@@ -132,7 +132,7 @@
     }
 
     /// A report came in, in whatever order.
-    pub fn hear(&mut self, report: &ActivityReport) -> ReportStatus {
+    pub fn record_report(&mut self, report: &ActivityReport) -> ReportStatus {
         match self.accounts.get_mut(usize::from(report.number)) {
             Some(account) if report.pieces.len() <= MAX_PERIODS_PER_REPORT => account.hear(report),
             _ => ReportStatus::Refused,
@@ -140,7 +140,7 @@
     }
 
     /// A span of this balancer itself, that its counting needs the place of.
-    pub fn take(&mut self, entry: LedgerEntry) {
+    pub fn record_own_entry(&mut self, entry: LedgerEntry) {
         if let Some(account) = self.accounts.get_mut(usize::from(entry.number)) {
             account.keep(entry, true);
         }
@@ -155,7 +155,7 @@
 
     /// The spans that changed since this was last called, for the disk. To be called at least once in [`MAX_PERIODS_PER_BALANCER`] changes of
     /// version of any balancer; [`Ledger::unkept`] tells of those that it came too late for.
-    pub fn take_changed(&mut self) -> Vec<LedgerEntry> {
+    pub fn take_unsaved(&mut self) -> Vec<LedgerEntry> {
         self.accounts.iter_mut().flat_map(Account::take_changed).collect()
     }
 
--- a/crates/audit/src/ledger/query.rs
+++ b/crates/audit/src/ledger/query.rs
@@ -69,7 +69,7 @@
 
 impl Ledger {
     /// Who acts on what, as last told.
-    pub fn now(&self) -> Vec<CurrentActivity> {
+    pub fn current_activity(&self) -> Vec<CurrentActivity> {
         let told = self.accounts.iter().filter_map(|it| it.last());
         told.map(|(life, entry)| CurrentActivity {
             number: entry.number,
@@ -84,7 +84,7 @@
     }
 
     /// Who acted on a version between two points of fleet time.
-    pub fn acted_on(&self, version: &Version, from: FleetMicros, to: FleetMicros) -> Vec<PastActivity> {
+    pub fn activity_under(&self, version: &Version, from: FleetMicros, to: FleetMicros) -> Vec<PastActivity> {
         let entries = self.accounts.iter().flat_map(|it| it.entries());
         let maybe = entries.filter(|LedgerEntry { piece, .. }| {
             piece.version == *version && piece.from.earliest <= to && from <= piece.to.latest
@@ -103,13 +103,13 @@
     }
 
     /// Until when a balancer's doings are known; nothing if it never told any.
-    pub fn known(&self, number: u16) -> Option<KnownUntil> {
+    pub fn known_until(&self, number: u16) -> Option<KnownUntil> {
         let life = self.accounts.get(usize::from(number))?.living()?;
         Some(KnownUntil { life: life.life, until: life.at.earliest })
     }
 
-    /// Who is more than `revisions` behind, or behind or silent for longer than `time`. `now` is fleet time.
-    pub fn stragglers(&self, now: FleetMicros, revisions: u64, time: Micros) -> Vec<LaggingNode> {
+    /// Who is more than `revisions` behind, or behind or silent for longer than `time`. `current_activity` is fleet time.
+    pub fn lagging_nodes(&self, now: FleetMicros, revisions: u64, time: Micros) -> Vec<LaggingNode> {
         let numbered = self.accounts.iter().zip(0u16..);
         let all = numbered.map(|(account, number)| {
             let Some((life, entry)) = account.last() else {
--- a/crates/audit/tests/golden.rs
+++ b/crates/audit/tests/golden.rs
@@ -74,8 +74,8 @@
     for (place, kind) in ALL.into_iter().enumerate() {
         (0..=place).for_each(|_| counting.count(kind));
     }
-    counting.changed(b"s-1\nJoin\n7", true);
-    counting.changed(b"s-2\nDrain\n7", false);
+    counting.record_topology_change(b"s-1\nJoin\n7", true);
+    counting.record_topology_change(b"s-2\nDrain\n7", false);
     let report = counting.report(span(100));
     expect_file!["golden/counted.txt"].assert_eq(&format!("{}\n", hex(&report.to_bytes())));
 }
@@ -85,13 +85,25 @@
     let mut ledger = Ledger::new(3);
     let mut old = piece();
     old.version.calendar = 2;
-    ledger.hear(&ActivityReport { number: 0, life: 10, sequence: 1, at: span(250), pieces: vec![piece()] });
-    ledger.hear(&ActivityReport { number: 1, life: 20, sequence: 4, at: span(260), pieces: vec![old] });
+    ledger.record_report(&ActivityReport {
+        number: 0,
+        life: 10,
+        sequence: 1,
+        at: span(250),
+        pieces: vec![piece()],
+    });
+    ledger.record_report(&ActivityReport {
+        number: 1,
+        life: 20,
+        sequence: 4,
+        at: span(260),
+        pieces: vec![old],
+    });
     let answers = serde_json::json!({
-        "now": ledger.now(),
-        "acted_on": ledger.acted_on(&version(5), 0, 1_000),
-        "known": ledger.known(1),
-        "stragglers": ledger.stragglers(1_000, 1, 100),
+        "now": ledger.current_activity(),
+        "acted_on": ledger.activity_under(&version(5), 0, 1_000),
+        "known": ledger.known_until(1),
+        "stragglers": ledger.lagging_nodes(1_000, 1, 100),
     });
     expect_file!["golden/answers.json"].assert_eq(&format!("{answers:#}\n"));
 }
--- a/crates/audit/tests/lapse.rs
+++ b/crates/audit/tests/lapse.rs
@@ -34,20 +34,20 @@
     fn turn(&mut self, granting: bool, mut arrives: impl FnMut(u16, &mut fastrand::Rng) -> bool) {
         self.now += TURN;
         for lease in &mut self.leases {
-            if let Some(ask) = lease.ask(self.now)
+            if let Some(ask) = lease.poll_request(self.now)
                 && arrives(ask.number, &mut self.random)
             {
-                self.granter.asked(ask);
+                self.granter.handle_request(ask);
             }
         }
-        if granting && let Some(grants) = self.granter.due(self.now) {
+        if granting && let Some(grants) = self.granter.poll_grants(self.now) {
             self.log.push((self.now, grants));
         }
         while let Some((stamp, grants)) = self.log.get(self.applied).filter(|it| it.0 + LOG_DELAY <= self.now)
         {
             self.applied += 1;
             for lease in &mut self.leases {
-                lease.granted(self.now, self.applied as u64, *stamp, grants);
+                lease.apply_grants(self.now, self.applied as u64, *stamp, grants);
             }
         }
         for teller in 0..FLEET {
@@ -56,14 +56,14 @@
                 let granted_at = self.leases[usize::from(teller)].granted_at();
                 for _ in 0..TOLD {
                     let told = self.random.usize(..usize::from(FLEET));
-                    self.leases[told].heard(self.now, teller, granted_at);
+                    self.leases[told].record_peer_grant(self.now, teller, granted_at);
                 }
             }
         }
     }
 
     fn count(&self, standing: LeaseState) -> usize {
-        self.leases.iter().filter(|it| it.standing(self.now).0 == standing).count()
+        self.leases.iter().filter(|it| it.state(self.now).0 == standing).count()
     }
 }
 
@@ -111,7 +111,7 @@
     let lost = fleet.now;
     while fleet.now < lost + 3 * LEASE {
         fleet.turn(true, |number, _| number != 7);
-        let (standing, _) = fleet.leases[7].standing(fleet.now);
+        let (standing, _) = fleet.leases[7].state(fleet.now);
         assert_ne!(standing, LeaseState::Orphaned, "{} after its last ask came in", fleet.now - lost);
         assert!(fleet.now < lost + LEASE || standing == LeaseState::Fenced);
     }
--- a/crates/audit/tests/ledger.rs
+++ b/crates/audit/tests/ledger.rs
@@ -20,7 +20,7 @@
 }
 
 fn reads(ledger: &Ledger, version: u64) -> Vec<(u16, u64)> {
-    let acted = ledger.acted_on(&calendar(version), 0, u64::MAX);
+    let acted = ledger.activity_under(&calendar(version), 0, u64::MAX);
     acted.iter().map(|it| (it.number, it.counts[CountKind::ReadOk as usize])).collect()
 }
 
@@ -39,22 +39,22 @@
     let mut counting = ActivityCounter::new(2, 9, calendar(1), at(0));
     let told = reports(&mut counting, 1..7, 10);
     let mut ledger = Ledger::new(300);
-    let heard: Vec<_> = [0, 0, 3, 1, 1, 3].iter().map(|it| ledger.hear(&told[*it])).collect();
+    let heard: Vec<_> = [0, 0, 3, 1, 1, 3].iter().map(|it| ledger.record_report(&told[*it])).collect();
     use ReportStatus::{Late, Newest, Repeated};
     assert_eq!(heard, [Newest, Repeated, Newest, Late, Repeated, Repeated]);
     assert_eq!(reads(&ledger, 1), [(2, 40)], "the newest count, though an older one came after it");
-    assert_eq!((ledger.now()[0].missing, ledger.now()[0].repeated), (1, 3));
-    ledger.hear(&told[5]);
+    assert_eq!((ledger.current_activity()[0].missing, ledger.current_activity()[0].repeated), (1, 3));
+    ledger.record_report(&told[5]);
     assert_eq!(reads(&ledger, 1), [(2, 60)], "what lost reports told is made good");
     let far = ActivityReport { sequence: 1_000, ..told[5].clone() };
     assert_eq!(
-        (ledger.hear(&far), ledger.hear(&told[4])),
+        (ledger.record_report(&far), ledger.record_report(&told[4])),
         (Newest, Repeated),
         "too old to be told from a doubled one"
     );
-    assert_eq!(ledger.hear(&ActivityReport { number: 300, ..far.clone() }), ReportStatus::Refused);
+    assert_eq!(ledger.record_report(&ActivityReport { number: 300, ..far.clone() }), ReportStatus::Refused);
     assert_eq!(
-        ledger.hear(&ActivityReport {
+        ledger.record_report(&ActivityReport {
             sequence: 2_000,
             pieces: vec![far.pieces[0]; MAX_PERIODS_PER_REPORT + 1],
             ..far
@@ -67,24 +67,25 @@
 fn a_try_counts_under_the_version_it_began_with_and_ended_spans_are_told_until_heard() {
     let mut counting = ActivityCounter::new(0, 9, calendar(1), at(0));
     let begun = counting.version();
-    assert_eq!(counting.turn_to(calendar(2), at(5)), None);
-    counting.turn_to(calendar(2), at(6));
+    assert_eq!(counting.switch_version(calendar(2), at(5)), None);
+    counting.switch_version(calendar(2), at(6));
     counting.count_under(begun, CountKind::ReadOk);
     counting.count(CountKind::ReadOk);
     counting.count_under(counting.version(), CountKind::ReadOk);
     let lost = [counting.report(at(7)), counting.report(at(8))];
     assert!(lost.iter().all(|it| it.pieces.len() == 2));
     let mut ledger = Ledger::new(1);
-    ledger.hear(&counting.report(at(9)));
+    ledger.record_report(&counting.report(at(9)));
     assert_eq!((reads(&ledger, 1), reads(&ledger, 2)), (vec![(0, 1)], vec![(0, 2)]));
     assert_eq!(counting.report(at(10)).pieces.len(), 1, "told three times");
     counting.count_under(begun, CountKind::ReadOk);
-    ledger.hear(&counting.report(at(11)));
+    ledger.record_report(&counting.report(at(11)));
     assert_eq!(reads(&ledger, 1), [(0, 2)], "told again as it changed");
-    let ended = ledger.acted_on(&calendar(1), 0, u64::MAX)[0];
+    let ended = ledger.activity_under(&calendar(1), 0, u64::MAX)[0];
     assert_eq!((ended.from, ended.to), (at(0), at(5)));
     // Each version after the sixteenth needs the place of one, whose counts are handed out.
-    let handed: Vec<_> = (3..30).filter_map(|it| counting.turn_to(calendar(it), at(10 + it))).collect();
+    let handed: Vec<_> =
+        (3..30).filter_map(|it| counting.switch_version(calendar(it), at(10 + it))).collect();
     assert_eq!(handed.len(), 29 - VERSIONS);
     assert_eq!((handed[0].piece.version, handed[0].piece.counts[0]), (calendar(1), 2));
     counting.count_under(begun, CountKind::ReadOk);
@@ -96,17 +97,21 @@
     let mut ledger = Ledger::new(3);
     let mut first = ActivityCounter::new(1, 77, calendar(1), at(0));
     let told = reports(&mut first, 1..5, 1);
-    told.iter().take(3).for_each(|it| assert_eq!(ledger.hear(it), ReportStatus::Newest));
-    assert_eq!(ledger.known(1).map(|it| (it.life, it.until)), Some((77, 3 * SECOND)));
-    assert_eq!(ledger.acted_on(&calendar(1), 3 * SECOND + 5_001, u64::MAX), [], "nothing is said of later");
-    assert!(!ledger.acted_on(&calendar(1), 3 * SECOND + 1, u64::MAX)[0].certain);
-    assert!(ledger.acted_on(&calendar(1), 0, 3 * SECOND)[0].certain);
-    assert_eq!((ledger.known(0), ledger.known(9)), (None, None));
+    told.iter().take(3).for_each(|it| assert_eq!(ledger.record_report(it), ReportStatus::Newest));
+    assert_eq!(ledger.known_until(1).map(|it| (it.life, it.until)), Some((77, 3 * SECOND)));
+    assert_eq!(
+        ledger.activity_under(&calendar(1), 3 * SECOND + 5_001, u64::MAX),
+        [],
+        "nothing is said of later"
+    );
+    assert!(!ledger.activity_under(&calendar(1), 3 * SECOND + 1, u64::MAX)[0].certain);
+    assert!(ledger.activity_under(&calendar(1), 0, 3 * SECOND)[0].certain);
+    assert_eq!((ledger.known_until(0), ledger.known_until(9)), (None, None));
     let mut next = ActivityCounter::new(1, 5, calendar(2), at(20));
-    ledger.hear(&next.report(at(21)));
-    assert_eq!(ledger.hear(&told[3]), ReportStatus::Newest, "a late word of the first life");
-    assert_eq!(ledger.known(1).map(|it| (it.life, it.until)), Some((5, 21 * SECOND)));
-    assert_eq!(ledger.now()[0].version, calendar(2));
+    ledger.record_report(&next.report(at(21)));
+    assert_eq!(ledger.record_report(&told[3]), ReportStatus::Newest, "a late word of the first life");
+    assert_eq!(ledger.known_until(1).map(|it| (it.life, it.until)), Some((5, 21 * SECOND)));
+    assert_eq!(ledger.current_activity()[0].version, calendar(2));
     assert_eq!(reads(&ledger, 1), [(1, 4)]);
 }
 
@@ -115,22 +120,24 @@
     let mut ledger = Ledger::new(5);
     for (number, version) in [(0, 9), (1, 9), (2, 8), (3, 5)] {
         let mut counting = ActivityCounter::new(number, 1, calendar(version), at(10));
-        ledger.hear(&counting.report(at(if number == 1 { 11 } else { 20 })));
+        ledger.record_report(&counting.report(at(if number == 1 { 11 } else { 20 })));
     }
     let numbers = |now, revisions, time| -> Vec<u16> {
-        ledger.stragglers(now * SECOND, revisions, time * SECOND).iter().map(|it| it.number).collect()
+        ledger.lagging_nodes(now * SECOND, revisions, time * SECOND).iter().map(|it| it.number).collect()
     };
     assert_eq!(numbers(20, 3, 15), [3, 4], "four revisions behind; never heard");
     assert_eq!(numbers(20, 3, 9), [2, 3, 4], "others have had a newer calendar for ten seconds");
     assert_eq!(numbers(20, 4, 8), [1, 2, 3, 4], "silent for nine seconds");
-    assert_eq!(ledger.stragglers(20 * SECOND, 9, 15 * SECOND)[0].silent_for, None);
+    assert_eq!(ledger.lagging_nodes(20 * SECOND, 9, 15 * SECOND)[0].silent_for, None);
 }
 
 #[test]
 fn changes_digest_alike_in_any_order_and_apart_by_verdict() {
     let digest = |changes: &[(&str, bool)]| {
         let mut counting = ActivityCounter::new(0, 1, calendar(1), at(0));
-        changes.iter().for_each(|(change, accepted)| counting.changed(change.as_bytes(), *accepted));
+        changes
+            .iter()
+            .for_each(|(change, accepted)| counting.record_topology_change(change.as_bytes(), *accepted));
         let piece = counting.report(at(1)).pieces[0];
         (
             piece.digest,
@@ -192,20 +199,20 @@
     let mut disk = std::collections::BTreeMap::new();
     for second in 1..=100 {
         counting.count(CountKind::ReadOk);
-        ledger.hear(&counting.report(at(second)));
-        counting.turn_to(calendar(second), at(second));
-        disk.extend(ledger.take_changed().into_iter().map(|it| (it.key(), it.to_bytes())));
+        ledger.record_report(&counting.report(at(second)));
+        counting.switch_version(calendar(second), at(second));
+        disk.extend(ledger.take_unsaved().into_iter().map(|it| (it.key(), it.to_bytes())));
     }
-    ledger.hear(&counting.report(at(101)));
-    disk.extend(ledger.take_changed().into_iter().map(|it| (it.key(), it.to_bytes())));
+    ledger.record_report(&counting.report(at(101)));
+    disk.extend(ledger.take_unsaved().into_iter().map(|it| (it.key(), it.to_bytes())));
     assert_eq!((ledger.unkept(), disk.len()), (0, 101));
     let spans: usize = (0..=100).map(|it| reads(&ledger, it).len()).sum();
     assert_eq!(spans, MAX_PERIODS_PER_BALANCER);
     let mut restored = Ledger::new(2);
     disk.values().for_each(|it| restored.restore(LedgerEntry::from_bytes(it).unwrap()));
-    assert_eq!(restored.known(1), ledger.known(1));
-    assert_eq!(restored.now()[0].version, calendar(100));
-    assert_eq!(restored.take_changed(), [], "what came from disk need not go there");
-    assert_eq!(restored.hear(&counting.report(at(102))), ReportStatus::Newest);
+    assert_eq!(restored.known_until(1), ledger.known_until(1));
+    assert_eq!(restored.current_activity()[0].version, calendar(100));
+    assert_eq!(restored.take_unsaved(), [], "what came from disk need not go there");
+    assert_eq!(restored.record_report(&counting.report(at(102))), ReportStatus::Newest);
     assert_eq!(LedgerEntry::from_bytes(&[255; 7]), None);
 }
--- a/crates/audit/tests/model.rs
+++ b/crates/audit/tests/model.rs
@@ -119,8 +119,8 @@
         let Entry::Grants(grants, at) = fleet.log[index].clone() else { return };
         let now = clock(number, fleet.tick);
         let balancer = &mut fleet.balancers[number];
-        balancer.lease.granted(now, index as u64 + 1, at, &grants);
-        balancer.holders.granted(now, index as u64 + 1, &grants);
+        balancer.lease.apply_grants(now, index as u64 + 1, at, &grants);
+        balancer.holders.apply_grants(now, index as u64 + 1, &grants);
         if grants.iter().any(|it| usize::from(it.number) == number && it.life == balancer.life) {
             balancer.from_hearing = now + LEASE;
         }
@@ -225,16 +225,16 @@
         match step {
             Step::Tick => fleet.tick += 1,
             Step::Ask(number) => {
-                let ask = fleet.balancers[number].lease.ask(clock(number, tick))?;
+                let ask = fleet.balancers[number].lease.poll_request(clock(number, tick))?;
                 fleet.asks.insert((ask.number, ask.life, ask.serial));
             }
             Step::Arrive(ask) => {
-                fleet.granter.asked(ask);
+                fleet.granter.handle_request(ask);
                 fleet.arrived += usize::from(fleet.granter != last.granter);
             }
             Step::Propose => {
-                let grants = fleet.granter.due(leader_now)?;
-                fleet.leader.granted(leader_now, fleet.log.len() as u64 + 1, &grants);
+                let grants = fleet.granter.poll_grants(leader_now)?;
+                fleet.leader.apply_grants(leader_now, fleet.log.len() as u64 + 1, &grants);
                 fleet.log.push(Entry::Grants(grants, leader_now));
             }
             Step::Freeze => fleet.log.push(Entry::Freeze(leader_now)),
--- a/crates/calendar/benches/check.rs
+++ b/crates/calendar/benches/check.rs
@@ -10,21 +10,21 @@
     let mut calendar = Calendar::new(10_000);
     for n in 0..MAX_ENTRIES {
         let place = match n % 4 {
-            0 => Place::Fleet,
-            1 => Place::Zones(vec![format!("zone-{}", n % 40)]),
-            _ => Place::Group {
+            0 => ScopeTarget::Fleet,
+            1 => ScopeTarget::Zones(vec![format!("zone-{}", n % 40)]),
+            _ => ScopeTarget::Group {
                 name: "some".into(),
                 hosts: (0..4).map(|it| format!("host-{}", n % 500 + it)).collect(),
             },
         };
-        let kinds = if n % 3 == 0 { vec![] } else { vec![Kind::PLANNED[n % 8]] };
+        let kinds = if n % 3 == 0 { vec![] } else { vec![ChangeKind::PLANNED[n % 8]] };
         let day = jiff::civil::date(2026, 1, 1)
             .checked_add(jiff::SignedDuration::from_hours(24 * (n as i64 % 700)));
         let start = day.unwrap().at((n % 24) as i8, (n % 60) as i8, 0, 0);
         let end = start.checked_add(jiff::SignedDuration::from_mins(30 + n as i64 % 90)).unwrap();
         let until = start.date().checked_add(jiff::SignedDuration::from_hours(24 * 69)).unwrap();
         let repeat =
-            (n % 4 < 2).then_some(Repeat { until, rhythm: Rhythm::Weekly { every: 1, days: vec![] } });
+            (n % 4 < 2).then_some(Repeat { until, rhythm: Recurrence::Weekly { every: 1, days: vec![] } });
         let (id, reason, zone) = (n.to_string(), "permit deadline".to_owned(), "America/Tijuana".to_owned());
         let scope = Scope { kinds, place };
         let entry = if n % 50 == 0 {
@@ -52,16 +52,18 @@
 
 fn check(criterion: &mut Criterion) {
     let calendar = full();
-    let join = Change { kind: Kind::Join, host: Some("host-77"), zones: [Some("zone-9"), None] };
-    let moved = Change { kind: Kind::Zone, host: Some("host-77"), zones: [Some("zone-9"), Some("zone-13")] };
-    for (name, change) in [("join", join), ("zone", moved), ("fleet", Change::of_fleet(Kind::Configuration))]
+    let join = Change { kind: ChangeKind::Join, host: Some("host-77"), zones: [Some("zone-9"), None] };
+    let moved =
+        Change { kind: ChangeKind::Zone, host: Some("host-77"), zones: [Some("zone-9"), Some("zone-13")] };
+    for (name, change) in
+        [("join", join), ("zone", moved), ("fleet", Change::of_fleet(ChangeKind::Configuration))]
     {
         let mut at = 1_767_000_000_000_u64;
         criterion.bench_function(&format!("check {name}, 10,000 entries"), |bencher| {
             bencher.iter(|| {
                 at = 1_767_000_000_000 + (at + 977_777_777) % 60_000_000_000;
-                let span = Some(Span { earliest: at, latest: at + 40 });
-                calendar.check(black_box(span), Standing::Held, black_box(&change))
+                let span = Some(TimeInterval { earliest: at, latest: at + 40 });
+                calendar.check(black_box(span), LeaseState::Held, black_box(&change))
             });
         });
     }
--- a/crates/calendar/src/apply.rs
+++ b/crates/calendar/src/apply.rs
@@ -1,9 +1,9 @@
 //! The calendar: what was agreed, in the order of the log.
 
-use crate::entry::{Entry, Place, Proposal};
+use crate::entry::{Entry, Proposal, ScopeTarget};
 use crate::index::{Index, Title};
 use crate::occurrences::{self, Interval};
-use crate::{Because, Change, Invalid, Millis, Span, Standing, Verdict};
+use crate::{Change, HoldReason, Invalid, LeaseState, Millis, TimeInterval, Verdict};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::sync::{Arc, OnceLock};
@@ -14,13 +14,13 @@
 /// Occurrences of all entries, each counted once for every zone or host that it names: 50 MB of index at the worst.
 pub const MAX_OCCURRENCES: usize = 100_000;
 /// Milliseconds that an entry is kept behind its end, for whoever asks what held a change last month.
-pub const KEPT_MS: Millis = 90 * 24 * 3600 * 1000;
+pub const RETENTION_MS: Millis = 90 * 24 * 3600 * 1000;
 /// The form of the snapshot; another is refused.
 const FORM: u16 = 1;
 
 /// Why a proposal that was agreed has no effect, or should not be proposed.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
-pub enum Refused {
+pub enum ProposalError {
     /// It is not as it must be.
     #[error(transparent)]
     Invalid(#[from] Invalid),
@@ -51,14 +51,14 @@
     /// The entry is over.
     Revoked,
     /// Nothing, at any balancer alike.
-    Refused(Refused),
+    Refused(ProposalError),
     /// Nothing: the calendar has that revision behind it.
     Known,
 }
 
 /// Where an entry is in its life.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Life {
+pub enum EntryPhase {
     /// Not yet in force.
     Agreed,
     /// In force, or between two occurrences.
@@ -71,13 +71,13 @@
 
 /// Why a snapshot is not taken.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
-pub enum Restore {
+pub enum RestoreError {
     /// Not in the form of a snapshot.
     #[error("the calendar's snapshot is not in a form that is known")]
     Form,
     /// An entry in it is not as it must be.
     #[error("the calendar's snapshot holds an entry that cannot be: {0}")]
-    Entry(#[from] Refused),
+    Entry(#[from] ProposalError),
 }
 
 /// An entry, and when it was agreed.
@@ -117,8 +117,8 @@
         let last = force.iter().map(|it| it.end).max();
         let end = last.max(agreed.revoked).unwrap_or(0);
         let names = match &agreed.entry.scope().place {
-            Place::Fleet => 1,
-            Place::Zones(names) | Place::Group { hosts: names, .. } => names.len(),
+            ScopeTarget::Fleet => 1,
+            ScopeTarget::Zones(names) | ScopeTarget::Group { hosts: names, .. } => names.len(),
         };
         Self { end, places: force.len() * names, agreed, force }
     }
@@ -165,49 +165,49 @@
         self.entries.get(id).map(|it| (it.agreed.at, it.agreed.revision))
     }
     /// Where an entry is in its life.
-    pub fn life(&self, id: &str, fleet_time: Millis) -> Option<Life> {
+    pub fn life(&self, id: &str, fleet_time: Millis) -> Option<EntryPhase> {
         let kept = self.entries.get(id)?;
         let first = kept.force.first().map_or(Millis::MAX, |it| it.start);
         Some(match kept.agreed.revoked {
-            Some(at) if at <= fleet_time => Life::Revoked,
-            _ if fleet_time < first => Life::Agreed,
-            _ if fleet_time < kept.end => Life::InForce,
-            _ => Life::Ended,
+            Some(at) if at <= fleet_time => EntryPhase::Revoked,
+            _ if fleet_time < first => EntryPhase::Agreed,
+            _ if fleet_time < kept.end => EntryPhase::InForce,
+            _ => EntryPhase::Ended,
         })
     }
     /// Whether the proposal would have an effect, were it agreed at `at`; to be asked before it is proposed.
     ///
     /// # Errors
     /// Why not, by the field.
-    pub fn consider(&self, at: Millis, proposal: &Proposal) -> Result<(), Refused> {
+    pub fn consider(&self, at: Millis, proposal: &Proposal) -> Result<(), ProposalError> {
         self.judge(0, at, proposal).map(|_| ())
     }
-    fn judge(&self, revision: u64, at: Millis, proposal: &Proposal) -> Result<Kept, Refused> {
+    fn judge(&self, revision: u64, at: Millis, proposal: &Proposal) -> Result<Kept, ProposalError> {
         proposal.validate()?;
         match proposal {
             Proposal::Add(entry) => self.admit(Agreed { at, revision, revoked: None, entry: entry.clone() }),
             Proposal::Revoke(it) => {
                 let open =
                     self.entries.get(&it.id).filter(|kept| kept.agreed.revoked.is_none() && at < kept.end);
-                let kept = open.ok_or_else(|| Refused::Unknown(it.id.clone()))?;
+                let kept = open.ok_or_else(|| ProposalError::Unknown(it.id.clone()))?;
                 Ok(Kept::new(Agreed { revoked: Some(at), ..kept.agreed.clone() }, self.binding))
             }
         }
     }
-    fn admit(&self, agreed: Agreed) -> Result<Kept, Refused> {
+    fn admit(&self, agreed: Agreed) -> Result<Kept, ProposalError> {
         let id = agreed.entry.id().to_owned();
         if self.entries.contains_key(&id) {
-            return Err(Refused::Duplicate(id));
+            return Err(ProposalError::Duplicate(id));
         }
         if self.entries.len() >= MAX_ENTRIES {
-            return Err(Refused::Full);
+            return Err(ProposalError::Full);
         }
         let kept = Kept::new(agreed, self.binding);
         if kept.force.is_empty() && kept.agreed.revoked.is_none() {
-            return Err(Refused::Over(id));
+            return Err(ProposalError::Over(id));
         }
         let places: usize = self.entries.values().map(|it| it.places).sum();
-        if places + kept.places > MAX_OCCURRENCES { Err(Refused::TooMany) } else { Ok(kept) }
+        if places + kept.places > MAX_OCCURRENCES { Err(ProposalError::TooMany) } else { Ok(kept) }
     }
     /// Takes what the log says at a revision. Whoever applies the same log has the same calendar.
     pub fn apply(&mut self, revision: u64, at: Millis, proposal: &Proposal) -> Applied {
@@ -216,7 +216,7 @@
         }
         self.revision = revision;
         self.index = OnceLock::new();
-        self.entries.retain(|_, it| it.end.saturating_add(KEPT_MS) > at);
+        self.entries.retain(|_, it| it.end.saturating_add(RETENTION_MS) > at);
         match self.judge(revision, at, proposal) {
             Err(refused) => Applied::Refused(refused),
             Ok(kept) => {
@@ -235,23 +235,23 @@
     ///
     /// # Errors
     /// When the bytes are no snapshot, or one of entries that could not have been agreed.
-    pub fn restore(bytes: &[u8]) -> Result<Self, Restore> {
-        let (all, rest): (Snapshot, _) = postcard::take_from_bytes(bytes).map_err(|_| Restore::Form)?;
+    pub fn restore(bytes: &[u8]) -> Result<Self, RestoreError> {
+        let (all, rest): (Snapshot, _) = postcard::take_from_bytes(bytes).map_err(|_| RestoreError::Form)?;
         if all.form != FORM || !rest.is_empty() || all.entries.len() > MAX_ENTRIES {
-            return Err(Restore::Form);
+            return Err(RestoreError::Form);
         }
         let mut calendar = Self { revision: all.revision, ..Self::new(all.binding) };
         let mut places = 0;
         for agreed in all.entries {
-            Proposal::Add(agreed.entry.clone()).validate().map_err(Refused::from)?;
+            Proposal::Add(agreed.entry.clone()).validate().map_err(ProposalError::from)?;
             let id = agreed.entry.id().to_owned();
             let kept = Kept::new(agreed, all.binding);
             places += kept.places;
             if places > MAX_OCCURRENCES {
-                return Err(Refused::TooMany.into());
+                return Err(ProposalError::TooMany.into());
             }
             if calendar.entries.insert(id.clone(), kept).is_some() {
-                return Err(Refused::Duplicate(id).into());
+                return Err(ProposalError::Duplicate(id).into());
             }
         }
         Ok(calendar)
@@ -274,31 +274,33 @@
         })
     }
     /// The freezes with a moment of the span in force, each with the start of its occurrence.
-    pub(crate) fn in_force(&self, span: Span) -> impl Iterator<Item = (&Entry, Millis)> {
+    pub(crate) fn in_force(&self, span: TimeInterval) -> impl Iterator<Item = (&Entry, Millis)> {
         let now = move |it: &&Interval| it.start <= span.latest && span.earliest < it.end;
         let freezes = self.entries.values().filter(|it| matches!(it.agreed.entry, Entry::Freeze(_)));
         freezes.filter_map(move |it| it.force.iter().find(now).map(|at| (&it.agreed.entry, at.start)))
     }
     /// The one check of every change of topology: taken, or held and why. Frozen if any moment that fleet time can be is.
-    pub fn check(&self, fleet_time: Option<Span>, standing: Standing, change: &Change<'_>) -> Verdict {
-        let take = |under| Verdict::Take { revision: self.revision, under };
+    pub fn check(
+        &self, fleet_time: Option<TimeInterval>, standing: LeaseState, change: &Change<'_>,
+    ) -> Verdict {
+        let take = |override_id| Verdict::Allow { revision: self.revision, override_id };
         if !change.kind.planned() {
             return take(None);
         }
         let span = match (standing, fleet_time) {
-            (Standing::Held | Standing::NoFleet, Some(span)) => span,
-            (Standing::NoFleet, None) => return take(None),
-            _ => return Verdict::Hold { because: Because::Stale, until: None },
+            (LeaseState::Held | LeaseState::NoFleet, Some(span)) => span,
+            (LeaseState::NoFleet, None) => return take(None),
+            _ => return Verdict::Hold { reason: HoldReason::NoLease, until: None },
         };
         let index = self.index();
         let Some(freeze) = index.freeze(span, change) else { return take(None) };
         if let Some(title) = index.leave(span, change).and_then(|it| index.title(it)) {
             return take(Some(Arc::clone(&title.id)));
         }
-        let because = index.title(freeze).map_or(Because::Stale, |title| Because::Freeze {
+        let reason = index.title(freeze).map_or(HoldReason::NoLease, |title| HoldReason::Freeze {
             id: Arc::clone(&title.id),
             reason: Arc::clone(&title.reason),
         });
-        Verdict::Hold { because, until: Some(freeze.until) }
+        Verdict::Hold { reason, until: Some(freeze.until) }
     }
 }
--- a/crates/calendar/src/change.rs
+++ b/crates/calendar/src/change.rs
@@ -7,7 +7,7 @@
 /// What changes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Kind {
+pub enum ChangeKind {
     /// A host drains. Never held.
     Drain,
     /// A host is gone. Never held.
@@ -40,7 +40,7 @@
     Council,
 }
 
-impl Kind {
+impl ChangeKind {
     /// The kinds that a freeze can hold.
     pub const PLANNED: [Self; 8] = [
         Self::Join,
@@ -62,7 +62,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Change<'a> {
     /// What changes.
-    pub kind: Kind,
+    pub kind: ChangeKind,
     /// The host or balancer; `None` for what touches the whole fleet, which a freeze of any part of it holds.
     pub host: Option<&'a str>,
     /// The zones that it is in, before and after.
@@ -71,18 +71,18 @@
 
 impl<'a> Change<'a> {
     /// A change of the whole fleet.
-    pub fn of_fleet(kind: Kind) -> Self {
+    pub fn of_fleet(kind: ChangeKind) -> Self {
         Self { kind, host: None, zones: [None, None] }
     }
     /// A change of one host.
-    pub fn of_host(kind: Kind, host: &'a str, zone: &'a str) -> Self {
+    pub fn of_host(kind: ChangeKind, host: &'a str, zone: &'a str) -> Self {
         Self { kind, host: Some(host), zones: [Some(zone), None] }
     }
 }
 
 /// What is known of fleet time: it is now within, both ends included.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Span {
+pub struct TimeInterval {
     /// The least that it can be.
     pub earliest: Millis,
     /// The most that it can be.
@@ -91,7 +91,7 @@
 
 /// How the balancer stands to the fleet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Standing {
+pub enum LeaseState {
     /// It holds a lease.
     Held,
     /// It holds none, and others do.
@@ -104,7 +104,7 @@
 
 /// Why a change is held.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Because {
+pub enum HoldReason {
     /// A freeze covers it.
     Freeze {
         /// The freeze.
@@ -113,25 +113,25 @@
         reason: Arc<str>,
     },
     /// What was agreed may not all be known here: no lease, or no fleet time.
-    Stale,
+    NoLease,
     /// Others waited before it and are taken in steps.
-    Turn,
+    Queued,
 }
 
 /// What is said of a change.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Verdict {
     /// It is taken.
-    Take {
+    Allow {
         /// The calendar's revision.
         revision: u64,
         /// The override that lets it pass.
-        under: Option<Arc<str>>,
+        override_id: Option<Arc<str>>,
     },
     /// It is held.
     Hold {
         /// Why.
-        because: Because,
+        reason: HoldReason,
         /// The fleet time at which to look again, where it is known.
         until: Option<Millis>,
     },
--- a/crates/calendar/src/entry.rs
+++ b/crates/calendar/src/entry.rs
@@ -1,13 +1,13 @@
 //! What is proposed and agreed: freezes, overrides of them, and their revocation.
 
-use crate::Kind;
+use crate::ChangeKind;
 use jiff::civil::{Date, DateTime, Weekday};
 use serde::{Deserialize, Serialize};
 
 /// Where an entry holds.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Place {
+pub enum ScopeTarget {
     /// Everywhere, and all that names no host.
     Fleet,
     /// In these zones.
@@ -26,9 +26,9 @@
 pub struct Scope {
     /// The kinds of change; all that can be held when empty.
     #[serde(default)]
-    pub kinds: Vec<Kind>,
+    pub kinds: Vec<ChangeKind>,
     /// Where.
-    pub place: Place,
+    pub place: ScopeTarget,
 }
 
 /// A day of the week.
@@ -62,7 +62,7 @@
 /// How often a freeze comes again.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Rhythm {
+pub enum Recurrence {
     /// Every so many days.
     Daily(u16),
     /// On these days of every so many ISO weeks.
@@ -93,7 +93,7 @@
     /// The last date that an occurrence may start on.
     pub until: Date,
     /// How often.
-    pub rhythm: Rhythm,
+    pub rhythm: Recurrence,
 }
 
 /// A span of time, once or again, in which planned changes are held.
--- a/crates/calendar/src/gate.rs
+++ b/crates/calendar/src/gate.rs
@@ -3,7 +3,8 @@
 use crate::list::{facts, planned, weight, with, with_facts};
 use crate::waiting::Looked;
 use crate::{
-    Because, Calendar, Change, Kind, Millis, Span, Standing, Steps, Strength, Verdict, Waited, Waiting,
+    AvailableCapacity, Calendar, Change, ChangeKind, HoldReason, LeaseState, Millis, PendingChange,
+    PendingChanges, ReleasePace, TimeInterval, Verdict,
 };
 use hashlink::LinkedHashMap;
 use proto::discovery::{EndpointList, EndpointRecord, Phase};
@@ -14,67 +15,67 @@
 
 /// The moment of a turn.
 #[derive(Debug, Clone, Copy)]
-pub struct Now {
+pub struct GateContext {
     /// On the owner's clock.
-    pub at: Millis,
+    pub now: Millis,
     /// What is known of fleet time.
-    pub fleet_time: Option<Span>,
+    pub fleet_time: Option<TimeInterval>,
     /// How the balancer stands to the fleet.
-    pub standing: Standing,
+    pub lease: LeaseState,
 }
 
 /// What became of a change.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Outcome {
+pub enum ChangeOutcome {
     /// Taken: no freeze is over it, or none can be.
-    Taken,
+    Applied,
     /// Taken under an override.
     Override(Arc<str>),
     /// Taken in a freeze, for weight that was lost in it.
-    Replaced,
+    Replacement,
     /// Taken with the first list of a process that knows none before: what is new on it cannot be told.
-    First,
+    InitialList,
     /// Held.
     Held {
         /// Why.
-        because: Because,
+        reason: HoldReason,
         /// The fleet time at which to look again, where it is known.
         until: Option<Millis>,
     },
     /// Neither taken nor kept, for want of room; a later whole list names it again.
-    NoRoom,
+    QueueFull,
 }
 
 /// What became of a change, and by which state of the calendar.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Record {
+pub struct ChangeRecord {
     /// The host.
     pub host: String,
     /// What changed.
-    pub kind: Kind,
+    pub kind: ChangeKind,
     /// The revision of discovery's list.
     pub list: u64,
     /// What became of it.
-    pub outcome: Outcome,
+    pub outcome: ChangeOutcome,
     /// The revision of the calendar that it was checked against.
     pub revision: u64,
 }
 
 /// What may be accepted now, and a record of each change that was accepted or is held.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Heard {
+pub struct GateResult {
     /// For the decision module; in changes, losses come first.
     pub list: EndpointList,
     /// What became of what.
-    pub records: Vec<Record>,
+    pub records: Vec<ChangeRecord>,
 }
 
 /// The members as accepted, and what it takes to judge a change of one.
 #[derive(Debug, Clone, Default)]
 struct Accepted {
     members: LinkedHashMap<String, EndpointRecord>,
-    strength: Strength,
-    records: Vec<Record>,
+    strength: AvailableCapacity,
+    records: Vec<ChangeRecord>,
     list: u64,
 }
 
@@ -91,45 +92,49 @@
             }
         }
     }
-    fn note(&mut self, calendar: &Calendar, host: &str, kind: Kind, outcome: Outcome) {
+    fn note(&mut self, calendar: &Calendar, host: &str, kind: ChangeKind, outcome: ChangeOutcome) {
         let (list, revision) = (self.list, calendar.revision());
-        self.records.push(Record { host: host.to_owned(), kind, list, outcome, revision });
+        self.records.push(ChangeRecord { host: host.to_owned(), kind, list, outcome, revision });
     }
     /// The weight to give, and why; or why the change is held.
     fn judge(
-        &self, now: &Now, calendar: &Calendar, new: &EndpointRecord, kind: Kind,
-    ) -> Result<(f64, Outcome), Outcome> {
+        &self, now: &GateContext, calendar: &Calendar, new: &EndpointRecord, kind: ChangeKind,
+    ) -> Result<(f64, ChangeOutcome), ChangeOutcome> {
         let old = self.members.get(&new.id);
-        let from = old.map(|it| it.locality.as_str()).filter(|it| *it != new.locality && kind == Kind::Zone);
+        let from =
+            old.map(|it| it.locality.as_str()).filter(|it| *it != new.locality && kind == ChangeKind::Zone);
         // More weight comes to the zone that the host is in as accepted, and a changed zone is a change of both.
-        let zone = old.filter(|_| kind == Kind::More).map_or(&*new.locality, |it| &*it.locality);
+        let zone = old.filter(|_| kind == ChangeKind::More).map_or(&*new.locality, |it| &*it.locality);
         let change = Change { kind, host: Some(&new.id), zones: [Some(zone), from] };
-        match calendar.check(now.fleet_time, now.standing, &change) {
-            Verdict::Take { under: Some(id), .. } => Ok((new.size, Outcome::Override(id))),
-            Verdict::Take { under: None, .. } => Ok((new.size, Outcome::Taken)),
-            Verdict::Hold { because, until } => {
-                let held = Outcome::Held { because, until };
-                let by_loss = matches!(kind, Kind::Join | Kind::More)
-                    && matches!(held, Outcome::Held { because: Because::Freeze { .. }, .. });
+        match calendar.check(now.fleet_time, now.lease, &change) {
+            Verdict::Allow { override_id: Some(id), .. } => Ok((new.size, ChangeOutcome::Override(id))),
+            Verdict::Allow { override_id: None, .. } => Ok((new.size, ChangeOutcome::Applied)),
+            Verdict::Hold { reason: reason, until } => {
+                let held = ChangeOutcome::Held { reason, until };
+                let by_loss = matches!(kind, ChangeKind::Join | ChangeKind::More)
+                    && matches!(held, ChangeOutcome::Held { reason: HoldReason::Freeze { .. }, .. });
                 let has = old.map_or(0.0, weight);
                 let room = by_loss.then(|| self.strength.room(&change, weight(new) - has)).flatten();
-                room.map(|more| (has + more, Outcome::Replaced)).ok_or(held)
+                room.map(|more| (has + more, ChangeOutcome::Replacement)).ok_or(held)
             }
         }
     }
     /// Takes what may be taken of a member's new state, and yields the first change that may not. With `queue`, what only the
     /// end of a freeze lets pass waits its turn.
     fn take(
-        &mut self, now: &Now, calendar: &Calendar, new: &EndpointRecord, queue: bool,
-    ) -> (bool, Option<(Kind, Outcome)>) {
+        &mut self, now: &GateContext, calendar: &Calendar, new: &EndpointRecord, queue: bool,
+    ) -> (bool, Option<(ChangeKind, ChangeOutcome)>) {
         let (mut took, mut held) = (false, None);
         for kind in planned(self.members.get(&new.id), new) {
             match self.judge(now, calendar, new, kind) {
-                Ok((_, Outcome::Taken)) if queue => {
-                    held.get_or_insert((kind, Outcome::Held { because: Because::Turn, until: None }));
+                Ok((_, ChangeOutcome::Applied)) if queue => {
+                    held.get_or_insert((
+                        kind,
+                        ChangeOutcome::Held { reason: HoldReason::Queued, until: None },
+                    ));
                 }
-                Ok(_) if kind == Kind::Join && self.members.len() >= MAX_MEMBERS => {
-                    held.get_or_insert((kind, Outcome::NoRoom));
+                Ok(_) if kind == ChangeKind::Join && self.members.len() >= MAX_MEMBERS => {
+                    held.get_or_insert((kind, ChangeOutcome::QueueFull));
                 }
                 Ok((size, outcome)) => {
                     let member = with(self.members.get(&new.id), new, kind, size);
@@ -137,8 +142,8 @@
                     self.note(calendar, &new.id, kind, outcome.clone());
                     took = true;
                     if size < new.size {
-                        let rest = self.judge(now, calendar, new, Kind::More);
-                        held = held.or(rest.err().map(|outcome| (Kind::More, outcome)));
+                        let rest = self.judge(now, calendar, new, ChangeKind::More);
+                        held = held.or(rest.err().map(|outcome| (ChangeKind::More, outcome)));
                     }
                 }
                 Err(outcome) => {
@@ -152,30 +157,30 @@
 
 /// Splits discovery's lists into what may be accepted now and what waits for the end of a freeze.
 #[derive(Debug, Clone)]
-pub struct Gate {
+pub struct TopologyGate {
     accepted: Accepted,
-    waiting: Waiting<EndpointRecord>,
+    waiting: PendingChanges<EndpointRecord>,
     /// Whether there is a state that new hosts can be told from.
     known: bool,
 }
 
-impl Gate {
-    /// A gate of a process that knows `known` from the one before it, or nothing. A process that knows nothing takes all that its
+impl TopologyGate {
+    /// A gate of a process that knows `known_until` from the one before it, or nothing. A process that knows nothing takes all that its
     /// first whole list names, in a freeze too: it must serve, and cannot tell what is new.
-    pub fn new(known: Option<Vec<EndpointRecord>>, steps: Steps) -> Self {
+    pub fn new(known: Option<Vec<EndpointRecord>>, steps: ReleasePace) -> Self {
         let (is_known, mut accepted) = (known.is_some(), Accepted::default());
         known.into_iter().flatten().take(MAX_MEMBERS).for_each(|it| accepted.put(it));
-        Self { accepted, waiting: Waiting::new(steps), known: is_known }
+        Self { accepted, waiting: PendingChanges::new(steps), known: is_known }
     }
     /// The members as accepted.
     pub fn members(&self) -> impl Iterator<Item = &EndpointRecord> {
         self.accepted.members.values()
     }
     /// What waits.
-    pub fn waiting(&self) -> &Waiting<EndpointRecord> {
+    pub fn waiting(&self) -> &PendingChanges<EndpointRecord> {
         &self.waiting
     }
-    /// When to call [`Gate::release`] next, on the owner's clock; what waits for a freeze's end is looked at with each step.
+    /// When to call [`TopologyGate::release`] next, on the owner's clock; what waits for a freeze's end is looked at with each step.
     pub fn wake(&self) -> Option<Millis> {
         self.waiting.wake()
     }
@@ -187,13 +192,13 @@
     pub fn rose(&mut self, host: &str) {
         self.accepted.strength.rose(host);
     }
-    fn turn(&mut self, now: &Now, calendar: &Calendar) {
+    fn turn(&mut self, now: &GateContext, calendar: &Calendar) {
         if let Some(span) = now.fleet_time.filter(|_| self.known) {
             self.accepted.strength.turn(calendar, span);
         }
     }
     /// What may be accepted of a list. Losses and facts pass first, and at once.
-    pub fn hear(&mut self, now: &Now, calendar: &Calendar, list: &EndpointList) -> Heard {
+    pub fn hear(&mut self, now: &GateContext, calendar: &Calendar, list: &EndpointList) -> GateResult {
         self.turn(now, calendar);
         self.accepted.list = list.revision;
         // Of several states of one host only the last counts.
@@ -206,7 +211,9 @@
         let mut touched = Vec::new();
         for (host, new) in &newest {
             match self.take_facts(now, calendar, new) {
-                Some(Kind::Drain | Kind::Gone | Kind::Less) => lost.push((*host).to_owned()),
+                Some(ChangeKind::Drain | ChangeKind::Gone | ChangeKind::Less) => {
+                    lost.push((*host).to_owned())
+                }
                 Some(_) => touched.push((*host).to_owned()),
                 None => {}
             }
@@ -224,17 +231,17 @@
         };
         self.heard(list.complete, members)
     }
-    fn heard(&mut self, complete: bool, members: Vec<EndpointRecord>) -> Heard {
+    fn heard(&mut self, complete: bool, members: Vec<EndpointRecord>) -> GateResult {
         let records = std::mem::take(&mut self.accepted.records);
-        Heard { list: EndpointList { revision: self.accepted.list, complete, members }, records }
+        GateResult { list: EndpointList { revision: self.accepted.list, complete, members }, records }
     }
     fn first(
-        &mut self, now: &Now, calendar: &Calendar, list: &EndpointList,
+        &mut self, now: &GateContext, calendar: &Calendar, list: &EndpointList,
         newest: &LinkedHashMap<&str, &EndpointRecord>,
-    ) -> Heard {
+    ) -> GateResult {
         for (host, new) in newest.iter().take(MAX_MEMBERS) {
             self.accepted.put((*new).clone());
-            self.accepted.note(calendar, host, Kind::Join, Outcome::First);
+            self.accepted.note(calendar, host, ChangeKind::Join, ChangeOutcome::InitialList);
         }
         self.known = list.complete;
         self.turn(now, calendar);
@@ -256,30 +263,32 @@
         let gone: Vec<_> = self.accepted.members.values().filter(|it| !named(&it.id)).cloned().collect();
         for member in &gone {
             self.accepted.put(EndpointRecord { phase: Phase::Gone, ..member.clone() });
-            self.accepted.note(calendar, &member.id, Kind::Gone, Outcome::Taken);
+            self.accepted.note(calendar, &member.id, ChangeKind::Gone, ChangeOutcome::Applied);
         }
         gone.into_iter().map(|it| it.id).collect()
     }
-    fn take_facts(&mut self, now: &Now, calendar: &Calendar, new: &EndpointRecord) -> Option<Kind> {
+    fn take_facts(
+        &mut self, now: &GateContext, calendar: &Calendar, new: &EndpointRecord,
+    ) -> Option<ChangeKind> {
         let old = self.accepted.members.get(&new.id);
         let kind = facts(old, new)?;
         // A host that drains before it was ever taken is not named either, where it could not have joined.
         if old.is_none()
-            && kind == Kind::Drain
-            && self.accepted.judge(now, calendar, new, Kind::Join).is_err()
+            && kind == ChangeKind::Drain
+            && self.accepted.judge(now, calendar, new, ChangeKind::Join).is_err()
         {
             return None;
         }
         let member = old.map_or_else(|| new.clone(), |it| with_facts(it, new));
         if old.is_some() || self.accepted.members.len() < MAX_MEMBERS {
             self.accepted.put(member);
-            self.accepted.note(calendar, &new.id, kind, Outcome::Taken);
+            self.accepted.note(calendar, &new.id, kind, ChangeOutcome::Applied);
         }
         Some(kind)
     }
     /// Whether any of it is taken.
     fn take_planned(
-        &mut self, now: &Now, calendar: &Calendar, new: &EndpointRecord, queue: &mut Option<bool>,
+        &mut self, now: &GateContext, calendar: &Calendar, new: &EndpointRecord, queue: &mut Option<bool>,
     ) -> bool {
         if planned(self.accepted.members.get(&new.id), new).is_empty() {
             self.waiting.cancel(&new.id);
@@ -287,29 +296,31 @@
         }
         // While what waited is taken in steps, nobody goes past it; what a freeze still holds is in nobody's way.
         let queue = *queue.get_or_insert_with(|| {
-            let passes =
-                |it: &Waited<EndpointRecord>| self.accepted.judge(now, calendar, &it.state, it.kind).is_ok();
+            let passes = |it: &PendingChange<EndpointRecord>| {
+                self.accepted.judge(now, calendar, &it.state, it.kind).is_ok()
+            };
             self.waiting.iter().any(|(_, it)| passes(it))
         });
         let (took, held) = self.accepted.take(now, calendar, new, queue);
         match held {
             None => drop(self.waiting.cancel(&new.id)),
-            Some((kind, Outcome::Held { because, until })) => {
-                self.hold(now, calendar, new, kind, because, until)
+            Some((kind, ChangeOutcome::Held { reason: reason, until })) => {
+                self.hold(now, calendar, new, kind, reason, until)
             }
             Some((kind, outcome)) => self.accepted.note(calendar, &new.id, kind, outcome),
         }
         took
     }
     fn hold(
-        &mut self, now: &Now, calendar: &Calendar, new: &EndpointRecord, kind: Kind, because: Because,
-        until: Option<Millis>,
+        &mut self, now: &GateContext, calendar: &Calendar, new: &EndpointRecord, kind: ChangeKind,
+        reason: HoldReason, until: Option<Millis>,
     ) {
-        let waited = Waited { because: because.clone(), kind, since: now.at, state: new.clone(), until };
+        let waited =
+            PendingChange { reason: reason.clone(), kind, since: now.now, state: new.clone(), until };
         match self.waiting.hold(&new.id, waited) {
-            Ok(true) => self.accepted.note(calendar, &new.id, kind, Outcome::Held { because, until }),
+            Ok(true) => self.accepted.note(calendar, &new.id, kind, ChangeOutcome::Held { reason, until }),
             Ok(false) => {}
-            Err(_) => self.accepted.note(calendar, &new.id, kind, Outcome::NoRoom),
+            Err(_) => self.accepted.note(calendar, &new.id, kind, ChangeOutcome::QueueFull),
         }
     }
     /// The states to hand on of the hosts that changed; of those that went, the state that says so.
@@ -328,25 +339,25 @@
         out.into_iter().map(|it| it.1).collect()
     }
     /// The next step of what waited and may be taken now; `None` when there is none.
-    pub fn release(&mut self, now: &Now, calendar: &Calendar) -> Option<Heard> {
+    pub fn release(&mut self, now: &GateContext, calendar: &Calendar) -> Option<GateResult> {
         self.turn(now, calendar);
         let Self { accepted, waiting, .. } = self;
         let mut hosts = Vec::new();
-        let look = |host: &str, it: &mut Waited<EndpointRecord>| {
+        let look = |host: &str, it: &mut PendingChange<EndpointRecord>| {
             let (took, held) = accepted.take(now, calendar, &it.state, false);
             if took {
                 hosts.push(host.to_owned());
             }
             match held {
                 None => Looked::Taken,
-                Some((kind, Outcome::Held { because, until })) => {
-                    (it.kind, it.because, it.until) = (kind, because, until);
+                Some((kind, ChangeOutcome::Held { reason: reason, until })) => {
+                    (it.kind, it.reason, it.until) = (kind, reason, until);
                     if took { Looked::InPart } else { Looked::Held }
                 }
                 Some(_) => Looked::Held,
             }
         };
-        waiting.look(now.at, look, &mut Vec::new());
+        waiting.look(now.now, look, &mut Vec::new());
         if hosts.is_empty() {
             return None;
         }
--- a/crates/calendar/src/index.rs
+++ b/crates/calendar/src/index.rs
@@ -1,12 +1,12 @@
 //! The coming stretches of freeze and leave for every place and kind, sorted, so that a check is a few searches.
 
-use crate::entry::{Place, Scope};
+use crate::entry::{Scope, ScopeTarget};
 use crate::occurrences::Interval;
-use crate::{Change, Kind, Millis, Span};
+use crate::{Change, ChangeKind, Millis, TimeInterval};
 use rustc_hash::FxHashMap;
 use std::sync::Arc;
 
-const KINDS: usize = Kind::PLANNED.len();
+const KINDS: usize = ChangeKind::PLANNED.len();
 
 /// A stretch that one entry answers for.
 #[derive(Debug, Clone, Copy)]
@@ -46,12 +46,12 @@
         self.0 = done;
     }
     /// The first stretch with any moment of the span.
-    fn touching(&self, span: Span) -> Option<&Piece> {
+    fn touching(&self, span: TimeInterval) -> Option<&Piece> {
         let at = self.0.partition_point(|it| it.end <= span.earliest);
         self.0.get(at).filter(|it| it.start <= span.latest)
     }
     /// The stretch that the span begins in, where the whole span is covered.
-    fn covering(&self, span: Span) -> Option<&Piece> {
+    fn covering(&self, span: TimeInterval) -> Option<&Piece> {
         self.touching(span).filter(|it| it.start <= span.earliest && span.latest < it.until)
     }
 }
@@ -69,7 +69,7 @@
 }
 
 fn fill(kinds: &mut Kinds, scope: &Scope, at: &[Interval], entry: u32) {
-    for (timeline, kind) in kinds.iter_mut().zip(Kind::PLANNED) {
+    for (timeline, kind) in kinds.iter_mut().zip(ChangeKind::PLANNED) {
         if scope.kinds.is_empty() || scope.kinds.contains(&kind) {
             at.iter().for_each(|it| timeline.push(*it, entry));
         }
@@ -80,9 +80,9 @@
     fn add(&mut self, scope: &Scope, at: &[Interval], entry: u32) {
         fill(&mut self.anywhere, scope, at, entry);
         let (map, names) = match &scope.place {
-            Place::Fleet => return fill(&mut self.fleet, scope, at, entry),
-            Place::Zones(zones) => (&mut self.zones, zones),
-            Place::Group { hosts, .. } => (&mut self.hosts, hosts),
+            ScopeTarget::Fleet => return fill(&mut self.fleet, scope, at, entry),
+            ScopeTarget::Zones(zones) => (&mut self.zones, zones),
+            ScopeTarget::Group { hosts, .. } => (&mut self.hosts, hosts),
         };
         for name in names {
             fill(map.entry(Arc::from(name.as_str())).or_default(), scope, at, entry);
@@ -126,8 +126,8 @@
         self.titles.get(piece.entry as usize)
     }
     /// The freeze that holds the change in the span: of several the one that lasts longest.
-    pub(crate) fn freeze(&self, span: Span, change: &Change<'_>) -> Option<Piece> {
-        let kind = Kind::PLANNED.iter().position(|it| *it == change.kind)?;
+    pub(crate) fn freeze(&self, span: TimeInterval, change: &Change<'_>) -> Option<Piece> {
+        let kind = ChangeKind::PLANNED.iter().position(|it| *it == change.kind)?;
         let Some(host) = change.host else {
             return self.freezes.anywhere[kind].touching(span).copied();
         };
@@ -139,8 +139,8 @@
         zones.chain(others.into_iter().flatten()).max_by_key(|it| it.until)
     }
     /// The override that lets the change pass: one place of it must cover all that changes, in all of the span.
-    pub(crate) fn leave(&self, span: Span, change: &Change<'_>) -> Option<Piece> {
-        let kind = Kind::PLANNED.iter().position(|it| *it == change.kind)?;
+    pub(crate) fn leave(&self, span: TimeInterval, change: &Change<'_>) -> Option<Piece> {
+        let kind = ChangeKind::PLANNED.iter().position(|it| *it == change.kind)?;
         let at = &self.leaves;
         if let Some(found) = at.fleet[kind].covering(span) {
             return Some(*found);
--- a/crates/calendar/src/lib.rs
+++ b/crates/calendar/src/lib.rs
@@ -2,11 +2,11 @@
 //!
 //! The log hands each agreed [`Proposal`] to [`Calendar::apply`], which is deterministic: the same log makes the same calendar,
 //! and what is refused is refused everywhere. [`Calendar::check`] says of a [`Change`] whether it is taken or held, and why.
-//! [`Waiting`] keeps what is held, [`Strength`] the weight that replacement may restore, and [`Gate`] splits discovery's
+//! [`PendingChanges`] keeps what is held, [`AvailableCapacity`] the weight that replacement may restore, and [`TopologyGate`] splits discovery's
 //! lists into what passes now and what waits.
 //!
 //! The crate does no I/O, reads no clock and draws no randomness. It leaves to its owner the log, fleet time as a span, the
-//! standing of the lease, the timer that calls [`Gate::release`], and what becomes of the [`Record`]s.
+//! standing of the lease, the timer that calls [`TopologyGate::release`], and what becomes of the [`ChangeRecord`]s.
 //!
 //! Dates are jiff's with its bundled time zones, never the machine's: two machines must read one entry alike. Recurrences are
 //! jiff's series, ISO weeks and weekdays of months. The crate rrule knows more rules, but stands on chrono and chrono-tz: a
@@ -26,13 +26,15 @@
 mod valid;
 mod waiting;
 
-pub use apply::{Applied, Calendar, KEPT_MS, Life, MAX_ENTRIES, MAX_OCCURRENCES, Refused, Restore};
-pub use change::{Because, Change, Kind, Span, Standing, Verdict};
-pub use entry::{Day, Entry, Freeze, Override, Place, Proposal, Repeat, Revoke, Rhythm, Scope};
-pub use gate::{Gate, Heard, MAX_MEMBERS, Now, Outcome, Record};
-pub use strength::Strength;
+pub use apply::{
+    Applied, Calendar, EntryPhase, MAX_ENTRIES, MAX_OCCURRENCES, ProposalError, RETENTION_MS, RestoreError,
+};
+pub use change::{Change, ChangeKind, HoldReason, LeaseState, TimeInterval, Verdict};
+pub use entry::{Day, Entry, Freeze, Override, Proposal, Recurrence, Repeat, Revoke, Scope, ScopeTarget};
+pub use gate::{ChangeOutcome, ChangeRecord, GateContext, GateResult, MAX_MEMBERS, TopologyGate};
+pub use strength::AvailableCapacity;
 pub use valid::{Invalid, MAX_LENGTH_DAYS, MAX_NAMES, MAX_PER_ENTRY, MAX_TEXT, What};
-pub use waiting::{MAX_WAITING, Steps, Waited, Waiting};
+pub use waiting::{MAX_WAITING, PendingChange, PendingChanges, ReleasePace};
 
 /// Milliseconds: a span, a point of fleet time (since 1970), or a point on the owner's clock.
 pub type Millis = u64;
--- a/crates/calendar/src/list.rs
+++ b/crates/calendar/src/list.rs
@@ -1,6 +1,6 @@
 //! What of a member's new state is a fact, and what is by plan.
 
-use crate::Kind;
+use crate::ChangeKind;
 use proto::discovery::{EndpointRecord, Phase};
 
 /// The weight that a member serves with.
@@ -13,28 +13,32 @@
 }
 
 /// The planned kinds that the new state needs leave for.
-pub(crate) fn planned(old: Option<&EndpointRecord>, new: &EndpointRecord) -> Vec<Kind> {
+pub(crate) fn planned(old: Option<&EndpointRecord>, new: &EndpointRecord) -> Vec<ChangeKind> {
     let Some(old) = old else {
-        return if new.phase == Phase::Ready { vec![Kind::Join] } else { Vec::new() };
+        return if new.phase == Phase::Ready { vec![ChangeKind::Join] } else { Vec::new() };
     };
     if new.phase != Phase::Ready {
         return Vec::new();
     }
     let more = old.phase != Phase::Ready || new.size > old.size;
-    [(more, Kind::More), (moved(old, new), Kind::Zone)].iter().filter(|it| it.0).map(|it| it.1).collect()
+    [(more, ChangeKind::More), (moved(old, new), ChangeKind::Zone)]
+        .iter()
+        .filter(|it| it.0)
+        .map(|it| it.1)
+        .collect()
 }
 
 /// The facts in the new state, that pass whatever is frozen.
-pub(crate) fn facts(old: Option<&EndpointRecord>, new: &EndpointRecord) -> Option<Kind> {
+pub(crate) fn facts(old: Option<&EndpointRecord>, new: &EndpointRecord) -> Option<ChangeKind> {
     let before = old.map(|it| it.phase);
-    let left = if new.phase == Phase::Gone { Kind::Gone } else { Kind::Drain };
+    let left = if new.phase == Phase::Gone { ChangeKind::Gone } else { ChangeKind::Drain };
     let Some(old) = old else { return (new.phase != Phase::Ready).then_some(left) };
     match new.phase {
-        Phase::Gone => Some(Kind::Gone),
-        Phase::Draining if before != Some(Phase::Draining) => Some(Kind::Drain),
-        _ if new.size < old.size => Some(Kind::Less),
-        _ if new.up_since_ms != old.up_since_ms => Some(Kind::Cold),
-        _ if new.host_port != old.host_port => Some(Kind::Less),
+        Phase::Gone => Some(ChangeKind::Gone),
+        Phase::Draining if before != Some(Phase::Draining) => Some(ChangeKind::Drain),
+        _ if new.size < old.size => Some(ChangeKind::Less),
+        _ if new.up_since_ms != old.up_since_ms => Some(ChangeKind::Cold),
+        _ if new.host_port != old.host_port => Some(ChangeKind::Less),
         _ => None,
     }
 }
@@ -48,11 +52,11 @@
 
 /// The state with what one kind of change brings, at most so much weight of it.
 pub(crate) fn with(
-    old: Option<&EndpointRecord>, new: &EndpointRecord, kind: Kind, size: f64,
+    old: Option<&EndpointRecord>, new: &EndpointRecord, kind: ChangeKind, size: f64,
 ) -> EndpointRecord {
     match (old, kind) {
         (None, _) => EndpointRecord { size, ..new.clone() },
-        (Some(old), Kind::More) => EndpointRecord { phase: new.phase, size, ..old.clone() },
+        (Some(old), ChangeKind::More) => EndpointRecord { phase: new.phase, size, ..old.clone() },
         (Some(old), _) => EndpointRecord {
             locality: new.locality.clone(),
             flavor: new.flavor.clone(),
--- a/crates/calendar/src/occurrences.rs
+++ b/crates/calendar/src/occurrences.rs
@@ -1,7 +1,7 @@
 //! When an entry is in force: civil times and recurrences as spans of fleet time.
 
 use crate::Millis;
-use crate::entry::{Freeze, Override, Repeat, Rhythm};
+use crate::entry::{Freeze, Override, Recurrence, Repeat};
 use crate::valid::MAX_PER_ENTRY;
 use jiff::ToSpan;
 use jiff::civil::{Date, ISOWeekDate, Weekday};
@@ -45,16 +45,16 @@
 
 fn dates(start: Date, repeat: &Repeat) -> Box<dyn Iterator<Item = Date>> {
     match &repeat.rhythm {
-        Rhythm::Daily(every) => Box::new(start.series(i64::from(*every).days())),
-        Rhythm::Monthly(every) => Box::new(start.series(i64::from(*every).months())),
-        Rhythm::Yearly(every) => Box::new(start.series(i64::from(*every).years())),
-        Rhythm::Weekly { every, days } if days.is_empty() => {
+        Recurrence::Daily(every) => Box::new(start.series(i64::from(*every).days())),
+        Recurrence::Monthly(every) => Box::new(start.series(i64::from(*every).months())),
+        Recurrence::Yearly(every) => Box::new(start.series(i64::from(*every).years())),
+        Recurrence::Weekly { every, days } if days.is_empty() => {
             Box::new(start.series(i64::from(*every).weeks()))
         }
-        Rhythm::Weekly { every, days } => {
+        Recurrence::Weekly { every, days } => {
             Box::new(weekly(start, *every, days.iter().map(|it| Weekday::from(*it)).collect()))
         }
-        Rhythm::MonthlyByDay { every, nth, day } => {
+        Recurrence::MonthlyByDay { every, nth, day } => {
             let (nth, day) = (*nth, Weekday::from(*day));
             let months = start.first_of_month().series(i64::from(*every).months());
             Box::new(months.take(MAX_STEPS).filter_map(move |it| it.nth_weekday_of_month(nth, day).ok()))
--- a/crates/calendar/src/strength.rs
+++ b/crates/calendar/src/strength.rs
@@ -1,7 +1,7 @@
 //! The book of weights: what there was at a freeze's start, and how much of it a loss has opened to replacement.
 
-use crate::entry::{Place, Scope};
-use crate::{Calendar, Change, Millis, Span};
+use crate::entry::{Scope, ScopeTarget};
+use crate::{Calendar, Change, Millis, TimeInterval};
 use rustc_hash::{FxHashMap, FxHashSet};
 use std::collections::BTreeMap;
 
@@ -25,11 +25,11 @@
     now: f64,
 }
 
-fn counts(place: &Place, host: &str, zone: &str) -> bool {
+fn counts(place: &ScopeTarget, host: &str, zone: &str) -> bool {
     match place {
-        Place::Fleet => true,
-        Place::Zones(zones) => zones.iter().any(|it| it == zone),
-        Place::Group { hosts, .. } => hosts.iter().any(|it| it == host),
+        ScopeTarget::Fleet => true,
+        ScopeTarget::Zones(zones) => zones.iter().any(|it| it == zone),
+        ScopeTarget::Group { hosts, .. } => hosts.iter().any(|it| it == host),
     }
 }
 
@@ -49,16 +49,16 @@
 
 /// Weights by host, and one book for each freeze in force. Bounded by the members of its list and the calendar's entries.
 #[derive(Debug, Clone, Default)]
-pub struct Strength {
+pub struct AvailableCapacity {
     hosts: FxHashMap<String, Host>,
     fallen: FxHashSet<String>,
     books: BTreeMap<(String, Millis), Book>,
 }
 
-impl Strength {
+impl AvailableCapacity {
     /// Opens a book for each freeze that came into force, and closes those that are over. To be called before what is new is
     /// told: what was told up to now is what there was at the start.
-    pub fn turn(&mut self, calendar: &Calendar, span: Span) {
+    pub fn turn(&mut self, calendar: &Calendar, span: TimeInterval) {
         let mut before = std::mem::take(&mut self.books);
         for (entry, start) in calendar.in_force(span) {
             let key = (entry.id().to_owned(), start);
@@ -69,7 +69,7 @@
             self.books.insert(key, book);
         }
     }
-    fn weight(&self, place: &Place) -> f64 {
+    fn weight(&self, place: &ScopeTarget) -> f64 {
         let there = self.hosts.iter().filter(|(host, it)| counts(place, host, &it.zone));
         there.filter(|(host, _)| !self.fallen.contains(*host)).map(|(_, it)| it.weight).sum()
     }
--- a/crates/calendar/src/valid.rs
+++ b/crates/calendar/src/valid.rs
@@ -1,6 +1,6 @@
 //! What a proposal must be before it is proposed, field by field.
 
-use crate::entry::{Entry, Freeze, Override, Place, Proposal, Repeat, Rhythm, Scope};
+use crate::entry::{Entry, Freeze, Override, Proposal, Recurrence, Repeat, Scope, ScopeTarget};
 use crate::occurrences;
 use jiff::civil::DateTime;
 use thiserror::Error;
@@ -76,16 +76,16 @@
 }
 
 fn scope(scope: &Scope) -> Result<(), Invalid> {
-    if scope.kinds.len() > crate::Kind::PLANNED.len() {
+    if scope.kinds.len() > crate::ChangeKind::PLANNED.len() {
         return no("scope.kinds", What::TooLong);
     }
     if scope.kinds.iter().any(|it| !it.planned()) {
         return no("scope.kinds", What::NeverHeld);
     }
     match &scope.place {
-        Place::Fleet => Ok(()),
-        Place::Zones(zones) => names("scope.place.zones", zones),
-        Place::Group { name, hosts } => {
+        ScopeTarget::Fleet => Ok(()),
+        ScopeTarget::Zones(zones) => names("scope.place.zones", zones),
+        ScopeTarget::Group { name, hosts } => {
             text("scope.place.group.name", name)?;
             names("scope.place.group.hosts", hosts)
         }
@@ -107,13 +107,13 @@
 
 fn repeat(repeat: &Repeat) -> Result<(), Invalid> {
     let every = match &repeat.rhythm {
-        Rhythm::Daily(every) | Rhythm::Monthly(every) | Rhythm::Yearly(every) => *every,
-        Rhythm::Weekly { every, days } if days.len() <= 7 => *every,
-        Rhythm::Weekly { .. } => return no("repeat.rhythm.days", What::TooLong),
-        Rhythm::MonthlyByDay { nth, .. } if !matches!(*nth, -5..=-1 | 1..=5) => {
+        Recurrence::Daily(every) | Recurrence::Monthly(every) | Recurrence::Yearly(every) => *every,
+        Recurrence::Weekly { every, days } if days.len() <= 7 => *every,
+        Recurrence::Weekly { .. } => return no("repeat.rhythm.days", What::TooLong),
+        Recurrence::MonthlyByDay { nth, .. } if !matches!(*nth, -5..=-1 | 1..=5) => {
             return no("repeat.rhythm.nth", What::OutOfRange);
         }
-        Rhythm::MonthlyByDay { every, .. } => *every,
+        Recurrence::MonthlyByDay { every, .. } => *every,
     };
     if every == 0 { no("repeat.rhythm", What::OutOfRange) } else { Ok(()) }
 }
--- a/crates/calendar/src/waiting.rs
+++ b/crates/calendar/src/waiting.rs
@@ -1,6 +1,6 @@
 //! Changes that are held, each subject's newest state in the place of its first, and how they are taken at the end.
 
-use crate::{Because, Kind, Millis};
+use crate::{ChangeKind, HoldReason, Millis};
 use hashlink::LinkedHashMap;
 
 /// Subjects that wait: more hosts than a list can name.
@@ -8,7 +8,7 @@
 
 /// How what waited is taken: no host that is cold, nor the archive behind, pays for all at once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Steps {
+pub struct ReleasePace {
     /// Hosts at once; at least one.
     pub hosts: usize,
     /// From one step to the next, on the owner's clock.
@@ -17,11 +17,11 @@
 
 /// A change that is held.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Waited<T> {
+pub struct PendingChange<T> {
     /// Why, as of the last look.
-    pub because: Because,
+    pub reason: HoldReason,
     /// What changes.
-    pub kind: Kind,
+    pub kind: ChangeKind,
     /// Since when, on the owner's clock.
     pub since: Millis,
     /// The newest state.
@@ -43,15 +43,15 @@
 
 /// A bounded queue of what is held. Only what adds may be put here: losses pass at once, so that none is behind a join.
 #[derive(Debug, Clone)]
-pub struct Waiting<T> {
-    queue: LinkedHashMap<String, Waited<T>>,
-    steps: Steps,
+pub struct PendingChanges<T> {
+    queue: LinkedHashMap<String, PendingChange<T>>,
+    steps: ReleasePace,
     next: Millis,
 }
 
-impl<T: PartialEq> Waiting<T> {
+impl<T: PartialEq> PendingChanges<T> {
     /// An empty one.
-    pub fn new(steps: Steps) -> Self {
+    pub fn new(steps: ReleasePace) -> Self {
         Self { queue: LinkedHashMap::new(), steps, next: 0 }
     }
     /// How many wait.
@@ -63,11 +63,11 @@
         self.queue.is_empty()
     }
     /// What waits, in its order.
-    pub fn iter(&self) -> impl Iterator<Item = (&str, &Waited<T>)> {
+    pub fn iter(&self) -> impl Iterator<Item = (&str, &PendingChange<T>)> {
         self.queue.iter().map(|(subject, it)| (subject.as_str(), it))
     }
     /// What waits of a subject.
-    pub fn get(&self, subject: &str) -> Option<&Waited<T>> {
+    pub fn get(&self, subject: &str) -> Option<&PendingChange<T>> {
         self.queue.get(subject)
     }
     /// Holds a change. One of the same subject is merged into it, and keeps its place and its age. Whether anything is new of
@@ -75,10 +75,10 @@
     ///
     /// # Errors
     /// The change, when there is no room.
-    pub fn hold(&mut self, subject: &str, change: Waited<T>) -> Result<bool, Waited<T>> {
+    pub fn hold(&mut self, subject: &str, change: PendingChange<T>) -> Result<bool, PendingChange<T>> {
         if let Some(there) = self.queue.get_mut(subject) {
             let since = there.since;
-            let before = std::mem::replace(there, Waited { since, ..change });
+            let before = std::mem::replace(there, PendingChange { since, ..change });
             return Ok(before != *there);
         }
         if self.queue.len() >= MAX_WAITING {
@@ -88,7 +88,7 @@
         Ok(true)
     }
     /// Forgets a subject that wants nothing any more.
-    pub fn cancel(&mut self, subject: &str) -> Option<Waited<T>> {
+    pub fn cancel(&mut self, subject: &str) -> Option<PendingChange<T>> {
         self.queue.remove(subject)
     }
     /// The next look, on the owner's clock; `None` while nothing waits.
@@ -97,15 +97,15 @@
     }
     /// Takes, from the front, at most one step of what `may` lets pass.
     pub fn due(
-        &mut self, now: Millis, mut may: impl FnMut(&str, &Waited<T>) -> bool,
-    ) -> Vec<(String, Waited<T>)> {
+        &mut self, now: Millis, mut may: impl FnMut(&str, &PendingChange<T>) -> bool,
+    ) -> Vec<(String, PendingChange<T>)> {
         let mut taken = Vec::new();
         self.look(now, |subject, it| if may(subject, it) { Looked::Taken } else { Looked::Held }, &mut taken);
         taken
     }
     pub(crate) fn look(
-        &mut self, now: Millis, mut at: impl FnMut(&str, &mut Waited<T>) -> Looked,
-        taken: &mut Vec<(String, Waited<T>)>,
+        &mut self, now: Millis, mut at: impl FnMut(&str, &mut PendingChange<T>) -> Looked,
+        taken: &mut Vec<(String, PendingChange<T>)>,
     ) {
         if now < self.next {
             return;
--- a/crates/calendar/tests/calendar.rs
+++ b/crates/calendar/tests/calendar.rs
@@ -11,14 +11,14 @@
 const TIJUANA: &str = "America/Tijuana";
 const MADRID: &str = "Europe/Madrid";
 
-fn repeat(until: &str, rhythm: Rhythm) -> Option<Repeat> {
+fn repeat(until: &str, rhythm: Recurrence) -> Option<Repeat> {
     Some(Repeat { until: until.parse().unwrap(), rhythm })
 }
 
 /// The weeks before the deadlines for permits: from the 24th to the end of the month, but for a year's end.
 fn deadline_weeks() -> Freeze {
     Freeze {
-        repeat: repeat("2026-12-31", Rhythm::Monthly(1)),
+        repeat: repeat("2026-12-31", Recurrence::Monthly(1)),
         exceptions: vec!["2026-12-24".parse().unwrap()],
         ..freeze("deadline-weeks", "2026-01-24T00:00", "2026-02-01T00:00", MEXICO)
     }
@@ -38,9 +38,12 @@
     ] {
         assert_eq!(frozen(&calendar, at(civil, MEXICO)), is, "{civil}");
     }
-    let hold =
-        calendar.check(moment(utc("2026-01-25T06:00Z")), Standing::Held, &Change::of_fleet(Kind::Growth));
-    let Verdict::Hold { because: Because::Freeze { id, reason }, until } = hold else { panic!("{hold:?}") };
+    let hold = calendar.check(
+        moment(utc("2026-01-25T06:00Z")),
+        LeaseState::Held,
+        &Change::of_fleet(ChangeKind::Growth),
+    );
+    let Verdict::Hold { reason: HoldReason::Freeze { id, reason }, until } = hold else { panic!("{hold:?}") };
     assert_eq!((&*id, &*reason), ("deadline-weeks", "because of deadline-weeks"));
     assert_eq!(until, Some(at("2026-02-01T00:00", MEXICO)));
 }
@@ -72,7 +75,7 @@
 #[test]
 fn a_recurrence_across_a_change_of_clocks_starts_at_the_same_hour_on_the_wall() {
     let nights = Freeze {
-        repeat: repeat("2026-04-05", Rhythm::Weekly { every: 1, days: vec![Day::Saturday, Day::Sunday] }),
+        repeat: repeat("2026-04-05", Recurrence::Weekly { every: 1, days: vec![Day::Saturday, Day::Sunday] }),
         ..freeze("nights", "2026-03-21T20:00", "2026-03-21T21:00", MADRID)
     };
     let calendar = calendar(&[nights]);
@@ -92,21 +95,21 @@
 fn what_cannot_be_is_refused_by_the_name_of_its_field() {
     let good = || freeze("it", "2026-01-24T00:00", "2026-02-01T00:00", MEXICO);
     let never = vec!["2026-01-24".parse().unwrap()];
-    let daily = repeat("2036-01-01", Rhythm::Daily(1));
-    let bad_nth = repeat("2027-01-01", Rhythm::MonthlyByDay { every: 1, nth: 6, day: Day::Monday });
-    let kinds = Scope { kinds: vec![Kind::Drain], place: Place::Fleet };
+    let daily = repeat("2036-01-01", Recurrence::Daily(1));
+    let bad_nth = repeat("2027-01-01", Recurrence::MonthlyByDay { every: 1, nth: 6, day: Day::Monday });
+    let kinds = Scope { kinds: vec![ChangeKind::Drain], place: ScopeTarget::Fleet };
     for (freeze, said) in [
         (Freeze { end: "2026-01-24T00:00".parse().unwrap(), ..good() }, "`end` is not behind the start"),
         (Freeze { end: "2028-01-24T00:00".parse().unwrap(), ..good() }, "`end` is out of its range"),
         (Freeze { zone: "Mars/Base".into(), ..good() }, "`zone` names no time zone that is known"),
         (Freeze { exceptions: never, ..good() }, "`exceptions` leaves no occurrence"),
         (
-            Freeze { repeat: repeat("2025-01-01", Rhythm::Daily(1)), ..good() },
+            Freeze { repeat: repeat("2025-01-01", Recurrence::Daily(1)), ..good() },
             "`repeat` leaves no occurrence",
         ),
         (Freeze { repeat: daily, ..good() }, "`repeat` makes too many occurrences"),
         (
-            Freeze { repeat: repeat("2027-01-01", Rhythm::Daily(0)), ..good() },
+            Freeze { repeat: repeat("2027-01-01", Recurrence::Daily(0)), ..good() },
             "`repeat.rhythm` is out of its range",
         ),
         (Freeze { repeat: bad_nth, ..good() }, "`repeat.rhythm.nth` is out of its range"),
@@ -125,29 +128,29 @@
     let (start, mut calendar) = (utc("2026-01-24T12:00Z"), Calendar::new(BINDING));
     let it = freeze("now", "2026-01-24T00:00", "2026-01-25T00:00", "UTC");
     assert_eq!(calendar.apply(7, start, &add(&it)), Applied::Added);
-    assert_eq!(calendar.life("now", start + BINDING - 1), Some(Life::Agreed));
+    assert_eq!(calendar.life("now", start + BINDING - 1), Some(EntryPhase::Agreed));
     assert!(!frozen(&calendar, start + BINDING - 1));
-    assert_eq!(calendar.life("now", start + BINDING), Some(Life::InForce));
+    assert_eq!(calendar.life("now", start + BINDING), Some(EntryPhase::InForce));
     assert!(frozen(&calendar, start + BINDING));
-    assert_eq!(calendar.life("now", utc("2026-01-25T00:00Z")), Some(Life::Ended));
+    assert_eq!(calendar.life("now", utc("2026-01-25T00:00Z")), Some(EntryPhase::Ended));
     assert_eq!(calendar.apply(7, start, &add(&it)), Applied::Known);
-    let duplicate = Refused::Duplicate("now".into());
+    let duplicate = ProposalError::Duplicate("now".into());
     assert_eq!(calendar.apply(8, start, &add(&it)), Applied::Refused(duplicate));
     let revoke =
         |id: &str| Proposal::Revoke(Revoke { id: id.into(), asked_by: "Ana".into(), reason: "over".into() });
-    let unknown = Refused::Unknown("none".into());
+    let unknown = ProposalError::Unknown("none".into());
     assert_eq!(calendar.apply(9, start, &revoke("none")), Applied::Refused(unknown));
     assert_eq!(calendar.apply(10, start + 60_000, &revoke("now")), Applied::Revoked);
     assert!(!frozen(&calendar, start + 60_000));
-    assert_eq!(calendar.life("now", start + 60_000), Some(Life::Revoked));
+    assert_eq!(calendar.life("now", start + 60_000), Some(EntryPhase::Revoked));
     assert_eq!((calendar.revision(), calendar.agreed("now")), (10, Some((start, 7))));
     assert!(matches!(
         calendar.apply(11, start + 60_001, &revoke("now")),
-        Applied::Refused(Refused::Unknown(_))
+        Applied::Refused(ProposalError::Unknown(_))
     ));
     assert!(matches!(
         calendar.apply(12, utc("2027-01-01T00:00Z"), &add(&it)),
-        Applied::Refused(Refused::Over(_))
+        Applied::Refused(ProposalError::Over(_))
     ));
     assert_eq!(calendar.entries().count(), 0, "forgotten so long behind its end");
 }
@@ -160,61 +163,65 @@
         assert_eq!(calendar.apply(n as u64 + 1, 1_000, &add(&name(n))), Applied::Added);
     }
     let over = calendar.apply(20_000, 1_000, &add(&name(MAX_ENTRIES)));
-    assert_eq!(over, Applied::Refused(Refused::Full));
+    assert_eq!(over, Applied::Refused(ProposalError::Full));
     let zones = (0..MAX_NAMES).map(|n| format!("z{n}")).collect();
-    let scope = Scope { kinds: vec![], place: Place::Zones(zones) };
-    let wide = Freeze { repeat: repeat("2027-12-31", Rhythm::Daily(1)), scope, ..name(0) };
-    assert_eq!(support::calendar(&[]).consider(1_000, &add(&wide)), Err(Refused::TooMany));
+    let scope = Scope { kinds: vec![], place: ScopeTarget::Zones(zones) };
+    let wide = Freeze { repeat: repeat("2027-12-31", Recurrence::Daily(1)), scope, ..name(0) };
+    assert_eq!(support::calendar(&[]).consider(1_000, &add(&wide)), Err(ProposalError::TooMany));
 }
 
 #[test]
 fn what_is_no_plan_is_never_held_and_without_a_lease_every_plan_is() {
     let calendar = calendar(&[freeze("it", "2026-01-24T00:00", "2026-02-01T00:00", "UTC")]);
     let (inside, outside) = (moment(utc("2026-01-25T00:00Z")), moment(utc("2026-03-01T00:00Z")));
-    use Kind::*;
+    use ChangeKind::*;
     for kind in [Drain, Gone, Fall, Cold, Out, Back, Less] {
-        let taken = calendar.check(inside, Standing::Fenced, &Change::of_host(kind, "h", "z"));
-        assert_eq!(taken, Verdict::Take { revision: 1, under: None });
+        let taken = calendar.check(inside, LeaseState::Fenced, &Change::of_host(kind, "h", "z"));
+        assert_eq!(taken, Verdict::Allow { revision: 1, override_id: None });
     }
-    for kind in Kind::PLANNED {
+    for kind in ChangeKind::PLANNED {
         let check = |time, standing| calendar.check(time, standing, &Change::of_host(kind, "h", "z"));
         assert!(matches!(
-            check(inside, Standing::Held),
-            Verdict::Hold { because: Because::Freeze { .. }, .. }
+            check(inside, LeaseState::Held),
+            Verdict::Hold { reason: HoldReason::Freeze { .. }, .. }
         ));
-        assert!(matches!(check(outside, Standing::Held), Verdict::Take { .. }));
-        let stale = Verdict::Hold { because: Because::Stale, until: None };
-        assert_eq!(check(outside, Standing::Fenced), stale);
-        assert_eq!(check(outside, Standing::Orphaned), stale);
-        assert_eq!(check(None, Standing::Held), stale);
-        assert!(matches!(check(None, Standing::NoFleet), Verdict::Take { .. }));
+        assert!(matches!(check(outside, LeaseState::Held), Verdict::Allow { .. }));
+        let stale = Verdict::Hold { reason: HoldReason::NoLease, until: None };
+        assert_eq!(check(outside, LeaseState::Fenced), stale);
+        assert_eq!(check(outside, LeaseState::Orphaned), stale);
+        assert_eq!(check(None, LeaseState::Held), stale);
+        assert!(matches!(check(None, LeaseState::NoFleet), Verdict::Allow { .. }));
     }
 }
 
 #[test]
 fn an_override_lets_pass_what_it_covers_whole_until_its_end() {
     let mut calendar = calendar(&[freeze("it", "2026-01-24T00:00", "2026-02-01T00:00", "UTC")]);
-    let scope = Scope { kinds: vec![Kind::Zone, Kind::Join], place: Place::Zones(vec!["a".into()]) };
+    let scope = Scope {
+        kinds: vec![ChangeKind::Zone, ChangeKind::Join],
+        place: ScopeTarget::Zones(vec!["a".into()]),
+    };
     let agreed = utc("2026-01-25T00:00Z");
     calendar.apply(5, agreed, &leave("rack", "2026-01-26T00:00", scope));
-    let in_a = Change::of_host(Kind::Join, "h", "a");
-    let under = calendar.check(moment(agreed), Standing::Held, &in_a);
-    assert_eq!(under, Verdict::Take { revision: 5, under: Some("rack".into()) });
-    assert!(held(&calendar, agreed, &Change::of_host(Kind::More, "h", "a")));
-    assert!(held(&calendar, agreed, &Change::of_fleet(Kind::Join)));
-    let both = Change { kind: Kind::Zone, host: Some("h"), zones: [Some("a"), Some("b")] };
+    let in_a = Change::of_host(ChangeKind::Join, "h", "a");
+    let under = calendar.check(moment(agreed), LeaseState::Held, &in_a);
+    assert_eq!(under, Verdict::Allow { revision: 5, override_id: Some("rack".into()) });
+    assert!(held(&calendar, agreed, &Change::of_host(ChangeKind::More, "h", "a")));
+    assert!(held(&calendar, agreed, &Change::of_fleet(ChangeKind::Join)));
+    let both = Change { kind: ChangeKind::Zone, host: Some("h"), zones: [Some("a"), Some("b")] };
     assert!(held(&calendar, agreed, &both), "it covers only one of the two zones");
     let end = utc("2026-01-26T00:00Z");
     assert!(!held(&calendar, end - 1, &in_a) && held(&calendar, end, &in_a));
-    let across = Some(Span { earliest: end - 5, latest: end });
-    assert!(matches!(calendar.check(across, Standing::Held, &in_a), Verdict::Hold { .. }));
+    let across = Some(TimeInterval { earliest: end - 5, latest: end });
+    assert!(matches!(calendar.check(across, LeaseState::Held, &in_a), Verdict::Hold { .. }));
 }
 
 #[test]
 fn proposals_come_back_from_toml_and_postcard_as_they_were() {
-    let scope = Scope { kinds: vec![], place: Place::Group { name: "old".into(), hosts: vec!["h1".into()] } };
+    let scope =
+        Scope { kinds: vec![], place: ScopeTarget::Group { name: "old".into(), hosts: vec!["h1".into()] } };
     let plain = freeze("b", "2026-01-24T00:00", "2026-02-01T00:00", "UTC");
-    let days = Rhythm::Weekly { every: 2, days: vec![Day::Friday] };
+    let days = Recurrence::Weekly { every: 2, days: vec![Day::Friday] };
     let weekly = Freeze { repeat: repeat("2026-03-01", days), scope: scope.clone(), ..plain.clone() };
     for proposal in [add(&deadline_weeks()), add(&plain), add(&weekly), leave("c", "2026-01-26T00:00", scope)]
     {
@@ -283,5 +290,5 @@
         Ok(())
     };
     runner.run(&(changes, noise), any_bytes).unwrap();
-    assert_eq!(Calendar::restore(&whole[..whole.len() - 1]), Err(Restore::Form));
+    assert_eq!(Calendar::restore(&whole[..whole.len() - 1]), Err(RestoreError::Form));
 }
--- a/crates/calendar/tests/frozen.rs
+++ b/crates/calendar/tests/frozen.rs
@@ -29,15 +29,15 @@
     let nth_month = |every: u16| months % i64::from(every) == 0;
     let same_day = day.day() == first.day().min(day.days_in_month());
     let by_rule = match &repeat.rhythm {
-        Rhythm::Daily(every) => days_between(first, day) % i64::from(*every) == 0,
-        Rhythm::Weekly { every, days } => {
+        Recurrence::Daily(every) => days_between(first, day) % i64::from(*every) == 0,
+        Recurrence::Weekly { every, days } => {
             let listed = days.iter().any(|it| Weekday::from(*it) == day.weekday());
             let on = if days.is_empty() { day.weekday() == first.weekday() } else { listed };
             on && days_between(monday(first), monday(day)) / 7 % i64::from(*every) == 0
         }
-        Rhythm::Monthly(every) => nth_month(*every) && same_day,
-        Rhythm::Yearly(every) => nth_month(12 * *every) && same_day,
-        Rhythm::MonthlyByDay { every, nth, day: weekday } => {
+        Recurrence::Monthly(every) => nth_month(*every) && same_day,
+        Recurrence::Yearly(every) => nth_month(12 * *every) && same_day,
+        Recurrence::MonthlyByDay { every, nth, day: weekday } => {
             let place = match nth {
                 1.. => (day.day() - 1) / 7 + 1,
                 _ => -((day.days_in_month() - day.day()) / 7 + 1),
@@ -64,19 +64,19 @@
     )
 }
 
-fn rhythm() -> impl Strategy<Value = Rhythm> {
+fn rhythm() -> impl Strategy<Value = Recurrence> {
     let nth = prop_oneof![-5_i8..=-1, 1_i8..=5];
     prop_oneof![
-        (1_u16..40).prop_map(Rhythm::Daily),
+        (1_u16..40).prop_map(Recurrence::Daily),
         (1_u16..4, 0_usize..4)
-            .prop_map(|(every, many)| Rhythm::Weekly { every, days: DAYS[..many.min(3)].to_vec() }),
-        (1_u16..4).prop_map(Rhythm::Monthly),
-        (1_u16..4, nth, 0_usize..3).prop_map(|(every, nth, day)| Rhythm::MonthlyByDay {
+            .prop_map(|(every, many)| Recurrence::Weekly { every, days: DAYS[..many.min(3)].to_vec() }),
+        (1_u16..4).prop_map(Recurrence::Monthly),
+        (1_u16..4, nth, 0_usize..3).prop_map(|(every, nth, day)| Recurrence::MonthlyByDay {
             every,
             nth,
             day: DAYS[day]
         }),
-        (1_u16..3).prop_map(Rhythm::Yearly),
+        (1_u16..3).prop_map(Recurrence::Yearly),
     ]
 }
 
--- a/crates/calendar/tests/gate.rs
+++ b/crates/calendar/tests/gate.rs
@@ -6,7 +6,7 @@
 use proto::discovery::{EndpointList, EndpointRecord, Phase};
 use support::*;
 
-const STEPS: Steps = Steps { hosts: 2, pause: 1_000 };
+const STEPS: ReleasePace = ReleasePace { hosts: 2, pause: 1_000 };
 const BEFORE: &str = "2026-01-23T00:00Z";
 const DURING: &str = "2026-01-25T00:00Z";
 const AFTER: &str = "2026-02-02T00:00Z";
@@ -35,23 +35,23 @@
 fn changes(members: Vec<EndpointRecord>) -> EndpointList {
     EndpointList { revision: 4, complete: false, members }
 }
-fn now(at: Millis, fleet_time: &str) -> Now {
-    Now { at, fleet_time: moment(utc(fleet_time)), standing: Standing::Held }
+fn now(at: Millis, fleet_time: &str) -> GateContext {
+    GateContext { now: at, fleet_time: moment(utc(fleet_time)), lease: LeaseState::Held }
 }
 fn weeks() -> Calendar {
     calendar(&[freeze("weeks", "2026-01-24T00:00", "2026-02-01T00:00", "UTC")])
 }
-fn gate() -> Gate {
-    Gate::new(Some(three()), STEPS)
+fn gate() -> TopologyGate {
+    TopologyGate::new(Some(three()), STEPS)
 }
 /// What is handed on, as `host:weight`.
-fn told(heard: &Heard) -> String {
+fn told(heard: &GateResult) -> String {
     let one = |it: &EndpointRecord| {
         format!("{}:{}{}", it.id, it.size, if it.phase == Phase::Ready { "" } else { "-" })
     };
     heard.list.members.iter().map(one).collect::<Vec<_>>().join(" ")
 }
-fn outcome<'a>(heard: &'a Heard, host: &str) -> (Kind, &'a Outcome) {
+fn outcome<'a>(heard: &'a GateResult, host: &str) -> (ChangeKind, &'a ChangeOutcome) {
     let record =
         heard.records.iter().find(|it| it.host == host).unwrap_or_else(|| panic!("{host}: {heard:?}"));
     (record.kind, &record.outcome)
@@ -65,17 +65,22 @@
     let heard =
         gate.hear(&now(1, DURING), &calendar, &whole(vec![host("h1", 2.0), host("h4", 4.0), moved, less]));
     assert_eq!(told(&heard), "h1:1.5 h2:1 h3:0.5", "h1 makes good what h3 lost");
-    assert_eq!(outcome(&heard, "h3"), (Kind::Less, &Outcome::Taken));
-    assert_eq!(outcome(&heard, "h2"), (Kind::Cold, &Outcome::Taken));
+    assert_eq!(outcome(&heard, "h3"), (ChangeKind::Less, &ChangeOutcome::Applied));
+    assert_eq!(outcome(&heard, "h2"), (ChangeKind::Cold, &ChangeOutcome::Applied));
     assert!(matches!(
         outcome(&heard, "h4"),
-        (Kind::Join, Outcome::Held { because: Because::Freeze { .. }, .. })
+        (ChangeKind::Join, ChangeOutcome::Held { reason: HoldReason::Freeze { .. }, .. })
     ));
     let zones: Vec<_> = gate.members().map(|it| (it.locality.as_str(), it.up_since_ms)).collect();
     assert_eq!(zones, [("a", 5), ("a", 9), ("a", 5)], "restarts are facts, zones are not");
     assert!(heard.records.iter().all(|it| it.revision == 1 && it.list == 3));
     let waits: Vec<_> = gate.waiting().iter().map(|it| (it.0, it.1.kind)).collect();
-    let wanted = [("h1", Kind::More), ("h4", Kind::Join), ("h2", Kind::Zone), ("h3", Kind::Zone)];
+    let wanted = [
+        ("h1", ChangeKind::More),
+        ("h4", ChangeKind::Join),
+        ("h2", ChangeKind::Zone),
+        ("h3", ChangeKind::Zone),
+    ];
     assert_eq!(waits, wanted);
 }
 
@@ -106,8 +111,8 @@
     assert_eq!(gate.release(&now(10, DURING), &calendar), None);
     assert_eq!(gate.wake(), Some(1_010), "a look in vain must not be repeated at once");
     let late = gate.hear(&now(1_500, AFTER), &calendar, &changes(vec![host("h0", 1.0)]));
-    let turn = Outcome::Held { because: Because::Turn, until: None };
-    assert_eq!(outcome(&late, "h0"), (Kind::Join, &turn));
+    let turn = ChangeOutcome::Held { reason: HoldReason::Queued, until: None };
+    assert_eq!(outcome(&late, "h0"), (ChangeKind::Join, &turn));
     assert_eq!(told(&gate.release(&now(2_000, AFTER), &calendar).unwrap()), "h4:2 h5:2");
     assert_eq!(gate.release(&now(2_999, AFTER), &calendar), None);
     let loss = gate.hear(&now(2_999, AFTER), &calendar, &changes(vec![phase(Phase::Gone, host("h1", 1.0))]));
@@ -116,7 +121,7 @@
     assert_eq!(told(&gate.release(&now(4_000, AFTER), &calendar).unwrap()), "h8:2 h0:1");
     assert_eq!(gate.wake(), None);
     let next = gate.hear(&now(4_001, AFTER), &calendar, &changes(vec![host("h9", 1.0)]));
-    assert_eq!(outcome(&next, "h9"), (Kind::Join, &Outcome::Taken));
+    assert_eq!(outcome(&next, "h9"), (ChangeKind::Join, &ChangeOutcome::Applied));
 }
 
 #[test]
@@ -136,7 +141,7 @@
     let swap = vec![host("h5", 0.75), host("h6", 1.5), phase(Phase::Gone, host("h1", 1.0)), host("h7", 1.0)];
     let heard = gate.hear(&now(3, DURING), &calendar, &changes(swap));
     assert_eq!(told(&heard), "h1:1- h5:0.75 h6:0.25", "the loss first, then no more than was lost");
-    assert_eq!(outcome(&heard, "h5"), (Kind::Join, &Outcome::Replaced));
+    assert_eq!(outcome(&heard, "h5"), (ChangeKind::Join, &ChangeOutcome::Replacement));
     let weight: f64 = gate.members().filter(|it| it.phase == Phase::Ready).map(|it| it.size).sum();
     assert!((weight - 3.0).abs() < 1e-6, "{weight}");
     gate.fell("h2");
@@ -153,23 +158,23 @@
 
 #[test]
 fn strength_is_counted_in_the_scope_of_each_freeze() {
-    let zone = |it: &str| Scope { kinds: vec![], place: Place::Zones(vec![it.into()]) };
+    let zone = |it: &str| Scope { kinds: vec![], place: ScopeTarget::Zones(vec![it.into()]) };
     let it = freeze("a", "2026-01-24T00:00", "2026-02-01T00:00", "UTC");
     let calendar = calendar(&[
         Freeze { scope: zone("a"), ..it.clone() },
         Freeze { id: "b".into(), scope: zone("b"), ..it },
     ]);
-    let mut book = Strength::default();
+    let mut book = AvailableCapacity::default();
     book.tell("h1", "a", 2.0);
     book.tell("h2", "b", 2.0);
     book.turn(&calendar, moment(utc(DURING)).unwrap());
     book.tell("h1", "a", 0.0);
-    assert_eq!(book.room(&Change::of_host(Kind::Join, "h3", "a"), 2.0), Some(2.0));
-    assert_eq!(book.room(&Change::of_host(Kind::Join, "h3", "b"), 1.0), None);
-    assert_eq!(book.room(&Change::of_host(Kind::Join, "h3", "c"), 1.0), None);
+    assert_eq!(book.room(&Change::of_host(ChangeKind::Join, "h3", "a"), 2.0), Some(2.0));
+    assert_eq!(book.room(&Change::of_host(ChangeKind::Join, "h3", "b"), 1.0), None);
+    assert_eq!(book.room(&Change::of_host(ChangeKind::Join, "h3", "c"), 1.0), None);
     book.turn(&calendar, moment(utc(AFTER)).unwrap());
     assert_eq!(
-        book.room(&Change::of_host(Kind::Join, "h3", "a"), 1.0),
+        book.room(&Change::of_host(ChangeKind::Join, "h3", "a"), 1.0),
         None,
         "the book is closed at the end"
     );
@@ -177,31 +182,36 @@
 
 #[test]
 fn a_process_that_knows_nothing_serves_its_first_list_and_holds_what_joins_behind_it() {
-    let (mut gate, calendar) = (Gate::new(None, STEPS), weeks());
-    let fenced = Now { fleet_time: None, standing: Standing::Fenced, ..now(1, DURING) };
+    let (mut gate, calendar) = (TopologyGate::new(None, STEPS), weeks());
+    let fenced = GateContext { fleet_time: None, lease: LeaseState::Fenced, ..now(1, DURING) };
     let first = gate.hear(&fenced, &calendar, &whole(three()));
     assert_eq!(first.list, whole(three()));
-    assert!(first.records.len() == 3 && first.records.iter().all(|it| it.outcome == Outcome::First));
+    assert!(
+        first.records.len() == 3 && first.records.iter().all(|it| it.outcome == ChangeOutcome::InitialList)
+    );
     let next = gate.hear(&now(2, DURING), &calendar, &changes(vec![host("h4", 1.0)]));
-    assert!(matches!(outcome(&next, "h4"), (Kind::Join, Outcome::Held { .. })));
+    assert!(matches!(outcome(&next, "h4"), (ChangeKind::Join, ChangeOutcome::Held { .. })));
     let beyond =
         self::gate().hear(&now(1, DURING), &calendar, &whole(vec![host("h1", 1.0), host("h4", 1.0)]));
     assert_eq!(told(&beyond), "h1:1 h4:1", "h4 replaces what the known list has lost");
-    assert_eq!(outcome(&beyond, "h4"), (Kind::Join, &Outcome::Replaced));
+    assert_eq!(outcome(&beyond, "h4"), (ChangeKind::Join, &ChangeOutcome::Replacement));
 }
 
 #[test]
 fn without_a_lease_all_that_is_planned_waits_and_without_a_fleet_all_passes() {
     let calendar = Calendar::new(BINDING);
     let list = changes(vec![host("h4", 1.0), phase(Phase::Gone, host("h1", 1.0))]);
-    for standing in [Standing::Fenced, Standing::Orphaned] {
+    for standing in [LeaseState::Fenced, LeaseState::Orphaned] {
         let mut gate = gate();
-        let heard = gate.hear(&Now { standing, ..now(1, DURING) }, &calendar, &list);
+        let heard = gate.hear(&GateContext { lease: standing, ..now(1, DURING) }, &calendar, &list);
         assert_eq!(told(&heard), "h1:1-");
-        assert_eq!(outcome(&heard, "h4").1, &Outcome::Held { because: Because::Stale, until: None });
+        assert_eq!(
+            outcome(&heard, "h4").1,
+            &ChangeOutcome::Held { reason: HoldReason::NoLease, until: None }
+        );
         assert_eq!(told(&gate.release(&now(2_000, DURING), &calendar).unwrap()), "h4:1");
     }
-    let alone = Now { at: 1, fleet_time: None, standing: Standing::NoFleet };
+    let alone = GateContext { now: 1, fleet_time: None, lease: LeaseState::NoFleet };
     let list = whole(vec![host("h9", 3.0), EndpointRecord { locality: "b".into(), ..host("h1", 7.0) }]);
     assert_eq!(gate().hear(&alone, &calendar, &list).list, list);
 }
@@ -210,19 +220,24 @@
 fn an_override_takes_a_host_out_of_the_queue() {
     let (mut gate, mut calendar) = (gate(), weeks());
     gate.hear(&now(1, DURING), &calendar, &changes(vec![host("h4", 1.0), host("h5", 1.0)]));
-    let place = Place::Group { name: "new".into(), hosts: vec!["h5".into()] };
+    let place = ScopeTarget::Group { name: "new".into(), hosts: vec!["h5".into()] };
     calendar.apply(2, utc(DURING), &leave("rack", "2026-01-27T00:00", Scope { kinds: vec![], place }));
     let heard = gate.release(&now(2, DURING), &calendar).unwrap();
     assert_eq!(told(&heard), "h5:1");
-    assert_eq!(outcome(&heard, "h5").1, &Outcome::Override("rack".into()));
+    assert_eq!(outcome(&heard, "h5").1, &ChangeOutcome::Override("rack".into()));
     assert_eq!((heard.records[0].revision, gate.waiting().len()), (2, 1));
 }
 
 #[test]
 fn the_queue_of_changes_is_bounded_and_refuses_what_is_over() {
-    let mut queue = Waiting::new(STEPS);
-    let one =
-        |state| Waited { because: Because::Stale, kind: Kind::Configuration, since: 0, state, until: None };
+    let mut queue = PendingChanges::new(STEPS);
+    let one = |state| PendingChange {
+        reason: HoldReason::NoLease,
+        kind: ChangeKind::Configuration,
+        since: 0,
+        state,
+        until: None,
+    };
     for n in 0..MAX_WAITING {
         assert_eq!(queue.hold(&n.to_string(), one(n)), Ok(true));
     }
--- a/crates/calendar/tests/golden.rs
+++ b/crates/calendar/tests/golden.rs
@@ -18,22 +18,22 @@
 
 /// Entries of every form.
 fn proposals() -> Vec<Proposal> {
-    const ALL_KINDS: [Kind; 15] = [
-        Kind::Drain,
-        Kind::Gone,
-        Kind::Fall,
-        Kind::Cold,
-        Kind::Out,
-        Kind::Back,
-        Kind::Less,
-        Kind::Join,
-        Kind::More,
-        Kind::Zone,
-        Kind::Discovery,
-        Kind::Configuration,
-        Kind::Restart,
-        Kind::Growth,
-        Kind::Council,
+    const ALL_KINDS: [ChangeKind; 15] = [
+        ChangeKind::Drain,
+        ChangeKind::Gone,
+        ChangeKind::Fall,
+        ChangeKind::Cold,
+        ChangeKind::Out,
+        ChangeKind::Back,
+        ChangeKind::Less,
+        ChangeKind::Join,
+        ChangeKind::More,
+        ChangeKind::Zone,
+        ChangeKind::Discovery,
+        ChangeKind::Configuration,
+        ChangeKind::Restart,
+        ChangeKind::Growth,
+        ChangeKind::Council,
     ];
     let until = "2030-12-31".parse().unwrap();
     let all_days = vec![
@@ -46,16 +46,16 @@
         Day::Sunday,
     ];
     let rhythms = [
-        Rhythm::Daily(2),
-        Rhythm::Weekly { every: 1, days: all_days },
-        Rhythm::Monthly(1),
-        Rhythm::MonthlyByDay { every: 2, nth: -1, day: Day::Friday },
-        Rhythm::Yearly(1),
+        Recurrence::Daily(2),
+        Recurrence::Weekly { every: 1, days: all_days },
+        Recurrence::Monthly(1),
+        Recurrence::MonthlyByDay { every: 2, nth: -1, day: Day::Friday },
+        Recurrence::Yearly(1),
     ];
     let places = [
-        Place::Fleet,
-        Place::Zones(vec!["a".into(), "b".into()]),
-        Place::Group { name: "rack 4".into(), hosts: vec!["s-1".into(), "s-2".into()] },
+        ScopeTarget::Fleet,
+        ScopeTarget::Zones(vec!["a".into(), "b".into()]),
+        ScopeTarget::Group { name: "rack 4".into(), hosts: vec!["s-1".into(), "s-2".into()] },
     ];
     let mut all: Vec<Proposal> = Vec::new();
     for (n, rhythm) in rhythms.into_iter().enumerate() {
@@ -68,7 +68,7 @@
     }
     for (n, place) in places.into_iter().enumerate() {
         let scope = Scope { kinds: ALL_KINDS.to_vec(), place };
-        let planned = Scope { kinds: Kind::PLANNED.to_vec(), ..scope.clone() };
+        let planned = Scope { kinds: ChangeKind::PLANNED.to_vec(), ..scope.clone() };
         let placed = Freeze {
             scope: planned.clone(),
             ..freeze(&format!("placed-{n}"), "2030-02-01T00:00", "2030-02-02T00:00", "Europe/Madrid")
--- a/crates/calendar/tests/support/mod.rs
+++ b/crates/calendar/tests/support/mod.rs
@@ -2,8 +2,8 @@
 #![allow(dead_code, unreachable_pub)]
 
 use calendar::{
-    Applied, Calendar, Change, Entry, Freeze, Kind, Millis, Override, Place, Proposal, Scope, Span, Standing,
-    Verdict,
+    Applied, Calendar, Change, ChangeKind, Entry, Freeze, LeaseState, Millis, Override, Proposal, Scope,
+    ScopeTarget, TimeInterval, Verdict,
 };
 use jiff::tz::TimeZoneDatabase;
 
@@ -19,7 +19,7 @@
     instant.parse::<jiff::Timestamp>().unwrap().as_millisecond().try_into().unwrap()
 }
 pub fn fleet() -> Scope {
-    Scope { kinds: vec![], place: Place::Fleet }
+    Scope { kinds: vec![], place: ScopeTarget::Fleet }
 }
 pub fn freeze(id: &str, start: &str, end: &str, zone: &str) -> Freeze {
     Freeze {
@@ -55,12 +55,12 @@
     }
     calendar
 }
-pub fn moment(at: Millis) -> Option<Span> {
-    Some(Span { earliest: at, latest: at })
+pub fn moment(at: Millis) -> Option<TimeInterval> {
+    Some(TimeInterval { earliest: at, latest: at })
 }
 pub fn held(calendar: &Calendar, at: Millis, change: &Change<'_>) -> bool {
-    matches!(calendar.check(moment(at), Standing::Held, change), Verdict::Hold { .. })
+    matches!(calendar.check(moment(at), LeaseState::Held, change), Verdict::Hold { .. })
 }
 pub fn frozen(calendar: &Calendar, at: Millis) -> bool {
-    held(calendar, at, &Change::of_fleet(Kind::Configuration))
+    held(calendar, at, &Change::of_fleet(ChangeKind::Configuration))
 }
--- a/crates/fleet/examples/measure_fleet/faults.rs
+++ b/crates/fleet/examples/measure_fleet/faults.rs
@@ -2,7 +2,7 @@
 
 use crate::common::{SECOND, Site, freeze};
 use crate::{COUNCIL, referee::Referee};
-use calendar::{Entry, Kind, Override, Place, Proposal, Revoke, Scope};
+use calendar::{ChangeKind, Entry, Override, Proposal, Revoke, Scope, ScopeTarget};
 use fleet::Micros;
 use std::collections::BTreeSet;
 
@@ -259,7 +259,7 @@
         reason: "replacement".into(),
         end: "2026-01-31T00:00".parse().unwrap(),
         zone: "America/Mexico_City".into(),
-        scope: Scope { kinds: Kind::PLANNED.to_vec(), place: Place::Fleet },
+        scope: Scope { kinds: ChangeKind::PLANNED.to_vec(), place: ScopeTarget::Fleet },
     }))
 }
 
--- a/crates/fleet/examples/measure_fleet/referee.rs
+++ b/crates/fleet/examples/measure_fleet/referee.rs
@@ -2,7 +2,7 @@
 
 use crate::common::{SECOND, Site, takes_a_join};
 use audit::lease::LeaseState;
-use calendar::{Entry, Life};
+use calendar::{Entry, EntryPhase};
 use fleet::Micros;
 use std::collections::BTreeMap;
 
@@ -57,8 +57,7 @@
     fn look_at_lease(&mut self, site: &Site, n: usize) {
         let Some(part) = &site.parts[n] else { return };
         let local = site.local(n);
-        let held =
-            part.lease().standing(local).0 == LeaseState::Held && part.lease().serve_until(local) > local;
+        let held = part.lease().state(local).0 == LeaseState::Held && part.lease().serve_until(local) > local;
         let Some(revision) = part.lease().revision(local).filter(|_| held) else { return };
         let heard = site.applied.get(revision as usize - 1).copied();
         if heard.is_none_or(|heard| site.now >= heard + BINDING) {
@@ -77,7 +76,8 @@
                 let freeze = matches!(entry, Entry::Freeze(_));
                 let noted = self.book.entry(entry.id().to_owned());
                 let noted = noted.or_insert(Noted { freeze, agreed: *at, revoked: None });
-                if noted.revoked.is_none() && calendar.life(entry.id(), u64::MAX) == Some(Life::Revoked) {
+                if noted.revoked.is_none() && calendar.life(entry.id(), u64::MAX) == Some(EntryPhase::Revoked)
+                {
                     noted.revoked = Some(*at);
                 }
             }
--- a/crates/fleet/src/entry.rs
+++ b/crates/fleet/src/entry.rs
@@ -41,8 +41,8 @@
     ) -> Option<Applied> {
         match entry {
             Entry::Leases(grants) => {
-                self.holders.granted(now, revision, grants);
-                lease.granted(now, revision, at, grants);
+                self.holders.apply_grants(now, revision, grants);
+                lease.apply_grants(now, revision, at, grants);
                 None
             }
             Entry::Calendar(proposal) => Some(self.calendar.apply(revision, at / 1_000, proposal)),
@@ -61,8 +61,8 @@
         let Ok(image) = postcard::from_bytes::<Image>(bytes) else { return false };
         let Ok(calendar) = Calendar::restore(&image.calendar) else { return false };
         self.calendar = calendar;
-        self.holders.granted(now, revision, &image.grants);
-        lease.granted(now, revision, at, &image.grants);
+        self.holders.apply_grants(now, revision, &image.grants);
+        lease.apply_grants(now, revision, at, &image.grants);
         true
     }
 }
--- a/crates/fleet/src/part.rs
+++ b/crates/fleet/src/part.rs
@@ -209,13 +209,13 @@
             Body::Ask(ask)
                 if self.leads && (ask.number == envelope.from || self.of_council(envelope.from)) =>
             {
-                self.granter.asked(ask);
+                self.granter.handle_request(ask);
             }
             Body::Ask(ask) if ask.number == envelope.from => self.hand_on(ask),
             Body::Ask(_) => {} // was handed on once, to one that leads no more
-            Body::Word(granted_at) => self.lease.heard(now, envelope.from, granted_at),
+            Body::Word(granted_at) => self.lease.record_peer_grant(now, envelope.from, granted_at),
             Body::Report(report) => {
-                self.ledger.hear(&report);
+                self.ledger.record_report(&report);
             }
         }
         self.settle(now);
@@ -235,11 +235,11 @@
             self.membership.handle_stall(now, gap);
         }
         self.agreement.tick(now, unix);
-        if let Some(ask) = self.lease.ask(now) {
+        if let Some(ask) = self.lease.poll_request(now) {
             let council: Vec<u16> = self.agreement.voters().iter().map(|it| it.node_id).collect();
             for number in council {
                 match number == self.me {
-                    true if self.leads => self.granter.asked(ask),
+                    true if self.leads => self.granter.handle_request(ask),
                     true => {}
                     false => self.send(number, Body::Ask(ask)),
                 }
@@ -247,7 +247,7 @@
             self.out.push_back(Output::Lease(Box::new(self.lease.clone()))); // it remembers what was asked, and when
         }
         if self.leads
-            && let Some(grants) = self.granter.due(now)
+            && let Some(grants) = self.granter.poll_grants(now)
         {
             // One that is not taken now is not missed: whoever got no lease asks again.
             let _ = self.agreement.propose(now, Entry::Leases(grants));
@@ -287,7 +287,7 @@
 
     /// Tells the fleet what this balancer decided on which version: the council, which sees all, and a few drawn others.
     pub fn report(&mut self, now: Micros, report: ActivityReport) {
-        self.ledger.hear(&report);
+        self.ledger.record_report(&report);
         let mut to: Vec<u16> =
             self.agreement.voters().iter().map(|it| it.node_id).filter(|it| *it != self.me).collect();
         to.extend(self.drawn(1));
@@ -297,12 +297,12 @@
 
     /// Takes in a span of this balancer's own whose place its counts need.
     pub fn take_span(&mut self, span: audit::ledger::LedgerEntry) {
-        self.ledger.take(span);
+        self.ledger.record_own_entry(span);
     }
 
     /// Spans of the ledger that are not on disk yet, as bytes.
     pub fn take_spans(&mut self) -> Vec<Vec<u8>> {
-        self.ledger.take_changed().iter().map(audit::ledger::LedgerEntry::to_bytes).collect()
+        self.ledger.take_unsaved().iter().map(audit::ledger::LedgerEntry::to_bytes).collect()
     }
 
     /// Takes in a span from disk; bytes that are none are passed over.
--- a/crates/fleet/src/settle.rs
+++ b/crates/fleet/src/settle.rs
@@ -60,7 +60,7 @@
             }
             Action::LeadershipChanged(leads) => {
                 self.leads = leads;
-                self.granter.forget();
+                self.granter.clear();
                 self.out.push_back(Output::Leads(leads));
             }
             Action::VotingBlocked(why) => self.out.push_back(Output::CannotVote(why)),
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -9,22 +9,22 @@
 const BEHIND: (u64, Micros) = (64, 10_000_000);
 
 pub(crate) fn of<S: Store>(fleet: &Fleet<S>, now: Micros) -> Value {
-    let (standing, _) = fleet.lease.standing(now);
+    let (standing, _) = fleet.lease.state(now);
     let standing = match standing {
         LeaseState::Held => "held",
         LeaseState::Fenced => "fenced",
         LeaseState::Orphaned => "orphaned",
     };
     let name = |number: u16| fleet.file.balancers.get(usize::from(number)).map(|it| it.name.as_str());
-    let holding: Vec<_> = fleet.state.holders.holding(now).filter_map(|(number, _)| name(number)).collect();
+    let holding: Vec<_> = fleet.state.holders.current(now).filter_map(|(number, _)| name(number)).collect();
     let council: Vec<_> = fleet.agreement.voters().iter().filter_map(|it| name(it.node_id)).collect();
     let members: Vec<_> = fleet.membership.members().filter_map(|it| name(it.number)).collect();
     let time = fleet.lease.fleet_time(now);
-    let stragglers = time.map(|span| fleet.ledger.stragglers(span.latest, BEHIND.0, BEHIND.1));
-    let acts = fleet.ledger.now();
+    let stragglers = time.map(|span| fleet.ledger.lagging_nodes(span.latest, BEHIND.0, BEHIND.1));
+    let acts = fleet.ledger.current_activity();
     // Under the version that each was last known to act on; what it did under others is in the ledger.
     let did = |it: &audit::ledger::CurrentActivity| {
-        let all = fleet.ledger.acted_on(&it.version, 0, u64::MAX);
+        let all = fleet.ledger.activity_under(&it.version, 0, u64::MAX);
         all.into_iter().find(|did| did.number == it.number && did.life == it.life)
     };
     let did: Vec<_> = acts.iter().filter_map(did).collect();
--- a/crates/fleet/tests/common/mod.rs
+++ b/crates/fleet/tests/common/mod.rs
@@ -3,7 +3,9 @@
 
 use agreement::{MemoryStore, Store, StoreChange as Written, StoredState};
 use audit::lease::LeaseState;
-use calendar::{Calendar, Change, Entry, Freeze, Kind, Place, Proposal, Scope, Span, Verdict};
+use calendar::{
+    Calendar, Change, ChangeKind, Entry, Freeze, Proposal, Scope, ScopeTarget, TimeInterval, Verdict,
+};
 use fleet::{Fleet, FleetFile, Micros, Output, Start};
 use std::cell::RefCell;
 use std::cmp::Reverse;
@@ -286,7 +288,7 @@
     }
 
     pub fn standing(&self, n: usize) -> Option<LeaseState> {
-        self.parts[n].as_ref().map(|part| part.lease().standing(self.local(n)).0)
+        self.parts[n].as_ref().map(|part| part.lease().state(self.local(n)).0)
     }
 
     pub fn all_stand(&self, standing: LeaseState) -> bool {
@@ -318,15 +320,16 @@
 pub fn takes_a_join(site: &Site, n: usize) -> bool {
     let Some(part) = &site.parts[n] else { return false };
     let (lease, now) = (part.lease(), site.local(n));
-    let standing = match lease.standing(now).0 {
-        LeaseState::Held => calendar::Standing::Held,
-        LeaseState::Fenced => calendar::Standing::Fenced,
-        LeaseState::Orphaned => calendar::Standing::Orphaned,
+    let standing = match lease.state(now).0 {
+        LeaseState::Held => calendar::LeaseState::Held,
+        LeaseState::Fenced => calendar::LeaseState::Fenced,
+        LeaseState::Orphaned => calendar::LeaseState::Orphaned,
     };
     let span = lease.fleet_time(now);
-    let span = span.map(|it| Span { earliest: it.earliest / 1_000, latest: it.latest.div_ceil(1_000) });
-    let join = Change::of_host(Kind::Join, "s-9", "a");
-    matches!(site.calendars[n].check(span, standing, &join), Verdict::Take { .. })
+    let span =
+        span.map(|it| TimeInterval { earliest: it.earliest / 1_000, latest: it.latest.div_ceil(1_000) });
+    let join = Change::of_host(ChangeKind::Join, "s-9", "a");
+    matches!(site.calendars[n].check(span, standing, &join), Verdict::Allow { .. })
 }
 
 /// A freeze of the whole fleet from the first day of the test on.
@@ -339,7 +342,7 @@
         end: "2026-01-31T00:00".parse().unwrap(),
         zone: "America/Mexico_City".into(),
         exceptions: Vec::new(),
-        scope: Scope { kinds: Kind::PLANNED.to_vec(), place: Place::Fleet },
+        scope: Scope { kinds: ChangeKind::PLANNED.to_vec(), place: ScopeTarget::Fleet },
         repeat: None,
     }))
 }
--- a/crates/gateway/src/engine.rs
+++ b/crates/gateway/src/engine.rs
@@ -72,7 +72,7 @@
     Wrote(Result<(), WriteError>),
     GossipTransport(GossipTransport),
     /// Whether a planned change may be made.
-    MayChange(interface::Kind, oneshot::Sender<Result<(), String>>),
+    MayChange(interface::ChangeKind, oneshot::Sender<Result<(), String>>),
 }
 
 /// Unix time; 0 on a machine whose clock stands before 1970.
--- a/crates/gateway/src/engine/fleet.rs
+++ b/crates/gateway/src/engine/fleet.rs
@@ -6,7 +6,8 @@
 use audit::lease::{self, Lease};
 use audit::version::Version;
 use calendar::{
-    Because, Calendar, Change, Gate, Heard, Kind, Outcome as Became, Record, Standing, Steps, Verdict,
+    Calendar, Change, ChangeKind, ChangeOutcome as Became, ChangeRecord, GateResult, HoldReason, LeaseState,
+    ReleasePace, TopologyGate, Verdict,
 };
 use decide::api::{Micros, Outcome};
 use proto::discovery::{EndpointList, EndpointRecord};
@@ -18,7 +19,7 @@
 /// How often the fleet's thread is told what was counted.
 const REPORTED: Micros = 1_000_000;
 /// How what waited for the end of a freeze is taken: no host that is cold pays for all of them.
-const STEPS: Steps = Steps { hosts: 8, pause: 1_000 };
+const STEPS: ReleasePace = ReleasePace { hosts: 8, pause: 1_000 };
 
 /// What a try is counted under: the version that it began with, and whether it writes.
 pub(super) type Under = Option<(VersionId, bool)>;
@@ -28,12 +29,12 @@
     port: FleetPort,
     lease: Option<Lease>,
     calendar: Arc<Calendar>,
-    gate: Gate,
+    gate: TopologyGate,
     /// From the first known fleet time on: spans without one could not be laid beside those of others.
     counting: Option<ActivityCounter>,
     /// The revision of the list last heard.
     list: u64,
-    standing: Standing,
+    standing: LeaseState,
     /// Whether requests were taken at the last look.
     serves: bool,
     next_report: Micros,
@@ -52,14 +53,14 @@
     }
 
     /// How things stand now: looked at for each change, so that a process that was stopped finds its lease past.
-    fn moment(&self, now: Micros) -> calendar::Now {
-        let standing = match self.lease.as_ref().map(|lease| lease.standing(now).0) {
-            Some(lease::LeaseState::Held) => Standing::Held,
-            Some(lease::LeaseState::Orphaned) => Standing::Orphaned,
-            Some(lease::LeaseState::Fenced) | None => Standing::Fenced,
+    fn moment(&self, now: Micros) -> calendar::GateContext {
+        let standing = match self.lease.as_ref().map(|lease| lease.state(now).0) {
+            Some(lease::LeaseState::Held) => LeaseState::Held,
+            Some(lease::LeaseState::Orphaned) => LeaseState::Orphaned,
+            Some(lease::LeaseState::Fenced) | None => LeaseState::Fenced,
         };
         let fleet_time = self.lease.as_ref().and_then(|lease| lease.fleet_time(now)).map(in_millis);
-        calendar::Now { at: now / 1_000, fleet_time, standing }
+        calendar::GateContext { now: now / 1_000, fleet_time, lease: standing }
     }
 
     fn tell(&mut self, acted: Acted) {
@@ -84,7 +85,7 @@
         let port = &self.port;
         let counting =
             self.counting.get_or_insert_with(|| ActivityCounter::new(port.number, port.life, version, span));
-        if let Some(entry) = counting.turn_to(version, span) {
+        if let Some(entry) = counting.switch_version(version, span) {
             self.tell(Acted::Entry(entry));
         }
     }
@@ -102,23 +103,26 @@
         }
     }
 
-    fn note(&mut self, record: Record) {
+    fn note(&mut self, record: ChangeRecord) {
         let (host, kind, revision) = (&record.host, record.kind, record.revision);
         match &record.outcome {
-            Became::First => log::debug!("topology: {host} {kind:?} first (calendar revision {revision})"),
+            Became::InitialList => {
+                log::debug!("topology: {host} {kind:?} first (calendar revision {revision})")
+            }
             outcome => {
                 log::info!("topology: {host} {kind:?} {} (calendar revision {revision})", worded(outcome))
             }
         }
-        let accepted = !matches!(record.outcome, Became::Held { .. } | Became::NoRoom);
+        let accepted = !matches!(record.outcome, Became::Held { .. } | Became::QueueFull);
         if let Some(counting) = &mut self.counting {
-            counting.changed(format!("{host}\n{kind:?}\n{}", record.list).as_bytes(), accepted);
+            counting
+                .record_topology_change(format!("{host}\n{kind:?}\n{}", record.list).as_bytes(), accepted);
         }
         self.tell(Acted::Record(record));
     }
 
-    fn noted(&mut self, heard: Heard) -> EndpointList {
-        let first = heard.records.iter().filter(|it| it.outcome == Became::First).count();
+    fn noted(&mut self, heard: GateResult) -> EndpointList {
+        let first = heard.records.iter().filter(|it| it.outcome == Became::InitialList).count();
         if first > 0 {
             log::info!("topology: {first} hosts of the first list are taken as they are");
         }
@@ -141,13 +145,13 @@
         Some(self.noted(heard))
     }
 
-    fn may_change(&mut self, now: Micros, kind: Kind) -> Result<(), String> {
+    fn may_change(&mut self, now: Micros, kind: ChangeKind) -> Result<(), String> {
         let moment = self.moment(now);
-        match self.calendar.check(moment.fleet_time, moment.standing, &Change::of_fleet(kind)) {
-            Verdict::Hold { because, until } => Err(worded(&Became::Held { because, until })),
-            Verdict::Take { revision, under } => {
-                let outcome = under.map_or(Became::Taken, Became::Override);
-                self.note(Record { host: "*".into(), kind, list: self.list, outcome, revision });
+        match self.calendar.check(moment.fleet_time, moment.lease, &Change::of_fleet(kind)) {
+            Verdict::Hold { reason, until } => Err(worded(&Became::Held { reason, until })),
+            Verdict::Allow { revision, override_id: under } => {
+                let outcome = under.map_or(Became::Applied, Became::Override);
+                self.note(ChangeRecord { host: "*".into(), kind, list: self.list, outcome, revision });
                 Ok(())
             }
         }
@@ -155,22 +159,22 @@
 }
 
 /// Fleet time in milliseconds, no narrower than it is in microseconds.
-fn in_millis(span: lease::TimeInterval) -> calendar::Span {
-    calendar::Span { earliest: span.earliest / 1_000, latest: span.latest.div_ceil(1_000) }
+fn in_millis(span: lease::TimeInterval) -> calendar::TimeInterval {
+    calendar::TimeInterval { earliest: span.earliest / 1_000, latest: span.latest.div_ceil(1_000) }
 }
 
 fn worded(outcome: &Became) -> String {
     match outcome {
-        Became::Taken | Became::First => "taken".into(),
+        Became::Applied | Became::InitialList => "taken".into(),
         Became::Override(id) => format!("taken under override {id}"),
-        Became::Replaced => "taken in place of what was lost".into(),
-        Became::NoRoom => "neither taken nor kept: too many wait".into(),
-        Became::Held { because, until } => {
+        Became::Replacement => "taken in place of what was lost".into(),
+        Became::QueueFull => "neither taken nor kept: too many wait".into(),
+        Became::Held { reason, until } => {
             let until = until.map_or_else(String::new, |ms| format!(" until {ms}"));
-            let why = match because {
-                Because::Freeze { id, reason } => format!("of freeze {id}: {reason}"),
-                Because::Stale => "no lease is held, or fleet time is not known".into(),
-                Because::Turn => "others waited before it".into(),
+            let why = match reason {
+                HoldReason::Freeze { id, reason } => format!("of freeze {id}: {reason}"),
+                HoldReason::NoLease => "no lease is held, or fleet time is not known".into(),
+                HoldReason::Queued => "others waited before it".into(),
             };
             format!("held{until} because {why}")
         }
@@ -206,10 +210,10 @@
             port,
             lease: None,
             calendar: Arc::new(Calendar::new(0)),
-            gate: Gate::new(known, STEPS),
+            gate: TopologyGate::new(known, STEPS),
             counting: None,
             list: 0,
-            standing: Standing::Fenced,
+            standing: LeaseState::Fenced,
             serves: false,
             next_report: 0,
             lost: 0,
@@ -252,7 +256,7 @@
                 false => log::warn!("fenced: nothing new is taken"),
             }
         }
-        let standing = fleet.moment(now).standing;
+        let standing = fleet.moment(now).lease;
         let news = news || std::mem::replace(&mut fleet.standing, standing) != standing;
         fleet.turn(now);
         fleet.report(now);
@@ -268,7 +272,7 @@
         self.fleet.as_mut().map(|fleet| fleet.hear(now, list))
     }
 
-    pub(super) fn may_change(&mut self, kind: Kind) -> Result<(), String> {
+    pub(super) fn may_change(&mut self, kind: ChangeKind) -> Result<(), String> {
         let now = self.clock.now();
         self.fleet.as_mut().map_or(Ok(()), |fleet| fleet.may_change(now, kind))
     }
--- a/crates/gateway/src/engine/fleet_tests.rs
+++ b/crates/gateway/src/engine/fleet_tests.rs
@@ -2,10 +2,10 @@
 
 use super::tests::{config, submitted};
 use super::{Engine, Handle, Input, Ticket};
-use crate::fleet::{Acted, Agreed, Asked, Clock, FleetPort, Kind, Record};
+use crate::fleet::{Acted, Agreed, Asked, ChangeKind, ChangeRecord, Clock, FleetPort};
 use audit::lease::{Lease, LeaseGrant, Settings};
 use bytes::Bytes;
-use calendar::{Calendar, Entry, Freeze, Outcome as Became, Place, Proposal, Scope};
+use calendar::{Calendar, ChangeOutcome as Became, Entry, Freeze, Proposal, Scope, ScopeTarget};
 use decide::api::{Outcome, RequestId};
 use proto::discovery::{EndpointList, EndpointRecord, Phase};
 use std::sync::Arc;
@@ -58,8 +58,8 @@
     let now = clock.now();
     let span = LEASE.as_micros() as u64;
     let mut lease = Lease::new(0, 7, Settings::new(span, span, 3), now);
-    let serial = lease.ask(now).unwrap().serial;
-    lease.granted(now, 1, STAMP, &[LeaseGrant { number: 0, life: 7, serial }]);
+    let serial = lease.poll_request(now).unwrap().serial;
+    lease.apply_grants(now, 1, STAMP, &[LeaseGrant { number: 0, life: 7, serial }]);
     lease
 }
 
@@ -73,7 +73,7 @@
         end: "2030-01-01T00:10".parse().unwrap(),
         zone: "UTC".into(),
         exceptions: vec![],
-        scope: Scope { kinds: vec![], place: Place::Fleet },
+        scope: Scope { kinds: vec![], place: ScopeTarget::Fleet },
         repeat: None,
     };
     let mut calendar = Calendar::new(0);
@@ -179,18 +179,18 @@
         assert_eq!(sent_to(&world), [true, false, false]);
         let mut held = Vec::new();
         while let Ok(acted) = world.acted.try_recv() {
-            if let Acted::Record(Record { host, outcome: Became::Held { .. }, .. }) = acted {
+            if let Acted::Record(ChangeRecord { host, outcome: Became::Held { .. }, .. }) = acted {
                 held.push(host);
             }
         }
         assert_eq!(held, ["b", "c"], "and the fleet's thread is told");
-        assert!(world.engine.may_change(Kind::Discovery).unwrap_err().contains("new-year"));
+        assert!(world.engine.may_change(ChangeKind::Discovery).unwrap_err().contains("new-year"));
         world.engine.told(&all(Phase::Draining), false);
         assert_eq!(sent_to(&world), [false, true, false], "b replaces what was lost, and no more");
         advance(Duration::from_secs(360)).await;
         world.engine.look_at_fleet(false);
         assert_eq!(sent_to(&world), [false, true, true], "the freeze is over");
-        assert!(world.engine.may_change(Kind::Discovery).is_ok());
+        assert!(world.engine.may_change(ChangeKind::Discovery).is_ok());
     };
     LocalSet::new().run_until(run).await;
 }
@@ -210,7 +210,7 @@
         let (mut alone, handle) = Engine::new(&config);
         alone.told(&more, false);
         assert!(alone.group.peer(endpoint_id("b")).is_some());
-        assert!(!alone.fenced() && handle.may_change(Kind::Discovery).await.is_ok());
+        assert!(!alone.fenced() && handle.may_change(ChangeKind::Discovery).await.is_ok());
         assert!(handle.fleet_call(crate::fleet::Call::Look).await.is_none());
     };
     LocalSet::new().run_until(run).await;
@@ -261,12 +261,12 @@
             heavier,
         ];
         lists.iter().for_each(|it| world.engine.told(it, false));
-        for kind in [Kind::Discovery, Kind::Configuration] {
+        for kind in [ChangeKind::Discovery, ChangeKind::Configuration] {
             assert!(world.engine.may_change(kind).is_ok());
         }
         world.engine.agreed(Agreed::Calendar(frozen()));
         world.engine.told(&list(7, &[("b", Phase::Ready), ("d", Phase::Ready)]), false);
-        assert!(world.engine.may_change(Kind::Restart).is_err());
+        assert!(world.engine.may_change(ChangeKind::Restart).is_err());
         advance(Duration::from_secs(1)).await;
         world.engine.look_at_fleet(false);
         let (mut text, mut last) = (String::new(), None);
--- a/crates/gateway/src/engine/handle.rs
+++ b/crates/gateway/src/engine/handle.rs
@@ -3,7 +3,7 @@
 use super::Input;
 use super::orders::ORDERS;
 use crate::figures::Tally;
-use crate::fleet::{Asked, Call as FleetCall, Clock, Kind};
+use crate::fleet::{Asked, Call as FleetCall, ChangeKind, Clock};
 use crate::heartbeat::Heartbeat;
 use crate::setup::{Bounds, Config};
 use bytes::Bytes;
@@ -242,7 +242,7 @@
     ///
     /// # Errors
     /// Why it is held.
-    pub async fn may_change(&self, kind: Kind) -> Result<(), String> {
+    pub async fn may_change(&self, kind: ChangeKind) -> Result<(), String> {
         if self.fleet.get().is_none() {
             return Ok(());
         }
--- a/crates/gateway/src/fleet.rs
+++ b/crates/gateway/src/fleet.rs
@@ -10,7 +10,7 @@
 use tokio::sync::{mpsc, oneshot};
 
 // What the front and the reload of the configuration name of the calendar.
-pub use calendar::{Kind, Proposal, Record};
+pub use calendar::{ChangeKind, ChangeRecord, Proposal};
 
 /// The one clock that the core and the fleet's thread count on: Unix time once, then what only advances.
 #[derive(Debug, Clone, Copy)]
@@ -50,7 +50,7 @@
 #[derive(Debug)]
 pub enum Acted {
     /// A change of topology was taken or is held.
-    Record(Record),
+    Record(ChangeRecord),
     /// What was counted, each second.
     Report(ledger::ActivityReport),
     /// A span whose place is needed, for the own ledger.
--- a/crates/spindlebeam/src/fleet.rs
+++ b/crates/spindlebeam/src/fleet.rs
@@ -286,7 +286,7 @@
 
     /// Tells once of each change of what this balancer may do.
     fn look(&mut self) {
-        let (standing, _) = self.part.lease().standing(self.unix.clock.now());
+        let (standing, _) = self.part.lease().state(self.unix.clock.now());
         if self.standing.replace(standing) == Some(standing) {
             return;
         }
--- a/crates/spindlebeam/src/reload.rs
+++ b/crates/spindlebeam/src/reload.rs
@@ -3,7 +3,7 @@
 use crate::config;
 use anyhow::Result;
 use gateway::engine::Handle;
-use gateway::fleet::Kind;
+use gateway::fleet::ChangeKind;
 use gateway::setup::Config;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -41,7 +41,7 @@
             },
             () = sleep(HELD_AGAIN), if held.is_some() => match held.take() {
                 Some(new) => {
-                    if handle.may_change(Kind::Discovery).await.is_err() {
+                    if handle.may_change(ChangeKind::Discovery).await.is_err() {
                         held = Some(new);
                     } else {
                         apply(&new, &mut running, &discovery);
@@ -52,7 +52,7 @@
             },
         };
         let moves = new.discovery != *discovery.borrow();
-        let may = if moves { handle.may_change(Kind::Discovery).await } else { Ok(()) };
+        let may = if moves { handle.may_change(ChangeKind::Discovery).await } else { Ok(()) };
         held = match may {
             Ok(()) => {
                 apply(&new, &mut running, &discovery);
