--- a/crates/calendar/benches/check.rs
+++ b/crates/calendar/benches/check.rs
@@ -46,7 +46,7 @@
         let at = if n % 50 == 0 { 1_767_000_000_000 } else { 1_000 };
         assert_eq!(calendar.apply(n as u64 + 1, at, &Proposal::Add(entry)), Applied::Added);
     }
-    calendar.settle();
+    calendar.build_index();
     calendar
 }
 
@@ -71,7 +71,7 @@
     criterion.bench_function("restore and settle, 10,000 entries", |bencher| {
         bencher.iter_batched(
             || snapshot.clone(),
-            |it| Calendar::restore(&it).map(|it| it.settle()),
+            |it| Calendar::restore(&it).map(|it| it.build_index()),
             BatchSize::LargeInput,
         );
     });
@@ -84,7 +84,7 @@
                 it.apply(u64::MAX, 1_001, &Proposal::Revoke(revoke));
                 it
             },
-            |it| it.settle(),
+            |it| it.build_index(),
             BatchSize::LargeInput,
         );
     });
--- a/crates/calendar/src/apply.rs
+++ b/crates/calendar/src/apply.rs
@@ -161,11 +161,11 @@
         self.entries.values().map(|it| &it.agreed.entry)
     }
     /// The fleet time and the revision at which an entry was agreed.
-    pub fn agreed(&self, id: &str) -> Option<(Millis, u64)> {
+    pub fn agreed_at(&self, id: &str) -> Option<(Millis, u64)> {
         self.entries.get(id).map(|it| (it.agreed.at, it.agreed.revision))
     }
     /// Where an entry is in its life.
-    pub fn life(&self, id: &str, fleet_time: Millis) -> Option<EntryPhase> {
+    pub fn phase(&self, id: &str, fleet_time: Millis) -> Option<EntryPhase> {
         let kept = self.entries.get(id)?;
         let first = kept.force.first().map_or(Millis::MAX, |it| it.start);
         Some(match kept.agreed.revoked {
@@ -179,7 +179,7 @@
     ///
     /// # Errors
     /// Why not, by the field.
-    pub fn consider(&self, at: Millis, proposal: &Proposal) -> Result<(), ProposalError> {
+    pub fn validate_proposal(&self, at: Millis, proposal: &Proposal) -> Result<(), ProposalError> {
         self.judge(0, at, proposal).map(|_| ())
     }
     fn judge(&self, revision: u64, at: Millis, proposal: &Proposal) -> Result<Kept, ProposalError> {
@@ -258,7 +258,7 @@
     }
     /// Lays the entries out for checks, where they changed. The first check does it too; whoever hands the calendar to a thread
     /// that must not wait calls this first.
-    pub fn settle(&self) {
+    pub fn build_index(&self) {
         self.index();
     }
     fn index(&self) -> &Index {
--- a/crates/calendar/src/gate.rs
+++ b/crates/calendar/src/gate.rs
@@ -181,15 +181,15 @@
         &self.waiting
     }
     /// When to call [`TopologyGate::release`] next, on the owner's clock; what waits for a freeze's end is looked at with each step.
-    pub fn wake(&self) -> Option<Millis> {
+    pub fn next_release_at(&self) -> Option<Millis> {
         self.waiting.wake()
     }
     /// Notes that a host fell: what it served is open to replacement.
-    pub fn fell(&mut self, host: &str) {
+    pub fn mark_down(&mut self, host: &str) {
         self.accepted.strength.fell(host);
     }
     /// Notes that a fallen host serves again.
-    pub fn rose(&mut self, host: &str) {
+    pub fn mark_up(&mut self, host: &str) {
         self.accepted.strength.rose(host);
     }
     fn turn(&mut self, now: &GateContext, calendar: &Calendar) {
@@ -198,7 +198,7 @@
         }
     }
     /// What may be accepted of a list. Losses and facts pass first, and at once.
-    pub fn hear(&mut self, now: &GateContext, calendar: &Calendar, list: &EndpointList) -> GateResult {
+    pub fn apply_list(&mut self, now: &GateContext, calendar: &Calendar, list: &EndpointList) -> GateResult {
         self.turn(now, calendar);
         self.accepted.list = list.revision;
         // Of several states of one host only the last counts.
--- a/crates/calendar/tests/calendar.rs
+++ b/crates/calendar/tests/calendar.rs
@@ -118,7 +118,7 @@
         (Freeze { scope: kinds, ..good() }, "`scope.kinds` names a kind of change that is never held"),
     ] {
         assert_eq!(add(&freeze).validate().unwrap_err().to_string(), said);
-        assert_eq!(calendar(&[]).consider(1_000, &add(&freeze)).unwrap_err().to_string(), said);
+        assert_eq!(calendar(&[]).validate_proposal(1_000, &add(&freeze)).unwrap_err().to_string(), said);
     }
     assert_eq!(add(&good()).validate(), Ok(()));
 }
@@ -128,11 +128,11 @@
     let (start, mut calendar) = (utc("2026-01-24T12:00Z"), Calendar::new(BINDING));
     let it = freeze("now", "2026-01-24T00:00", "2026-01-25T00:00", "UTC");
     assert_eq!(calendar.apply(7, start, &add(&it)), Applied::Added);
-    assert_eq!(calendar.life("now", start + BINDING - 1), Some(EntryPhase::Agreed));
+    assert_eq!(calendar.phase("now", start + BINDING - 1), Some(EntryPhase::Agreed));
     assert!(!frozen(&calendar, start + BINDING - 1));
-    assert_eq!(calendar.life("now", start + BINDING), Some(EntryPhase::InForce));
+    assert_eq!(calendar.phase("now", start + BINDING), Some(EntryPhase::InForce));
     assert!(frozen(&calendar, start + BINDING));
-    assert_eq!(calendar.life("now", utc("2026-01-25T00:00Z")), Some(EntryPhase::Ended));
+    assert_eq!(calendar.phase("now", utc("2026-01-25T00:00Z")), Some(EntryPhase::Ended));
     assert_eq!(calendar.apply(7, start, &add(&it)), Applied::Known);
     let duplicate = ProposalError::Duplicate("now".into());
     assert_eq!(calendar.apply(8, start, &add(&it)), Applied::Refused(duplicate));
@@ -142,8 +142,8 @@
     assert_eq!(calendar.apply(9, start, &revoke("none")), Applied::Refused(unknown));
     assert_eq!(calendar.apply(10, start + 60_000, &revoke("now")), Applied::Revoked);
     assert!(!frozen(&calendar, start + 60_000));
-    assert_eq!(calendar.life("now", start + 60_000), Some(EntryPhase::Revoked));
-    assert_eq!((calendar.revision(), calendar.agreed("now")), (10, Some((start, 7))));
+    assert_eq!(calendar.phase("now", start + 60_000), Some(EntryPhase::Revoked));
+    assert_eq!((calendar.revision(), calendar.agreed_at("now")), (10, Some((start, 7))));
     assert!(matches!(
         calendar.apply(11, start + 60_001, &revoke("now")),
         Applied::Refused(ProposalError::Unknown(_))
@@ -167,7 +167,7 @@
     let zones = (0..MAX_NAMES).map(|n| format!("z{n}")).collect();
     let scope = Scope { kinds: vec![], place: ScopeTarget::Zones(zones) };
     let wide = Freeze { repeat: repeat("2027-12-31", Recurrence::Daily(1)), scope, ..name(0) };
-    assert_eq!(support::calendar(&[]).consider(1_000, &add(&wide)), Err(ProposalError::TooMany));
+    assert_eq!(support::calendar(&[]).validate_proposal(1_000, &add(&wide)), Err(ProposalError::TooMany));
 }
 
 #[test]
@@ -283,7 +283,7 @@
         changes.iter().for_each(|(at, to)| bytes[at.index(whole.len())] = *to);
         for bytes in [bytes, noise] {
             if let Ok(calendar) = Calendar::restore(&bytes) {
-                calendar.settle();
+                calendar.build_index();
                 prop_assert!(calendar.entries().all(|it| Proposal::Add(it.clone()).validate().is_ok()));
             }
         }
--- a/crates/calendar/tests/gate.rs
+++ b/crates/calendar/tests/gate.rs
@@ -62,8 +62,11 @@
     let (mut gate, calendar) = (gate(), weeks());
     let moved = EndpointRecord { locality: "b".into(), up_since_ms: 9, ..host("h2", 1.0) };
     let less = EndpointRecord { locality: "b".into(), ..host("h3", 0.5) };
-    let heard =
-        gate.hear(&now(1, DURING), &calendar, &whole(vec![host("h1", 2.0), host("h4", 4.0), moved, less]));
+    let heard = gate.apply_list(
+        &now(1, DURING),
+        &calendar,
+        &whole(vec![host("h1", 2.0), host("h4", 4.0), moved, less]),
+    );
     assert_eq!(told(&heard), "h1:1.5 h2:1 h3:0.5", "h1 makes good what h3 lost");
     assert_eq!(outcome(&heard, "h3"), (ChangeKind::Less, &ChangeOutcome::Applied));
     assert_eq!(outcome(&heard, "h2"), (ChangeKind::Cold, &ChangeOutcome::Applied));
@@ -87,16 +90,16 @@
 #[test]
 fn a_host_that_joins_and_leaves_while_held_is_never_named() {
     let (mut gate, calendar) = (gate(), weeks());
-    assert_eq!(told(&gate.hear(&now(1, DURING), &calendar, &changes(vec![host("h4", 1.0)]))), "");
+    assert_eq!(told(&gate.apply_list(&now(1, DURING), &calendar, &changes(vec![host("h4", 1.0)]))), "");
     assert_eq!(gate.waiting().len(), 1);
     let drains = changes(vec![phase(Phase::Draining, host("h4", 1.0))]);
-    assert_eq!(told(&gate.hear(&now(2, DURING), &calendar, &drains)), "");
+    assert_eq!(told(&gate.apply_list(&now(2, DURING), &calendar, &drains)), "");
     assert!(gate.waiting().is_empty());
     let listed = whole([three(), drains.members].concat());
-    assert_eq!(told(&gate.hear(&now(2, DURING), &calendar, &listed)), "h1:1 h2:1 h3:1");
-    assert_eq!(told(&gate.clone().hear(&now(2, AFTER), &calendar, &listed)), "h1:1 h2:1 h3:1 h4:1-");
-    gate.hear(&now(3, DURING), &calendar, &changes(vec![host("h5", 1.0)]));
-    gate.hear(&now(4, DURING), &calendar, &whole(three()));
+    assert_eq!(told(&gate.apply_list(&now(2, DURING), &calendar, &listed)), "h1:1 h2:1 h3:1");
+    assert_eq!(told(&gate.clone().apply_list(&now(2, AFTER), &calendar, &listed)), "h1:1 h2:1 h3:1 h4:1-");
+    gate.apply_list(&now(3, DURING), &calendar, &changes(vec![host("h5", 1.0)]));
+    gate.apply_list(&now(4, DURING), &calendar, &whole(three()));
     assert!(gate.waiting().is_empty());
     assert_eq!(gate.release(&now(5, AFTER), &calendar), None);
 }
@@ -105,54 +108,55 @@
 fn at_the_end_hosts_are_taken_in_steps_in_their_newest_state_and_nobody_goes_past() {
     let (mut gate, calendar) = (gate(), weeks());
     let joins = |size| (4..9).map(|n| host(&format!("h{n}"), size)).collect::<Vec<_>>();
-    gate.hear(&now(1, DURING), &calendar, &changes(joins(1.0)));
-    let again = gate.hear(&now(2, DURING), &calendar, &changes(joins(2.0)));
+    gate.apply_list(&now(1, DURING), &calendar, &changes(joins(1.0)));
+    let again = gate.apply_list(&now(2, DURING), &calendar, &changes(joins(2.0)));
     assert_eq!((told(&again).as_str(), gate.waiting().get("h4").unwrap().since), ("", 1));
     assert_eq!(gate.release(&now(10, DURING), &calendar), None);
-    assert_eq!(gate.wake(), Some(1_010), "a look in vain must not be repeated at once");
-    let late = gate.hear(&now(1_500, AFTER), &calendar, &changes(vec![host("h0", 1.0)]));
+    assert_eq!(gate.next_release_at(), Some(1_010), "a look in vain must not be repeated at once");
+    let late = gate.apply_list(&now(1_500, AFTER), &calendar, &changes(vec![host("h0", 1.0)]));
     let turn = ChangeOutcome::Held { reason: HoldReason::Queued, until: None };
     assert_eq!(outcome(&late, "h0"), (ChangeKind::Join, &turn));
     assert_eq!(told(&gate.release(&now(2_000, AFTER), &calendar).unwrap()), "h4:2 h5:2");
     assert_eq!(gate.release(&now(2_999, AFTER), &calendar), None);
-    let loss = gate.hear(&now(2_999, AFTER), &calendar, &changes(vec![phase(Phase::Gone, host("h1", 1.0))]));
+    let loss =
+        gate.apply_list(&now(2_999, AFTER), &calendar, &changes(vec![phase(Phase::Gone, host("h1", 1.0))]));
     assert_eq!(told(&loss), "h1:1-", "a loss waits for no step");
     assert_eq!(told(&gate.release(&now(3_000, AFTER), &calendar).unwrap()), "h6:2 h7:2");
     assert_eq!(told(&gate.release(&now(4_000, AFTER), &calendar).unwrap()), "h8:2 h0:1");
-    assert_eq!(gate.wake(), None);
-    let next = gate.hear(&now(4_001, AFTER), &calendar, &changes(vec![host("h9", 1.0)]));
+    assert_eq!(gate.next_release_at(), None);
+    let next = gate.apply_list(&now(4_001, AFTER), &calendar, &changes(vec![host("h9", 1.0)]));
     assert_eq!(outcome(&next, "h9"), (ChangeKind::Join, &ChangeOutcome::Applied));
 }
 
 #[test]
 fn a_loss_in_a_freeze_opens_replacement_up_to_the_strength_at_its_start() {
     let (mut gate, calendar) = (gate(), weeks());
-    gate.hear(
+    gate.apply_list(
         &now(1, BEFORE),
         &calendar,
         &changes(vec![host("h4", 1.0), phase(Phase::Draining, host("h3", 1.0))]),
     );
     let back = changes(vec![host("h3", 1.0)]);
     assert_eq!(
-        told(&gate.hear(&now(2, DURING), &calendar, &back)),
+        told(&gate.apply_list(&now(2, DURING), &calendar, &back)),
         "",
         "what drained before it was no loss in it"
     );
     let swap = vec![host("h5", 0.75), host("h6", 1.5), phase(Phase::Gone, host("h1", 1.0)), host("h7", 1.0)];
-    let heard = gate.hear(&now(3, DURING), &calendar, &changes(swap));
+    let heard = gate.apply_list(&now(3, DURING), &calendar, &changes(swap));
     assert_eq!(told(&heard), "h1:1- h5:0.75 h6:0.25", "the loss first, then no more than was lost");
     assert_eq!(outcome(&heard, "h5"), (ChangeKind::Join, &ChangeOutcome::Replacement));
     let weight: f64 = gate.members().filter(|it| it.phase == Phase::Ready).map(|it| it.size).sum();
     assert!((weight - 3.0).abs() < 1e-6, "{weight}");
-    gate.fell("h2");
+    gate.mark_down("h2");
     assert_eq!(
         told(&gate.release(&now(5_000, DURING), &calendar).unwrap()),
         "h3:1",
         "who waits longest is first"
     );
-    gate.rose("h2");
-    gate.fell("h2");
-    gate.fell("h2");
+    gate.mark_up("h2");
+    gate.mark_down("h2");
+    gate.mark_down("h2");
     assert_eq!(gate.release(&now(9_000, DURING), &calendar), None, "the same loss is not made good twice");
 }
 
@@ -184,15 +188,15 @@
 fn a_process_that_knows_nothing_serves_its_first_list_and_holds_what_joins_behind_it() {
     let (mut gate, calendar) = (TopologyGate::new(None, STEPS), weeks());
     let fenced = GateContext { fleet_time: None, lease: LeaseState::Fenced, ..now(1, DURING) };
-    let first = gate.hear(&fenced, &calendar, &whole(three()));
+    let first = gate.apply_list(&fenced, &calendar, &whole(three()));
     assert_eq!(first.list, whole(three()));
     assert!(
         first.records.len() == 3 && first.records.iter().all(|it| it.outcome == ChangeOutcome::InitialList)
     );
-    let next = gate.hear(&now(2, DURING), &calendar, &changes(vec![host("h4", 1.0)]));
+    let next = gate.apply_list(&now(2, DURING), &calendar, &changes(vec![host("h4", 1.0)]));
     assert!(matches!(outcome(&next, "h4"), (ChangeKind::Join, ChangeOutcome::Held { .. })));
     let beyond =
-        self::gate().hear(&now(1, DURING), &calendar, &whole(vec![host("h1", 1.0), host("h4", 1.0)]));
+        self::gate().apply_list(&now(1, DURING), &calendar, &whole(vec![host("h1", 1.0), host("h4", 1.0)]));
     assert_eq!(told(&beyond), "h1:1 h4:1", "h4 replaces what the known list has lost");
     assert_eq!(outcome(&beyond, "h4"), (ChangeKind::Join, &ChangeOutcome::Replacement));
 }
@@ -203,7 +207,7 @@
     let list = changes(vec![host("h4", 1.0), phase(Phase::Gone, host("h1", 1.0))]);
     for standing in [LeaseState::Fenced, LeaseState::Orphaned] {
         let mut gate = gate();
-        let heard = gate.hear(&GateContext { lease: standing, ..now(1, DURING) }, &calendar, &list);
+        let heard = gate.apply_list(&GateContext { lease: standing, ..now(1, DURING) }, &calendar, &list);
         assert_eq!(told(&heard), "h1:1-");
         assert_eq!(
             outcome(&heard, "h4").1,
@@ -213,13 +217,13 @@
     }
     let alone = GateContext { now: 1, fleet_time: None, lease: LeaseState::NoFleet };
     let list = whole(vec![host("h9", 3.0), EndpointRecord { locality: "b".into(), ..host("h1", 7.0) }]);
-    assert_eq!(gate().hear(&alone, &calendar, &list).list, list);
+    assert_eq!(gate().apply_list(&alone, &calendar, &list).list, list);
 }
 
 #[test]
 fn an_override_takes_a_host_out_of_the_queue() {
     let (mut gate, mut calendar) = (gate(), weeks());
-    gate.hear(&now(1, DURING), &calendar, &changes(vec![host("h4", 1.0), host("h5", 1.0)]));
+    gate.apply_list(&now(1, DURING), &calendar, &changes(vec![host("h4", 1.0), host("h5", 1.0)]));
     let place = ScopeTarget::Group { name: "new".into(), hosts: vec!["h5".into()] };
     calendar.apply(2, utc(DURING), &leave("rack", "2026-01-27T00:00", Scope { kinds: vec![], place }));
     let heard = gate.release(&now(2, DURING), &calendar).unwrap();
--- a/crates/calendar/tests/golden.rs
+++ b/crates/calendar/tests/golden.rs
@@ -135,7 +135,7 @@
     ];
     let mut text = String::new();
     for (revision, proposal) in (100..).zip(&refused) {
-        match calendar.consider(at, proposal) {
+        match calendar.validate_proposal(at, proposal) {
             Ok(()) => writeln!(text, "taken").unwrap(),
             Err(error) => writeln!(text, "{error}").unwrap(),
         }
--- a/crates/fleet/examples/measure_fleet/main.rs
+++ b/crates/fleet/examples/measure_fleet/main.rs
@@ -178,7 +178,7 @@
         }
         let at = site.decided.values().last().unwrap().0;
         agreed.push(at - asked);
-        while site.calendars.iter().filter(|it| it.agreed(&id).is_some()).count() * 100 < count * 99 {
+        while site.calendars.iter().filter(|it| it.agreed_at(&id).is_some()).count() * 100 < count * 99 {
             site.run(SECOND / 100);
         }
         spans.push(site.now - at);
--- a/crates/fleet/examples/measure_fleet/referee.rs
+++ b/crates/fleet/examples/measure_fleet/referee.rs
@@ -43,7 +43,7 @@
         self.frozen_looks += u64::from(frozen.is_some());
         if let Some(id) = frozen.filter(|_| joins) {
             let agreed = self.book[&id].agreed;
-            let knows = site.calendars[n].agreed(&id);
+            let knows = site.calendars[n].agreed_at(&id);
             let span = site.parts[n].as_ref().and_then(|part| part.lease().fleet_time(site.local(n)));
             let late = site.now - agreed - BINDING;
             self.found(
@@ -76,7 +76,8 @@
                 let freeze = matches!(entry, Entry::Freeze(_));
                 let noted = self.book.entry(entry.id().to_owned());
                 let noted = noted.or_insert(Noted { freeze, agreed: *at, revoked: None });
-                if noted.revoked.is_none() && calendar.life(entry.id(), u64::MAX) == Some(EntryPhase::Revoked)
+                if noted.revoked.is_none()
+                    && calendar.phase(entry.id(), u64::MAX) == Some(EntryPhase::Revoked)
                 {
                     noted.revoked = Some(*at);
                 }
--- a/crates/fleet/src/settle.rs
+++ b/crates/fleet/src/settle.rs
@@ -78,7 +78,7 @@
 
     fn changed(&mut self, calendar: bool) {
         if calendar {
-            self.state.calendar.settle(); // here, so that no request's first look at it pays
+            self.state.calendar.build_index(); // here, so that no request's first look at it pays
             self.out.push_back(Output::Calendar(Box::new(self.state.calendar.clone())));
         }
         self.out.push_back(Output::Lease(Box::new(self.lease.clone())));
--- a/crates/fleet/tests/fleet.rs
+++ b/crates/fleet/tests/fleet.rs
@@ -26,7 +26,7 @@
 }
 
 fn knowing(site: &Site, id: &str) -> usize {
-    site.parts.iter().flatten().filter(|part| part.calendar().agreed(id).is_some()).count()
+    site.parts.iter().flatten().filter(|part| part.calendar().agreed_at(id).is_some()).count()
 }
 
 #[test]
@@ -58,7 +58,7 @@
     assert_eq!(site.standing(17), Some(LeaseState::Fenced));
     site.cut.clear();
     let back = site.until(5 * SECOND, |it| it.standing(17) == Some(LeaseState::Held));
-    assert!(back < 5 * SECOND && site.parts[17].as_ref().unwrap().calendar().agreed("deadline").is_some());
+    assert!(back < 5 * SECOND && site.parts[17].as_ref().unwrap().calendar().agreed_at("deadline").is_some());
 }
 
 /// One whose last asks were lost lapses before it can tell that all others will: a twentieth lost leaves few of those.
--- a/crates/front/src/operator.rs
+++ b/crates/front/src/operator.rs
@@ -11,7 +11,7 @@
 use hyper::header::{ALLOW, CONTENT_TYPE};
 use hyper::{Method, Request, Response, StatusCode};
 use log_throttle::LogThrottle;
-use maintenance::Order;
+use maintenance::OverrideCommand;
 use serde::Deserialize;
 use serde_json::json;
 use std::cell::{Cell, RefCell};
@@ -164,15 +164,15 @@
         let body = body(request, most, until).await?;
         let order = match path {
             CALENDAR => return Ok(self.propose(proposal(&body)?).await),
-            "/drain" => Order::Drain,
-            "/undrain" => Order::Undrain,
-            "/cache-hosts/disable" => Order::Disable(host(&body)?),
-            _ => Order::Enable(host(&body)?),
+            "/drain" => OverrideCommand::Drain,
+            "/undrain" => OverrideCommand::Undrain,
+            "/cache-hosts/disable" => OverrideCommand::Disable(host(&body)?),
+            _ => OverrideCommand::Enable(host(&body)?),
         };
         Ok(self.order(order).await)
     }
 
-    async fn order(&self, order: Order) -> Response<Full<Bytes>> {
+    async fn order(&self, order: OverrideCommand) -> Response<Full<Bytes>> {
         match self.handle.order(order).await {
             Ok(true) => reply(StatusCode::OK, JSON, json!({"done": true}).to_string()),
             Ok(false) => reply(StatusCode::ACCEPTED, JSON, json!({"done": true, "kept": false}).to_string()),
--- a/crates/gateway/src/engine.rs
+++ b/crates/gateway/src/engine.rs
@@ -1,7 +1,7 @@
 //! The core: its loop, what comes in to it, the clock and the timers.
 //!
 //! It knows no front and no socket of a client: a front submits a request and is given a [`Ticket`] (`handle.rs`). What
-//! becomes of a request is `context.rs`, and of its tries `tries.rs`; lists of hosts and orders of staff are `orders.rs`.
+//! becomes of a request is `context.rs`, and of its tries `tries.rs`; lists of hosts and orders of staff are `overrides.rs`.
 
 mod context;
 mod fleet;
@@ -21,7 +21,9 @@
 use decide::policy::Router;
 use gossip_transport::GossipTransport;
 pub use handle::{Handle, Incoming, Ticket, Unheeded};
-use maintenance::{Keeping, Maintenance, Order, Orders, Verdict, WriteError};
+use maintenance::{
+    CommandOutcome, OperatorOverrides, OverriddenList, OverrideCommand, OverrideStore, WriteError,
+};
 use orders::{FIRST_ORDERS, ORDERS, ORDERS_SEEN};
 use proto::discovery::{EndpointList, WatchEvent};
 use rustc_hash::FxHashMap;
@@ -65,9 +67,9 @@
     News(WatchEvent, Instant),
     /// A look at the figures.
     Look(oneshot::Sender<String>),
-    Order(Order, oneshot::Sender<Verdict>),
+    Order(OverrideCommand, oneshot::Sender<CommandOutcome>),
     /// What a look at the file of orders found.
-    Looked(io::Result<Option<Orders>>),
+    Looked(io::Result<Option<OperatorOverrides>>),
     /// How a write of it ended.
     Wrote(Result<(), WriteError>),
     GossipTransport(GossipTransport),
@@ -115,9 +117,9 @@
     contexts: FxHashMap<RequestId, RequestContext>,
     timers: DelayQueue<Due>,
     group: UpstreamGroup,
-    maintenance: Maintenance,
+    maintenance: OverriddenList,
     /// Orders on their way between callers and their file.
-    keeping: Keeping<oneshot::Sender<Verdict>>,
+    keeping: OverrideStore<oneshot::Sender<CommandOutcome>>,
     /// Where orders are kept; nowhere where none can be given. Only threads of its own touch it.
     order_file: Option<Arc<Mutex<OrderFile>>>,
     /// Whether the last look at that file failed.
@@ -153,8 +155,8 @@
         let order_file = folder.map(|folder| Arc::new(Mutex::new(OrderFile::new(folder.join(ORDERS)))));
         let origin = config.settings.origin_kind.and_then(|kind| config.names.kinds.get(usize::from(kind)));
         let mut engine = Self {
-            maintenance: Maintenance::new(origin.cloned(), Orders::default()),
-            keeping: Keeping::new(order_file.is_some()),
+            maintenance: OverriddenList::new(origin.cloned(), OperatorOverrides::default()),
+            keeping: OverrideStore::new(order_file.is_some()),
             awaits: Awaits { list: true, orders: order_file.is_some() },
             order_file,
             unreadable_orders: false,
@@ -295,10 +297,12 @@
                 self.speak_later();
             }
             Input::Order(order, done) => {
-                self.keeping.ordered(self.now() / 1_000, &mut self.maintenance, order, done);
+                self.keeping.handle_command(self.now() / 1_000, &mut self.maintenance, order, done);
             }
             Input::Looked(looked) => self.looked(looked),
-            Input::Wrote(written) => self.keeping.wrote(self.now() / 1_000, &mut self.maintenance, written),
+            Input::Wrote(written) => {
+                self.keeping.handle_write(self.now() / 1_000, &mut self.maintenance, written)
+            }
             Input::News(WatchEvent::Subscribed, _) => self.awaits.list = false,
             Input::News(WatchEvent::List(list), handed_on) => {
                 self.take_list(&list, handed_on);
--- a/crates/gateway/src/engine/fleet.rs
+++ b/crates/gateway/src/engine/fleet.rs
@@ -134,13 +134,13 @@
     fn hear(&mut self, now: Micros, list: &EndpointList) -> EndpointList {
         self.list = list.revision;
         self.turn(now);
-        let heard = self.gate.hear(&self.moment(now), &self.calendar, list);
+        let heard = self.gate.apply_list(&self.moment(now), &self.calendar, list);
         self.noted(heard)
     }
 
     /// What waited and passes now. Looked at when its step is due, or when `news` may let more pass.
     fn release(&mut self, now: Micros, news: bool) -> Option<EndpointList> {
-        let due = self.gate.wake().is_some_and(|wake| news || wake <= now / 1_000);
+        let due = self.gate.next_release_at().is_some_and(|wake| news || wake <= now / 1_000);
         let heard = due.then(|| self.gate.release(&self.moment(now), &self.calendar)).flatten()?;
         Some(self.noted(heard))
     }
--- a/crates/gateway/src/engine/fleet_tests.rs
+++ b/crates/gateway/src/engine/fleet_tests.rs
@@ -78,7 +78,7 @@
     };
     let mut calendar = Calendar::new(0);
     calendar.apply(1, STAMP / 1_000 - 3_600_000, &Proposal::Add(Entry::Freeze(freeze)));
-    calendar.settle();
+    calendar.build_index();
     Arc::new(calendar)
 }
 
--- a/crates/gateway/src/engine/handle.rs
+++ b/crates/gateway/src/engine/handle.rs
@@ -9,7 +9,7 @@
 use bytes::Bytes;
 use decide::api::{ClassId, Key, Micros, Reason, RequestId, TenantId};
 use gossip_transport::GossipTransport;
-use maintenance::{Order, OrderError, Verdict};
+use maintenance::{CommandOutcome, OverrideCommand, OverrideError};
 use proto::discovery::WatchEvent;
 use rustc_hash::FxHashSet;
 use std::cell::{Cell, OnceCell, RefCell};
@@ -47,7 +47,7 @@
 pub enum Unheeded {
     /// It cannot be.
     #[error(transparent)]
-    Order(#[from] OrderError),
+    Order(#[from] OverrideError),
     /// It could not be kept for the next process.
     #[error("the order could not be written to {ORDERS}: {0}")]
     NotKept(String),
@@ -183,14 +183,14 @@
     ///
     /// # Errors
     /// When it was not carried out.
-    pub async fn order(&self, order: Order) -> Result<bool, Unheeded> {
+    pub async fn order(&self, order: OverrideCommand) -> Result<bool, Unheeded> {
         let (sender, done) = oneshot::channel();
         let _ = self.inputs.send(Input::Order(order, sender));
         match done.await.map_err(|_| Unheeded::Stopped)? {
-            Verdict::Kept => Ok(true),
-            Verdict::InForce => Ok(false),
-            Verdict::Refused(why) => Err(why.into()),
-            Verdict::NotKept(why) => Err(Unheeded::NotKept(why)),
+            CommandOutcome::Persisted => Ok(true),
+            CommandOutcome::Applied => Ok(false),
+            CommandOutcome::Rejected(why) => Err(why.into()),
+            CommandOutcome::NotPersisted(why) => Err(Unheeded::NotKept(why)),
         }
     }
 
--- a/crates/gateway/src/engine/orders.rs
+++ b/crates/gateway/src/engine/orders.rs
@@ -4,7 +4,7 @@
 use super::{Engine, Input};
 use crate::order_file::OrderFile;
 use decide::api::Event;
-use maintenance::{Change, Orders, Step, Verdict};
+use maintenance::{CommandOutcome, OperatorOverrides, OverrideChange, StoreAction};
 use proto::discovery::EndpointList;
 use std::io;
 use std::sync::PoisonError;
@@ -50,7 +50,7 @@
 
     /// What staff have ordered is laid over a list behind the fleet's gate, which holds none of it.
     pub(super) fn let_in(&mut self, list: &EndpointList, cached: bool) {
-        let laid = self.maintenance.hear(list);
+        let laid = self.maintenance.apply_list(list);
         self.listed(&laid, cached);
     }
 
@@ -64,26 +64,26 @@
     pub(super) fn keep(&mut self) {
         while let Some(step) = self.keeping.poll() {
             match step {
-                Step::Look => self.on_file(OrderFile::poll, Input::Looked),
-                Step::Write(orders) => {
+                StoreAction::Read => self.on_file(OrderFile::poll, Input::Looked),
+                StoreAction::Write(orders) => {
                     self.on_file(move |file| file.save(&orders), Input::Wrote);
                 }
-                Step::Changed(change, hosts) => {
+                StoreAction::Changed(change, hosts) => {
                     match change {
-                        Change::Ordered(order) => log::info!("ordered: {order:?}"),
-                        Change::Found if self.awaits.orders => {
-                            log::info!("orders of the process before: {:?}", self.maintenance.orders());
+                        OverrideChange::Command(order) => log::info!("ordered: {order:?}"),
+                        OverrideChange::Loaded if self.awaits.orders => {
+                            log::info!("orders of the process before: {:?}", self.maintenance.overrides());
                         }
-                        Change::Found => {
-                            log::debug!("orders of the other process: {:?}", self.maintenance.orders())
+                        OverrideChange::Loaded => {
+                            log::debug!("orders of the other process: {:?}", self.maintenance.overrides())
                         }
-                        Change::TakenBack => log::error!("orders: not written, and taken back"),
+                        OverrideChange::RolledBack => log::error!("orders: not written, and taken back"),
                     }
                     self.orders_changed(&hosts);
                     self.settle();
                 }
-                Step::Answer(done, verdict) => {
-                    if verdict == Verdict::InForce {
+                StoreAction::Answer(done, verdict) => {
+                    if verdict == CommandOutcome::Applied {
                         log::warn!(
                             "orders: in force, but {ORDERS} is not written as yet: the disk stands still"
                         );
@@ -95,7 +95,7 @@
     }
 
     /// Takes in a look at the file. One that failed is made good by the next: a start goes on waiting meanwhile.
-    pub(super) fn looked(&mut self, looked: io::Result<Option<Orders>>) {
+    pub(super) fn looked(&mut self, looked: io::Result<Option<OperatorOverrides>>) {
         let found = match looked {
             Ok(found) => {
                 self.unreadable_orders = false;
@@ -109,7 +109,7 @@
             }
         };
         let was_read = found.is_some();
-        self.keeping.looked(self.now() / 1_000, &mut self.maintenance, found.flatten());
+        self.keeping.handle_read(self.now() / 1_000, &mut self.maintenance, found.flatten());
         self.keep();
         if was_read {
             self.awaits.orders = false;
@@ -133,12 +133,12 @@
     }
 
     fn orders_changed(&mut self, changed: &[String]) {
-        let list = self.maintenance.tell(changed);
+        let list = self.maintenance.current_entries(changed);
         if !list.members.is_empty() {
             self.listed(&list, false);
             self.dial_listed(&list);
         }
-        let draining = self.maintenance.orders().draining();
+        let draining = self.maintenance.overrides().draining();
         if self.handle.draining.send_replace(draining) != draining {
             log::info!("{}", if draining { "draining" } else { "the drain has ended" });
         }
--- a/crates/gateway/src/order_file.rs
+++ b/crates/gateway/src/order_file.rs
@@ -1,6 +1,6 @@
 //! The file in which the orders in force outlive a process, and by which two processes of one balancer share them.
 
-use maintenance::{Orders, WriteError};
+use maintenance::{OperatorOverrides, WriteError};
 use std::fs::{self, File};
 use std::io;
 use std::path::{Path, PathBuf};
@@ -29,7 +29,7 @@
     ///
     /// # Errors
     /// When it cannot be read now; it is left where it is.
-    pub fn poll(&mut self) -> io::Result<Option<Orders>> {
+    pub fn poll(&mut self) -> io::Result<Option<OperatorOverrides>> {
         match fs::read(&self.path) {
             Ok(bytes) => Ok(self.take(&bytes)),
             Err(error) if error.kind() == io::ErrorKind::NotFound => Ok(None),
@@ -37,12 +37,12 @@
         }
     }
 
-    fn take(&mut self, bytes: &[u8]) -> Option<Orders> {
+    fn take(&mut self, bytes: &[u8]) -> Option<OperatorOverrides> {
         let text = String::from_utf8_lossy(bytes);
         if self.seen.as_deref() == Some(&*text) {
             return None;
         }
-        match Orders::from_text(&text) {
+        match OperatorOverrides::from_text(&text) {
             Ok(orders) => {
                 self.seen = Some(text.into_owned());
                 Some(orders)
@@ -68,7 +68,7 @@
     ///
     /// # Errors
     /// When they were not written; the file then holds what it held.
-    pub fn save(&mut self, orders: &Orders) -> Result<(), WriteError> {
+    pub fn save(&mut self, orders: &OperatorOverrides) -> Result<(), WriteError> {
         let lock = File::create(self.path.with_extension("lock"))?;
         lock.lock()?;
         if let Some(others) = self.poll()? {
--- a/crates/gateway/tests/order_file.rs
+++ b/crates/gateway/tests/order_file.rs
@@ -1,7 +1,7 @@
 //! The file of orders, between two processes of one balancer and on a disk that fails.
 
 use gateway::order_file::OrderFile;
-use maintenance::{Maintenance, Order, Orders, WriteError};
+use maintenance::{OperatorOverrides, OverriddenList, OverrideCommand, WriteError};
 use std::fs;
 use tempfile::TempDir;
 
@@ -9,10 +9,10 @@
     OrderFile::new(folder.path().join("orders.json"))
 }
 
-fn drained() -> Orders {
-    let mut maintenance = Maintenance::new(None, Orders::default());
-    maintenance.carry_out(1, &Order::Drain).unwrap();
-    maintenance.orders().clone()
+fn drained() -> OperatorOverrides {
+    let mut maintenance = OverriddenList::new(None, OperatorOverrides::default());
+    maintenance.apply_command(1, &OverrideCommand::Drain).unwrap();
+    maintenance.overrides().clone()
 }
 
 #[test]
@@ -35,10 +35,10 @@
     let (mut one, mut other) = (file(&folder), file(&folder));
     assert_eq!((one.poll().unwrap(), other.poll().unwrap()), (None, None));
     one.save(&drained()).unwrap();
-    assert_eq!(other.save(&Orders::default()), Err(WriteError::Changed(drained())));
+    assert_eq!(other.save(&OperatorOverrides::default()), Err(WriteError::Changed(drained())));
     assert_eq!(file(&folder).poll().unwrap(), Some(drained()), "the drain stands");
-    other.save(&Orders::default()).unwrap();
-    assert_eq!(one.poll().unwrap(), Some(Orders::default()), "written over what was seen");
+    other.save(&OperatorOverrides::default()).unwrap();
+    assert_eq!(one.poll().unwrap(), Some(OperatorOverrides::default()), "written over what was seen");
 }
 
 #[test]
@@ -51,8 +51,8 @@
         assert!(!it.path().exists());
         assert_eq!(fs::read(folder.path().join("orders.unreadable")).unwrap(), broken, "nothing is lost");
     }
-    file(&folder).save(&Orders::default()).unwrap();
-    assert_eq!(it.poll().unwrap(), Some(Orders::default()));
+    file(&folder).save(&OperatorOverrides::default()).unwrap();
+    assert_eq!(it.poll().unwrap(), Some(OperatorOverrides::default()));
 }
 
 #[test]
--- a/crates/maintenance/src/keeping.rs
+++ b/crates/maintenance/src/keeping.rs
@@ -1,7 +1,7 @@
 //! When an order comes into force, when it is kept for the next process, and when its caller hears of it, on a disk that
 //! may stand still at any moment.
 
-use crate::{Maintenance, Millis, Order, OrderError, Orders};
+use crate::{Millis, OperatorOverrides, OverriddenList, OverrideCommand, OverrideError};
 use std::collections::VecDeque;
 use std::io;
 use thiserror::Error;
@@ -16,26 +16,26 @@
 
 /// What is to be done, in order. `T` is whom to answer.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Step<T> {
-    /// Look whether the file holds other orders than it was last seen to hold: [`Keeping::looked`].
-    Look,
-    /// Write these orders, whole or not at all: [`Keeping::wrote`].
-    Write(Orders),
+pub enum StoreAction<T> {
+    /// Look whether the file holds other orders than it was last seen to hold: [`OverrideStore::handle_read`].
+    Read,
+    /// Write these orders, whole or not at all: [`OverrideStore::handle_write`].
+    Write(OperatorOverrides),
     /// Orders came into force or out of it: there is something new to tell of these hosts, and perhaps of the drain.
-    Changed(Change, Vec<String>),
+    Changed(OverrideChange, Vec<String>),
     /// Answer a call.
-    Answer(T, Verdict),
+    Answer(T, CommandOutcome),
 }
 
 /// Why the orders in force have changed.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Change {
+pub enum OverrideChange {
     /// A call.
-    Ordered(Order),
+    Command(OverrideCommand),
     /// The file held others: another process of this balancer was called.
-    Found,
+    Loaded,
     /// They could not be written, and were taken back.
-    TakenBack,
+    RolledBack,
 }
 
 /// Why orders were not written; the file holds what it held.
@@ -43,7 +43,7 @@
 pub enum WriteError {
     /// Another process of this balancer has written others since the last look.
     #[error("another process has written other orders")]
-    Changed(Orders),
+    Changed(OperatorOverrides),
     /// The system says no.
     #[error("{0}")]
     Failed(String),
@@ -57,15 +57,15 @@
 
 /// What a caller is told.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Verdict {
+pub enum CommandOutcome {
     /// In force, and the next process will find it.
-    Kept,
+    Persisted,
     /// In force in this process; it is written as soon as the disk moves.
-    InForce,
+    Applied,
     /// Not in force: it cannot be carried out.
-    Refused(OrderError),
+    Rejected(OverrideError),
     /// Not in force: it could not be written, for this reason.
-    NotKept(String),
+    NotPersisted(String),
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -86,7 +86,7 @@
 struct Unwritten {
     number: u64,
     at: Millis,
-    order: Order,
+    order: OverrideCommand,
 }
 
 /// A caller who waits until all orders up to a number are written.
@@ -101,12 +101,12 @@
 ///
 /// The calls it holds are as many as its owner lets in at a time.
 #[derive(Debug)]
-pub struct Keeping<T> {
+pub struct OverrideStore<T> {
     /// Whether there is a file; without one every order is as good as kept.
     file: bool,
     under: Under,
     /// Calls that wait for a look.
-    asked: VecDeque<(Millis, Order, T)>,
+    asked: VecDeque<(Millis, OverrideCommand, T)>,
     /// Calls whose orders are in force, and wait to be written.
     unwritten: VecDeque<Waiting<T>>,
     /// What was ordered and is not written: carried out again over what the other process has written meanwhile.
@@ -118,13 +118,13 @@
     /// Callers were told that the orders up to this number are in force though they may not be written: none is taken back.
     promised: u64,
     /// What the file holds, and what is written to it now.
-    kept: Orders,
-    writing: Orders,
+    kept: OperatorOverrides,
+    writing: OperatorOverrides,
     not_before: Millis,
-    steps: VecDeque<Step<T>>,
+    steps: VecDeque<StoreAction<T>>,
 }
 
-impl<T> Keeping<T> {
+impl<T> OverrideStore<T> {
     /// Nothing under way; `file`: whether there is a file, which holds nothing as far as is known.
     #[must_use]
     pub fn new(file: bool) -> Self {
@@ -137,30 +137,34 @@
             number: 0,
             dirty: false,
             promised: 0,
-            kept: Orders::default(),
-            writing: Orders::default(),
+            kept: OperatorOverrides::default(),
+            writing: OperatorOverrides::default(),
             not_before: 0,
             steps: VecDeque::new(),
         }
     }
 
     /// The next thing to do.
-    pub fn poll(&mut self) -> Option<Step<T>> {
+    pub fn poll(&mut self) -> Option<StoreAction<T>> {
         self.steps.pop_front()
     }
 
     /// Takes in a call.
-    pub fn ordered(&mut self, now: Millis, maintenance: &mut Maintenance, order: Order, who: T) {
+    pub fn handle_command(
+        &mut self, now: Millis, maintenance: &mut OverriddenList, order: OverrideCommand, who: T,
+    ) {
         self.asked.push_back((now, order, who));
         self.go_on(now, maintenance);
     }
 
     /// Takes in what a look found, if that was new.
-    pub fn looked(&mut self, now: Millis, maintenance: &mut Maintenance, news: Option<Orders>) {
+    pub fn handle_read(
+        &mut self, now: Millis, maintenance: &mut OverriddenList, news: Option<OperatorOverrides>,
+    ) {
         let Under::Look(before) = std::mem::replace(&mut self.under, Under::Nothing) else { return };
         if let Some(news) = news {
             self.kept = news;
-            self.rebuild(maintenance, Change::Found);
+            self.rebuild(maintenance, OverrideChange::Loaded);
         }
         for _ in 0..before {
             self.carry_out_first(now, maintenance);
@@ -169,7 +173,9 @@
     }
 
     /// Takes in the end of a write.
-    pub fn wrote(&mut self, now: Millis, maintenance: &mut Maintenance, written: Result<(), WriteError>) {
+    pub fn handle_write(
+        &mut self, now: Millis, maintenance: &mut OverriddenList, written: Result<(), WriteError>,
+    ) {
         let Under::Write(callers, orders) = std::mem::replace(&mut self.under, Under::Nothing) else {
             return;
         };
@@ -177,11 +183,14 @@
             Ok(()) => {
                 self.kept = std::mem::take(&mut self.writing);
                 self.remembered.drain(..orders.min(self.remembered.len()));
-                self.answer_first(if self.dirty { callers } else { self.unwritten.len() }, &Verdict::Kept);
+                self.answer_first(
+                    if self.dirty { callers } else { self.unwritten.len() },
+                    &CommandOutcome::Persisted,
+                );
             }
             Err(WriteError::Changed(news)) => {
                 self.kept = news;
-                self.rebuild(maintenance, Change::Found);
+                self.rebuild(maintenance, OverrideChange::Loaded);
                 self.dirty = true;
             }
             Err(WriteError::Failed(why)) => self.write_failed(now, maintenance, &why),
@@ -190,35 +199,36 @@
     }
 
     /// Takes back what nobody was told is in force; what is left is written later.
-    fn write_failed(&mut self, now: Millis, maintenance: &mut Maintenance, why: &str) {
+    fn write_failed(&mut self, now: Millis, maintenance: &mut OverriddenList, why: &str) {
         let before = self.remembered.len();
         self.remembered.retain(|order| order.number <= self.promised);
         if self.remembered.len() < before {
-            self.rebuild(maintenance, Change::TakenBack);
+            self.rebuild(maintenance, OverrideChange::RolledBack);
         }
         self.dirty = !self.remembered.is_empty();
         self.not_before = now + RETRY;
         for waiting in std::mem::take(&mut self.unwritten) {
             let promised = waiting.number <= self.promised;
-            let verdict = if promised { Verdict::InForce } else { Verdict::NotKept(why.to_owned()) };
-            self.steps.push_back(Step::Answer(waiting.who, verdict));
+            let verdict =
+                if promised { CommandOutcome::Applied } else { CommandOutcome::NotPersisted(why.to_owned()) };
+            self.steps.push_back(StoreAction::Answer(waiting.who, verdict));
         }
     }
 
     /// Puts in force what the file holds and, over it, what was ordered and is not written.
-    fn rebuild(&mut self, maintenance: &mut Maintenance, change: Change) {
-        let ours = maintenance.orders().clone();
-        maintenance.adopt(self.kept.clone());
+    fn rebuild(&mut self, maintenance: &mut OverriddenList, change: OverrideChange) {
+        let ours = maintenance.overrides().clone();
+        maintenance.replace_overrides(self.kept.clone());
         for it in &self.remembered {
             // One that cannot be carried out now was when it was ordered: its host has left since.
-            let _ = maintenance.carry_out(it.at, &it.order);
+            let _ = maintenance.apply_command(it.at, &it.order);
         }
         let hosts = maintenance.changed_since(&ours);
-        self.steps.push_back(Step::Changed(change, hosts));
+        self.steps.push_back(StoreAction::Changed(change, hosts));
     }
 
     /// Lets time pass: to be called about ten times a second. Looks at the file where nothing else is to be done.
-    pub fn tick(&mut self, now: Millis, maintenance: &mut Maintenance) {
+    pub fn tick(&mut self, now: Millis, maintenance: &mut OverriddenList) {
         while self.asked.front().is_some_and(|(since, ..)| now >= since + LOOK_TIME) {
             self.carry_out_first(now, maintenance);
             if let Under::Look(before) = &mut self.under {
@@ -228,7 +238,7 @@
         let late = self.unwritten.iter().take_while(|it| now >= it.since + ANSWER_TIME).count();
         if let Some(last) = late.checked_sub(1).and_then(|at| self.unwritten.get(at)) {
             self.promised = last.number;
-            self.answer_first(late, &Verdict::InForce);
+            self.answer_first(late, &CommandOutcome::Applied);
             if let Under::Write(callers, _) = &mut self.under {
                 *callers = callers.saturating_sub(late);
             }
@@ -241,40 +251,40 @@
 
     fn look(&mut self) {
         self.under = Under::Look(self.asked.len());
-        self.steps.push_back(Step::Look);
+        self.steps.push_back(StoreAction::Read);
     }
 
     /// Begins what is to be done next, if nothing is under way.
-    fn go_on(&mut self, now: Millis, maintenance: &mut Maintenance) {
+    fn go_on(&mut self, now: Millis, maintenance: &mut OverriddenList) {
         if !self.file {
             while !self.asked.is_empty() {
                 self.carry_out_first(now, maintenance);
             }
             self.dirty = false;
             self.remembered.clear();
-            return self.answer_first(self.unwritten.len(), &Verdict::Kept);
+            return self.answer_first(self.unwritten.len(), &CommandOutcome::Persisted);
         }
         if self.under != Under::Nothing {
             return;
         }
         if self.dirty && now >= self.not_before {
             self.dirty = false;
-            self.writing = maintenance.orders().clone();
+            self.writing = maintenance.overrides().clone();
             self.under = Under::Write(self.unwritten.len(), self.remembered.len());
-            self.steps.push_back(Step::Write(self.writing.clone()));
+            self.steps.push_back(StoreAction::Write(self.writing.clone()));
         } else if !self.asked.is_empty() {
             self.look();
         }
     }
 
     /// Puts the first call's order in force, or answers why not.
-    fn carry_out_first(&mut self, now: Millis, maintenance: &mut Maintenance) {
+    fn carry_out_first(&mut self, now: Millis, maintenance: &mut OverriddenList) {
         let Some((since, order, who)) = self.asked.pop_front() else { return };
-        let before = maintenance.orders().clone();
-        match maintenance.carry_out(now, &order) {
-            Err(why) => self.steps.push_back(Step::Answer(who, Verdict::Refused(why))),
+        let before = maintenance.overrides().clone();
+        match maintenance.apply_command(now, &order) {
+            Err(why) => self.steps.push_back(StoreAction::Answer(who, CommandOutcome::Rejected(why))),
             Ok(hosts) => {
-                if *maintenance.orders() != before {
+                if *maintenance.overrides() != before {
                     self.dirty = true;
                     self.number += 1;
                     self.remembered.push_back(Unwritten {
@@ -289,19 +299,19 @@
                         }
                     }
                 }
-                self.steps.push_back(Step::Changed(Change::Ordered(order), hosts));
+                self.steps.push_back(StoreAction::Changed(OverrideChange::Command(order), hosts));
                 // One that changes nothing is kept already, unless what it repeats is still to be written.
                 if self.dirty || matches!(self.under, Under::Write(..)) {
                     self.unwritten.push_back(Waiting { number: self.number, since, who });
                 } else {
-                    self.steps.push_back(Step::Answer(who, Verdict::Kept));
+                    self.steps.push_back(StoreAction::Answer(who, CommandOutcome::Persisted));
                 }
             }
         }
     }
 
-    fn answer_first(&mut self, count: usize, verdict: &Verdict) {
+    fn answer_first(&mut self, count: usize, verdict: &CommandOutcome) {
         let answers = self.unwritten.drain(..count.min(self.unwritten.len()));
-        self.steps.extend(answers.map(|it| Step::Answer(it.who, verdict.clone())));
+        self.steps.extend(answers.map(|it| StoreAction::Answer(it.who, verdict.clone())));
     }
 }
--- a/crates/maintenance/src/lib.rs
+++ b/crates/maintenance/src/lib.rs
@@ -1,7 +1,7 @@
 //! What operators have ordered: cache hosts out by hand, and the drain of the balancer.
 //!
 //! The crate does no I/O and reads no clock: its owner tells it what discovery says and what is ordered and when, keeps
-//! its [`Orders`] where the next process finds them, and hands on the lists it yields. A host that is out by hand reads
+//! its [`OperatorOverrides`] where the next process finds them, and hands on the lists it yields. A host that is out by hand reads
 //! there as draining, and one that was called back as started then, so that nobody needs to know of orders.
 #![forbid(unsafe_code)]
 #![warn(unreachable_pub)]
@@ -9,8 +9,8 @@
 mod keeping;
 mod orders;
 
-pub use keeping::{Change, Keeping, Step, Verdict, WriteError};
-pub use orders::{Order, OrderError, Orders, UnreadableOrders};
+pub use keeping::{CommandOutcome, OverrideChange, OverrideStore, StoreAction, WriteError};
+pub use orders::{OperatorOverrides, OverrideCommand, OverrideError, UnreadableOverrides};
 
 use hashlink::LruCache;
 use proto::discovery::{EndpointList, EndpointRecord, Phase};
@@ -25,31 +25,31 @@
 const KNOWN: usize = 4_096;
 
 /// The list as discovery last told it, and the orders laid over it.
-pub struct Maintenance {
+pub struct OverriddenList {
     /// The kind of member that is the origin, which no order touches.
     origin_flavor: Option<String>,
     listed: FxHashMap<String, EndpointRecord>,
     known: LruCache<String, (), FxBuildHasher>,
-    orders: Orders,
+    orders: OperatorOverrides,
 }
 
-impl Maintenance {
+impl OverriddenList {
     /// No list as yet, and the orders of the process before.
     #[must_use]
-    pub fn new(origin_flavor: Option<String>, orders: Orders) -> Self {
+    pub fn new(origin_flavor: Option<String>, orders: OperatorOverrides) -> Self {
         let known = LruCache::with_hasher(KNOWN, FxBuildHasher);
         Self { origin_flavor, listed: FxHashMap::default(), known, orders }
     }
 
     /// The orders in force.
     #[must_use]
-    pub fn orders(&self) -> &Orders {
+    pub fn overrides(&self) -> &OperatorOverrides {
         &self.orders
     }
 
     /// Takes in a list of discovery, and yields it with the orders laid over.
     #[must_use]
-    pub fn hear(&mut self, list: &EndpointList) -> EndpointList {
+    pub fn apply_list(&mut self, list: &EndpointList) -> EndpointList {
         if list.complete {
             self.listed.clear();
         }
@@ -68,17 +68,19 @@
         EndpointList { members, ..*list }
     }
 
-    /// Carries out an order, and yields the hosts about which there is something new to tell, as [`Maintenance::tell`]
+    /// Carries out an order, and yields the hosts about which there is something new to tell, as [`OverriddenList::current_entries`]
     /// takes them. One that is in force already changes nothing.
     ///
     /// # Errors
     /// When no cache host has the id.
-    pub fn carry_out(&mut self, now: Millis, order: &Order) -> Result<Vec<String>, OrderError> {
-        if let Order::Disable(id) | Order::Enable(id) = order
+    pub fn apply_command(
+        &mut self, now: Millis, order: &OverrideCommand,
+    ) -> Result<Vec<String>, OverrideError> {
+        if let OverrideCommand::Disable(id) | OverrideCommand::Enable(id) = order
             && !self.known.contains_key(id)
             && !self.orders.is_out(id)
         {
-            return Err(OrderError::Unknown(id.clone()));
+            return Err(OverrideError::Unknown(id.clone()));
         }
         let changed = self.orders.carry_out(now, order);
         for member in changed.iter().filter_map(|id| self.listed.get(id)) {
@@ -88,20 +90,20 @@
     }
 
     /// Puts other orders in the place of those in force, and yields the hosts about which there is something new to tell.
-    pub fn adopt(&mut self, orders: Orders) -> Vec<String> {
+    pub fn replace_overrides(&mut self, orders: OperatorOverrides) -> Vec<String> {
         let old = std::mem::replace(&mut self.orders, orders);
         old.differences(&self.orders)
     }
 
     /// The hosts about which there is something new to tell where these orders were in force before.
     #[must_use]
-    pub fn changed_since(&self, orders: &Orders) -> Vec<String> {
+    pub fn changed_since(&self, orders: &OperatorOverrides) -> Vec<String> {
         orders.differences(&self.orders)
     }
 
     /// The change of the list that brings its reader up to date about these hosts; those not listed now are left out.
     #[must_use]
-    pub fn tell(&self, hosts: &[String]) -> EndpointList {
+    pub fn current_entries(&self, hosts: &[String]) -> EndpointList {
         let listed = hosts.iter().filter_map(|id| self.listed.get(id));
         EndpointList {
             revision: 0,
@@ -123,7 +125,7 @@
     }
 }
 
-impl fmt::Debug for Maintenance {
+impl fmt::Debug for OverriddenList {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{} hosts listed, {:?}", self.listed.len(), self.orders)
     }
--- a/crates/maintenance/src/orders.rs
+++ b/crates/maintenance/src/orders.rs
@@ -5,14 +5,14 @@
 use std::collections::{BTreeMap, BTreeSet};
 use thiserror::Error;
 
-/// The form of [`Orders::to_text`]. A process of another form must not guess at what it finds.
+/// The form of [`OperatorOverrides::to_text`]. A process of another form must not guess at what it finds.
 const VERSION: u32 = 1;
 /// Hosts called back whose start is still to be heard of; beyond it the one called back first is taken as listed.
 const MOST_BACK: usize = 256;
 
 /// What staff may order.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Order {
+pub enum OverrideCommand {
     /// Nothing more to this cache host.
     Disable(String),
     /// Back to use with it.
@@ -25,7 +25,7 @@
 
 /// Why an order is not carried out.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
-pub enum OrderError {
+pub enum OverrideError {
     /// No cache host has this id.
     #[error("no cache host has the id {0:?}")]
     Unknown(String),
@@ -33,7 +33,7 @@
 
 /// What was kept cannot be used.
 #[derive(Debug, Error)]
-pub enum UnreadableOrders {
+pub enum UnreadableOverrides {
     /// Not in the form of orders.
     #[error("not in the form of orders: {0}")]
     Malformed(#[from] serde_json::Error),
@@ -51,7 +51,7 @@
 
 /// The orders in force.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Orders {
+pub struct OperatorOverrides {
     version: u32,
     /// Hosts out by hand, and since when.
     out: BTreeMap<String, Millis>,
@@ -59,13 +59,13 @@
     draining: bool,
 }
 
-impl Default for Orders {
+impl Default for OperatorOverrides {
     fn default() -> Self {
         Self { version: VERSION, out: BTreeMap::new(), back: BTreeMap::new(), draining: false }
     }
 }
 
-impl Orders {
+impl OperatorOverrides {
     /// Whether this host is out by hand.
     #[must_use]
     pub fn is_out(&self, id: &str) -> bool {
@@ -91,14 +91,14 @@
     }
 
     /// Carries out an order; yields the host whose state has changed.
-    pub(crate) fn carry_out(&mut self, now: Millis, order: &Order) -> Option<String> {
+    pub(crate) fn carry_out(&mut self, now: Millis, order: &OverrideCommand) -> Option<String> {
         match order {
-            Order::Disable(id) if !self.is_out(id) => {
+            OverrideCommand::Disable(id) if !self.is_out(id) => {
                 self.back.remove(id);
                 self.out.insert(id.clone(), now);
                 Some(id.clone())
             }
-            Order::Enable(id) => {
+            OverrideCommand::Enable(id) => {
                 let out = self.out.remove(id)?;
                 if self.back.len() >= MOST_BACK
                     && let Some(first) =
@@ -109,9 +109,9 @@
                 self.back.insert(id.clone(), Back { out, back: now });
                 Some(id.clone())
             }
-            Order::Disable(_) => None,
-            Order::Drain | Order::Undrain => {
-                self.draining = *order == Order::Drain;
+            OverrideCommand::Disable(_) => None,
+            OverrideCommand::Drain | OverrideCommand::Undrain => {
+                self.draining = *order == OverrideCommand::Drain;
                 None
             }
         }
@@ -140,14 +140,14 @@
     ///
     /// # Errors
     /// When it is not in that form, or of another version.
-    pub fn from_text(text: &str) -> Result<Self, UnreadableOrders> {
+    pub fn from_text(text: &str) -> Result<Self, UnreadableOverrides> {
         #[derive(Deserialize)]
         struct Versioned {
             version: u32,
         }
         let Versioned { version } = serde_json::from_str(text)?;
         if version != VERSION {
-            return Err(UnreadableOrders::Version(version));
+            return Err(UnreadableOverrides::Version(version));
         }
         Ok(serde_json::from_str(text)?)
     }
--- a/crates/maintenance/tests/golden.rs
+++ b/crates/maintenance/tests/golden.rs
@@ -1,27 +1,27 @@
 //! The file of operator orders in the form that the next process reads.
 
 use expect_test::expect_file;
-use maintenance::{Maintenance, Order, Orders};
+use maintenance::{OperatorOverrides, OverriddenList, OverrideCommand};
 use proto::discovery::parse_endpoint_list;
 use serde_json::json;
 
-fn given() -> Maintenance {
-    let mut maintenance = Maintenance::new(Some("origin".into()), Orders::default());
+fn given() -> OverriddenList {
+    let mut maintenance = OverriddenList::new(Some("origin".into()), OperatorOverrides::default());
     let member = |id: &str, since: u64| {
         let flavor = if id == "origin" { "origin" } else { "m" };
         json!({"id": id, "host_port": "127.0.0.1:1", "flavor": flavor, "phase": "ready", "up_since_ms": since})
     };
     let members = [member("origin", 0), member("s-a", 5), member("s-b", 6), member("s-c", 7)];
     let text = json!({"revision": 1, "complete": true, "members": members}).to_string();
-    let _ = maintenance.hear(&parse_endpoint_list(text.as_bytes()).unwrap());
+    let _ = maintenance.apply_list(&parse_endpoint_list(text.as_bytes()).unwrap());
     let orders = [
-        (1_764_600_000_100, Order::Disable("s-a".into())),
-        (1_764_600_000_200, Order::Disable("s-b".into())),
-        (1_764_600_000_300, Order::Enable("s-b".into())),
-        (1_764_600_000_400, Order::Drain),
+        (1_764_600_000_100, OverrideCommand::Disable("s-a".into())),
+        (1_764_600_000_200, OverrideCommand::Disable("s-b".into())),
+        (1_764_600_000_300, OverrideCommand::Enable("s-b".into())),
+        (1_764_600_000_400, OverrideCommand::Drain),
     ];
     for (now, order) in orders {
-        let _ = maintenance.carry_out(now, &order).unwrap();
+        let _ = maintenance.apply_command(now, &order).unwrap();
     }
     maintenance
 }
@@ -29,16 +29,16 @@
 #[test]
 fn the_file_keeps_its_form_and_is_read() {
     let maintenance = given();
-    expect_file!["golden/orders.json"].assert_eq(&maintenance.orders().to_text());
-    let old = Orders::from_text(include_str!("golden/orders.json")).unwrap();
-    assert_eq!(&old, maintenance.orders());
+    expect_file!["golden/orders.json"].assert_eq(&maintenance.overrides().to_text());
+    let old = OperatorOverrides::from_text(include_str!("golden/orders.json")).unwrap();
+    assert_eq!(&old, maintenance.overrides());
 }
 
 #[test]
 fn unreadable_files_are_refused_in_the_same_words() {
     let mut text = String::new();
     for bad in ["", "{}", "{\"version\":2}", "{\"version\":1,\"out\":[]}"] {
-        text += &format!("{}\n", Orders::from_text(bad).unwrap_err());
+        text += &format!("{}\n", OperatorOverrides::from_text(bad).unwrap_err());
     }
     expect_file!["golden/unreadable.txt"].assert_eq(&text);
 }
--- a/crates/spindlebeam/benches/turns.rs
+++ b/crates/spindlebeam/benches/turns.rs
@@ -7,7 +7,7 @@
 };
 use decide::policy::Router;
 use gossip::GossipState;
-use maintenance::{Maintenance, Orders};
+use maintenance::{OperatorOverrides, OverriddenList};
 use proto::discovery::{EndpointList, WatchLine, WatchReader};
 use std::hint::black_box;
 use std::time::Instant;
@@ -116,8 +116,8 @@
         group
     };
     let laid = || {
-        let mut maintenance = Maintenance::new(None, Orders::default());
-        let _ = maintenance.hear(&first);
+        let mut maintenance = OverriddenList::new(None, OperatorOverrides::default());
+        let _ = maintenance.apply_list(&first);
         maintenance
     };
     let loads = || {
@@ -135,7 +135,7 @@
         ("a piece of 16 KiB of a list, indented", scanned(&indented)),
         ("the last byte of a whole list, plain", ended(&plain)),
         ("the last byte of a whole list, indented", ended(&indented)),
-        ("orders of staff laid over it", median(laid, |mut it| it.hear(&next))),
+        ("orders of staff laid over it", median(laid, |mut it| it.apply_list(&next))),
         ("the endpoint set", median(group, |mut it| it.apply(&next, false))),
         (
             "the module, a whole list",
