--- a/crates/front/src/accept.rs
+++ b/crates/front/src/accept.rs
@@ -7,7 +7,7 @@
 use crate::{Front, Room};
 use admission::Places;
 use futures_util::FutureExt;
-use gateway::heartbeat::Heartbeat;
+use gateway::stall_monitor::StallMonitor;
 use std::io;
 use std::net::{IpAddr, SocketAddr};
 use std::rc::Rc;
@@ -69,7 +69,7 @@
 
 /// The next newcomer. Nothing is lost where this is dropped before it is done.
 async fn next_newcomer(
-    listener: &TcpListener, queue: &mut Queue, heartbeat: &Heartbeat,
+    listener: &TcpListener, queue: &mut Queue, heartbeat: &StallMonitor,
 ) -> io::Result<(TcpStream, SocketAddr)> {
     if let Some(accepted) = listener.accept().now_or_never() {
         return accepted;
@@ -106,7 +106,7 @@
                     if shared {
                         self.room().await;
                     }
-                    next_newcomer(&listener, &mut queue, &self.handle.heartbeat).await
+                    next_newcomer(&listener, &mut queue, &self.handle.stall_monitor).await
                 } => accepted,
                 _ = report.tick() => {
                     queue.found_empty(Instant::now()); // nothing had come up to now
--- a/crates/front/src/client.rs
+++ b/crates/front/src/client.rs
@@ -10,7 +10,7 @@
 use closing::{ClientEvent, Close, client_left, read_or_watch, write};
 use futures_util::FutureExt;
 use gateway::engine::Ticket;
-use gateway::{Answer, Held, Streamed};
+use gateway::{Answer, MemoryPermit, StreamedValue};
 use proto::resp;
 use std::collections::VecDeque;
 use std::io;
@@ -32,7 +32,7 @@
 enum Reply {
     Now(BytesMut),
     Later(Ticket),
-    Streamed(Box<Streamed>),
+    Streamed(Box<StreamedValue>),
 }
 
 /// What a connection is to do next.
@@ -72,7 +72,7 @@
     /// When the value of a command under way must have come, once its length is known.
     value_until: Option<Instant>,
     /// The room for a large value under way.
-    room: Option<Held>,
+    room: Option<MemoryPermit>,
     /// How long before it was read the latest input may have come.
     input_age: Duration,
     /// How long the thread had been held up as the connection was accepted, and that had waited for its slot.
@@ -119,7 +119,7 @@
         front: Rc<Front>, stream: TcpStream, id: ConnectionId, close_signal: Rc<Notify>, patience: Patience,
         room: Room, waited: Duration,
     ) -> Self {
-        let age_at_accept = waited + front.handle.heartbeat.overdue(Instant::now());
+        let age_at_accept = waited + front.handle.stall_monitor.overdue(Instant::now());
         Self {
             front,
             stream,
--- a/crates/front/src/client/commands.rs
+++ b/crates/front/src/client/commands.rs
@@ -4,7 +4,7 @@
 use crate::request::{self, Asked};
 use crate::shutdown::Stage;
 use bytes::{Buf, Bytes};
-use gateway::{Held, heartbeat};
+use gateway::{MemoryPermit, stall_monitor};
 use proto::resp::Command;
 use proto::{ProtoError, resp};
 use std::time::Duration;
@@ -35,8 +35,8 @@
     /// How long ago what was just read may have come: as long as the thread has been held up, or was as it accepted the
     /// connection a moment ago.
     fn age_of_input(&self) -> Duration {
-        let age = self.front.handle.heartbeat.overdue(Instant::now());
-        let fresh = self.opened.elapsed() < heartbeat::BEAT;
+        let age = self.front.handle.stall_monitor.overdue(Instant::now());
+        let fresh = self.opened.elapsed() < stall_monitor::CHECK_INTERVAL;
         if fresh { age.max(self.age_at_accept) } else { age }
     }
 
@@ -68,12 +68,12 @@
             return Some(self.malformed(ProtoError::TooLong("command"))); // no other has a large word
         };
         let missing = unfinished.bytes.saturating_sub(self.input.len());
-        self.room = self.front.handle.hold(unfinished.bytes);
+        self.room = self.front.handle.reserve_memory(unfinished.bytes);
         if self.room.is_some() {
             self.input.reserve(missing);
             return None;
         }
-        self.front.handle.no_room(incoming.class);
+        self.front.handle.count_out_of_memory(incoming.class);
         self.input.clear();
         self.skip = missing;
         Some(line(REFUSED))
@@ -114,14 +114,14 @@
         }
     }
 
-    fn reply_to(&mut self, command: &Command, room: Option<Held>, stage: Stage) -> Reply {
+    fn reply_to(&mut self, command: &Command, room: Option<MemoryPermit>, stage: Stage) -> Reply {
         match request::read(command, &self.front.names, self.received()) {
             Asked::Request(incoming) if stage >= Stage::Shedding => {
-                self.front.handle.shed(incoming.class);
+                self.front.handle.count_shed(incoming.class);
                 line(REFUSED)
             }
             Asked::Request(mut incoming) => {
-                incoming.held = room;
+                incoming.memory = room;
                 match self.front.handle.submit(incoming) {
                     Some(ticket) => Reply::Later(ticket),
                     None => line("-ERR a request with this id is open\r\n"),
--- a/crates/front/src/operator.rs
+++ b/crates/front/src/operator.rs
@@ -4,8 +4,8 @@
 
 use crate::Front;
 use connection::Progress;
-use gateway::engine::{Handle, Unheeded};
-use gateway::fleet::{Call as FleetCall, Proposal};
+use gateway::engine::{CommandError, Handle};
+use gateway::fleet_link::{FleetCall, Proposal};
 use http_body_util::{BodyExt, Full, LengthLimitError, Limited};
 use hyper::body::{Bytes, Incoming};
 use hyper::header::{ALLOW, CONTENT_TYPE};
@@ -141,7 +141,7 @@
     async fn answer(&self, request: Request<Incoming>, until: Instant) -> Response<Full<Bytes>> {
         match (request.uri().path(), request.method()) {
             ("/ready", &Method::GET) => self.ready(),
-            ("/metrics", &Method::GET) => match self.handle.figures().await {
+            ("/metrics", &Method::GET) => match self.handle.metrics().await {
                 Some(figures) => reply(StatusCode::OK, "text/plain; charset=utf-8", figures),
                 None => refusal(StatusCode::INTERNAL_SERVER_ERROR, "the core has stopped"),
             },
@@ -173,10 +173,10 @@
     }
 
     async fn order(&self, order: OverrideCommand) -> Response<Full<Bytes>> {
-        match self.handle.order(order).await {
+        match self.handle.apply_override(order).await {
             Ok(true) => reply(StatusCode::OK, JSON, json!({"done": true}).to_string()),
             Ok(false) => reply(StatusCode::ACCEPTED, JSON, json!({"done": true, "kept": false}).to_string()),
-            Err(why @ Unheeded::Order(_)) => refusal(StatusCode::NOT_FOUND, &why.to_string()),
+            Err(why @ CommandError::Order(_)) => refusal(StatusCode::NOT_FOUND, &why.to_string()),
             Err(why) => {
                 log::error!("operators: {why}");
                 refusal(StatusCode::INTERNAL_SERVER_ERROR, &why.to_string())
@@ -185,14 +185,14 @@
     }
 
     async fn look_at_fleet(&self) -> Response<Full<Bytes>> {
-        match timeout(FLEET_TIME, self.handle.fleet_call(FleetCall::Look)).await {
+        match timeout(FLEET_TIME, self.handle.call_fleet(FleetCall::View)).await {
             Ok(answer) => fleet_said(answer),
             Err(_) => refusal(StatusCode::GATEWAY_TIMEOUT, "the fleet's thread does not answer"),
         }
     }
 
     async fn propose(&self, proposal: Proposal) -> Response<Full<Bytes>> {
-        match timeout(FLEET_TIME, self.handle.fleet_call(FleetCall::Propose(Box::new(proposal)))).await {
+        match timeout(FLEET_TIME, self.handle.call_fleet(FleetCall::Propose(Box::new(proposal)))).await {
             Ok(answer) => fleet_said(answer),
             // It may be agreed yet: who asks again under the same id learns that.
             Err(_) => reply(StatusCode::ACCEPTED, JSON, json!({"pending": true}).to_string()),
--- a/crates/front/src/request.rs
+++ b/crates/front/src/request.rs
@@ -2,7 +2,7 @@
 
 use decide::api::{ClassId, Key, TenantId};
 use gateway::Call;
-use gateway::engine::Incoming;
+use gateway::engine::IncomingRequest;
 use gateway::setup::Names;
 use proto::resp::Command;
 use std::rc::Rc;
@@ -16,7 +16,7 @@
 #[derive(Debug)]
 pub(crate) enum Asked {
     /// A request for the core.
-    Request(Incoming),
+    Request(IncomingRequest),
     /// `PING`.
     Ping,
     /// Answered with a status.
@@ -50,7 +50,7 @@
 
 fn request(
     command: &Command, write: bool, names: &Names, received: Instant,
-) -> Result<Incoming, &'static str> {
+) -> Result<IncomingRequest, &'static str> {
     let words = &command.0;
     if words.len() != if write { 5 } else { 4 } {
         return Err("wrong number of arguments");
@@ -84,13 +84,13 @@
         }
     }
     let (ms, time_at) = time.ok_or("no time")?;
-    Ok(Incoming {
+    Ok(IncomingRequest {
         class: class.ok_or("no class")?,
         tenant,
         key: Some(Key(number)),
         received,
-        time: Duration::from_secs_f64(ms / 1e3),
-        held: None,
+        time_limit: Duration::from_secs_f64(ms / 1e3),
+        memory: None,
         call: Rc::new(Call {
             command: words[0].clone(),
             key: key.clone(),
--- a/crates/gateway/src/engine.rs
+++ b/crates/gateway/src/engine.rs
@@ -11,16 +11,16 @@
 mod orders;
 mod tries;
 
-use crate::figures;
-use crate::fleet::{self as interface, Clock};
-use crate::heartbeat::beat;
-use crate::order_file::OrderFile;
+use crate::fleet_link::{self as interface, Clock};
+use crate::metrics;
+use crate::override_file::OverrideFile;
 use crate::setup::{Bounds, Config};
+use crate::stall_monitor::run_stall_monitor;
 use context::RequestContext;
 use decide::api::{Effect, Event, Micros, RequestId, Token};
 use decide::policy::Router;
 use gossip_transport::GossipTransport;
-pub use handle::{Handle, Incoming, Ticket, Unheeded};
+pub use handle::{CommandError, Handle, IncomingRequest, Ticket};
 use maintenance::{
     CommandOutcome, OperatorOverrides, OverriddenList, OverrideCommand, OverrideStore, WriteError,
 };
@@ -36,23 +36,23 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{Instant, MissedTickBehavior, interval, sleep};
 use tokio_util::time::DelayQueue;
-use upstream::group::{Peer, UpstreamGroup};
-use upstream::peer::{Connection, Ended, Lines, Pools, Streamed};
+use upstream::connection::{AttemptLogThrottles, AttemptResult, Connection, ConnectionPools, StreamedValue};
+use upstream::endpoints::{Endpoint, EndpointSet};
 
 /// How long a start waits for discovery's first list before it makes do with the one it knew.
 const FIRST_LIST: Duration = Duration::from_secs(1);
 
 enum Input {
-    Arrived(RequestId, Incoming, handle::Owed),
+    Arrived(RequestId, IncomingRequest, handle::Owed),
     Left(RequestId),
     /// Its front has failed it, and tells its client so.
     GivenUp(RequestId),
     TryEnded {
         id: RequestId,
         attempt: u16,
-        peer: Rc<Peer>,
+        peer: Rc<Endpoint>,
         sent: Instant,
-        ended: Ended,
+        ended: AttemptResult,
         under: fleet::Under,
     },
     /// A try's answer is large, and has begun to come.
@@ -60,9 +60,9 @@
         id: RequestId,
         attempt: u16,
         sent: Instant,
-        streamed: Box<Streamed>,
+        streamed: Box<StreamedValue>,
     },
-    Dialled(Rc<Peer>, Option<Connection>),
+    Dialled(Rc<Endpoint>, Option<Connection>),
     /// What is heard of discovery, and when it was handed on.
     News(WatchEvent, Instant),
     /// A look at the figures.
@@ -116,18 +116,18 @@
     clock: Clock,
     contexts: FxHashMap<RequestId, RequestContext>,
     timers: DelayQueue<Due>,
-    group: UpstreamGroup,
+    group: EndpointSet,
     maintenance: OverriddenList,
     /// Orders on their way between callers and their file.
     keeping: OverrideStore<oneshot::Sender<CommandOutcome>>,
     /// Where orders are kept; nowhere where none can be given. Only threads of its own touch it.
-    order_file: Option<Arc<Mutex<OrderFile>>>,
+    override_file: Option<Arc<Mutex<OverrideFile>>>,
     /// Whether the last look at that file failed.
     unreadable_orders: bool,
     /// What a start waits for: a list, and the orders of the process before.
     awaits: Awaits,
-    pools: Pools,
-    lines: Rc<Lines>,
+    pools: ConnectionPools,
+    lines: Rc<AttemptLogThrottles>,
     /// Of each class, what a repeat may do.
     effects: Vec<Effect>,
     /// The shortest span that the module tells apart.
@@ -152,13 +152,13 @@
         // Unix time once, then a clock that only advances: `up_since_ms` is Unix time.
         let unix = unix_us();
         let folder = config.folder.as_ref().filter(|_| config.operator.is_some());
-        let order_file = folder.map(|folder| Arc::new(Mutex::new(OrderFile::new(folder.join(ORDERS)))));
+        let override_file = folder.map(|folder| Arc::new(Mutex::new(OverrideFile::new(folder.join(ORDERS)))));
         let origin = config.settings.origin_kind.and_then(|kind| config.names.kinds.get(usize::from(kind)));
         let mut engine = Self {
             maintenance: OverriddenList::new(origin.cloned(), OperatorOverrides::default()),
-            keeping: OverrideStore::new(order_file.is_some()),
-            awaits: Awaits { list: true, orders: order_file.is_some() },
-            order_file,
+            keeping: OverrideStore::new(override_file.is_some()),
+            awaits: Awaits { list: true, orders: override_file.is_some() },
+            override_file,
             unreadable_orders: false,
             router: Router::new(config.settings.clone(), config.seed, unix),
             handle: handle.clone(),
@@ -167,8 +167,8 @@
             clock: Clock::start(unix),
             contexts: FxHashMap::default(),
             timers: DelayQueue::new(),
-            group: UpstreamGroup::new(config.names.clone(), config.settings.origin_kind),
-            pools: Pools::new(config.bounds),
+            group: EndpointSet::new(config.names.clone(), config.settings.origin_kind),
+            pools: ConnectionPools::new(config.bounds),
             lines: Rc::default(),
             effects: config.settings.classes.iter().map(|class| class.effect).collect(),
             tick: Duration::from_micros(config.settings.tick_us),
@@ -188,7 +188,7 @@
     /// Runs for as long as the program does.
     pub async fn run(mut self) {
         self.known = None;
-        tokio::task::spawn_local(beat(self.handle.heartbeat.clone()));
+        tokio::task::spawn_local(run_stall_monitor(self.handle.stall_monitor.clone()));
         let mut sweep = interval(Duration::from_secs(1));
         let mut report = interval(Duration::from_secs(10));
         let mut look = interval(ORDERS_SEEN);
@@ -234,7 +234,7 @@
                 } => self.agreed(agreed),
                 _ = fence.tick(), if self.fleet.is_some() => self.look_at_fleet(false),
                 _ = sweep.tick() => self.pools.sweep(),
-                _ = look.tick(), if self.order_file.is_some() => {
+                _ = look.tick(), if self.override_file.is_some() => {
                     self.keeping.tick(self.now() / 1_000, &mut self.maintenance);
                 }
                 _ = report.tick() => {
@@ -243,8 +243,8 @@
                     if let Some(talk) = &self.talk {
                         log::info!("other balancers so far: {:?}", talk.counts());
                     }
-                    log::info!("answers so far: {}", self.handle.tally.borrow());
-                    log::info!("longest hold-up of the thread of late: {:?}", self.handle.heartbeat.take_longest());
+                    log::info!("answers so far: {}", self.handle.counters.borrow());
+                    log::info!("longest hold-up of the thread of late: {:?}", self.handle.stall_monitor.take_longest_stall());
                 }
                 () = &mut first_list, if self.awaits.list => {
                     log::warn!("discovery: silent; starting with the list known before");
@@ -285,9 +285,13 @@
             Input::Look(figures) => {
                 let (endpoint_counts, open) =
                     (self.router.endpoint_counts(self.now()), self.handle.claims.open.get());
-                let tally = self.handle.tally.borrow();
-                let _ =
-                    figures.send(figures::worded(&tally, &self.group.names().classes, open, endpoint_counts));
+                let counters = self.handle.counters.borrow();
+                let _ = figures.send(metrics::render(
+                    &counters,
+                    &self.group.names().classes,
+                    open,
+                    endpoint_counts,
+                ));
             }
             Input::MayChange(kind, said) => {
                 let _ = said.send(self.may_change(kind));
@@ -331,7 +335,7 @@
 
 #[cfg(test)]
 mod tests {
-    use super::{Engine, Handle, Incoming, Ticket};
+    use super::{Engine, Handle, IncomingRequest, Ticket};
     use crate::setup::{Bounds, Config, Names};
     use bytes::Bytes;
     use decide::api::{Class, ClassId, Effect, Key, Settings, TenantId};
@@ -364,7 +368,7 @@
         Config {
             name: "n0".into(),
             listen: nowhere,
-            inherited: None,
+            inherited_descriptor: None,
             operator: None,
             folder: None,
             discovery: nowhere,
@@ -373,7 +377,7 @@
             settings: Settings { classes: vec![class], ..Settings::default() },
             names: Names::default(),
             bounds,
-            siblings: None,
+            gossip: None,
         }
     }
 
@@ -385,7 +389,15 @@
         let (received, time) = (Instant::now(), Duration::from_secs(60));
         let (class, tenant) = (ClassId(0), TenantId(0));
         handle
-            .submit(Incoming { class, tenant, key: Some(Key(n)), received, time, call, held: None })
+            .submit(IncomingRequest {
+                class,
+                tenant,
+                key: Some(Key(n)),
+                received,
+                time_limit: time,
+                call,
+                memory: None,
+            })
             .unwrap()
     }
 
@@ -400,7 +412,7 @@
             assert!(matches!(ticket.await, Answer::Refused(0)), "there is no server");
         }
         assert!(engine.timers.is_empty(), "{} timers, kept for a minute", engine.timers.len());
-        let told = engine.handle.tally.borrow().to_string();
+        let told = engine.handle.counters.borrow().to_string();
         assert!(told.starts_with("0 served, 1000 refused (no-server 1000), 0 failed"), "{told}");
     }
 }
--- a/crates/gateway/src/engine/context.rs
+++ b/crates/gateway/src/engine/context.rs
@@ -1,7 +1,7 @@
 //! The life of a request: it arrives, the module decides on it as often as something happens, it is given its one final
 //! answer, and it is forgotten once none of its tries is out.
 
-use super::handle::{Incoming, Owed, refuse_unseen};
+use super::handle::{IncomingRequest, Owed, refuse_unseen};
 use super::{Due, Engine};
 use decide::api::{Action, ClassId, Effect, Event, Micros, Reason, Request, RequestId};
 use std::cell::Cell;
@@ -11,7 +11,7 @@
 use tokio::time::Instant;
 use tokio_util::time::delay_queue;
 use upstream::call::{Answer, Call};
-use upstream::held::Held;
+use upstream::memory::MemoryPermit;
 
 /// How long after its deadline a request that the module left without an answer is failed.
 const OVERDUE: Duration = Duration::from_millis(10);
@@ -21,7 +21,7 @@
 /// What the core holds of a request until it is answered and none of its tries is out.
 pub(super) struct RequestContext {
     pub(super) call: Rc<Call>,
-    _held: Option<Held>,
+    _held: Option<MemoryPermit>,
     pub(super) class: ClassId,
     pub(super) effect: Effect,
     taken: Instant,
@@ -55,30 +55,30 @@
 }
 
 impl Engine {
-    pub(super) fn arrived(&mut self, id: RequestId, mut incoming: Incoming, owed: Owed) {
+    pub(super) fn arrived(&mut self, id: RequestId, mut incoming: IncomingRequest, owed: Owed) {
         let taken = Instant::now();
         let Owed { answer, still: owed } = owed;
         if !owed.get() {
-            self.handle.tally.borrow_mut().left += 1; // its client left before the core came to it
+            self.handle.counters.borrow_mut().left += 1; // its client left before the core came to it
             return;
         }
         if self.fenced() {
             self.count_refused();
-            return refuse_unseen(&self.handle.tally, incoming.class, Reason::Fenced, answer);
+            return refuse_unseen(&self.handle.counters, incoming.class, Reason::Fenced, answer);
         }
         // Guards places for requests: no client may have one kept for minutes.
-        let deadline = incoming.received + incoming.time.min(self.bounds.longest);
+        let deadline = incoming.received + incoming.time_limit.min(self.bounds.longest);
         let time_left = deadline.saturating_duration_since(taken);
-        if time_left.is_zero() && !incoming.time.is_zero() {
+        if time_left.is_zero() && !incoming.time_limit.is_zero() {
             self.count_refused();
-            return refuse_unseen(&self.handle.tally, incoming.class, Reason::Deadline, answer);
+            return refuse_unseen(&self.handle.counters, incoming.class, Reason::Deadline, answer);
         }
-        if let Some(value) = incoming.call.value.as_ref().filter(|_| incoming.held.is_none()) {
-            incoming.held = self.handle.budget.hold(value.len());
-            if incoming.held.is_none() {
+        if let Some(value) = incoming.call.value.as_ref().filter(|_| incoming.memory.is_none()) {
+            incoming.memory = self.handle.budget.hold(value.len());
+            if incoming.memory.is_none() {
                 // Guards memory: turned away before the module hears of it.
                 self.count_refused();
-                return refuse_unseen(&self.handle.tally, incoming.class, Reason::NoCapacity, answer);
+                return refuse_unseen(&self.handle.counters, incoming.class, Reason::NoCapacity, answer);
             }
         }
         let request = Request {
@@ -93,7 +93,7 @@
         log::debug!("request {}: {client_id}, class {}, {:?} left", id.0, incoming.class.0, time_left);
         let context = RequestContext {
             call: incoming.call,
-            _held: incoming.held,
+            _held: incoming.memory,
             class: incoming.class,
             effect: self.effects.get(incoming.class.0 as usize).copied().unwrap_or(Effect::NonIdempotent),
             taken,
@@ -127,7 +127,7 @@
         match action {
             Action::Forward { id, endpoint: server, timeout_us } => self.send(id, server, timeout_us),
             Action::Reject { id, retry_after_us, reason } => {
-                self.handle.tally.borrow_mut().refuse(reason);
+                self.handle.counters.borrow_mut().refuse(reason);
                 self.count_refused();
                 log::debug!(
                     "request {}: rejected ({}), retry after {retry_after_us} us",
@@ -138,7 +138,7 @@
                 self.forget(id);
             }
             Action::Fail { id, reason } => {
-                self.handle.tally.borrow_mut().fail(reason);
+                self.handle.counters.borrow_mut().fail(reason);
                 log::debug!("request {}: failed ({})", id.0, reason.label());
                 self.answer(id, Answer::Failed);
                 self.forget(id);
@@ -183,7 +183,7 @@
                 let client_id = String::from_utf8_lossy(&context.call.id);
                 log::warn!("request {client_id}: {} {late:?} after its time{more}", answer.word());
             }
-            self.handle.tally.borrow_mut().answered(class, &answer);
+            self.handle.counters.borrow_mut().answered(class, &answer);
             let _ = sender.send(answer); // a client that has just left is told by its ticket
         }
     }
@@ -191,7 +191,7 @@
     /// Its client has left: nobody is owed an answer any more.
     pub(super) fn left(&mut self, id: RequestId) {
         if self.contexts.get_mut(&id).is_some_and(|context| context.answer.take().is_some()) {
-            self.handle.tally.borrow_mut().left += 1;
+            self.handle.counters.borrow_mut().left += 1;
             self.events.push_back(Event::ClientLeft(id));
             self.forget(id);
         }
@@ -220,7 +220,7 @@
 
     /// Fails an open request without the module.
     fn fail_for(&mut self, id: RequestId, why: Reason) {
-        self.handle.tally.borrow_mut().fail(why);
+        self.handle.counters.borrow_mut().fail(why);
         self.answer(id, Answer::Failed);
         self.events.push_back(Event::ClientLeft(id));
         self.forget(id);
--- a/crates/gateway/src/engine/fleet.rs
+++ b/crates/gateway/src/engine/fleet.rs
@@ -1,7 +1,7 @@
 //! The core in a fleet: the fence before new requests, the gate before new hosts, and the count of what was done under which version.
 
 use super::Engine;
-use crate::fleet::{Acted, Agreed, FleetPort};
+use crate::fleet_link::{AuditEvent, FleetLink, FleetUpdate};
 use audit::counting::{ActivityCounter, CountKind as Counted, VersionId};
 use audit::lease::{self, Lease};
 use audit::version::Version;
@@ -26,7 +26,7 @@
 
 /// What the core holds of the fleet.
 pub(super) struct Fleet {
-    port: FleetPort,
+    port: FleetLink,
     lease: Option<Lease>,
     calendar: Arc<Calendar>,
     gate: TopologyGate,
@@ -44,8 +44,8 @@
 
 impl Fleet {
     /// What the fleet's thread says next; none once it is gone.
-    pub(super) async fn agreed(&mut self) -> Option<Agreed> {
-        self.port.agreed.recv().await
+    pub(super) async fn agreed(&mut self) -> Option<FleetUpdate> {
+        self.port.updates.recv().await
     }
 
     fn serve_until(&self, now: Micros) -> Micros {
@@ -63,9 +63,9 @@
         calendar::GateContext { now: now / 1_000, fleet_time, lease: standing }
     }
 
-    fn tell(&mut self, acted: Acted) {
+    fn tell(&mut self, acted: AuditEvent) {
         // Guards the core: it waits for nobody.
-        self.lost += u64::from(self.port.acted.try_send(acted).is_err());
+        self.lost += u64::from(self.port.audit_events.try_send(acted).is_err());
     }
 
     fn version(&self) -> Version {
@@ -86,7 +86,7 @@
         let counting =
             self.counting.get_or_insert_with(|| ActivityCounter::new(port.number, port.life, version, span));
         if let Some(entry) = counting.switch_version(version, span) {
-            self.tell(Acted::Entry(entry));
+            self.tell(AuditEvent::Entry(entry));
         }
     }
 
@@ -95,7 +95,7 @@
         let (Some(span), true) = (span, now >= self.next_report) else { return };
         self.next_report = now + REPORTED;
         if let Some(report) = self.counting.as_mut().map(|counting| counting.report(span)) {
-            self.tell(Acted::Report(report));
+            self.tell(AuditEvent::Report(report));
         }
         match std::mem::take(&mut self.lost) {
             0 => {}
@@ -118,7 +118,7 @@
             counting
                 .record_topology_change(format!("{host}\n{kind:?}\n{}", record.list).as_bytes(), accepted);
         }
-        self.tell(Acted::Record(record));
+        self.tell(AuditEvent::Record(record));
     }
 
     fn noted(&mut self, heard: GateResult) -> EndpointList {
@@ -202,7 +202,7 @@
 impl Engine {
     /// From now on requests are taken under the fleet's lease, and hosts by its calendar; fenced until a lease comes. To be called
     /// before [`Engine::run`].
-    pub fn join_fleet(&mut self, port: FleetPort) {
+    pub fn join_fleet(&mut self, port: FleetLink) {
         let known: Option<Vec<EndpointRecord>> = self.known.take().map(|list| list.members);
         self.clock = port.clock;
         self.handle.join(port.clock, port.calls.clone());
@@ -228,14 +228,14 @@
         })
     }
 
-    pub(super) fn agreed(&mut self, agreed: Agreed) {
+    pub(super) fn agreed(&mut self, agreed: FleetUpdate) {
         let Some(fleet) = &mut self.fleet else { return };
         let news = match agreed {
-            Agreed::Lease(lease) => {
+            FleetUpdate::Lease(lease) => {
                 fleet.lease = Some(*lease);
                 false
             }
-            Agreed::Calendar(calendar) => {
+            FleetUpdate::Calendar(calendar) => {
                 fleet.calendar = calendar;
                 true
             }
--- a/crates/gateway/src/engine/fleet_tests.rs
+++ b/crates/gateway/src/engine/fleet_tests.rs
@@ -2,7 +2,7 @@
 
 use super::tests::{config, submitted};
 use super::{Engine, Handle, Input, Ticket};
-use crate::fleet::{Acted, Agreed, Asked, ChangeKind, ChangeRecord, Clock, FleetPort};
+use crate::fleet_link::{AuditEvent, ChangeKind, ChangeRecord, Clock, FleetLink, FleetRequest, FleetUpdate};
 use audit::lease::{Lease, LeaseGrant, Settings};
 use bytes::Bytes;
 use calendar::{Calendar, ChangeOutcome as Became, Entry, Freeze, Proposal, Scope, ScopeTarget};
@@ -14,8 +14,8 @@
 use tokio::task::LocalSet;
 use tokio::time::{Instant, advance, timeout};
 use upstream::call::Answer;
-use upstream::group::endpoint_id;
-use upstream::peer::Ended;
+use upstream::connection::AttemptResult;
+use upstream::endpoints::endpoint_id;
 
 const LEASE: Duration = Duration::from_secs(3_600);
 /// 2030-01-01 00:05 UTC, five minutes into the freeze.
@@ -24,8 +24,8 @@
 struct World {
     engine: Engine,
     handle: Handle,
-    acted: mpsc::Receiver<Acted>,
-    _ways: (mpsc::UnboundedSender<Agreed>, mpsc::Receiver<Asked>),
+    acted: mpsc::Receiver<AuditEvent>,
+    _ways: (mpsc::UnboundedSender<FleetUpdate>, mpsc::Receiver<FleetRequest>),
 }
 
 fn member(id: &str, phase: Phase) -> EndpointRecord {
@@ -48,8 +48,16 @@
     let (calls, calls_out) = mpsc::channel(8);
     let (acted_in, acted) = mpsc::channel(64);
     let clock = engine.clock();
-    let port =
-        FleetPort { agreed, calls, acted: acted_in, clock, number: 0, life: 7, program: 1, configuration: 2 };
+    let port = FleetLink {
+        updates: agreed,
+        calls,
+        audit_events: acted_in,
+        clock,
+        number: 0,
+        life: 7,
+        program: 1,
+        configuration: 2,
+    };
     engine.join_fleet(port);
     World { engine, handle, acted, _ways: (agreed_in, calls_out) }
 }
@@ -90,7 +98,7 @@
 impl World {
     fn lease(&mut self) {
         let lease = lease(self.engine.clock());
-        self.engine.agreed(Agreed::Lease(Box::new(lease)));
+        self.engine.agreed(FleetUpdate::Lease(Box::new(lease)));
     }
 
     async fn submit(&mut self, n: u64) -> Ticket {
@@ -102,11 +110,11 @@
     }
 
     fn sends_to(&self, host: &str) -> bool {
-        self.engine.group.peer(endpoint_id(host)).is_some_and(|peer| peer.ready())
+        self.engine.group.endpoint(endpoint_id(host)).is_some_and(|peer| peer.ready())
     }
 
     fn told(&self) -> String {
-        self.handle.tally.borrow().to_string()
+        self.handle.counters.borrow().to_string()
     }
 }
 
@@ -148,9 +156,9 @@
         let under = world.engine.under(false);
         advance(short).await;
         assert!(world.engine.fenced());
-        let peer = world.engine.group.peer(endpoint_id("a")).unwrap().clone();
+        let peer = world.engine.group.endpoint(endpoint_id("a")).unwrap().clone();
         let value = Bytes::from_static(b"value");
-        let ended = Ended {
+        let ended = AttemptResult {
             outcome: Outcome::Ok,
             value,
             large: None,
@@ -171,7 +179,7 @@
 async fn in_a_freeze_a_host_that_joins_waits_for_its_end_and_one_that_drains_is_out_at_once() {
     let run = async {
         let mut world = joined();
-        world.engine.agreed(Agreed::Calendar(frozen()));
+        world.engine.agreed(FleetUpdate::Calendar(frozen()));
         world.lease();
         let all = |a| list(2, &[("a", a), ("b", Phase::Ready), ("c", Phase::Ready)]);
         let sent_to = |world: &World| ["a", "b", "c"].map(|host| world.sends_to(host));
@@ -179,7 +187,7 @@
         assert_eq!(sent_to(&world), [true, false, false]);
         let mut held = Vec::new();
         while let Ok(acted) = world.acted.try_recv() {
-            if let Acted::Record(ChangeRecord { host, outcome: Became::Held { .. }, .. }) = acted {
+            if let AuditEvent::Record(ChangeRecord { host, outcome: Became::Held { .. }, .. }) = acted {
                 held.push(host);
             }
         }
@@ -209,9 +217,9 @@
         config.known = Some(list(1, &[("a", Phase::Ready)]));
         let (mut alone, handle) = Engine::new(&config);
         alone.told(&more, false);
-        assert!(alone.group.peer(endpoint_id("b")).is_some());
-        assert!(!alone.fenced() && handle.may_change(ChangeKind::Discovery).await.is_ok());
-        assert!(handle.fleet_call(crate::fleet::Call::Look).await.is_none());
+        assert!(alone.group.endpoint(endpoint_id("b")).is_some());
+        assert!(!alone.fenced() && handle.check_change(ChangeKind::Discovery).await.is_ok());
+        assert!(handle.call_fleet(crate::fleet_link::FleetCall::View).await.is_none());
     };
     LocalSet::new().run_until(run).await;
 }
@@ -222,14 +230,14 @@
         let mut world = joined();
         world.lease();
         let under = world.engine.under(false);
-        world.engine.agreed(Agreed::Calendar(frozen()));
+        world.engine.agreed(FleetUpdate::Calendar(frozen()));
         world.engine.count_try(under, false, Outcome::Timeout);
         world.engine.count_try(world.engine.under(true), false, Outcome::Ok);
         advance(Duration::from_secs(1)).await;
         world.engine.look_at_fleet(false);
         let mut last = None;
         while let Ok(acted) = world.acted.try_recv() {
-            last = if let Acted::Report(report) = acted { Some(report) } else { last };
+            last = if let AuditEvent::Report(report) = acted { Some(report) } else { last };
         }
         let pieces = last.unwrap().pieces;
         let told: Vec<_> = pieces
@@ -264,7 +272,7 @@
         for kind in [ChangeKind::Discovery, ChangeKind::Configuration] {
             assert!(world.engine.may_change(kind).is_ok());
         }
-        world.engine.agreed(Agreed::Calendar(frozen()));
+        world.engine.agreed(FleetUpdate::Calendar(frozen()));
         world.engine.told(&list(7, &[("b", Phase::Ready), ("d", Phase::Ready)]), false);
         assert!(world.engine.may_change(ChangeKind::Restart).is_err());
         advance(Duration::from_secs(1)).await;
@@ -272,9 +280,9 @@
         let (mut text, mut last) = (String::new(), None);
         while let Ok(acted) = world.acted.try_recv() {
             match acted {
-                Acted::Record(it) => text += &format!("{} {} {}\n", it.host, it.list, it.revision),
-                Acted::Report(report) => last = Some(report),
-                Acted::Entry(_) => {}
+                AuditEvent::Record(it) => text += &format!("{} {} {}\n", it.host, it.list, it.revision),
+                AuditEvent::Report(report) => last = Some(report),
+                AuditEvent::Entry(_) => {}
             }
         }
         for piece in last.unwrap().pieces {
--- a/crates/gateway/src/engine/handle.rs
+++ b/crates/gateway/src/engine/handle.rs
@@ -2,10 +2,10 @@
 
 use super::Input;
 use super::orders::ORDERS;
-use crate::figures::Tally;
-use crate::fleet::{Asked, Call as FleetCall, ChangeKind, Clock};
-use crate::heartbeat::Heartbeat;
+use crate::fleet_link::{ChangeKind, Clock, FleetCall, FleetRequest};
+use crate::metrics::RequestCounters;
 use crate::setup::{Bounds, Config};
+use crate::stall_monitor::StallMonitor;
 use bytes::Bytes;
 use decide::api::{ClassId, Key, Micros, Reason, RequestId, TenantId};
 use gossip_transport::GossipTransport;
@@ -21,11 +21,11 @@
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::time::Instant;
 use upstream::call::{Answer, Call};
-use upstream::held::{Budget, Held};
+use upstream::memory::{MemoryBudget, MemoryPermit};
 
 /// A request, as a front hands it over.
 #[derive(Debug)]
-pub struct Incoming {
+pub struct IncomingRequest {
     /// Its class.
     pub class: ClassId,
     /// Its tenant.
@@ -35,16 +35,16 @@
     /// When its last byte came.
     pub received: Instant,
     /// How long its client waits from then on.
-    pub time: Duration,
+    pub time_limit: Duration,
     /// What is passed on.
     pub call: Rc<Call>,
     /// The room for its value, where the front has taken some.
-    pub held: Option<Held>,
+    pub memory: Option<MemoryPermit>,
 }
 
 /// Why an order was not carried out; nothing of it is in force.
 #[derive(Debug, thiserror::Error)]
-pub enum Unheeded {
+pub enum CommandError {
     /// It cannot be.
     #[error(transparent)]
     Order(#[from] OverrideError),
@@ -63,13 +63,13 @@
     news: mpsc::UnboundedSender<(WatchEvent, Instant)>,
     next: Rc<Cell<u64>>,
     pub(super) claims: Rc<Claims>,
-    pub(super) tally: Rc<RefCell<Tally>>,
-    pub(super) budget: Budget,
+    pub(super) counters: Rc<RefCell<RequestCounters>>,
+    pub(super) budget: MemoryBudget,
     pub(super) ready: Rc<watch::Sender<bool>>,
     pub(super) draining: Rc<watch::Sender<bool>>,
     fleet: Rc<OnceCell<Joined>>,
     /// How late this thread runs.
-    pub heartbeat: Rc<Heartbeat>,
+    pub stall_monitor: Rc<StallMonitor>,
 }
 
 /// What callers see of the fleet.
@@ -78,7 +78,7 @@
     clock: Clock,
     /// From when on nothing new is taken, as known so far.
     fence: Cell<Micros>,
-    calls: mpsc::Sender<Asked>,
+    calls: mpsc::Sender<FleetRequest>,
 }
 
 /// The requests taken whose answers have not been written, and what their answers may come to.
@@ -121,16 +121,27 @@
     ) -> Self {
         let (next, ready, draining, fleet) = Default::default();
         let claims = Rc::new(Claims::new(&config.bounds));
-        let budget = Budget::new(config.bounds.held_bytes);
-        let tally = Rc::new(RefCell::new(Tally::new(config.settings.classes.len())));
-        let heartbeat = Rc::new(Heartbeat::new(Instant::now()));
-        Self { inputs, news, next, claims, tally, budget, ready, draining, fleet, heartbeat }
+        let budget = MemoryBudget::new(config.bounds.held_bytes);
+        let counters = Rc::new(RefCell::new(RequestCounters::new(config.settings.classes.len())));
+        let heartbeat = Rc::new(StallMonitor::new(Instant::now()));
+        Self {
+            inputs,
+            news,
+            next,
+            claims,
+            counters,
+            budget,
+            ready,
+            draining,
+            fleet,
+            stall_monitor: heartbeat,
+        }
     }
 
     /// Hands a request over; none is taken while another with its client's id is open. Guards against a second run
     /// of that one: peers and origin tell requests apart by this id.
     #[must_use]
-    pub fn submit(&self, incoming: Incoming) -> Option<Ticket> {
+    pub fn submit(&self, incoming: IncomingRequest) -> Option<Ticket> {
         let name = incoming.call.id.clone();
         if !self.claims.ids.borrow_mut().insert(name.clone()) {
             return None;
@@ -139,7 +150,7 @@
         let (sender, answer) = oneshot::channel();
         let owed = Rc::new(Cell::new(true));
         if self.claims.full() {
-            refuse_unseen(&self.tally, incoming.class, Reason::NoCapacity, sender);
+            refuse_unseen(&self.counters, incoming.class, Reason::NoCapacity, sender);
         } else {
             // If the core is gone, the sender is dropped with the input and the ticket tells a failure.
             let _ =
@@ -152,27 +163,27 @@
 
     /// Room for a value that must be held whole; `None` where there is none.
     #[must_use]
-    pub fn hold(&self, bytes: usize) -> Option<Held> {
+    pub fn reserve_memory(&self, bytes: usize) -> Option<MemoryPermit> {
         self.budget.hold(bytes)
     }
 
     /// Counts a request that its front refused for want of such room.
-    pub fn no_room(&self, class: ClassId) {
-        count_unseen(&self.tally, class, Reason::NoCapacity);
+    pub fn count_out_of_memory(&self, class: ClassId) {
+        count_unseen(&self.counters, class, Reason::NoCapacity);
     }
 
     /// Counts a request that its front has shed, since the balancer drains or its process ends.
-    pub fn shed(&self, class: ClassId) {
-        count_unseen(&self.tally, class, Reason::ShuttingDown);
+    pub fn count_shed(&self, class: ClassId) {
+        count_unseen(&self.counters, class, Reason::ShuttingDown);
     }
 
     /// Tells the core what is heard of discovery, ahead of all that waits.
-    pub fn hear(&self, news: WatchEvent) {
+    pub fn handle_watch_event(&self, news: WatchEvent) {
         let _ = self.news.send((news, Instant::now()));
     }
 
     /// The figures, as staff fetch them; none if the core is gone.
-    pub async fn figures(&self) -> Option<String> {
+    pub async fn metrics(&self) -> Option<String> {
         let (sender, figures) = oneshot::channel();
         let _ = self.inputs.send(Input::Look(sender));
         figures.await.ok()
@@ -183,19 +194,19 @@
     ///
     /// # Errors
     /// When it was not carried out.
-    pub async fn order(&self, order: OverrideCommand) -> Result<bool, Unheeded> {
+    pub async fn apply_override(&self, order: OverrideCommand) -> Result<bool, CommandError> {
         let (sender, done) = oneshot::channel();
         let _ = self.inputs.send(Input::Order(order, sender));
-        match done.await.map_err(|_| Unheeded::Stopped)? {
+        match done.await.map_err(|_| CommandError::Stopped)? {
             CommandOutcome::Persisted => Ok(true),
             CommandOutcome::Applied => Ok(false),
             CommandOutcome::Rejected(why) => Err(why.into()),
-            CommandOutcome::NotPersisted(why) => Err(Unheeded::NotKept(why)),
+            CommandOutcome::NotPersisted(why) => Err(CommandError::NotKept(why)),
         }
     }
 
     /// Gives the core the way to the other balancers.
-    pub fn talk(&self, talk: GossipTransport) {
+    pub fn attach_gossip(&self, talk: GossipTransport) {
         let _ = self.inputs.send(Input::GossipTransport(talk));
     }
 
@@ -206,8 +217,8 @@
     }
 
     /// Counts a new configuration: whether it was taken over.
-    pub fn reloaded(&self, taken_over: bool) {
-        let reloads = &mut self.tally.borrow_mut().reloads;
+    pub fn count_reload(&self, taken_over: bool) {
+        let reloads = &mut self.counters.borrow_mut().reloads;
         *if taken_over { &mut reloads.0 } else { &mut reloads.1 } += 1;
     }
 
@@ -228,7 +239,7 @@
         self.fleet.get().is_some_and(|fleet| fleet.clock.now() >= fleet.fence.get())
     }
 
-    pub(super) fn join(&self, clock: Clock, calls: mpsc::Sender<Asked>) {
+    pub(super) fn join(&self, clock: Clock, calls: mpsc::Sender<FleetRequest>) {
         let _ = self.fleet.set(Joined { clock, fence: Cell::new(0), calls }); // a fleet is joined once
     }
 
@@ -242,7 +253,7 @@
     ///
     /// # Errors
     /// Why it is held.
-    pub async fn may_change(&self, kind: ChangeKind) -> Result<(), String> {
+    pub async fn check_change(&self, kind: ChangeKind) -> Result<(), String> {
         if self.fleet.get().is_none() {
             return Ok(());
         }
@@ -252,7 +263,7 @@
     }
 
     /// Hands a call to the fleet's thread, and yields its status and JSON body; none without a fleet. The caller bounds the wait.
-    pub async fn fleet_call(&self, call: FleetCall) -> Option<(u16, String)> {
+    pub async fn call_fleet(&self, call: FleetCall) -> Option<(u16, String)> {
         let busy = || (503, r#"{"error":"the fleet's thread is busy or has stopped"}"#.to_owned());
         let fleet = self.fleet.get()?;
         let (sender, answer) = oneshot::channel();
@@ -315,14 +326,14 @@
 
 /// Refuses a request that the module has not heard of.
 pub(super) fn refuse_unseen(
-    tally: &RefCell<Tally>, class: ClassId, why: Reason, answer: oneshot::Sender<Answer>,
+    counters: &RefCell<RequestCounters>, class: ClassId, why: Reason, answer: oneshot::Sender<Answer>,
 ) {
-    count_unseen(tally, class, why);
+    count_unseen(counters, class, why);
     let _ = answer.send(Answer::Refused(0));
 }
 
-fn count_unseen(tally: &RefCell<Tally>, class: ClassId, why: Reason) {
-    let mut tally = tally.borrow_mut();
-    tally.refuse(why);
-    tally.answered(class, &Answer::Refused(0));
+fn count_unseen(counters: &RefCell<RequestCounters>, class: ClassId, why: Reason) {
+    let mut counters = counters.borrow_mut();
+    counters.refuse(why);
+    counters.answered(class, &Answer::Refused(0));
 }
--- a/crates/gateway/src/engine/orders.rs
+++ b/crates/gateway/src/engine/orders.rs
@@ -2,7 +2,7 @@
 //! the process in.
 
 use super::{Engine, Input};
-use crate::order_file::OrderFile;
+use crate::override_file::OverrideFile;
 use decide::api::Event;
 use maintenance::{CommandOutcome, OperatorOverrides, OverrideChange, StoreAction};
 use proto::discovery::EndpointList;
@@ -64,7 +64,7 @@
     pub(super) fn keep(&mut self) {
         while let Some(step) = self.keeping.poll() {
             match step {
-                StoreAction::Read => self.on_file(OrderFile::poll, Input::Looked),
+                StoreAction::Read => self.on_file(OverrideFile::poll, Input::Looked),
                 StoreAction::Write(orders) => {
                     self.on_file(move |file| file.save(&orders), Input::Wrote);
                 }
@@ -118,10 +118,10 @@
 
     /// Does something with the file of orders on a thread of its own: the disk may stand still for seconds.
     fn on_file<T: Send + 'static>(
-        &self, work: impl FnOnce(&mut OrderFile) -> T + Send + 'static,
+        &self, work: impl FnOnce(&mut OverrideFile) -> T + Send + 'static,
         done: impl FnOnce(T) -> Input + 'static,
     ) {
-        let Some(file) = self.order_file.clone() else { return };
+        let Some(file) = self.override_file.clone() else { return };
         let inputs = self.handle.inputs.clone();
         tokio::task::spawn_local(async move {
             let working =
--- a/crates/gateway/src/engine/tries.rs
+++ b/crates/gateway/src/engine/tries.rs
@@ -8,8 +8,8 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 use upstream::call::Answer;
-use upstream::group::{Peer, endpoint_id};
-use upstream::peer::{self, Ended, Permit, Streamed, Try};
+use upstream::connection::{self, Attempt, AttemptResult, Permit, StreamedValue};
+use upstream::endpoints::{Endpoint, endpoint_id};
 
 /// The largest fleet whose peers are dialled as they are listed: the two hundred of a usual one, and room.
 const MOST_DIALLED_AHEAD: usize = 256;
@@ -21,7 +21,7 @@
         context.attempts += 1;
         let sent = Instant::now();
         let owed = context.owed.get();
-        let peer = self.group.peer(server).filter(|peer| peer.ready() && owed);
+        let peer = self.group.endpoint(server).filter(|peer| peer.ready() && owed);
         let Some(peer) = peer.cloned() else {
             // The list and the module disagree for a moment: never sent, so it may go elsewhere. Or its client has left, and
             // the module has not heard of that as yet.
@@ -52,10 +52,10 @@
         let line = if fresh { self.pools.dial(&peer) } else { self.pools.line(&peer) };
         let lines = self.lines.clone();
         let (dial, fragile) = (self.bounds.dial, context.effect == Effect::NonIdempotent);
-        let written = self.handle.tally.borrow().attempts.clone();
+        let written = self.handle.counters.borrow().attempts.clone();
         let budget = self.handle.budget.clone();
         let this =
-            Try { peer: peer.clone(), call, line, dial, until, permit, fragile, lines, budget, written };
+            Attempt { peer: peer.clone(), call, line, dial, until, permit, fragile, lines, budget, written };
         let under = self.under(this.call.value.is_some());
         let inputs = self.handle.inputs.clone();
         tokio::task::spawn_local(async move {
@@ -69,7 +69,7 @@
 
     /// A large answer has begun: it is the client's now, and the module hears that its try has served. Nothing that becomes
     /// of it later is tried again, and a client that takes its time does not count as a request that is out.
-    pub(super) fn begun(&mut self, id: RequestId, attempt: u16, sent: Instant, streamed: Box<Streamed>) {
+    pub(super) fn begun(&mut self, id: RequestId, attempt: u16, sent: Instant, streamed: Box<StreamedValue>) {
         let Some(context) = self.contexts.get_mut(&id) else { return };
         context.streams = true;
         self.handle.claims.learn(streamed.window());
@@ -86,9 +86,9 @@
     }
 
     pub(super) fn try_ended(
-        &mut self, id: RequestId, attempt: u16, peer: &Rc<Peer>, sent: Instant, ended: Ended,
+        &mut self, id: RequestId, attempt: u16, peer: &Rc<Endpoint>, sent: Instant, ended: AttemptResult,
     ) {
-        self.handle.tally.borrow_mut().tried(peer.origin, &ended);
+        self.handle.counters.borrow_mut().tried(peer.origin, &ended);
         self.pools.put(peer, ended.connection);
         if ended.stale {
             self.pools.found_stale(peer);
@@ -105,7 +105,7 @@
             context.stale |= ended.stale;
             if context.streams {
                 // The module has heard of it; whether it came whole is known now.
-                self.handle.tally.borrow_mut().passed_on(context.class, ended.outcome == Outcome::Ok);
+                self.handle.counters.borrow_mut().passed_on(context.class, ended.outcome == Outcome::Ok);
                 return self.forget(id);
             }
         }
@@ -140,17 +140,17 @@
             return;
         }
         for member in &list.members {
-            if let Some(peer) = self.group.peer(endpoint_id(&member.id)).cloned() {
+            if let Some(peer) = self.group.endpoint(endpoint_id(&member.id)).cloned() {
                 self.dial_ahead(&peer);
             }
         }
     }
 
-    fn dial_ahead(&mut self, peer: &Rc<Peer>) {
+    fn dial_ahead(&mut self, peer: &Rc<Endpoint>) {
         let Some(place) = self.pools.ahead(peer) else { return };
         let (peer, time, inputs) = (peer.clone(), self.bounds.dial, self.handle.inputs.clone());
         tokio::task::spawn_local(async move {
-            let connection = peer::dial(place, &peer, time).await;
+            let connection = connection::dial(place, &peer, time).await;
             let _ = inputs.send(Input::Dialled(peer, connection));
         });
     }
--- a/crates/gateway/src/fleet.rs
+++ b/crates/gateway/src/fleet_link.rs
@@ -39,7 +39,7 @@
 
 /// What the fleet's thread tells the core.
 #[derive(Debug)]
-pub enum Agreed {
+pub enum FleetUpdate {
     /// The lease, after each change of it.
     Lease(Box<Lease>),
     /// The calendar, settled: the core must not wait for it to be laid out.
@@ -48,7 +48,7 @@
 
 /// What the core tells the fleet's thread, for the ledger.
 #[derive(Debug)]
-pub enum Acted {
+pub enum AuditEvent {
     /// A change of topology was taken or is held.
     Record(ChangeRecord),
     /// What was counted, each second.
@@ -59,25 +59,25 @@
 
 /// A call that comes through the door; answered with a status and a JSON body.
 #[derive(Debug)]
-pub enum Call {
+pub enum FleetCall {
     /// How the fleet stands.
-    Look,
+    View,
     /// A proposal for the calendar.
     Propose(Box<Proposal>),
 }
 
 /// A call, and where its answer goes.
-pub type Asked = (Call, oneshot::Sender<(u16, String)>);
+pub type FleetRequest = (FleetCall, oneshot::Sender<(u16, String)>);
 
 /// The core's end of the fleet's thread.
 #[derive(Debug)]
-pub struct FleetPort {
+pub struct FleetLink {
     /// What is agreed. Closed, it leaves the core with the lease that it has, and fenced at its end.
-    pub agreed: mpsc::UnboundedReceiver<Agreed>,
+    pub updates: mpsc::UnboundedReceiver<FleetUpdate>,
     /// Where calls go.
-    pub calls: mpsc::Sender<Asked>,
+    pub calls: mpsc::Sender<FleetRequest>,
     /// Where records and reports go; what finds it full is lost, and counted.
-    pub acted: mpsc::Sender<Acted>,
+    pub audit_events: mpsc::Sender<AuditEvent>,
     /// The clock of the lease's copies: that of [`Engine::clock`](crate::engine::Engine::clock), which is the core's from now on.
     pub clock: Clock,
     /// This balancer's place in the fleet file.
--- a/crates/gateway/src/figures.rs
+++ b/crates/gateway/src/metrics.rs
@@ -7,14 +7,14 @@
 use std::fmt::{self, Write};
 use std::rc::Rc;
 use upstream::call::Answer;
-use upstream::peer::Ended;
+use upstream::connection::AttemptResult;
 
 /// What stands before each name.
 const PREFIX: &str = "balancer";
 
 /// Final answers given to requests of one class.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Answers {
+pub struct AnswerCounters {
     /// Served.
     pub served: u64,
     /// Refused.
@@ -25,9 +25,9 @@
 
 /// Counts since the start.
 #[derive(Debug, Default)]
-pub struct Tally {
+pub struct RequestCounters {
     /// Final answers by class, in the order of the settings.
-    pub classes: Vec<Answers>,
+    pub classes: Vec<AnswerCounters>,
     /// Tries whose last byte was written, the origin's among them: discovery lists it with the cache hosts, and the figure is
     /// held against what all of them saw.
     pub attempts: Rc<Cell<u64>>,
@@ -40,11 +40,11 @@
     tries: BTreeMap<(bool, &'static str), u64>,
 }
 
-impl Tally {
+impl RequestCounters {
     /// Nothing counted, for so many classes.
     #[must_use]
     pub fn new(classes: usize) -> Self {
-        Self { classes: vec![Answers::default(); classes], ..Self::default() }
+        Self { classes: vec![AnswerCounters::default(); classes], ..Self::default() }
     }
 
     /// Counts a final answer as it is given.
@@ -67,7 +67,7 @@
     }
 
     /// Counts the end of a try.
-    pub fn tried(&mut self, at_origin: bool, ended: &Ended) {
+    pub fn tried(&mut self, at_origin: bool, ended: &AttemptResult) {
         let word = match ended.outcome {
             Outcome::Ok => "served",
             Outcome::Miss => "missed",
@@ -94,7 +94,7 @@
     }
 }
 
-impl fmt::Display for Tally {
+impl fmt::Display for RequestCounters {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{} served", self.classes.iter().map(|it| it.served).sum::<u64>())?;
         for (how, reasons) in [("refused", &self.refused), ("failed", &self.failed)] {
@@ -116,22 +116,22 @@
 
 /// The figures as staff fetch them, one `NAME:VALUE|KIND` a line: `c` counts since the start, `g` is the state now.
 #[must_use]
-pub fn worded(
-    tally: &Tally, class_names: &[String], in_flight: usize, endpoint_counts: EndpointCounts,
+pub fn render(
+    counters: &RequestCounters, class_names: &[String], in_flight: usize, endpoint_counts: EndpointCounts,
 ) -> String {
     let mut out = String::with_capacity(1024);
     let mut line = |name: &str, class: &str, value: u64, kind: char| {
         let _ = writeln!(out, "{PREFIX}.{name}{class}:{value}|{kind}"); // a String takes all
     };
-    for (name, answers) in class_names.iter().zip(&tally.classes) {
+    for (name, answers) in class_names.iter().zip(&counters.classes) {
         let class = format!(".{name}");
         line("served", &class, answers.served, 'c');
         line("refused", &class, answers.refused, 'c');
         line("failed", &class, answers.failed, 'c');
     }
-    line("attempts", "", tally.attempts.get(), 'c');
-    line("reloads_ok", "", tally.reloads.0, 'c');
-    line("reloads_failed", "", tally.reloads.1, 'c');
+    line("attempts", "", counters.attempts.get(), 'c');
+    line("reloads_ok", "", counters.reloads.0, 'c');
+    line("reloads_failed", "", counters.reloads.1, 'c');
     line("in_flight", "", in_flight as u64, 'g');
     line("cache_hosts_known", "", endpoint_counts.known, 'g');
     line("cache_hosts_excluded", "", endpoint_counts.excluded, 'g');
--- a/crates/gateway/src/order_file.rs
+++ b/crates/gateway/src/override_file.rs
@@ -7,12 +7,12 @@
 
 /// The file, and what it was last seen to hold.
 #[derive(Debug)]
-pub struct OrderFile {
+pub struct OverrideFile {
     path: PathBuf,
     seen: Option<String>,
 }
 
-impl OrderFile {
+impl OverrideFile {
     /// The file at this place, which need not exist.
     #[must_use]
     pub fn new(path: PathBuf) -> Self {
--- a/crates/gateway/src/setup.rs
+++ b/crates/gateway/src/setup.rs
@@ -15,7 +15,7 @@
     /// Where clients connect.
     pub listen: SocketAddr,
     /// The number of a descriptor under which the listening socket for clients was inherited; bound by itself if none.
-    pub inherited: Option<i32>,
+    pub inherited_descriptor: Option<i32>,
     /// Where operators call; nowhere if none.
     pub operator: Option<SocketAddr>,
     /// The folder that the next process of this balancer finds as this one left it, if there is such.
@@ -33,5 +33,5 @@
     /// Limits and times of connections.
     pub bounds: Bounds,
     /// The other balancers, where messages between them are allowed.
-    pub siblings: Option<GossipAddresses>,
+    pub gossip: Option<GossipAddresses>,
 }
--- a/crates/gateway/tests/left.rs
+++ b/crates/gateway/tests/left.rs
@@ -2,7 +2,7 @@
 
 use bytes::{Bytes, BytesMut};
 use decide::api::{Class, ClassId, Effect, Key, Settings, TenantId};
-use gateway::engine::{Engine, Handle, Incoming, Ticket};
+use gateway::engine::{Engine, Handle, IncomingRequest, Ticket};
 use gateway::setup::{Bounds, Config, Names};
 use proto::discovery::{EndpointList, EndpointRecord, Phase, WatchEvent};
 use std::io::Read;
@@ -25,7 +25,7 @@
     Config {
         name: "n0".into(),
         listen: nowhere,
-        inherited: None,
+        inherited_descriptor: None,
         operator: None,
         folder: None,
         discovery: nowhere,
@@ -44,7 +44,7 @@
             longest: MINUTE,
             shortest: MINUTE,
         },
-        siblings: None,
+        gossip: None,
     }
 }
 
@@ -59,14 +59,14 @@
     let call = Rc::new(Call { command, key, id, options, time_at: 0..0, value: None });
     let (class, tenant, key) = (ClassId(0), TenantId(0), Some(Key(1)));
     handle
-        .submit(Incoming {
+        .submit(IncomingRequest {
             class,
             tenant,
             key,
             received: Instant::now() - ago,
-            time: MINUTE,
+            time_limit: MINUTE,
             call,
-            held: None,
+            memory: None,
         })
         .unwrap()
 }
@@ -105,7 +105,7 @@
     let waiting: Vec<_> = ["1", "2", "3"].map(|word| submitted(&handle, word)).into();
     let mut list = config.known.unwrap();
     list.members[0].phase = Phase::Draining;
-    handle.hear(WatchEvent::List(list));
+    handle.handle_watch_event(WatchEvent::List(list));
     let tasks = tokio::task::LocalSet::new();
     tasks.spawn_local(engine.run());
     for ticket in waiting {
--- a/crates/gateway/tests/order_file.rs
+++ b/crates/gateway/tests/override_file.rs
@@ -1,12 +1,12 @@
 //! The file of orders, between two processes of one balancer and on a disk that fails.
 
-use gateway::order_file::OrderFile;
+use gateway::override_file::OverrideFile;
 use maintenance::{OperatorOverrides, OverriddenList, OverrideCommand, WriteError};
 use std::fs;
 use tempfile::TempDir;
 
-fn file(folder: &TempDir) -> OrderFile {
-    OrderFile::new(folder.path().join("orders.json"))
+fn file(folder: &TempDir) -> OverrideFile {
+    OverrideFile::new(folder.path().join("orders.json"))
 }
 
 fn drained() -> OperatorOverrides {
--- a/crates/gateway/tests/heartbeat.rs
+++ b/crates/gateway/tests/stall_monitor.rs
@@ -1,6 +1,6 @@
 //! The heartbeat of the thread on a paused clock: a thread that keeps up ages nothing, one that was held up tells for how long.
 
-use gateway::heartbeat::{BEAT, Heartbeat, beat};
+use gateway::stall_monitor::{CHECK_INTERVAL, StallMonitor, run_stall_monitor};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::task::{LocalSet, spawn_local, yield_now};
@@ -8,9 +8,9 @@
 
 const HELD_UP: Duration = Duration::from_millis(150);
 
-async fn beating() -> Rc<Heartbeat> {
-    let heartbeat = Rc::new(Heartbeat::new(Instant::now()));
-    spawn_local(beat(heartbeat.clone()));
+async fn beating() -> Rc<StallMonitor> {
+    let heartbeat = Rc::new(StallMonitor::new(Instant::now()));
+    spawn_local(run_stall_monitor(heartbeat.clone()));
     yield_now().await;
     heartbeat
 }
@@ -24,7 +24,7 @@
                 sleep(Duration::from_millis(1)).await;
                 assert_eq!(heartbeat.overdue(Instant::now()), Duration::ZERO);
             }
-            assert!(heartbeat.take_longest() <= Duration::from_millis(2));
+            assert!(heartbeat.take_longest_stall() <= Duration::from_millis(2));
         })
         .await;
 }
@@ -36,11 +36,11 @@
             let heartbeat = beating().await;
             advance(HELD_UP).await; // nothing runs meanwhile
             let age = heartbeat.overdue(Instant::now());
-            assert!(age >= HELD_UP - BEAT && age <= HELD_UP, "{age:?}");
-            sleep(2 * BEAT).await;
+            assert!(age >= HELD_UP - CHECK_INTERVAL && age <= HELD_UP, "{age:?}");
+            sleep(2 * CHECK_INTERVAL).await;
             assert_eq!(heartbeat.overdue(Instant::now()), Duration::ZERO, "it is over");
-            assert!(heartbeat.take_longest() >= HELD_UP - BEAT);
-            assert_eq!(heartbeat.take_longest(), Duration::ZERO, "told once");
+            assert!(heartbeat.take_longest_stall() >= HELD_UP - CHECK_INTERVAL);
+            assert_eq!(heartbeat.take_longest_stall(), Duration::ZERO, "told once");
         })
         .await;
 }
--- a/crates/spindlebeam/benches/turns.rs
+++ b/crates/spindlebeam/benches/turns.rs
@@ -11,7 +11,7 @@
 use proto::discovery::{EndpointList, WatchLine, WatchReader};
 use std::hint::black_box;
 use std::time::Instant;
-use upstream::group::UpstreamGroup;
+use upstream::endpoints::EndpointSet;
 use upstream::setup::Names;
 
 const ROUNDS: usize = 41;
@@ -77,7 +77,7 @@
 fn entries(list: &EndpointList) -> Vec<decide::api::EndpointEntry> {
     let names =
         Names { kinds: vec!["m".into(), "origin".into()], zones: vec!["a".into()], ..Names::default() };
-    UpstreamGroup::new(names, Some(1)).apply(list, false).1
+    EndpointSet::new(names, Some(1)).apply(list, false).1
 }
 
 fn request(id: u64) -> Event {
@@ -111,7 +111,7 @@
     let mut known = router(&first);
     let names = || Names { kinds: vec!["m".into()], zones: vec!["a".into()], ..Names::default() };
     let group = || {
-        let mut group = UpstreamGroup::new(names(), Some(1));
+        let mut group = EndpointSet::new(names(), Some(1));
         group.apply(&first, false);
         group
     };
--- a/crates/spindlebeam/src/config.rs
+++ b/crates/spindlebeam/src/config.rs
@@ -115,7 +115,7 @@
     if let Some(text) = variable("PROXY_FD") {
         let number =
             text.parse().with_context(|| format!("PROXY_FD: {text:?} is no number of a descriptor"))?;
-        config.inherited = Some(number);
+        config.inherited_descriptor = Some(number);
     }
     config.folder = variable("TMPDIR").map(PathBuf::from);
     if config.operator.is_some() {
@@ -183,7 +183,7 @@
     Ok(Config {
         name: file.required("name")?,
         listen: file.address("listen")?.context("listen: missing")?,
-        inherited: None,
+        inherited_descriptor: None,
         folder: None,
         operator: file.address("operator")?,
         discovery: file.address("discovery")?.context("discovery: missing")?,
@@ -208,7 +208,7 @@
             longest: Duration::from_micros(longest),
             shortest: Duration::from_micros(shortest),
         },
-        siblings,
+        gossip: siblings,
         settings,
     })
 }
--- a/crates/spindlebeam/src/fleet.rs
+++ b/crates/spindlebeam/src/fleet.rs
@@ -1,14 +1,14 @@
 //! The fleet's thread: the socket, the clock and the disk of this balancer's part in a fleet in agreement.
 //!
 //! It runs beside the core's thread, so that neither a vote nor a disk that stands still waits in a request's way; what the core
-//! needs goes over as copies (`gateway::fleet`).
+//! needs goes over as copies (`gateway::fleet_link`).
 
 use agreement::{MemoryStore, Store, StoreChange, StoredState, VotingBlock};
 use anyhow::{Context, Result, ensure};
 use audit::lease::LeaseState;
 use bytes::Bytes;
 use fleet::{Fleet, FleetFile, Output, Start};
-use gateway::fleet::{Acted, Agreed, Call, Clock, FleetPort};
+use gateway::fleet_link::{AuditEvent, Clock, FleetCall, FleetLink, FleetUpdate};
 use serde_json::json;
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -71,7 +71,7 @@
 ///
 /// # Errors
 /// When the file cannot be used, names no such balancer, or the socket or the disk cannot be had.
-pub fn start(options: &Options, name: &str, seed: u64, clock: Clock) -> Result<Option<FleetPort>> {
+pub fn start(options: &Options, name: &str, seed: u64, clock: Clock) -> Result<Option<FleetLink>> {
     let Some(path) = &options.file else { return Ok(None) };
     let file = FleetFile::read(path)?;
     let me = file.find(name).with_context(|| format!("{}: no balancer is named {name:?}", path.display()))?;
@@ -103,7 +103,16 @@
         log::error!("fleet: the thread has ended: {ended:?}"); // the lease ends with it, and so does taking requests
     });
     thread.context("starting the fleet's thread")?;
-    Ok(Some(FleetPort { agreed, calls, acted, clock, number, life, program, configuration }))
+    Ok(Some(FleetLink {
+        updates: agreed,
+        calls,
+        audit_events: acted,
+        clock,
+        number,
+        life,
+        program,
+        configuration,
+    }))
 }
 
 /// What a fleet file makes of the balancer with this name.
@@ -161,19 +170,19 @@
     socket: UdpSocket,
     ledger: Option<Keep>,
     unix: Unix,
-    agreed: mpsc::UnboundedSender<Agreed>,
+    agreed: mpsc::UnboundedSender<FleetUpdate>,
     timers: DelayQueue<membership::Timer>,
     asked: HashMap<u64, oneshot::Sender<(u16, String)>>,
     standing: Option<LeaseState>,
     joined: bool,
 }
 
-type Calls = mpsc::Receiver<gateway::fleet::Asked>;
+type Calls = mpsc::Receiver<gateway::fleet_link::FleetRequest>;
 
 impl Thread {
     fn new(
         part: Fleet<Memory>, socket: std::net::UdpSocket, ledger: Option<Keep>, unix: Unix,
-        agreed: mpsc::UnboundedSender<Agreed>,
+        agreed: mpsc::UnboundedSender<FleetUpdate>,
     ) -> Result<Self> {
         let socket = UdpSocket::from_std(socket)?;
         let (timers, asked, standing, joined) = Default::default();
@@ -188,7 +197,7 @@
         Ok(it)
     }
 
-    async fn run(mut self, mut calls: Calls, mut acted: mpsc::Receiver<Acted>) -> Result<()> {
+    async fn run(mut self, mut calls: Calls, mut acted: mpsc::Receiver<AuditEvent>) -> Result<()> {
         let mut tick = interval(Duration::from_micros(agreement::TICK_INTERVAL_US));
         tick.set_missed_tick_behavior(MissedTickBehavior::Delay);
         let (mut spans, mut report) = (interval(SPANS_EVERY), interval(REPORT_EVERY));
@@ -210,9 +219,9 @@
                 }
                 Some((call, answer)) = calls.recv() => self.called(call, answer),
                 told = acted.recv() => match told {
-                    Some(Acted::Report(told)) => self.part.report(clock.now(), told),
-                    Some(Acted::Entry(span)) => self.part.take_span(span),
-                    Some(Acted::Record(_)) => {} // the core has logged it, and its digest is in the report
+                    Some(AuditEvent::Report(told)) => self.part.report(clock.now(), told),
+                    Some(AuditEvent::Entry(span)) => self.part.take_span(span),
+                    Some(AuditEvent::Record(_)) => {} // the core has logged it, and its digest is in the report
                     None => return Ok(()), // the core is gone, and the program with it
                 },
                 _ = spans.tick() => self.keep_spans(),
@@ -232,10 +241,10 @@
                     self.timers.insert(timer, Duration::from_micros(after));
                 }
                 Output::Lease(lease) => {
-                    let _ = self.agreed.send(Agreed::Lease(lease));
+                    let _ = self.agreed.send(FleetUpdate::Lease(lease));
                 }
                 Output::Calendar(calendar) => {
-                    let _ = self.agreed.send(Agreed::Calendar(Arc::new(*calendar)));
+                    let _ = self.agreed.send(FleetUpdate::Calendar(Arc::new(*calendar)));
                 }
                 Output::Members(count) => {
                     if count > 1 && !std::mem::replace(&mut self.joined, true) {
@@ -267,13 +276,13 @@
         }
     }
 
-    fn called(&mut self, call: Call, answer: oneshot::Sender<(u16, String)>) {
+    fn called(&mut self, call: FleetCall, answer: oneshot::Sender<(u16, String)>) {
         let now = self.unix.clock.now();
         match call {
-            Call::Look => {
+            FleetCall::View => {
                 let _ = answer.send((200, self.part.view(now).to_string()));
             }
-            Call::Propose(proposal) => match self.part.propose(now, proposal) {
+            FleetCall::Propose(proposal) => match self.part.propose(now, proposal) {
                 Ok(id) => {
                     self.asked.insert(id, answer);
                 }
--- a/crates/spindlebeam/src/main.rs
+++ b/crates/spindlebeam/src/main.rs
@@ -60,7 +60,7 @@
             let config = config::read(&configuration(file)?)?;
             let (classes, tenants) = (config.names.classes.len(), config.names.tenants.len());
             println!("{}: usable; {classes} classes, {tenants} tenants, {:?}", config.name, config.bounds);
-            match config.inherited {
+            match config.inherited_descriptor {
                 Some(number) => println!("clients: the socket inherited as descriptor {number}"),
                 None => println!("clients: {}", config.listen),
             }
--- a/crates/spindlebeam/src/reload.rs
+++ b/crates/spindlebeam/src/reload.rs
@@ -3,7 +3,7 @@
 use crate::config;
 use anyhow::Result;
 use gateway::engine::Handle;
-use gateway::fleet::ChangeKind;
+use gateway::fleet_link::ChangeKind;
 use gateway::setup::Config;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -34,14 +34,14 @@
                 }
                 Some(Err(error)) => {
                     log::error!("SIGHUP: {error:#}; the configuration in use stays");
-                    handle.reloaded(false);
+                    handle.count_reload(false);
                     continue;
                 }
                 None => std::future::pending().await, // signals can no longer come; the program serves on
             },
             () = sleep(HELD_AGAIN), if held.is_some() => match held.take() {
                 Some(new) => {
-                    if handle.may_change(ChangeKind::Discovery).await.is_err() {
+                    if handle.check_change(ChangeKind::Discovery).await.is_err() {
                         held = Some(new);
                     } else {
                         apply(&new, &mut running, &discovery);
@@ -52,7 +52,7 @@
             },
         };
         let moves = new.discovery != *discovery.borrow();
-        let may = if moves { handle.may_change(ChangeKind::Discovery).await } else { Ok(()) };
+        let may = if moves { handle.check_change(ChangeKind::Discovery).await } else { Ok(()) };
         held = match may {
             Ok(()) => {
                 apply(&new, &mut running, &discovery);
@@ -63,7 +63,7 @@
                 Some(new)
             }
         };
-        handle.reloaded(true);
+        handle.count_reload(true);
     }
 }
 
@@ -99,7 +99,7 @@
         ("name", old.name != new.name),
         ("listen", old.listen != new.listen),
         ("operator", old.operator != new.operator),
-        ("peers, peers_all or peer_listen", old.siblings != new.siblings),
+        ("peers, peers_all or peer_listen", old.gossip != new.gossip),
         ("limits", old.bounds != new.bounds),
         ("settings", old.settings != new.settings || old.names != new.names),
     ];
--- a/crates/spindlebeam/src/serve.rs
+++ b/crates/spindlebeam/src/serve.rs
@@ -68,7 +68,7 @@
         }
     };
     log::info!("other balancers are told from now on");
-    handle.talk(talk);
+    handle.attach_gossip(talk);
 }
 
 /// Which process of this balancer serves, where several may share its listening socket: a file with the number of the
@@ -96,8 +96,8 @@
     let hangup = signal(SignalKind::hangup())?;
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
-    let inherited = config.inherited.is_some();
-    let listener = match config.inherited {
+    let inherited = config.inherited_descriptor.is_some();
+    let listener = match config.inherited_descriptor {
         Some(number) => {
             let socket = socket_activation::listener(number).context("PROXY_FD")?;
             socket.set_nonblocking(true)?;
@@ -118,10 +118,10 @@
     if let Some(port) = fleet::start(fleet, &config.name, config.seed, engine.clock())? {
         engine.join_fleet(port);
     }
-    if let Some(siblings) = config.siblings.clone() {
+    if let Some(siblings) = config.gossip.clone() {
         let seed = config.seed;
         match GossipTransport::open(&siblings, unix_us(), seed).await {
-            Ok(talk) => handle.talk(talk),
+            Ok(talk) => handle.attach_gossip(talk),
             // The process before holds the address until it ends.
             Err(error) if inherited => {
                 log::info!("{error:#}; other balancers are told nothing until it is free");
@@ -143,7 +143,9 @@
     };
     let dialler = ::discovery::Dialler::new();
     let dial = move |addr| dialler.clone().connect(addr).boxed_local();
-    let following = ::discovery::follow(found_at, known, way, balancers, dial, move |news| hears.hear(news));
+    let following = ::discovery::follow(found_at, known, way, balancers, dial, move |news| {
+        hears.handle_watch_event(news)
+    });
     let group = tokio::task::spawn_local(following);
     if let Some(door) = operators {
         tokio::task::spawn_local(operator::serve(door, handle.clone(), front.clone()));
@@ -171,7 +173,7 @@
     }
     let now = Instant::now();
     // The platform counts from when it sent the signal.
-    let terminated = now.checked_sub(handle.heartbeat.overdue(now)).unwrap_or(now);
+    let terminated = now.checked_sub(handle.stall_monitor.overdue(now)).unwrap_or(now);
     let ends = terminated + bounds.longest.min(GIVEN) + LAST_ANSWER;
     let replaced = match shared {
         Some(shared) => shared.has_successor().await,
--- a/crates/spindlebeam/tests/start.rs
+++ b/crates/spindlebeam/tests/start.rs
@@ -5,7 +5,7 @@
 use serde_json::json;
 use spindlebeam::config;
 use std::time::Duration;
-use upstream::group::{UpstreamGroup, endpoint_id};
+use upstream::endpoints::{EndpointSet, endpoint_id};
 use upstream::setup::Names;
 
 #[test]
@@ -72,7 +72,7 @@
 fn lists_become_the_modules_entries_and_void_idle_connections() {
     let names = |all: &[&str]| all.iter().map(|name| (*name).to_owned()).collect::<Vec<_>>();
     let names = Names { zones: names(&["a", "b"]), kinds: names(&["m1", "m2"]), ..Names::default() };
-    let mut group = UpstreamGroup::new(names, None);
+    let mut group = EndpointSet::new(names, None);
     let (kind, entries, stale) = group.apply(&read(1, true, &[("x", "ready", 5), ("y", "ready", 0)]), true);
     assert_eq!((kind, stale), (ListKind::Cached, vec![]));
     let expected = EndpointEntry {
@@ -92,18 +92,24 @@
         (ListKind::Delta, vec![endpoint_id("x"), endpoint_id("y")]),
         "restarted; draining"
     );
-    assert!(group.peer(endpoint_id("x")).unwrap().ready() && !group.peer(endpoint_id("y")).unwrap().ready());
+    assert!(
+        group.endpoint(endpoint_id("x")).unwrap().ready()
+            && !group.endpoint(endpoint_id("y")).unwrap().ready()
+    );
 
-    let before = group.peer(endpoint_id("x")).unwrap().clone();
+    let before = group.endpoint(endpoint_id("x")).unwrap().clone();
     let (kind, _, stale) = group.apply(&read(3, true, &[("y", "ready", 0)]), false);
     assert_eq!((kind, stale), (ListKind::Full, vec![endpoint_id("x")]), "what a whole list lacks is gone");
-    assert!(!before.ready() && group.peer(endpoint_id("x")).is_none(), "also for a try that still dials it");
+    assert!(
+        !before.ready() && group.endpoint(endpoint_id("x")).is_none(),
+        "also for a try that still dials it"
+    );
 
     // Found by reading: what a change called gone was kept for ever, on days that replace peers all the time.
-    let before = group.peer(endpoint_id("y")).unwrap().clone();
+    let before = group.endpoint(endpoint_id("y")).unwrap().clone();
     let (_, entries, stale) = group.apply(&read(4, false, &[("y", "gone", 0)]), false);
     assert_eq!((entries[0].presence, stale), (Presence::Gone, vec![endpoint_id("y")]));
-    assert!(!before.ready() && group.peer(endpoint_id("y")).is_none(), "no trace is kept of it");
+    assert!(!before.ready() && group.endpoint(endpoint_id("y")).is_none(), "no trace is kept of it");
 }
 
 #[test]
@@ -122,7 +128,7 @@
         }
         text.to_string()
     };
-    let siblings = config::parse(text("", json!(0), true).as_bytes()).unwrap().siblings.unwrap();
+    let siblings = config::parse(text("", json!(0), true).as_bytes()).unwrap().gossip.unwrap();
     assert_eq!((siblings.me, siblings.each.len()), (3, 12));
     let bad = [
         ("peer_listen", json!("here"), "peer_listen: \"here\""),
@@ -137,7 +143,7 @@
     for (field, value, peers) in
         [("", json!(0), false), ("peer_listen", json!(null), true), ("peers", json!([]), true)]
     {
-        assert!(config::parse(text(field, value, peers).as_bytes()).unwrap().siblings.is_none());
+        assert!(config::parse(text(field, value, peers).as_bytes()).unwrap().gossip.is_none());
     }
 }
 
@@ -158,10 +164,13 @@
         config::told_by(variable, &mut config).map(|()| config)
     };
     let config = read(json!(null), &[]).unwrap();
-    assert_eq!((config.operator, config.inherited, config.folder), (None, None, None));
+    assert_eq!((config.operator, config.inherited_descriptor, config.folder), (None, None, None));
     let clients = config.bounds.clients;
     let config = read(json!("127.0.0.4:19000"), &[("PROXY_FD", "7"), ("TMPDIR", "/tmp")]).unwrap();
-    assert_eq!((config.operator, config.inherited), (Some("127.0.0.4:19000".parse().unwrap()), Some(7)));
+    assert_eq!(
+        (config.operator, config.inherited_descriptor),
+        (Some("127.0.0.4:19000".parse().unwrap()), Some(7))
+    );
     assert!(config.bounds.clients < clients, "descriptors are kept back for the door");
     let config = read(json!("127.0.0.4:19000"), &[("PROXY_OPERATOR", "127.0.0.4:19001")]).unwrap();
     assert_eq!(config.operator, Some("127.0.0.4:19001".parse().unwrap()), "what this process is told itself");
--- a/crates/upstream/src/call.rs
+++ b/crates/upstream/src/call.rs
@@ -1,6 +1,6 @@
 //! What a request asks of a peer, and what its client is answered: shared by fronts, core and peers.
 
-use crate::peer::Streamed;
+use crate::connection::StreamedValue;
 use bytes::Bytes;
 use std::ops::Range;
 
@@ -36,7 +36,7 @@
     /// The value or the write's receipt, as a peer or the origin made it for this request.
     Served(Bytes),
     /// The same where it is large: it is passed on as it comes.
-    Streamed(Box<Streamed>),
+    Streamed(Box<StreamedValue>),
     /// Refused: trying again is harmless, after so many milliseconds (0: no advice).
     Refused(u64),
     /// Failed.
--- a/crates/upstream/src/peer/answers.rs
+++ b/crates/upstream/src/connection/answers.rs
@@ -1,8 +1,8 @@
 //! Reads the answer to a try: what is one, what breaks off, and what is none.
 
-use super::exchange::{Ended, Lines};
-use super::{Connection, Streamed};
-use crate::held::{Budget, Held};
+use super::exchange::{AttemptLogThrottles, AttemptResult};
+use super::{Connection, StreamedValue};
+use crate::memory::{MemoryBudget, MemoryPermit};
 use bytes::{BufMut, Bytes, BytesMut};
 use decide::api::Outcome;
 use proto::http::{BodyEvent, Decoder};
@@ -36,7 +36,7 @@
 /// An answer, as far as it is read at once.
 pub(super) enum Read {
     /// Whole, and whether its connection can be used again.
-    Whole(Ended, bool),
+    Whole(AttemptResult, bool),
     /// A large value follows, and behind it its tail.
     Large { length: usize, keep: bool, tail: Option<resp::ReplyTail> },
 }
@@ -59,7 +59,7 @@
 }
 
 pub(super) async fn read_resp(
-    connection: &mut Connection, name: &str, lines: &Lines,
+    connection: &mut Connection, name: &str, lines: &AttemptLogThrottles,
 ) -> Result<Read, Broken> {
     loop {
         let Some(answer) = resp::decode_reply(&mut connection.buffer)? else {
@@ -67,11 +67,11 @@
             continue;
         };
         let ended = match answer {
-            resp::Reply::Served(value) => Ended { value, ..Outcome::Ok.into() },
+            resp::Reply::Served(value) => AttemptResult { value, ..Outcome::Ok.into() },
             resp::Reply::Large { length, tail } => {
                 return Ok(Read::Large { length, keep: true, tail: Some(tail) });
             }
-            resp::Reply::Miss { pending } => Ended { pending, ..Outcome::Miss.into() },
+            resp::Reply::Miss { pending } => AttemptResult { pending, ..Outcome::Miss.into() },
             resp::Reply::Busy => Outcome::Rejected.into(),
             resp::Reply::Failed(text) => {
                 if let Some(more) = text.starts_with(b"SYNTAX").then(|| lines.refused.line()).flatten() {
@@ -86,7 +86,7 @@
 }
 
 pub(super) async fn read_http(
-    connection: &mut Connection, budget: &Budget, name: &str, lines: &Lines,
+    connection: &mut Connection, budget: &MemoryBudget, name: &str, lines: &AttemptLogThrottles,
 ) -> Result<Read, Broken> {
     let mut decoder = Decoder::new(MAX_VALUE_BYTES);
     let head = loop {
@@ -99,7 +99,7 @@
         return Ok(Read::Large { length, keep: head.keep, tail: None });
     }
     // Most bodies are one slice. Those in pieces are put together, the large ones among them within the budget.
-    let (mut value, mut gathered, mut held) = (Bytes::new(), BytesMut::new(), None::<Held>);
+    let (mut value, mut gathered, mut held) = (Bytes::new(), BytesMut::new(), None::<MemoryPermit>);
     loop {
         let piece = match decoder.next(&mut connection.buffer)? {
             Some(piece) => piece,
@@ -143,10 +143,10 @@
     }
     let value = if gathered.is_empty() { value } else { gathered.freeze() };
     let ended = match (head.status, held) {
-        (200, None) => Ended { value, ..Outcome::Ok.into() },
+        (200, None) => AttemptResult { value, ..Outcome::Ok.into() },
         (200, Some(held)) => {
-            let large = Some(Box::new(Streamed::of_memory(value, held)));
-            Ended { large, ..Outcome::Ok.into() }
+            let large = Some(Box::new(StreamedValue::of_memory(value, held)));
+            AttemptResult { large, ..Outcome::Ok.into() }
         }
         (503 | 504, _) if head.declined => Outcome::Rejected.into(),
         _ => Outcome::Error.into(),
--- a/crates/upstream/src/peer/exchange.rs
+++ b/crates/upstream/src/connection/exchange.rs
@@ -1,10 +1,10 @@
 //! One try: dial if need be, write the request, read the answer, within its time.
 
 use super::answers::{Broken, Read, read_http, read_resp, read_tail};
-use super::{Connection, DialPlace, Line, Streamed};
+use super::{Connection, ConnectionChoice, DialPlace, StreamedValue};
 use crate::call::Call;
-use crate::group::Peer;
-use crate::held::Budget;
+use crate::endpoints::Endpoint;
+use crate::memory::MemoryBudget;
 use bytes::{Buf, Bytes, BytesMut};
 use decide::api::Outcome;
 use log_throttle::LogThrottle;
@@ -22,13 +22,13 @@
 
 /// One attempt of a request at one peer.
 #[derive(Debug)]
-pub struct Try {
+pub struct Attempt {
     /// Where to.
-    pub peer: Rc<Peer>,
+    pub peer: Rc<Endpoint>,
     /// What is asked.
     pub call: Rc<Call>,
     /// On what.
-    pub line: Line,
+    pub line: ConnectionChoice,
     /// How long a dial may take.
     pub dial: Duration,
     /// When the balancer stops waiting.
@@ -38,9 +38,9 @@
     /// Whether it must never run twice: its last byte is then held back until the connection has shown no fault.
     pub fragile: bool,
     /// What it may log.
-    pub lines: Rc<Lines>,
+    pub lines: Rc<AttemptLogThrottles>,
     /// The room for answers that must be held whole though they are large.
-    pub budget: Budget,
+    pub budget: MemoryBudget,
     /// Counts those that were written whole.
     pub written: Rc<Cell<u64>>,
 }
@@ -67,7 +67,7 @@
 
 /// Log lines that peers can cause at any rate.
 #[derive(Debug, Default)]
-pub struct Lines {
+pub struct AttemptLogThrottles {
     bad_answer: LogThrottle,
     pub(super) refused: LogThrottle,
     none_to_spare: LogThrottle,
@@ -78,13 +78,13 @@
 
 /// How a try ended.
 #[derive(Debug)]
-pub struct Ended {
+pub struct AttemptResult {
     /// Its outcome.
     pub outcome: Outcome,
     /// What was served.
     pub value: Bytes,
     /// The same where it is large and was held whole.
-    pub large: Option<Box<Streamed>>,
+    pub large: Option<Box<StreamedValue>>,
     /// On a miss: another fetch of the key is out.
     pub pending: bool,
     /// It was lost with its connection, which tells nothing of the peer: one that was used before broke without a byte
@@ -108,17 +108,19 @@
     Begun,
 }
 
-impl From<Outcome> for Ended {
+impl From<Outcome> for AttemptResult {
     fn from(outcome: Outcome) -> Self {
         let (value, large) = Default::default();
         Self { outcome, value, large, pending: false, stale: false, connection: None }
     }
 }
 
-impl Try {
+impl Attempt {
     /// Runs the try. When it returns without its connection, that is already closed: nothing of it is out. `begun` is handed a
     /// large answer whose value follows: the try has served from then on, and ends when that has come.
-    pub async fn run(self, cancelled: oneshot::Receiver<()>, begun: impl FnOnce(Box<Streamed>)) -> Ended {
+    pub async fn run(
+        self, cancelled: oneshot::Receiver<()>, begun: impl FnOnce(Box<StreamedValue>),
+    ) -> AttemptResult {
         let (until, by, stage) = (self.until, self.permit.by, Cell::new(Stage::Opening));
         let exchange = self.exchange(&stage, begun);
         tokio::pin!(exchange);
@@ -141,8 +143,8 @@
         }
     }
 
-    async fn exchange(self, stage: &Cell<Stage>, begun: impl FnOnce(Box<Streamed>)) -> Ended {
-        let reused = matches!(self.line, Line::Open(_));
+    async fn exchange(self, stage: &Cell<Stage>, begun: impl FnOnce(Box<StreamedValue>)) -> AttemptResult {
+        let reused = matches!(self.line, ConnectionChoice::Open(_));
         let mut connection = match open(self.line, &self.peer, self.dial, &self.lines).await {
             Ok(connection) => connection,
             Err(outcome) => return outcome.into(),
@@ -151,7 +153,7 @@
             return Outcome::Rejected.into(); // guards drains: it began to drain or went while we dialled
         }
         if self.permit.lapsed(self.until).is_some() {
-            return Ended { connection: Some(connection), ..Outcome::NotSent.into() }; // it serves another
+            return AttemptResult { connection: Some(connection), ..Outcome::NotSent.into() }; // it serves another
         }
         let ms = self.until.saturating_duration_since(Instant::now()).as_millis().max(1) as u64;
         let (head, body) = if self.peer.origin {
@@ -175,7 +177,7 @@
             Err(Unsent::Lapsed) => return Outcome::NotSent.into(),
             Err(Unsent::Late) => return Outcome::ConnectFailed.into(),
             // The peer had taken the connection: that it broke is no proof of an unreachable one.
-            Err(Unsent::Broken) => return Ended { stale: true, ..Outcome::ConnectFailed.into() },
+            Err(Unsent::Broken) => return AttemptResult { stale: true, ..Outcome::ConnectFailed.into() },
         }
         stage.set(Stage::Written);
         self.written.set(self.written.get() + 1);
@@ -185,18 +187,18 @@
             read_resp(&mut connection, &self.peer.name, &self.lines).await
         };
         match answer {
-            Ok(Read::Whole(ended, keep)) => Ended { connection: keep.then_some(connection), ..ended },
+            Ok(Read::Whole(ended, keep)) => AttemptResult { connection: keep.then_some(connection), ..ended },
             Ok(Read::Large { length, keep, tail }) => {
-                let (streamed, back) = Streamed::of_peer(length, connection);
+                let (streamed, back) = StreamedValue::of_peer(length, connection);
                 stage.set(Stage::Begun);
                 begun(Box::new(streamed));
                 // One that does not come back broke off in the value, or its client did.
                 let Ok(connection) = back.await else { return Outcome::Reset.into() };
                 let connection = if keep { read_tail(connection, tail).await } else { None };
-                Ended { connection, ..Outcome::Ok.into() }
+                AttemptResult { connection, ..Outcome::Ok.into() }
             }
             Err(Broken::Reset) => {
-                Ended { stale: reused && connection.buffer.is_empty(), ..Outcome::Reset.into() }
+                AttemptResult { stale: reused && connection.buffer.is_empty(), ..Outcome::Reset.into() }
             }
             Err(Broken::Malformed(error)) => {
                 if let Some(more) = self.lines.bad_answer.line() {
@@ -208,15 +210,17 @@
     }
 }
 
-async fn open(line: Line, peer: &Peer, time: Duration, lines: &Lines) -> Result<Connection, Outcome> {
+async fn open(
+    line: ConnectionChoice, peer: &Endpoint, time: Duration, lines: &AttemptLogThrottles,
+) -> Result<Connection, Outcome> {
     match line {
-        Line::Open(connection) if connection.quiet() => Ok(connection),
+        ConnectionChoice::Open(connection) if connection.quiet() => Ok(connection),
         // Something came between the choice of the connection and now: another takes its place.
-        Line::Open(Connection { _place: place, .. }) => {
+        ConnectionChoice::Open(Connection { _place: place, .. }) => {
             dial(DialPlace(place), peer, time).await.ok_or(Outcome::ConnectFailed)
         }
-        Line::Dial(place) => dial(place, peer, time).await.ok_or(Outcome::ConnectFailed),
-        Line::None => {
+        ConnectionChoice::Dial(place) => dial(place, peer, time).await.ok_or(Outcome::ConnectFailed),
+        ConnectionChoice::None => {
             // Our own limit, never sent: it says nothing of the peer's health, and another is no nearer.
             if let Some(more) = lines.none_to_spare.line() {
                 log::warn!("peer {}: no connection to spare{more}", peer.name);
@@ -227,7 +231,7 @@
 }
 
 /// Opens a connection within `time`.
-pub async fn dial(place: DialPlace, peer: &Peer, time: Duration) -> Option<Connection> {
+pub async fn dial(place: DialPlace, peer: &Endpoint, time: Duration) -> Option<Connection> {
     match timeout(time, TcpStream::connect(peer.addr)).await {
         Ok(Ok(stream)) => {
             if let Err(error) = stream.set_nodelay(true) {
@@ -258,7 +262,7 @@
     (head, Bytes::new())
 }
 
-fn http_request(call: &Call, peer: &Peer, ms: u64) -> (BytesMut, Bytes) {
+fn http_request(call: &Call, peer: &Endpoint, ms: u64) -> (BytesMut, Bytes) {
     let (path, host) = ([b"/", &call.key[..]].concat(), peer.addr.to_string());
     let options = call.options_with_time(ms);
     let headers: [(&str, &[u8]); 2] = [("Req-Id", &call.id), ("Req-Extra", &options)];
--- a/crates/upstream/src/peer/mod.rs
+++ b/crates/upstream/src/connection/mod.rs
@@ -4,11 +4,11 @@
 mod exchange;
 mod streamed;
 
-use crate::group::Peer;
+use crate::endpoints::Endpoint;
 use crate::setup::Bounds;
 use bytes::BytesMut;
 use decide::api::EndpointId;
-pub use exchange::{Ended, Lines, Permit, Try, dial};
+pub use exchange::{Attempt, AttemptLogThrottles, AttemptResult, Permit, dial};
 use rustc_hash::FxHashMap;
 use socket2::SockRef;
 use std::cell::Cell;
@@ -16,7 +16,7 @@
 use std::mem::MaybeUninit;
 use std::rc::Rc;
 use std::time::Duration;
-pub use streamed::Streamed;
+pub use streamed::StreamedValue;
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
@@ -74,7 +74,7 @@
 
 /// What a try runs on.
 #[derive(Debug)]
-pub enum Line {
+pub enum ConnectionChoice {
     /// A connection that was idle.
     Open(Connection),
     /// A new one is to be dialled.
@@ -89,7 +89,7 @@
 
 /// The idle connections of every peer, and the count of all.
 #[derive(Debug)]
-pub struct Pools {
+pub struct ConnectionPools {
     idle: FxHashMap<EndpointId, Vec<(Instant, Connection)>>,
     /// Peers that closed connections without our noticing, and when that was last seen.
     stale: FxHashMap<EndpointId, Instant>,
@@ -120,7 +120,7 @@
     pub stale: u64,
 }
 
-impl Pools {
+impl ConnectionPools {
     /// Empty pools.
     #[must_use]
     pub fn new(bounds: Bounds) -> Self {
@@ -129,12 +129,12 @@
     }
 
     /// A connection for a try: the one used last, or a new one.
-    pub fn line(&mut self, peer: &Peer) -> Line {
+    pub fn line(&mut self, peer: &Endpoint) -> ConnectionChoice {
         let idle = self.idle.entry(peer.id).or_default();
         while let Some((since, connection)) = idle.pop() {
             if since.elapsed() < self.bounds.idle && connection.quiet() {
                 self.counts.reused += 1;
-                return Line::Open(connection);
+                return ConnectionChoice::Open(connection);
             }
             self.counts.retired += 1;
         }
@@ -142,35 +142,35 @@
     }
 
     /// A new connection, whether or not there are idle ones.
-    pub fn dial(&mut self, peer: &Peer) -> Line {
+    pub fn dial(&mut self, peer: &Endpoint) -> ConnectionChoice {
         if self.open.get() >= self.bounds.peers && !self.close_oldest() {
-            return Line::None;
+            return ConnectionChoice::None;
         }
         self.open.set(self.open.get() + 1);
         let dialled = if peer.origin { &mut self.counts.dialled_origin } else { &mut self.counts.dialled };
         *dialled += 1;
-        Line::Dial(DialPlace(Place(self.open.clone())))
+        ConnectionChoice::Dial(DialPlace(Place(self.open.clone())))
     }
 
     /// Books a connection that its peer had closed without our noticing.
-    pub fn found_stale(&mut self, peer: &Peer) {
+    pub fn found_stale(&mut self, peer: &Endpoint) {
         self.counts.stale += 1;
         self.stale.insert(peer.id, Instant::now());
     }
 
     /// Whether this peer has closed connections without our noticing of late.
     #[must_use]
-    pub fn stale_lately(&self, peer: &Peer) -> bool {
+    pub fn stale_lately(&self, peer: &Endpoint) -> bool {
         self.stale.get(&peer.id).is_some_and(|seen| seen.elapsed() < STALE_FOR)
     }
 
     /// Permission to dial ahead for a peer that has lost its last connection with the try on it: its next try will
     /// need one anyway, and must not wait for the handshake as well.
-    pub fn ahead(&mut self, peer: &Peer) -> Option<DialPlace> {
+    pub fn ahead(&mut self, peer: &Endpoint) -> Option<DialPlace> {
         let bare = self.idle.get(&peer.id).is_none_or(Vec::is_empty);
         let spare = 2 * self.open.get() < self.bounds.peers; // never at the cost of connections in use
         match (bare && spare && peer.ready()).then(|| self.line(peer)) {
-            Some(Line::Dial(place)) => Some(place),
+            Some(ConnectionChoice::Dial(place)) => Some(place),
             _ => None,
         }
     }
@@ -182,7 +182,7 @@
     }
 
     /// Takes in a connection that is free and brought no more than belongs to its answer; none when it was spent with the try on it, or could not be dialled.
-    pub fn put(&mut self, peer: &Peer, connection: Option<Connection>) {
+    pub fn put(&mut self, peer: &Endpoint, connection: Option<Connection>) {
         let Some(connection) = connection.filter(|it| peer.ready() && it.quiet()) else {
             self.counts.spent += 1;
             return;
--- a/crates/upstream/src/peer/streamed.rs
+++ b/crates/upstream/src/connection/streamed.rs
@@ -1,7 +1,7 @@
 //! A large answer on its way: the peer's connection, lent to the client's until the value has been passed on.
 
 use super::Connection;
-use crate::held::Held;
+use crate::memory::MemoryPermit;
 use bytes::{Buf, Bytes};
 use proto::MAX_BUFFERED_VALUE_BYTES;
 use std::fmt;
@@ -21,7 +21,7 @@
 const PEER_TIME_IN_ALL: Duration = Duration::from_secs(30);
 
 /// A large answer whose length is known. What has not been taken when it is dropped closes the peer's connection.
-pub struct Streamed {
+pub struct StreamedValue {
     length: usize,
     left: usize,
     patience: Duration,
@@ -37,12 +37,12 @@
     /// It was held whole, since its length was not stated.
     Memory {
         value: Bytes,
-        _held: Held,
+        _held: MemoryPermit,
     },
     Taken,
 }
 
-impl Streamed {
+impl StreamedValue {
     /// A value of this length, of which the connection gives the rest; it is handed back when all has come.
     pub(super) fn of_peer(length: usize, connection: Connection) -> (Self, oneshot::Receiver<Connection>) {
         let (back, connection_back) = oneshot::channel();
@@ -51,7 +51,7 @@
     }
 
     /// A value that was held whole.
-    pub(super) fn of_memory(value: Bytes, held: Held) -> Self {
+    pub(super) fn of_memory(value: Bytes, held: MemoryPermit) -> Self {
         let (length, source) = (value.len(), Source::Memory { value, _held: held });
         Self { length, left: length, patience: PEER_TIME_IN_ALL, source }
     }
@@ -80,7 +80,7 @@
         self.left == 0
     }
 
-    /// What has come of it and was not taken yet, at least a byte; to be called while it is not [`Streamed::done`].
+    /// What has come of it and was not taken yet, at least a byte; to be called while it is not [`StreamedValue::done`].
     ///
     /// # Errors
     /// When the peer breaks off, or is silent for too long: the rest will not come.
@@ -106,7 +106,7 @@
         Ok(&come[..come.len().min(self.left)])
     }
 
-    /// Takes so many bytes of what [`Streamed::next`] gave. With the last one, the peer's connection goes back.
+    /// Takes so many bytes of what [`StreamedValue::next`] gave. With the last one, the peer's connection goes back.
     pub fn take(&mut self, bytes: usize) {
         self.left -= bytes;
         match &mut self.source {
@@ -125,7 +125,7 @@
     }
 }
 
-impl fmt::Debug for Streamed {
+impl fmt::Debug for StreamedValue {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{} of {} bytes left", self.left, self.length)
     }
--- a/crates/upstream/src/group.rs
+++ b/crates/upstream/src/endpoints.rs
@@ -12,7 +12,7 @@
 
 /// A peer or the origin, as last listed.
 #[derive(Debug)]
-pub struct Peer {
+pub struct Endpoint {
     /// Its number in the module.
     pub id: EndpointId,
     /// Its name in discovery.
@@ -25,7 +25,7 @@
     presence: Cell<Presence>,
 }
 
-impl Peer {
+impl Endpoint {
     /// Whether something new may be sent to it.
     pub fn ready(&self) -> bool {
         self.presence.get() == Presence::Ready
@@ -46,10 +46,10 @@
 
 /// The peers listed.
 #[derive(Debug)]
-pub struct UpstreamGroup {
+pub struct EndpointSet {
     names: Names,
     origin_kind: Option<u16>,
-    peers: FxHashMap<EndpointId, Rc<Peer>>,
+    peers: FxHashMap<EndpointId, Rc<Endpoint>>,
 }
 
 fn place<T: TryFrom<usize>>(names: &[String], name: &str, unknown: T) -> T {
@@ -70,7 +70,7 @@
     }
 }
 
-impl UpstreamGroup {
+impl EndpointSet {
     /// An empty group.
     #[must_use]
     pub fn new(names: Names, origin_kind: Option<u16>) -> Self {
@@ -91,7 +91,7 @@
 
     /// A peer that the list has named.
     #[must_use]
-    pub fn peer(&self, id: EndpointId) -> Option<&Rc<Peer>> {
+    pub fn endpoint(&self, id: EndpointId) -> Option<&Rc<Endpoint>> {
         self.peers.get(&id)
     }
 
@@ -136,7 +136,7 @@
                     continue;
                 }
             }
-            let peer = Peer {
+            let peer = Endpoint {
                 id: entry.id,
                 name: member.id.clone(),
                 addr: member.host_port,
--- a/crates/upstream/src/held.rs
+++ b/crates/upstream/src/memory.rs
@@ -5,12 +5,12 @@
 
 /// The budget, in bytes.
 #[derive(Debug, Clone)]
-pub struct Budget {
+pub struct MemoryBudget {
     most: usize,
     used: Rc<Cell<usize>>,
 }
 
-impl Budget {
+impl MemoryBudget {
     /// A budget of so many bytes.
     #[must_use]
     pub fn new(most: usize) -> Self {
@@ -19,20 +19,20 @@
 
     /// Room for so many bytes; `None` where there is none.
     #[must_use]
-    pub fn hold(&self, bytes: usize) -> Option<Held> {
-        let mut held = Held { bytes: 0, budget: self.clone() };
+    pub fn hold(&self, bytes: usize) -> Option<MemoryPermit> {
+        let mut held = MemoryPermit { bytes: 0, budget: self.clone() };
         held.grow(bytes).then_some(held)
     }
 }
 
 /// A part of the budget, given back when dropped.
 #[derive(Debug)]
-pub struct Held {
+pub struct MemoryPermit {
     bytes: usize,
-    budget: Budget,
+    budget: MemoryBudget,
 }
 
-impl Held {
+impl MemoryPermit {
     /// Takes room for so many more; false, and nothing taken, where there is none.
     #[must_use]
     pub fn grow(&mut self, more: usize) -> bool {
@@ -46,7 +46,7 @@
     }
 }
 
-impl Drop for Held {
+impl Drop for MemoryPermit {
     fn drop(&mut self) {
         self.budget.used.set(self.budget.used.get() - self.bytes);
     }
--- a/crates/upstream/tests/answers.rs
+++ b/crates/upstream/tests/answers.rs
@@ -18,7 +18,7 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 use tokio::time::Instant;
-use upstream::peer::{Ended, Line, Streamed};
+use upstream::connection::{AttemptResult, ConnectionChoice, StreamedValue};
 
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Then {
@@ -127,7 +127,7 @@
 /// Yields the large answer of a try whose far end has said its first bytes.
 async fn streamed(
     host: &mut Host, said: &[u8],
-) -> (Box<Streamed>, TcpStream, impl Future<Output = Ended> + use<>) {
+) -> (Box<StreamedValue>, TcpStream, impl Future<Output = AttemptResult> + use<>) {
     let (line, far) = host.idle().await;
     let (large, mut far) = (Rc::new(RefCell::new(None)), far.unwrap());
     let given = large.clone();
@@ -216,7 +216,7 @@
         far.write_all(VALUE.as_bytes()).unwrap();
     }
     let line = host.pools.line(&host.peer);
-    assert_eq!(matches!(line, Line::Open(_)), when == 2);
+    assert_eq!(matches!(line, ConnectionChoice::Open(_)), when == 2);
     if when == 2 {
         far.write_all(VALUE.as_bytes()).unwrap();
     }
--- a/crates/upstream/tests/tries.rs
+++ b/crates/upstream/tests/tries.rs
@@ -14,9 +14,9 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 use upstream::call::Call;
-use upstream::group::{Peer, UpstreamGroup, endpoint_id};
-use upstream::held::Budget;
-use upstream::peer::{Line, Permit, Pools, Try};
+use upstream::connection::{Attempt, ConnectionChoice, ConnectionPools, Permit};
+use upstream::endpoints::{Endpoint, EndpointSet, endpoint_id};
+use upstream::memory::MemoryBudget;
 use upstream::setup::{Bounds, Names};
 
 const MINUTE: Duration = Duration::from_secs(60);
@@ -38,7 +38,7 @@
     (addr.as_socket().unwrap(), kept)
 }
 
-fn peer(addr: SocketAddr, flavor: &str) -> Rc<Peer> {
+fn peer(addr: SocketAddr, flavor: &str) -> Rc<Endpoint> {
     let member = EndpointRecord {
         id: "s-1".into(),
         host_port: addr,
@@ -49,19 +49,19 @@
         size: 1.0,
         up_since_ms: 0,
     };
-    let mut group = UpstreamGroup::new(Names { kinds: vec!["origin".into()], ..Names::default() }, Some(0));
+    let mut group = EndpointSet::new(Names { kinds: vec!["origin".into()], ..Names::default() }, Some(0));
     group.apply(&EndpointList { revision: 1, complete: true, members: vec![member] }, false);
-    group.peer(endpoint_id("s-1")).unwrap().clone()
+    group.endpoint(endpoint_id("s-1")).unwrap().clone()
 }
 
-async fn outcome(peer: &Rc<Peer>, line: Line, until: Instant) -> Outcome {
+async fn outcome(peer: &Rc<Endpoint>, line: ConnectionChoice, until: Instant) -> Outcome {
     let word = Bytes::from_static(b"1");
     let options = Bytes::from_static(b"c=leer,d=60000,k=1");
     let call =
         Call { command: word.clone(), key: word.clone(), id: word, options, time_at: 9..14, value: None };
     let (_keep, cancelled) = oneshot::channel();
     let lines = Rc::default();
-    Try {
+    Attempt {
         peer: peer.clone(),
         call: Rc::new(call),
         line,
@@ -70,7 +70,7 @@
         permit: Permit { owed: Rc::new(Cell::new(true)), by: None },
         fragile: false,
         lines,
-        budget: Budget::new(0),
+        budget: MemoryBudget::new(0),
         written: Rc::default(),
     }
     .run(cancelled, |_| ())
@@ -78,8 +78,8 @@
     .outcome
 }
 
-fn pools() -> Pools {
-    Pools::new(Bounds {
+fn pools() -> ConnectionPools {
+    ConnectionPools::new(Bounds {
         clients: 1,
         peers: 1,
         held_bytes: 0,
