--- a/crates/agreement/examples/measure_log.rs
+++ b/crates/agreement/examples/measure_log.rs
@@ -26,8 +26,8 @@
         common::fault(&mut sim, &mut away, council);
         let by = sim.random.u16(..balancers);
         if sim.balancers[by as usize].node.is_some() {
-            let life = sim.balancers[by as usize].life;
-            ids.push((by, life, sim.propose(by, round.to_le_bytes().to_vec())));
+            let incarnation = sim.balancers[by as usize].incarnation;
+            ids.push((by, incarnation, sim.propose(by, round.to_le_bytes().to_vec())));
         }
         sim.run(2 * SECOND);
     }
@@ -49,8 +49,9 @@
     assert!(sim.decided(by, id, 12 * SECOND), "seed {seed}");
     sim.run(15 * SECOND);
     sim.assert_alike();
-    let ended = |(by, life, id): &(u16, u64, u64)| {
-        (sim.balancers[*by as usize].life == *life).then(|| sim.outcome(*by, *id).expect("has ended"))
+    let ended = |(by, incarnation, id): &(u16, u64, u64)| {
+        (sim.balancers[*by as usize].incarnation == *incarnation)
+            .then(|| sim.outcome(*by, *id).expect("has ended"))
     };
     let ended: Vec<_> = ids.iter().filter_map(ended).collect();
     totals.given_up +=
--- a/crates/agreement/src/agreement.rs
+++ b/crates/agreement/src/agreement.rs
@@ -40,7 +40,7 @@
 impl<E: Entry, S: Store> Agreement<E, S> {
     /// Starts from what the store holds; what that is comes out as actions first.
     pub fn new(settings: Settings, mut store: S, seed: u64, now: Micros) -> Self {
-        let mut random = fastrand::Rng::with_seed(seed ^ settings.life);
+        let mut random = fastrand::Rng::with_seed(seed ^ settings.incarnation);
         let members =
             settings.voters.iter().map(|number| Voter { node_id: *number, generation: 0 }).collect();
         let mut founding = Segment { id: 1, base: 0, members };
--- a/crates/agreement/src/api.rs
+++ b/crates/agreement/src/api.rs
@@ -47,7 +47,7 @@
     /// This balancer.
     pub node_id: NodeId,
     /// Drawn anew at each start.
-    pub life: u64,
+    pub incarnation: u64,
     /// The founding council; changed by the log afterwards.
     pub voters: Vec<NodeId>,
     /// All balancers and their zones.
--- a/crates/agreement/tests/common/mod.rs
+++ b/crates/agreement/tests/common/mod.rs
@@ -43,7 +43,7 @@
 pub struct Balancer {
     pub node: Option<Node>,
     pub disk: Disk,
-    pub life: u64,
+    pub incarnation: u64,
     pub next: Revision,
     pub why: Option<VotingBlock>,
     pub leads: bool,
@@ -123,11 +123,12 @@
 
     pub fn start(&mut self, number: NodeId) {
         let everyone = (0..self.balancers.len() as u16).map(|n| (n, n % 3)).collect();
-        let life = self.random.u64(..);
-        let settings = Settings { node_id: number, life, voters: self.council.clone(), nodes: everyone };
+        let incarnation = self.random.u64(..);
+        let settings =
+            Settings { node_id: number, incarnation, voters: self.council.clone(), nodes: everyone };
         let balancer = &mut self.balancers[number as usize];
         let disk = balancer.disk.clone();
-        *balancer = Balancer { disk: disk.clone(), life, next: 1, ..Default::default() };
+        *balancer = Balancer { disk: disk.clone(), incarnation, next: 1, ..Default::default() };
         balancer.node = Some(Agreement::new(settings, disk, self.random.u64(..), self.now));
         self.drain(number);
     }
--- a/crates/agreement/tests/golden.rs
+++ b/crates/agreement/tests/golden.rs
@@ -113,7 +113,7 @@
     ];
     let Ok(()) = store.write(&changes);
     let everyone = (0..7).map(|number| (number, number % 3)).collect();
-    let settings = Settings { node_id: 0, life: 1, voters: vec![0, 1, 2], nodes: everyone };
+    let settings = Settings { node_id: 0, incarnation: 1, voters: vec![0, 1, 2], nodes: everyone };
     let mut node: Agreement<Entry, MemoryStore> = Agreement::new(settings, store, 1, SECOND);
     let mut text = String::new();
     while let Some(action) = node.poll() {
--- a/crates/audit/src/counting.rs
+++ b/crates/audit/src/counting.rs
@@ -55,7 +55,7 @@
 #[derive(Clone, Debug)]
 pub struct ActivityCounter {
     number: u16,
-    life: u64,
+    incarnation: u64,
     sequence: u64,
     /// The serial of the span in progress; it and those before it lie in a ring.
     current: u64,
@@ -67,10 +67,10 @@
 
 impl ActivityCounter {
     /// A balancer that begins to act on `version`.
-    pub fn new(number: u16, life: u64, version: Version, now: TimeInterval) -> Self {
+    pub fn new(number: u16, incarnation: u64, version: Version, now: TimeInterval) -> Self {
         let mut ring = [None; VERSIONS];
         ring[0] = Some(Slot { piece: ActivityPeriod::new(0, version, now), told: 0 });
-        Self { number, life, sequence: 0, current: 0, ring, counts: [0; KINDS], unplaced: 0 }
+        Self { number, incarnation, sequence: 0, current: 0, ring, counts: [0; KINDS], unplaced: 0 }
     }
 
     /// One more of this kind, under the version in force.
@@ -121,7 +121,7 @@
         let oldest = self.ring[index(self.current)].replace(opened)?;
         Some(LedgerEntry {
             number: self.number,
-            life: self.life,
+            incarnation: self.incarnation,
             told: self.sequence + 1,
             piece: oldest.piece,
         })
@@ -143,7 +143,13 @@
             }
         }
         pieces.extend(self.ring[index(self.current)].map(|it| it.piece));
-        ActivityReport { number: self.number, life: self.life, sequence: self.sequence, at: now, pieces }
+        ActivityReport {
+            number: self.number,
+            incarnation: self.incarnation,
+            sequence: self.sequence,
+            at: now,
+            pieces,
+        }
     }
 
     /// What was counted too late for its version to be remembered.
--- a/crates/audit/src/lease/granter.rs
+++ b/crates/audit/src/lease/granter.rs
@@ -33,9 +33,9 @@
         if ask.number >= self.roster {
             return;
         }
-        let newest = self.waiting.entry(ask.number).or_insert((ask.life, ask.serial));
-        if newest.0 != ask.life || newest.1 < ask.serial {
-            *newest = (ask.life, ask.serial);
+        let newest = self.waiting.entry(ask.number).or_insert((ask.incarnation, ask.serial));
+        if newest.0 != ask.incarnation || newest.1 < ask.serial {
+            *newest = (ask.incarnation, ask.serial);
         }
     }
 
@@ -48,7 +48,10 @@
         self.next = now.saturating_add(self.every);
         let waiting = std::mem::take(&mut self.waiting);
         Some(
-            waiting.into_iter().map(|(number, (life, serial))| LeaseGrant { number, life, serial }).collect(),
+            waiting
+                .into_iter()
+                .map(|(number, (incarnation, serial))| LeaseGrant { number, incarnation, serial })
+                .collect(),
         )
     }
 
--- a/crates/audit/src/lease/holders.rs
+++ b/crates/audit/src/lease/holders.rs
@@ -41,24 +41,24 @@
         let ends = now.saturating_add(self.settings.longer(self.settings.lease));
         let roster = self.settings.roster;
         for grant in grants.iter().filter(|it| it.number < roster) {
-            self.held.insert((grant.number, grant.life), Held { serial: grant.serial, ends });
+            self.held.insert((grant.number, grant.incarnation), Held { serial: grant.serial, ends });
             self.bound(grant.number);
         }
     }
 
     /// Drops the life that ends first where there are too many of one balancer.
     fn bound(&mut self, number: u16) {
-        let lives = self.held.range((number, 0)..=(number, u64::MAX));
-        if lives.clone().count() > LIVES
-            && let Some(first) = lives.min_by_key(|(_, it)| it.ends).map(|(key, _)| *key)
+        let incarnations = self.held.range((number, 0)..=(number, u64::MAX));
+        if incarnations.clone().count() > LIVES
+            && let Some(first) = incarnations.min_by_key(|(_, it)| it.ends).map(|(key, _)| *key)
         {
             self.held.remove(&first);
         }
     }
 
     /// Whether this one in this life still holds a lease; what one without says is not to be counted.
-    pub fn holds(&self, number: u16, life: u64, now: Micros) -> bool {
-        self.held.get(&(number, life)).is_some_and(|it| now < it.ends)
+    pub fn holds(&self, number: u16, incarnation: u64, now: Micros) -> bool {
+        self.held.get(&(number, incarnation)).is_some_and(|it| now < it.ends)
     }
 
     /// Number and life of all that hold one.
@@ -69,8 +69,11 @@
     /// The last grant of each life, for a snapshot of the log: taken in again by [`LeaseHolders::granted`] and by
     /// [`Lease::granted`](super::Lease::granted).
     pub fn grants(&self) -> Vec<LeaseGrant> {
-        let grant =
-            |(key, it): (&(u16, u64), &Held)| LeaseGrant { number: key.0, life: key.1, serial: it.serial };
+        let grant = |(key, it): (&(u16, u64), &Held)| LeaseGrant {
+            number: key.0,
+            incarnation: key.1,
+            serial: it.serial,
+        };
         self.held.iter().map(grant).collect()
     }
 }
--- a/crates/audit/src/lease/holding.rs
+++ b/crates/audit/src/lease/holding.rs
@@ -46,7 +46,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Lease {
     number: u16,
-    life: u64,
+    incarnation: u64,
     settings: Settings,
     serial: u64,
     next_ask: Micros,
@@ -64,10 +64,10 @@
 impl Lease {
     /// A balancer that starts now, without a lease: fenced until its first grant, or until it has listened for a whole lease
     /// in which nobody was granted anything new: all that were granted before have ended by then.
-    pub fn new(number: u16, life: u64, settings: Settings, now: Micros) -> Self {
+    pub fn new(number: u16, incarnation: u64, settings: Settings, now: Micros) -> Self {
         Self {
             number,
-            life,
+            incarnation,
             settings,
             serial: 0,
             next_ask: now,
@@ -91,7 +91,7 @@
             self.sent.pop_front();
         }
         self.sent.push_back(Sent { serial: self.serial, at: now });
-        Some(LeaseRequest { number: self.number, life: self.life, serial: self.serial })
+        Some(LeaseRequest { number: self.number, incarnation: self.incarnation, serial: self.serial })
     }
 
     /// When [`Lease::poll_request`] next has something to send.
@@ -111,8 +111,8 @@
         if !grants.is_empty() {
             self.others.logged(at);
         }
-        let (number, life) = (self.number, self.life);
-        let ours = grants.iter().filter(|it| it.number == number && it.life == life);
+        let (number, incarnation) = (self.number, self.incarnation);
+        let ours = grants.iter().filter(|it| it.number == number && it.incarnation == incarnation);
         for grant in ours {
             let Some(sent) = self.sent.iter().find(|it| it.serial == grant.serial).copied() else { continue };
             let ends = sent.at.saturating_add(self.settings.shorter(self.settings.lease));
@@ -191,6 +191,6 @@
         let spread = self.settings.ask_every / SPREAD;
         let least = self.settings.ask_every - spread;
         // Never longer than `ask_every`: four asks fit into a lease whatever was drawn.
-        least + fastrand::Rng::with_seed(self.life.wrapping_add(self.serial)).u64(0..=spread)
+        least + fastrand::Rng::with_seed(self.incarnation.wrapping_add(self.serial)).u64(0..=spread)
     }
 }
--- a/crates/audit/src/lease/mod.rs
+++ b/crates/audit/src/lease/mod.rs
@@ -81,7 +81,7 @@
     /// Who asks: its place in the fleet file.
     pub number: u16,
     /// Drawn at its start.
-    pub life: u64,
+    pub incarnation: u64,
     /// Counted up with each ask of a life.
     pub serial: u64,
 }
@@ -92,7 +92,7 @@
     /// Whose lease.
     pub number: u16,
     /// In which life: a restart inherits nothing.
-    pub life: u64,
+    pub incarnation: u64,
     /// The ask that it answers.
     pub serial: u64,
 }
--- a/crates/audit/src/ledger/account.rs
+++ b/crates/audit/src/ledger/account.rs
@@ -11,8 +11,8 @@
 
 /// Which reports of a life were heard.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Life {
-    pub(super) life: u64,
+pub(super) struct IncarnationRecord {
+    pub(super) incarnation: u64,
     pub(super) at: TimeInterval,
     highest: u64,
     /// Bit n: the report n before the highest was heard.
@@ -21,9 +21,9 @@
     pub(super) repeated: u64,
 }
 
-impl Life {
-    fn new(life: u64, at: TimeInterval) -> Self {
-        Self { life, at, highest: 0, seen: 0, heard: 0, repeated: 0 }
+impl IncarnationRecord {
+    fn new(incarnation: u64, at: TimeInterval) -> Self {
+        Self { incarnation, at, highest: 0, seen: 0, heard: 0, repeated: 0 }
     }
 
     /// All up to what a span from disk was told by counts as heard: it holds what they told.
@@ -71,20 +71,20 @@
 /// All that one balancer told, newest last.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Account {
-    lives: VecDeque<Life>,
+    incarnations: VecDeque<IncarnationRecord>,
     spans: VecDeque<Kept>,
     pub(super) unkept: u64,
 }
 
 impl Account {
     pub(super) fn hear(&mut self, report: &ActivityReport) -> ReportStatus {
-        let known = self.lives.iter_mut().find(|it| it.life == report.life);
+        let known = self.incarnations.iter_mut().find(|it| it.incarnation == report.incarnation);
         let heard = match known {
-            Some(life) => life.hear(report),
+            Some(incarnation) => incarnation.hear(report),
             None => {
-                let mut life = Life::new(report.life, report.at);
-                let heard = life.hear(report);
-                self.begin(life);
+                let mut incarnation = IncarnationRecord::new(report.incarnation, report.at);
+                let heard = incarnation.hear(report);
+                self.begin(incarnation);
                 heard
             }
         };
@@ -92,7 +92,7 @@
             for piece in &report.pieces {
                 let entry = LedgerEntry {
                     number: report.number,
-                    life: report.life,
+                    incarnation: report.incarnation,
                     told: report.sequence,
                     piece: *piece,
                 };
@@ -104,21 +104,22 @@
 
     /// Takes a span in from disk: what is known of its life goes on from there.
     pub(super) fn restore(&mut self, entry: LedgerEntry) {
-        if let Some(life) = self.lives.iter_mut().find(|it| it.life == entry.life) {
-            life.restore(&entry);
+        if let Some(incarnation) = self.incarnations.iter_mut().find(|it| it.incarnation == entry.incarnation)
+        {
+            incarnation.restore(&entry);
         } else {
-            let mut life = Life::new(entry.life, entry.piece.to);
-            life.restore(&entry);
-            self.begin(life);
+            let mut incarnation = IncarnationRecord::new(entry.incarnation, entry.piece.to);
+            incarnation.restore(&entry);
+            self.begin(incarnation);
         }
         self.keep(entry, false);
     }
 
-    fn begin(&mut self, life: Life) {
-        if self.lives.len() == MAX_INCARNATIONS_PER_BALANCER {
+    fn begin(&mut self, incarnation: IncarnationRecord) {
+        if self.incarnations.len() == MAX_INCARNATIONS_PER_BALANCER {
             self.forget_first_life();
         }
-        self.lives.push_back(life);
+        self.incarnations.push_back(incarnation);
     }
 
     /// Takes a span in where nothing newer is told of it.
@@ -151,21 +152,21 @@
     }
 
     /// The life that told last, by its own account of fleet time: lives have no order of their own.
-    pub(super) fn living(&self) -> Option<&Life> {
-        self.lives.iter().max_by_key(|it| (it.at.earliest, it.at.latest))
+    pub(super) fn living(&self) -> Option<&IncarnationRecord> {
+        self.incarnations.iter().max_by_key(|it| (it.at.earliest, it.at.latest))
     }
 
     /// The last span of the life that told last.
-    pub(super) fn last(&self) -> Option<(&Life, &LedgerEntry)> {
-        let life = self.living()?;
-        let spans = self.entries().filter(|it| it.life == life.life);
-        Some((life, spans.max_by_key(|it| it.piece.serial)?))
+    pub(super) fn last(&self) -> Option<(&IncarnationRecord, &LedgerEntry)> {
+        let incarnation = self.living()?;
+        let spans = self.entries().filter(|it| it.incarnation == incarnation.incarnation);
+        Some((incarnation, spans.max_by_key(|it| it.piece.serial)?))
     }
 
     fn forget_first_life(&mut self) {
         let first =
-            self.lives.iter().enumerate().min_by_key(|(_, it)| it.at.earliest).map(|(index, _)| index);
-        first.and_then(|index| self.lives.remove(index));
+            self.incarnations.iter().enumerate().min_by_key(|(_, it)| it.at.earliest).map(|(index, _)| index);
+        first.and_then(|index| self.incarnations.remove(index));
     }
 
     fn forget_first_span(&mut self) {
--- a/crates/audit/src/ledger/mod.rs
+++ b/crates/audit/src/ledger/mod.rs
@@ -52,7 +52,7 @@
     /// Who tells.
     pub number: u16,
     /// In which life.
-    pub life: u64,
+    pub incarnation: u64,
     /// Counted up with each report of a life, from 1.
     pub sequence: u64,
     /// When it was made.
@@ -82,7 +82,7 @@
     /// Whose.
     pub number: u16,
     /// In which life.
-    pub life: u64,
+    pub incarnation: u64,
     /// The report that last told of it; a later one takes its place.
     pub told: u64,
     /// What it did.
@@ -102,7 +102,7 @@
 
     /// What it is kept under: what is told anew of it takes its place.
     pub fn key(&self) -> (u16, u64, u64) {
-        (self.number, self.life, self.piece.serial)
+        (self.number, self.incarnation, self.piece.serial)
     }
 }
 
--- a/crates/audit/src/ledger/query.rs
+++ b/crates/audit/src/ledger/query.rs
@@ -13,7 +13,8 @@
     /// Who.
     pub number: u16,
     /// In which life.
-    pub life: u64,
+    #[serde(rename = "life")]
+    pub incarnation: u64,
     /// On what.
     pub version: Version,
     /// Since when.
@@ -32,7 +33,8 @@
     /// Who.
     pub number: u16,
     /// In which life.
-    pub life: u64,
+    #[serde(rename = "life")]
+    pub incarnation: u64,
     /// It began within this.
     pub from: TimeInterval,
     /// It ended, or was last told of, within this.
@@ -49,7 +51,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub struct KnownUntil {
     /// The life that told last.
-    pub life: u64,
+    #[serde(rename = "life")]
+    pub incarnation: u64,
     /// What was told reaches to here at least; of a killed balancer nothing later is ever said.
     pub until: FleetMicros,
 }
@@ -71,14 +74,14 @@
     /// Who acts on what, as last told.
     pub fn current_activity(&self) -> Vec<CurrentActivity> {
         let told = self.accounts.iter().filter_map(|it| it.last());
-        told.map(|(life, entry)| CurrentActivity {
+        told.map(|(incarnation, entry)| CurrentActivity {
             number: entry.number,
-            life: entry.life,
+            incarnation: entry.incarnation,
             version: entry.piece.version,
             since: entry.piece.from,
-            known_until: life.at.earliest,
-            missing: life.missing(),
-            repeated: life.repeated,
+            known_until: incarnation.at.earliest,
+            missing: incarnation.missing(),
+            repeated: incarnation.repeated,
         })
         .collect()
     }
@@ -90,9 +93,9 @@
             piece.version == *version && piece.from.earliest <= to && from <= piece.to.latest
         });
         maybe
-            .map(|LedgerEntry { number, life, piece, .. }| PastActivity {
+            .map(|LedgerEntry { number, incarnation, piece, .. }| PastActivity {
                 number: *number,
-                life: *life,
+                incarnation: *incarnation,
                 from: piece.from,
                 to: piece.to,
                 counts: piece.counts,
@@ -104,15 +107,15 @@
 
     /// Until when a balancer's doings are known; nothing if it never told any.
     pub fn known_until(&self, number: u16) -> Option<KnownUntil> {
-        let life = self.accounts.get(usize::from(number))?.living()?;
-        Some(KnownUntil { life: life.life, until: life.at.earliest })
+        let incarnation = self.accounts.get(usize::from(number))?.living()?;
+        Some(KnownUntil { incarnation: incarnation.incarnation, until: incarnation.at.earliest })
     }
 
     /// Who is more than `revisions` behind, or behind or silent for longer than `time`. `current_activity` is fleet time.
     pub fn lagging_nodes(&self, now: FleetMicros, revisions: u64, time: Micros) -> Vec<LaggingNode> {
         let numbered = self.accounts.iter().zip(0u16..);
         let all = numbered.map(|(account, number)| {
-            let Some((life, entry)) = account.last() else {
+            let Some((incarnation, entry)) = account.last() else {
                 return LaggingNode { number, revisions: 0, behind_for: 0, silent_for: None };
             };
             let (revisions, since) = self.behind(&entry.piece.version);
@@ -121,7 +124,7 @@
                 number,
                 revisions,
                 behind_for,
-                silent_for: Some(now.saturating_sub(life.at.earliest)),
+                silent_for: Some(now.saturating_sub(incarnation.at.earliest)),
             }
         });
         all.filter(|it| {
--- a/crates/audit/tests/golden.rs
+++ b/crates/audit/tests/golden.rs
@@ -34,13 +34,18 @@
 
 #[test]
 fn reports_and_stored_spans_keep_their_form() {
-    let report =
-        ActivityReport { number: 300, life: 10, sequence: 11, at: span(250), pieces: vec![piece(), piece()] };
-    let entry = LedgerEntry { number: 300, life: 10, told: 11, piece: piece() };
+    let report = ActivityReport {
+        number: 300,
+        incarnation: 10,
+        sequence: 11,
+        at: span(250),
+        pieces: vec![piece(), piece()],
+    };
+    let entry = LedgerEntry { number: 300, incarnation: 10, told: 11, piece: piece() };
     assert_eq!(ActivityReport::from_bytes(&report.to_bytes()), Some(report.clone()));
     assert_eq!(LedgerEntry::from_bytes(&entry.to_bytes()), Some(entry));
-    let ask = postcard::to_allocvec(&LeaseRequest { number: 300, life: 10, serial: 1_000 }).unwrap();
-    let grant = postcard::to_allocvec(&LeaseGrant { number: 300, life: 10, serial: 1_000 }).unwrap();
+    let ask = postcard::to_allocvec(&LeaseRequest { number: 300, incarnation: 10, serial: 1_000 }).unwrap();
+    let grant = postcard::to_allocvec(&LeaseGrant { number: 300, incarnation: 10, serial: 1_000 }).unwrap();
     let mut text = String::new();
     writeln!(text, "report {}", hex(&report.to_bytes())).unwrap();
     writeln!(text, "span {}", hex(&entry.to_bytes())).unwrap();
@@ -87,14 +92,14 @@
     old.version.calendar = 2;
     ledger.record_report(&ActivityReport {
         number: 0,
-        life: 10,
+        incarnation: 10,
         sequence: 1,
         at: span(250),
         pieces: vec![piece()],
     });
     ledger.record_report(&ActivityReport {
         number: 1,
-        life: 20,
+        incarnation: 20,
         sequence: 4,
         at: span(260),
         pieces: vec![old],
--- a/crates/audit/tests/lease.rs
+++ b/crates/audit/tests/lease.rs
@@ -17,7 +17,7 @@
 }
 
 fn grant(ask: LeaseRequest) -> LeaseGrant {
-    LeaseGrant { number: ask.number, life: ask.life, serial: ask.serial }
+    LeaseGrant { number: ask.number, incarnation: ask.incarnation, serial: ask.serial }
 }
 
 /// Balancer 0 of 12, which asked at `START` and applied its grant a second later.
@@ -72,7 +72,7 @@
             now,
             1,
             0,
-            &[LeaseGrant { life: 8, ..grant(ask) }, LeaseGrant { number: 1, ..grant(ask) }],
+            &[LeaseGrant { incarnation: 8, ..grant(ask) }, LeaseGrant { number: 1, ..grant(ask) }],
         );
         assert_eq!(lease.serve_until(now), 0, "another life's grant, and another's, are not ours");
         lease.apply_grants(now, 2, 0, &[grant(ask)]);
@@ -139,7 +139,7 @@
     assert_eq!(standing, LeaseState::Fenced, "two others of twelve, itself and strangers are too few");
     lone.record_peer_grant(ends, 3, None);
     assert_eq!(lone.state(ends).0, LeaseState::Orphaned);
-    lone.apply_grants(ends, 2, 95_000, &[LeaseGrant { number: 3, life: 3, serial: 3 }]);
+    lone.apply_grants(ends, 2, 95_000, &[LeaseGrant { number: 3, incarnation: 3, serial: 3 }]);
     assert_eq!(lone.state(ends).0, LeaseState::Fenced, "the log goes on, whatever is said");
 }
 
@@ -167,7 +167,7 @@
     let span = TimeInterval { earliest: 90_000 + 2 * SECOND - 2_000, latest: 90_000 + 3 * SECOND + 3_000 };
     assert_eq!(lease.fleet_time(now), Some(span));
     let before = lease.state(now);
-    let other = LeaseGrant { number: 3, life: 3, serial: 3 };
+    let other = LeaseGrant { number: 3, incarnation: 3, serial: 3 };
     lease.apply_grants(now, 2, 3_600 * SECOND, &[other]);
     assert_eq!((lease.state(now), lease.fleet_time(now)), (before, Some(span)));
     let ask = lease.poll_request(now).unwrap();
@@ -195,7 +195,7 @@
 #[test]
 fn the_granter_puts_the_asks_of_half_a_second_into_one_entry_newest_serial_each() {
     let mut granter = LeaseGranter::new(3);
-    let ask = |number, life, serial| LeaseRequest { number, life, serial };
+    let ask = |number, incarnation, serial| LeaseRequest { number, incarnation, serial };
     assert_eq!(granter.poll_grants(START), None);
     granter.handle_request(ask(1, 1, 1));
     assert_eq!(granter.poll_grants(START), Some(vec![grant(ask(1, 1, 1))]));
--- a/crates/audit/tests/ledger.rs
+++ b/crates/audit/tests/ledger.rs
@@ -98,7 +98,7 @@
     let mut first = ActivityCounter::new(1, 77, calendar(1), at(0));
     let told = reports(&mut first, 1..5, 1);
     told.iter().take(3).for_each(|it| assert_eq!(ledger.record_report(it), ReportStatus::Newest));
-    assert_eq!(ledger.known_until(1).map(|it| (it.life, it.until)), Some((77, 3 * SECOND)));
+    assert_eq!(ledger.known_until(1).map(|it| (it.incarnation, it.until)), Some((77, 3 * SECOND)));
     assert_eq!(
         ledger.activity_under(&calendar(1), 3 * SECOND + 5_001, u64::MAX),
         [],
@@ -110,7 +110,7 @@
     let mut next = ActivityCounter::new(1, 5, calendar(2), at(20));
     ledger.record_report(&next.report(at(21)));
     assert_eq!(ledger.record_report(&told[3]), ReportStatus::Newest, "a late word of the first life");
-    assert_eq!(ledger.known_until(1).map(|it| (it.life, it.until)), Some((5, 21 * SECOND)));
+    assert_eq!(ledger.known_until(1).map(|it| (it.incarnation, it.until)), Some((5, 21 * SECOND)));
     assert_eq!(ledger.current_activity()[0].version, calendar(2));
     assert_eq!(reads(&ledger, 1), [(1, 4)]);
 }
@@ -174,7 +174,7 @@
         ActivityPeriod { serial: most, version, from: span, to: span, counts: [most; KINDS], digest: most };
     let report = ActivityReport {
         number: u16::MAX,
-        life: most,
+        incarnation: most,
         sequence: most,
         at: span,
         pieces: vec![piece; MAX_PERIODS_PER_REPORT],
--- a/crates/audit/tests/model.rs
+++ b/crates/audit/tests/model.rs
@@ -31,7 +31,7 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Balancer {
-    life: u64,
+    incarnation: u64,
     lease: Lease,
     holders: LeaseHolders,
     applied: usize,
@@ -104,10 +104,10 @@
         settings
     }
 
-    fn start(&self, number: usize, life: u64, tick: u64) -> Balancer {
+    fn start(&self, number: usize, incarnation: u64, tick: u64) -> Balancer {
         Balancer {
-            life,
-            lease: Lease::new(number as u16, life, self.settings(), clock(number, tick)),
+            incarnation,
+            lease: Lease::new(number as u16, incarnation, self.settings(), clock(number, tick)),
             holders: LeaseHolders::new(self.settings()),
             applied: 0,
             from_hearing: 0,
@@ -121,7 +121,8 @@
         let balancer = &mut fleet.balancers[number];
         balancer.lease.apply_grants(now, index as u64 + 1, at, &grants);
         balancer.holders.apply_grants(now, index as u64 + 1, &grants);
-        if grants.iter().any(|it| usize::from(it.number) == number && it.life == balancer.life) {
+        if grants.iter().any(|it| usize::from(it.number) == number && it.incarnation == balancer.incarnation)
+        {
             balancer.from_hearing = now + LEASE;
         }
     }
@@ -138,15 +139,16 @@
     fn ended_nowhere(&self, fleet: &Fleet) -> bool {
         (0..self.balancers).filter(|it| self.holds(fleet, *it)).all(|number| {
             let holder = &fleet.balancers[number];
-            let (id, life) = (number as u16, holder.life);
+            let (id, incarnation) = (number as u16, holder.incarnation);
             let Some(granted) = holder.lease.revision(clock(number, fleet.tick)) else {
-                return fleet.leader.holds(id, life, leader_clock(fleet.tick));
+                return fleet.leader.holds(id, incarnation, leader_clock(fleet.tick));
             };
             let sees = |other: usize| {
                 let eyes = &fleet.balancers[other];
-                eyes.applied < granted as usize || eyes.holders.holds(id, life, clock(other, fleet.tick))
+                eyes.applied < granted as usize
+                    || eyes.holders.holds(id, incarnation, clock(other, fleet.tick))
             };
-            fleet.leader.holds(id, life, leader_clock(fleet.tick))
+            fleet.leader.holds(id, incarnation, leader_clock(fleet.tick))
                 && (0..self.balancers).filter(|other| *other != number).all(sees)
         })
     }
@@ -195,12 +197,9 @@
             steps.extend((0..self.balancers).map(Step::Ask));
         }
         if fleet.arrived <= self.asks {
-            steps.extend(
-                fleet
-                    .asks
-                    .iter()
-                    .map(|&(number, life, serial)| Step::Arrive(LeaseRequest { number, life, serial })),
-            );
+            steps.extend(fleet.asks.iter().map(|&(number, incarnation, serial)| {
+                Step::Arrive(LeaseRequest { number, incarnation, serial })
+            }));
         }
         steps.push(Step::Propose);
         if self.freeze && !fleet.log.iter().any(|it| matches!(it, Entry::Freeze(_))) {
@@ -226,7 +225,7 @@
             Step::Tick => fleet.tick += 1,
             Step::Ask(number) => {
                 let ask = fleet.balancers[number].lease.poll_request(clock(number, tick))?;
-                fleet.asks.insert((ask.number, ask.life, ask.serial));
+                fleet.asks.insert((ask.number, ask.incarnation, ask.serial));
             }
             Step::Arrive(ask) => {
                 fleet.granter.handle_request(ask);
--- a/crates/fleet/src/part.rs
+++ b/crates/fleet/src/part.rs
@@ -75,7 +75,7 @@
     /// This balancer's number in the file.
     pub me: u16,
     /// Its life: drawn so that it grows from start to start.
-    pub life: u64,
+    pub incarnation: u64,
     /// Where the log is kept.
     pub store: S,
     /// Seed of all chance.
@@ -86,7 +86,7 @@
 pub struct Fleet<S: Store> {
     pub(crate) file: FleetFile,
     pub(crate) me: u16,
-    life: u64,
+    incarnation: u64,
     pub(crate) membership: Membership,
     pub(crate) agreement: Agreement<Entry, S>,
     pub(crate) lease: Lease,
@@ -108,22 +108,22 @@
 impl<S: Store> Fleet<S> {
     /// Starts; `start.local_member` is a number of the file.
     pub fn new(file: FleetFile, start: Start<S>, now: Micros) -> Self {
-        let Start { me, life, store, seed } = start;
+        let Start { me, incarnation, store, seed } = start;
         let zones = file.zones();
         let leases = file.leases();
         let seat =
             |it: &crate::Listed| MemberSlot { address: it.address, zone: zones[usize::from(it.number)] };
         let council = file.balancers.iter().filter(|it| it.council).map(|it| it.number).collect();
         let everyone = file.balancers.iter().map(|it| (it.number, zones[usize::from(it.number)])).collect();
-        let settings = agreement::Settings { node_id: me, life, voters: council, nodes: everyone };
+        let settings = agreement::Settings { node_id: me, incarnation, voters: council, nodes: everyone };
         let roster: Roster = file.balancers.iter().map(|it| (it.number, seat(it))).collect();
         let own = seat(&file.balancers[usize::from(me)]);
-        let member = Member { number: me, life, address: own.address, zone: own.zone };
+        let member = Member { number: me, incarnation, address: own.address, zone: own.zone };
         let count = u16::try_from(file.balancers.len()).unwrap_or(u16::MAX);
         let mut it = Self {
             membership: Membership::new(member, roster, membership::Settings::default(), seed),
             agreement: Agreement::new(settings, store, seed, now),
-            lease: Lease::new(me, life, leases, now),
+            lease: Lease::new(me, incarnation, leases, now),
             granter: LeaseGranter::new(count),
             state: State::new(leases),
             ledger: Ledger::new(count),
@@ -138,7 +138,7 @@
             ticked: now,
             file,
             me,
-            life,
+            incarnation,
         };
         let others: Vec<_> =
             it.others().map(|number| it.file.balancers[usize::from(number)].address).collect();
@@ -333,7 +333,8 @@
 
     pub(crate) fn send(&mut self, to: u16, body: Body) {
         let Some(listed) = self.file.balancers.get(usize::from(to)) else { return };
-        let envelope = Envelope { fleet: self.file.tag(), from: self.me, life: self.life, body };
+        let envelope =
+            Envelope { fleet: self.file.tag(), from: self.me, incarnation: self.incarnation, body };
         match envelope.write() {
             Some(datagram) => {
                 self.counts.sent += 1;
--- a/crates/fleet/src/settle.rs
+++ b/crates/fleet/src/settle.rs
@@ -96,17 +96,17 @@
             Of::Up(_) | Of::Down(..) => self.out.push_back(Output::Members(self.membership.len())),
             Of::Refuted | Of::Renewed(_) => {}
             // Our clock went back between two starts: the later one is this one.
-            Of::Replaced(life) => self.start_anew(now, life + 1),
+            Of::Replaced(incarnation) => self.start_anew(now, incarnation + 1),
         }
     }
 
-    fn start_anew(&mut self, now: Micros, life: u64) {
+    fn start_anew(&mut self, now: Micros, incarnation: u64) {
         let zones = self.file.zones();
         let seat = |it: &crate::Listed| {
             (it.number, MemberSlot { address: it.address, zone: zones[usize::from(it.number)] })
         };
         let roster: Roster = self.file.balancers.iter().map(seat).collect();
-        let member = Member { life, ..*self.membership.local_member() };
+        let member = Member { incarnation, ..*self.membership.local_member() };
         let seed = self.random.u64(..);
         self.membership = Membership::new(member, roster, membership::Settings::default(), seed);
         let others: Vec<_> = self.others().map(|it| self.file.balancers[usize::from(it)].address).collect();
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -25,7 +25,7 @@
     // Under the version that each was last known to act on; what it did under others is in the ledger.
     let did = |it: &audit::ledger::CurrentActivity| {
         let all = fleet.ledger.activity_under(&it.version, 0, u64::MAX);
-        all.into_iter().find(|did| did.number == it.number && did.life == it.life)
+        all.into_iter().find(|did| did.number == it.number && did.incarnation == it.incarnation)
     };
     let did: Vec<_> = acts.iter().filter_map(did).collect();
     json!({
--- a/crates/fleet/src/wire.rs
+++ b/crates/fleet/src/wire.rs
@@ -34,7 +34,7 @@
     /// The sender's number.
     pub from: u16,
     /// And its life.
-    pub life: u64,
+    pub incarnation: u64,
     /// What it says.
     pub body: Body,
 }
--- a/crates/fleet/tests/common/mod.rs
+++ b/crates/fleet/tests/common/mod.rs
@@ -89,7 +89,7 @@
     pub ticked: usize,
     pub seed: u64,
     file: FleetFile,
-    lives: Vec<u32>,
+    incarnations: Vec<u32>,
     disks: Vec<Disk>,
     random: fastrand::Rng,
     due: BinaryHeap<Reverse<Due>>,
@@ -140,7 +140,7 @@
             ticked: 0,
             seed,
             file: FleetFile::parse("fleet.toml", &text(count, council, lease)).unwrap(),
-            lives: vec![0; count],
+            incarnations: vec![0; count],
             disks: vec![Disk::default(); count],
             random: fastrand::Rng::with_seed(seed),
             due: BinaryHeap::new(),
@@ -159,16 +159,16 @@
     /// Starts a balancer with what its disk holds.
     pub fn begin_again(&mut self, n: usize) {
         self.voteless.remove(&n);
-        self.lives[n] += 1;
+        self.incarnations[n] += 1;
         let begin = Start {
             me: n as u16,
-            life: self.unix(n),
+            incarnation: self.unix(n),
             store: self.disks[n].clone(),
             seed: self.random.u64(..),
         };
         self.parts[n] = Some(Fleet::new(self.file.clone(), begin, self.local(n)));
         let after = self.random.u64(0..agreement::TICK_INTERVAL_US);
-        self.push(after, Event::Tick(n, self.lives[n]));
+        self.push(after, Event::Tick(n, self.incarnations[n]));
         self.carry_out(n);
     }
 
@@ -179,7 +179,7 @@
 
     pub fn kill(&mut self, n: usize) {
         self.parts[n] = None;
-        self.lives[n] += 1;
+        self.incarnations[n] += 1;
     }
 
     /// What the monotonic clock of a balancer shows.
@@ -211,7 +211,7 @@
                         self.push(after, Event::Datagram { from: n, to, bytes });
                     }
                 }
-                Output::Timer(after, timer) => self.push(after, Event::Timer(n, self.lives[n], timer)),
+                Output::Timer(after, timer) => self.push(after, Event::Timer(n, self.incarnations[n], timer)),
                 Output::Calendar(calendar) => self.note(n, *calendar),
                 Output::CannotVote(_) => _ = self.voteless.insert(n),
                 _ => {}
@@ -254,19 +254,21 @@
                         self.carry_out(to);
                     }
                 }
-                Event::Timer(n, life, timer) => {
+                Event::Timer(n, incarnation, timer) => {
                     let local = self.local(n);
-                    if let Some(part) = self.parts[n].as_mut().filter(|_| self.lives[n] == life) {
+                    if let Some(part) = self.parts[n].as_mut().filter(|_| self.incarnations[n] == incarnation)
+                    {
                         part.fell_due(local, timer);
                         self.carry_out(n);
                     }
                 }
-                Event::Tick(n, life) => {
+                Event::Tick(n, incarnation) => {
                     let (unix, local) = (self.unix(n), self.local(n));
-                    if let Some(part) = self.parts[n].as_mut().filter(|_| self.lives[n] == life) {
+                    if let Some(part) = self.parts[n].as_mut().filter(|_| self.incarnations[n] == incarnation)
+                    {
                         part.tick(local, unix);
                         self.carry_out(n);
-                        self.push(agreement::TICK_INTERVAL_US, Event::Tick(n, life));
+                        self.push(agreement::TICK_INTERVAL_US, Event::Tick(n, incarnation));
                         self.ticked = n;
                         look(self);
                     }
--- a/crates/fleet/tests/fleet.rs
+++ b/crates/fleet/tests/fleet.rs
@@ -196,7 +196,7 @@
     let now = site.now;
     let part = site.parts[0].as_mut().unwrap();
     let before = part.counts();
-    let word = Envelope { fleet: 7, from: 1, life: 1, body: Body::Word(None) };
+    let word = Envelope { fleet: 7, from: 1, incarnation: 1, body: Body::Word(None) };
     let mut datagram = word.write().unwrap();
     part.hear(now, ([10, 0, 0, 2], 7100).into(), &datagram);
     part.hear(now, ([10, 0, 0, 9], 7100).into(), &datagram);
@@ -220,7 +220,7 @@
         datagram.extend(&bytes);
         part.hear(now, ([10, 0, 0, 2], 7100).into(), &datagram);
         part.hear(now, ([10, 0, 0, 2], 7100).into(), &bytes);
-        let said = Envelope { fleet: 1, from: 2, life: 3, body: Body::Membership(bytes.clone()) };
+        let said = Envelope { fleet: 1, from: 2, incarnation: 3, body: Body::Membership(bytes.clone()) };
         match said.write() {
             Some(written) => prop_assert_eq!(Envelope::read(&written), Ok(said)),
             None => prop_assert!(bytes.len() > 1_150),
--- a/crates/gateway/src/engine/fleet.rs
+++ b/crates/gateway/src/engine/fleet.rs
@@ -83,8 +83,9 @@
         let Some(span) = self.lease.as_ref().and_then(|lease| lease.fleet_time(now)) else { return };
         let version = self.version();
         let port = &self.port;
-        let counting =
-            self.counting.get_or_insert_with(|| ActivityCounter::new(port.number, port.life, version, span));
+        let counting = self
+            .counting
+            .get_or_insert_with(|| ActivityCounter::new(port.number, port.incarnation, version, span));
         if let Some(entry) = counting.switch_version(version, span) {
             self.tell(AuditEvent::Entry(entry));
         }
--- a/crates/gateway/src/engine/fleet_tests.rs
+++ b/crates/gateway/src/engine/fleet_tests.rs
@@ -54,7 +54,7 @@
         audit_events: acted_in,
         clock,
         number: 0,
-        life: 7,
+        incarnation: 7,
         program: 1,
         configuration: 2,
     };
@@ -67,7 +67,7 @@
     let span = LEASE.as_micros() as u64;
     let mut lease = Lease::new(0, 7, Settings::new(span, span, 3), now);
     let serial = lease.poll_request(now).unwrap().serial;
-    lease.apply_grants(now, 1, STAMP, &[LeaseGrant { number: 0, life: 7, serial }]);
+    lease.apply_grants(now, 1, STAMP, &[LeaseGrant { number: 0, incarnation: 7, serial }]);
     lease
 }
 
--- a/crates/gateway/src/fleet_link.rs
+++ b/crates/gateway/src/fleet_link.rs
@@ -83,7 +83,7 @@
     /// This balancer's place in the fleet file.
     pub number: u16,
     /// Drawn at its start.
-    pub life: u64,
+    pub incarnation: u64,
     /// Hash of the program's name and build.
     pub program: u64,
     /// Hash of its configuration.
--- a/crates/gossip/src/wire.rs
+++ b/crates/gossip/src/wire.rs
@@ -43,7 +43,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Stamp {
     /// The sender's start.
-    pub life: u16,
+    pub incarnation: u16,
     /// The report's number since then.
     pub number: u16,
 }
@@ -52,7 +52,7 @@
     /// The first stamp of a life that began at `unix`.
     #[must_use]
     pub fn first(unix: Micros) -> Self {
-        Self { life: (unix / 250_000) as u16, number: 0 }
+        Self { incarnation: (unix / 250_000) as u16, number: 0 }
     }
     /// The stamp after this one.
     #[must_use]
@@ -63,7 +63,8 @@
     #[must_use]
     pub fn after(self, other: Self) -> bool {
         let later = |a: u16, b: u16| (a.wrapping_sub(b) as i16) > 0;
-        later(self.life, other.life) || (self.life == other.life && later(self.number, other.number))
+        later(self.incarnation, other.incarnation)
+            || (self.incarnation == other.incarnation && later(self.number, other.number))
     }
 }
 
@@ -112,7 +113,7 @@
         words.truncate(MAX_ENTRIES);
         let mut out = Vec::with_capacity(HEAD + ENTRY * words.len());
         out.push(VERSION);
-        out.extend(self.stamp.life.to_be_bytes());
+        out.extend(self.stamp.incarnation.to_be_bytes());
         out.extend(self.stamp.number.to_be_bytes());
         for (name, held, counts) in words {
             out.extend(name.0.to_be_bytes());
@@ -136,7 +137,7 @@
             return Err(length);
         }
         let pair = |high, low| u16::from_be_bytes([high, low]);
-        let stamp = Stamp { life: pair(head[0], head[1]), number: pair(head[2], head[3]) };
+        let stamp = Stamp { incarnation: pair(head[0], head[1]), number: pair(head[2], head[3]) };
         let word = |e: &[u8]| {
             let (held, counts) = (f64::from(e[2]) / STEPS, u32::from(e[3]));
             (Short(pair(e[0], e[1])), Word { held, answered: counts >> 4, failed: counts & MOST_COUNTED })
--- a/crates/gossip/tests/hearsay.rs
+++ b/crates/gossip/tests/hearsay.rs
@@ -123,9 +123,9 @@
 #[test]
 fn a_report_counts_once_in_order_and_not_for_long() {
     let mut it = GossipState::new(0, 3, 0);
-    let report = |life: u16, number: u16| {
+    let report = |incarnation: u16, number: u16| {
         let words = vec![(EndpointId(0).into(), Word { held: 9.0, answered: 1, failed: 0 })];
-        Report { stamp: Stamp { life, number }, words }.encode()
+        Report { stamp: Stamp { incarnation, number }, words }.encode()
     };
     it.hear(1, 1, &report(7, 5));
     it.hear(2, 1, &report(7, 5)); // doubled
@@ -190,11 +190,11 @@
     #[test]
     fn what_is_written_is_read_to_the_nearest_step(
         words in prop::collection::vec((any::<u16>(), 0.1_f64..15.9, 0_u32..16, 0_u32..16), 0..MAX_ENTRIES),
-        life: u16, number: u16,
+        incarnation: u16, number: u16,
     ) {
         let word = |(_, held, answered, failed): &(u16, f64, u32, u32)| Word { held: *held, answered: *answered, failed: *failed };
         let report = Report {
-            stamp: Stamp { life, number },
+            stamp: Stamp { incarnation, number },
             words: words.iter().map(|w| (Short(w.0), word(w))).collect(),
         };
         let back = Report::decode(&report.encode()).unwrap();
--- a/crates/membership/examples/measure_members.rs
+++ b/crates/membership/examples/measure_members.rs
@@ -110,7 +110,7 @@
     let mut fleet = Fleet::settled(size, seed);
     fleet.faults.delay = 0..80 * MS;
     fleet.faults.repeat = 0.1;
-    let mut life = LIFE;
+    let mut incarnation = LIFE;
     for _ in 0..10 {
         fleet.faults.loss = fleet.random.f64() * 0.3;
         let (number, other) = (fleet.random.usize(0..size), fleet.random.usize(0..size));
@@ -125,8 +125,8 @@
         }
         let again = fleet.random.usize(0..size);
         if fleet.random.bool() {
-            life += S;
-            fleet.start(again, life);
+            incarnation += S;
+            fleet.start(again, incarnation);
         }
         fleet.run(3 * S);
     }
--- a/crates/membership/src/counters.rs
+++ b/crates/membership/src/counters.rs
@@ -37,7 +37,7 @@
     /// Passed over within datagrams: what was said of numbers that are not on the roster.
     pub unknown_told: u64,
     /// Dropped: from a life that a later one has replaced.
-    pub old_life: u64,
+    pub stale_incarnation: u64,
     /// Dropped: for another member, or for another life of ours.
     pub not_for_us: u64,
     /// Dropped: with our own number as its sender's.
@@ -62,7 +62,7 @@
             DatagramError::TooLong => &mut self.too_long,
             DatagramError::Garbled => &mut self.garbled,
             DatagramError::Unknown => &mut self.unknown,
-            DatagramError::OldLife => &mut self.old_life,
+            DatagramError::OldLife => &mut self.stale_incarnation,
             DatagramError::NotForUs => &mut self.not_for_us,
             DatagramError::OurOwn => &mut self.our_own,
         } += 1;
--- a/crates/membership/src/edge.rs
+++ b/crates/membership/src/edge.rs
@@ -67,7 +67,7 @@
     /// Tell an accused once more, or let foca declare it down.
     Accused {
         id: Id,
-        incarnation: foca::Incarnation,
+        swim_incarnation: foca::Incarnation,
         reminders: u8,
         /// What foca set for it, if this member's own probe failed.
         verdict: Option<foca::Timer<Id>>,
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -49,11 +49,11 @@
     /// Who is in, this one included.
     view: BTreeMap<u16, Member>,
     /// The highest life heard of, of each number of the roster.
-    lives: BTreeMap<u16, u64>,
+    incarnations: BTreeMap<u16, u64>,
     accusations: Accusations,
     health: Health,
     counts: Counters,
-    incarnation: Incarnation,
+    swim_incarnation: Incarnation,
     /// Somebody who is in knows this life.
     connected: bool,
     /// It left, or was replaced: nothing is heard or sent any more.
@@ -70,7 +70,7 @@
 impl Membership {
     /// A member that knows of nobody yet. `local_member` is to be on the roster; the same seed and inputs yield the same actions.
     pub fn new(me: Member, roster: Roster, settings: Settings, seed: u64) -> Self {
-        let id = Id { number: me.number, life: me.life };
+        let id = Id { number: me.number, incarnation: me.incarnation };
         let random = SmallRng::seed_from_u64(seed);
         Self {
             me,
@@ -81,11 +81,11 @@
             random: fastrand::Rng::with_seed(seed),
             actions: VecDeque::new(),
             view: BTreeMap::from([(me.number, me)]),
-            lives: BTreeMap::new(),
+            incarnations: BTreeMap::new(),
             accusations: Accusations::default(),
             health: Health::default(),
             counts: Counters::default(),
-            incarnation: 0,
+            swim_incarnation: 0,
             connected: false,
             silent: false,
             first_heard: None,
@@ -147,7 +147,7 @@
         }
         let gone = foca::Member::new(*self.foca.identity(), LEAVING, State::Down);
         for number in self.some_of(TOLD_OF_LEAVING, |it, number| it.view.contains_key(&number)) {
-            let to = Id { number, life: self.view[&number].life };
+            let to = Id { number, incarnation: self.view[&number].incarnation };
             self.tell(to, gone.clone());
         }
         self.settle(now, DownReason::Gossip);
@@ -192,8 +192,8 @@
                 }
                 DownReason::Gossip
             }
-            What::Accused { id, incarnation, reminders, verdict } => {
-                self.accused(now, id, incarnation, reminders, verdict);
+            What::Accused { id, swim_incarnation, reminders, verdict } => {
+                self.accused(now, id, swim_incarnation, reminders, verdict);
                 DownReason::Unresponsive
             }
             What::Foca(timer) => {
@@ -220,9 +220,13 @@
         };
         self.first_heard.get_or_insert(now);
         let (ours, said) = (*self.foca.identity(), heard.news.len());
-        let later =
-            heard.news.iter().map(|it| *it.id()).filter(|id| id.number == ours.number).map(|id| id.life);
-        let later = later.max().filter(|&life| life > ours.life);
+        let later = heard
+            .news
+            .iter()
+            .map(|it| *it.id())
+            .filter(|id| id.number == ours.number)
+            .map(|id| id.incarnation);
+        let later = later.max().filter(|&incarnation| incarnation > ours.incarnation);
         self.counts.unknown_told +=
             heard.news.iter().filter(|it| !self.roster.has(it.id().number)).count() as u64;
         // What is told of other lives of ours is never held as a member: it is our own ghost, or our replacement.
@@ -245,8 +249,8 @@
             // Whoever passed the suspicion on hears at once that it is wrong, before chance brings the news there.
             self.announce(heard.header.src.number);
         }
-        if let Some(life) = later {
-            self.meet_later_life(now, life);
+        if let Some(incarnation) = later {
+            self.meet_later_life(now, incarnation);
         }
         self.settle(now, DownReason::Gossip);
     }
@@ -264,10 +268,10 @@
         if to.number != ours.number || (to != ours && !any_life) {
             return Err(DatagramError::NotForUs);
         }
-        match self.lives.get(&from.number) {
-            Some(&life) if life > from.life => {
+        match self.incarnations.get(&from.number) {
+            Some(&incarnation) if incarnation > from.incarnation => {
                 // A late datagram, or one who started without memory and a clock gone back: the latter learns what to exceed.
-                self.tell(from, foca::Member::alive(Id { number: from.number, life }));
+                self.tell(from, foca::Member::alive(Id { number: from.number, incarnation }));
                 Err(DatagramError::OldLife)
             }
             _ => Ok(heard),
@@ -276,35 +280,35 @@
 
     fn knows_life(&mut self, id: Id) {
         if id.number != self.me.number {
-            let known = self.lives.entry(id.number).or_default();
-            *known = id.life.max(*known);
+            let known = self.incarnations.entry(id.number).or_default();
+            *known = id.incarnation.max(*known);
         }
     }
 
     /// A higher life of our number: soon after the start the ghost of an earlier process, later our replacement.
-    fn meet_later_life(&mut self, now: Micros, life: u64) {
+    fn meet_later_life(&mut self, now: Micros, incarnation: u64) {
         let young = self.first_heard.is_none_or(|at| now.saturating_sub(at) < self.settings.ghosts);
-        let beyond = life.checked_add(1).filter(|_| young && self.overtakes < MOST_OVERTAKES);
+        let beyond = incarnation.checked_add(1).filter(|_| young && self.overtakes < MOST_OVERTAKES);
         match beyond {
             Some(beyond) => {
                 self.overtakes += 1;
-                let id = Id { number: self.me.number, life: beyond };
+                let id = Id { number: self.me.number, incarnation: beyond };
                 if self.foca.change_identity(id, &mut self.out).is_ok() {
                     self.renewed(now);
                 }
             }
-            None => self.replaced(life),
+            None => self.replaced(incarnation),
         }
     }
 
-    fn replaced(&mut self, life: u64) {
+    fn replaced(&mut self, incarnation: u64) {
         self.silent = true;
-        self.actions.push_back(Action::Replaced(life));
+        self.actions.push_back(Action::Replaced(incarnation));
     }
 
     fn renewed(&mut self, now: Micros) {
-        self.me.life = self.foca.identity().life;
-        self.incarnation = 0;
+        self.me.incarnation = self.foca.identity().incarnation;
+        self.swim_incarnation = 0;
         self.connected = false;
         self.counts.renewals += 1;
         self.view.insert(self.me.number, self.me);
@@ -318,7 +322,7 @@
     }
 
     fn header(&self, dst: Id, message: Message<Id>) -> Header<Id> {
-        Header { src: *self.foca.identity(), src_incarnation: self.incarnation, dst, message }
+        Header { src: *self.foca.identity(), src_incarnation: self.swim_incarnation, dst, message }
     }
 
     fn send(&mut self, to: Id, datagram: Bytes) {
--- a/crates/membership/src/membership/probing.rs
+++ b/crates/membership/src/membership/probing.rs
@@ -31,28 +31,28 @@
     }
 
     pub(super) fn accused(
-        &mut self, now: Micros, id: Id, incarnation: Incarnation, reminders: u8,
+        &mut self, now: Micros, id: Id, swim_incarnation: Incarnation, reminders: u8,
         verdict: Option<foca::Timer<Id>>,
     ) {
-        if self.suspected(id) != Some(incarnation) {
+        if self.suspected(id) != Some(swim_incarnation) {
             return self.accusations.closed(id.number);
         }
         let step = self.settings.suspicion / Micros::from(self.settings.reminders.max(1));
         if let Some(left) = self.health.quiet(now) {
-            let what = What::Accused { id, incarnation, reminders: reminders.max(1), verdict };
+            let what = What::Accused { id, swim_incarnation, reminders: reminders.max(1), verdict };
             return self.schedule(now, left, what);
         }
         if reminders == 0 {
             self.accusations.closed(id.number);
-            let gone = foca::Member::new(id, incarnation, State::Down);
+            let gone = foca::Member::new(id, swim_incarnation, State::Down);
             let _void = match verdict {
                 Some(verdict) => self.foca.handle_timer(verdict, &mut self.out),
                 None => self.foca.apply_many(std::iter::once(gone), true, &mut self.out),
             };
             return;
         }
-        self.tell(id, foca::Member::new(id, incarnation, State::Suspect));
-        self.schedule(now, step, What::Accused { id, incarnation, reminders: reminders - 1, verdict });
+        self.tell(id, foca::Member::new(id, swim_incarnation, State::Suspect));
+        self.schedule(now, step, What::Accused { id, swim_incarnation, reminders: reminders - 1, verdict });
     }
 
     /// The incarnation at which it is suspected, if it is.
@@ -66,11 +66,12 @@
     pub(super) fn take_over(&mut self, now: Micros) {
         let suspects = self.foca.iter_members().filter(|it| it.state() == State::Suspect);
         let suspects: Vec<(Id, Incarnation)> = suspects.map(|it| (*it.id(), it.incarnation())).collect();
-        for (id, incarnation) in suspects {
-            let running = self.accusations.pass_over(now, id.number, incarnation, self.settings.suspicion);
+        for (id, swim_incarnation) in suspects {
+            let running =
+                self.accusations.pass_over(now, id.number, swim_incarnation, self.settings.suspicion);
             if !running && self.accusations.open(id.number, None) {
                 self.counts.suspicions += 1;
-                self.accused(now, id, incarnation, self.settings.reminders.div_ceil(2), None);
+                self.accused(now, id, swim_incarnation, self.settings.reminders.div_ceil(2), None);
             }
         }
     }
--- a/crates/membership/src/membership/seeking.rs
+++ b/crates/membership/src/membership/seeking.rs
@@ -40,8 +40,8 @@
     /// Asks a number, whatever its life, who is in.
     pub(super) fn announce(&mut self, number: u16) {
         if number != self.me.number {
-            let life = self.lives.get(&number).copied().unwrap_or_default();
-            let header = self.header(Id { number, life }, Message::Announce);
+            let incarnation = self.incarnations.get(&number).copied().unwrap_or_default();
+            let header = self.header(Id { number, incarnation }, Message::Announce);
             self.send(header.dst, wire::write(&header, &[]));
         }
     }
--- a/crates/membership/src/membership/settle.rs
+++ b/crates/membership/src/membership/settle.rs
@@ -46,7 +46,7 @@
             OwnedNotification::Active => self.connected = true,
             OwnedNotification::Idle => self.connected = false,
             OwnedNotification::Rejoin(_) => self.renewed(now),
-            OwnedNotification::Defunct => self.replaced(self.me.life),
+            OwnedNotification::Defunct => self.replaced(self.me.incarnation),
         }
     }
 
@@ -78,11 +78,11 @@
             }
             foca::Timer::ProbeRandomMember(_) if *passed_over => after = self.settings.probe_wait / 2,
             foca::Timer::ProbeRandomMember(_) => after = self.health.stretch(after),
-            &foca::Timer::ChangeSuspectToDown { member_id: id, incarnation, .. } => {
+            &foca::Timer::ChangeSuspectToDown { member_id: id, incarnation: swim_incarnation, .. } => {
                 if self.accusations.open(id.number, Some(&timer)) {
                     self.counts.suspicions += 1;
                     let reminders = self.settings.reminders;
-                    self.accused(now, id, incarnation, reminders, Some(timer));
+                    self.accused(now, id, swim_incarnation, reminders, Some(timer));
                 }
                 return;
             }
@@ -93,8 +93,8 @@
 
     fn outgoing(&mut self, to: Id, datagram: bytes::Bytes) {
         if let Some(header) = wire::header(&datagram) {
-            if header.src == *self.foca.identity() && header.src_incarnation > self.incarnation {
-                self.incarnation = header.src_incarnation;
+            if header.src == *self.foca.identity() && header.src_incarnation > self.swim_incarnation {
+                self.swim_incarnation = header.src_incarnation;
                 self.counts.refutations += 1;
                 self.health.suspected();
                 self.actions.push_back(Action::Refuted);
--- a/crates/membership/src/roster.rs
+++ b/crates/membership/src/roster.rs
@@ -11,7 +11,7 @@
     /// Its number on the roster.
     pub number: u16,
     /// Which life of this number it is; a higher one replaces it.
-    pub life: u64,
+    pub incarnation: u64,
     /// Where its datagrams go.
     pub address: SocketAddr,
     /// The zone it stands in.
@@ -40,7 +40,12 @@
 
     pub(crate) fn member(&self, id: Id) -> Option<Member> {
         let seat = self.seats.get(&id.number)?;
-        Some(Member { number: id.number, life: id.life, address: seat.address, zone: seat.zone })
+        Some(Member {
+            number: id.number,
+            incarnation: id.incarnation,
+            address: seat.address,
+            zone: seat.zone,
+        })
     }
 
     pub(crate) fn at(&self, address: SocketAddr) -> Option<u16> {
--- a/crates/membership/src/wire.rs
+++ b/crates/membership/src/wire.rs
@@ -12,14 +12,14 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Id {
     pub(crate) number: u16,
-    pub(crate) life: u64,
+    pub(crate) incarnation: u64,
 }
 
 impl Identity for Id {
     type Addr = u16;
 
     fn renew(&self) -> Option<Self> {
-        Some(Self { number: self.number, life: self.life.checked_add(1)? })
+        Some(Self { number: self.number, incarnation: self.incarnation.checked_add(1)? })
     }
 
     fn addr(&self) -> u16 {
@@ -27,7 +27,7 @@
     }
 
     fn win_addr_conflict(&self, adversary: &Self) -> bool {
-        self.life > adversary.life
+        self.incarnation > adversary.incarnation
     }
 }
 
--- a/crates/membership/tests/common/mod.rs
+++ b/crates/membership/tests/common/mod.rs
@@ -91,10 +91,15 @@
     }
 
     /// Starts a process of this number without memory; the first three are asked to let it in.
-    pub fn start(&mut self, number: usize, life: u64) {
+    pub fn start(&mut self, number: usize, incarnation: u64) {
         let seats =
             (0..self.all.len()).map(|n| (n as u16, MemberSlot { address: address(n), zone: (n % 3) as u16 }));
-        let me = Member { number: number as u16, life, address: address(number), zone: (number % 3) as u16 };
+        let me = Member {
+            number: number as u16,
+            incarnation,
+            address: address(number),
+            zone: (number % 3) as u16,
+        };
         let roster: Roster = seats.collect();
         let seed = self.random.u64(..);
         let process = &mut self.all[number];
@@ -239,15 +244,16 @@
     /// Who of those that live has a wrong view of those that live, their lives included.
     pub fn wrong(&self) -> Vec<usize> {
         let living = self.living();
-        let truth: BTreeSet<(u16, u64)> = living.iter().map(|&n| self.life(n)).collect();
-        let right =
-            |n: &usize| self.member(*n).members().map(|it| (it.number, it.life)).eq(truth.iter().copied());
+        let truth: BTreeSet<(u16, u64)> = living.iter().map(|&n| self.incarnation(n)).collect();
+        let right = |n: &usize| {
+            self.member(*n).members().map(|it| (it.number, it.incarnation)).eq(truth.iter().copied())
+        };
         living.into_iter().filter(|n| !right(n)).collect()
     }
 
-    fn life(&self, number: usize) -> (u16, u64) {
+    fn incarnation(&self, number: usize) -> (u16, u64) {
         let me = self.member(number).local_member();
-        (me.number, me.life)
+        (me.number, me.incarnation)
     }
 
     /// After how long all views were right for the first time, if within `span`.
--- a/crates/membership/tests/fleet.rs
+++ b/crates/membership/tests/fleet.rs
@@ -100,8 +100,10 @@
         fleet.log.clear();
         assert!(fleet.settles_within(2 * S).is_some(), "{} wrong", fleet.wrong().len());
         fleet.run(10 * S);
-        let renewed =
-            fleet.log.iter().any(|(_, n, it)| *n == 9 && matches!(it, Action::Renewed(me) if me.life > LIFE));
+        let renewed = fleet
+            .log
+            .iter()
+            .any(|(_, n, it)| *n == 9 && matches!(it, Action::Renewed(me) if me.incarnation > LIFE));
         assert!(renewed, "its owner sees its new life");
         assert_eq!(fleet.member(9).counters().suspicions, 0);
         assert_eq!(downs(&fleet), vec![]);
@@ -132,17 +134,17 @@
     fleet.run(15 * S);
     assert!(fleet.log.iter().any(|(_, n, it)| *n == 9 && *it == Action::Refuted));
     assert_eq!(downs(&fleet), vec![]);
-    assert_eq!(fleet.member(9).local_member().life, LIFE);
+    assert_eq!(fleet.member(9).local_member().incarnation, LIFE);
 }
 
 #[test]
 fn one_restarted_without_memory_replaces_its_ghost_also_where_its_clock_went_back() {
-    for life in [LIFE + S, LIFE - 30 * S] {
+    for incarnation in [LIFE + S, LIFE - 30 * S] {
         let mut fleet = Fleet::settled(30, 10);
-        fleet.start(7, life);
+        fleet.start(7, incarnation);
         assert!(fleet.settles_within(3 * S).is_some(), "{} wrong", fleet.wrong().len());
         fleet.run(10 * S);
-        assert!(fleet.member(7).local_member().life > LIFE);
+        assert!(fleet.member(7).local_member().incarnation > LIFE);
         assert_eq!(downs(&fleet), vec![]);
         let replaced =
             |it: &Action| matches!(it, Action::Down(ghost, DownReason::Superseded) if ghost.number == 7);
@@ -166,7 +168,7 @@
     }
     fleet.run(5 * S);
     assert_eq!(fleet.log, vec![]);
-    assert!(fleet.counts().iter().map(|it| it.old_life).sum::<u64>() > 0);
+    assert!(fleet.counts().iter().map(|it| it.stale_incarnation).sum::<u64>() > 0);
 }
 
 #[test]
--- a/crates/reservation/benches/cost.rs
+++ b/crates/reservation/benches/cost.rs
@@ -6,7 +6,7 @@
 use reservation::*;
 
 const HOUR: Micros = 3_600_000_000;
-const ME: Holder = Holder { number: 0, life: 1 };
+const ME: Holder = Holder { number: 0, incarnation: 1 };
 
 fn book() -> Book {
     let mut book = Book::default();
--- a/crates/reservation/src/lender.rs
+++ b/crates/reservation/src/lender.rs
@@ -64,7 +64,9 @@
             return;
         }
         ask.wants.truncate(MAX_WANTS);
-        let older = |known: &Known| known.ask.holder.life == ask.holder.life && known.ask.asked >= ask.asked;
+        let older = |known: &Known| {
+            known.ask.holder.incarnation == ask.holder.incarnation && known.ask.asked >= ask.asked
+        };
         if !self.asks.get(&ask.holder.number).is_some_and(older) {
             self.asks.insert(ask.holder.number, Known { ask, heard: now, fresh: true });
         }
@@ -79,7 +81,7 @@
 
     /// The own book has applied all up to `book.revision()`. After each entry.
     pub fn applied(&mut self, now: Micros, book: &Book) {
-        if book.state.turn == (self.me.life, self.count) {
+        if book.state.turn == (self.me.incarnation, self.count) {
             self.pending = None;
         }
         let revision = book.revision();
@@ -124,7 +126,7 @@
         self.count += 1;
         self.pending = Some(now);
         Some(Proposal::Slices(Slices {
-            turn: (self.me.life, self.count),
+            turn: (self.me.incarnation, self.count),
             lapsed,
             gone,
             renewals,
@@ -171,7 +173,7 @@
         let mut changes = Vec::new();
         for number in targets.keys().chain(booking.slices.keys()).copied().collect::<BTreeSet<_>>() {
             let Some(seat) = book.state.seats.get(&number) else { continue };
-            let holder = Holder { number, life: seat.life };
+            let holder = Holder { number, incarnation: seat.incarnation };
             let target = match self.asks.get(&number) {
                 Some(known) if known.ask.holder == holder => {
                     targets.get(&number).copied().unwrap_or_default()
--- a/crates/reservation/src/slices.rs
+++ b/crates/reservation/src/slices.rs
@@ -10,7 +10,7 @@
 /// Who sits at a number. A new life waits until the old one's lease is over, or both would use the number's parts.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub(crate) struct Seat {
-    pub(crate) life: u64,
+    pub(crate) incarnation: u64,
     pub(crate) asked: Micros,
     pub(crate) lease: Revision,
 }
@@ -95,11 +95,15 @@
         if holder.number >= MAX_HOLDERS {
             return false;
         }
-        let seat = self.state.seats.entry(holder.number).or_insert(Seat { life: holder.life, asked, lease });
-        if seat.life != holder.life || asked < seat.asked {
+        let seat = self.state.seats.entry(holder.number).or_insert(Seat {
+            incarnation: holder.incarnation,
+            asked,
+            lease,
+        });
+        if seat.incarnation != holder.incarnation || asked < seat.asked {
             return false;
         }
-        *seat = Seat { life: holder.life, asked, lease };
+        *seat = Seat { incarnation: holder.incarnation, asked, lease };
         true
     }
 
@@ -151,7 +155,7 @@
     }
 
     pub(crate) fn seat(&self, holder: Holder) -> Option<&Seat> {
-        self.state.seats.get(&holder.number).filter(|seat| seat.life == holder.life)
+        self.state.seats.get(&holder.number).filter(|seat| seat.incarnation == holder.incarnation)
     }
 
     /// Until when, on its own clock, what `holder` has of any booking counts for it.
--- a/crates/reservation/src/values.rs
+++ b/crates/reservation/src/values.rs
@@ -120,7 +120,7 @@
     /// Its place in the fleet file.
     pub number: u16,
     /// Drawn at its start.
-    pub life: u64,
+    pub incarnation: u64,
 }
 
 /// What a team asks for.
--- a/crates/reservation/tests/book.rs
+++ b/crates/reservation/tests/book.rs
@@ -91,7 +91,7 @@
 
 #[test]
 fn a_bucket_gives_its_rate_and_one_burst_and_says_when_to_come_back() {
-    let (mut book, me) = (Book::default(), Holder { number: 0, life: 3 });
+    let (mut book, me) = (Book::default(), Holder { number: 0, incarnation: 3 });
     book.apply(1, 1, &capacity(0, 64_000_000, vec![]));
     book.apply(2, 2, &Proposal::Fleet(1));
     book.apply(3, 3, &Proposal::Book(request(97, two(6_400_000, 0), &[(10, HOUR)])));
@@ -112,7 +112,7 @@
 #[test]
 fn what_is_given_up_and_an_ended_lifes_seat_are_free_only_once_a_lease_has_gone_by() {
     let (mut book, old, new) =
-        (Book::default(), Holder { number: 0, life: 3 }, Holder { number: 0, life: 4 });
+        (Book::default(), Holder { number: 0, incarnation: 3 }, Holder { number: 0, incarnation: 4 });
     let renew = |holder, lapsed| {
         let renewals = vec![Renewal { holder, asked: 1, applied: 0 }];
         Proposal::Slices(Slices { renewals, lapsed, ..Slices::default() })
@@ -134,7 +134,7 @@
 
 #[test]
 fn what_is_not_used_is_lent_to_all_within_a_second_and_comes_back_as_soon_as_it_is() {
-    let (mut book, me) = (Book::default(), Holder { number: 0, life: 3 });
+    let (mut book, me) = (Book::default(), Holder { number: 0, incarnation: 3 });
     book.apply(1, 1, &capacity(0, 64_000_000, vec![]));
     book.apply(2, 2, &Proposal::Fleet(1));
     book.apply(3, 3, &Proposal::Book(request(97, two(6_400_000, 0), &[(10, HOUR)])));
@@ -226,7 +226,7 @@
         book.apply(1, 1, &capacity(0, 400_000, vec![two(3, 3); 168]));
         book.apply(2, 2, &Proposal::Fleet(3));
         book.apply(3, 3, &Proposal::Book(request(0, two(1_000, 5), &[(10, HOUR), (2 * HOUR, 3 * HOUR)])));
-        let holder = Holder { number: 1, life: 8 };
+        let holder = Holder { number: 1, incarnation: 8 };
         let renewals = vec![Renewal { holder, asked: 5, applied: 3 }];
         let cuts = vec![Cut { booking: BookingId(0), holder, parts: Two::both(9) }];
         book.apply(4, 20, &Proposal::Slices(Slices { renewals, cuts, ..Slices::default() }));
--- a/crates/reservation/tests/golden.rs
+++ b/crates/reservation/tests/golden.rs
@@ -32,7 +32,7 @@
 
 /// Proposals of every form, some of them refused.
 fn proposals() -> Vec<Proposal> {
-    let holder = |number| Holder { number, life: 1_000 + u64::from(number) };
+    let holder = |number| Holder { number, incarnation: 1_000 + u64::from(number) };
     let capacity = |from, reads| Capacity { from, whole: two(reads, reads / 4), everyday: vec![two(10, 1)] };
     vec![
         Proposal::Capacity(capacity(0, 4_000)),
--- a/crates/reservation/tests/world/mod.rs
+++ b/crates/reservation/tests/world/mod.rs
@@ -124,7 +124,7 @@
         self.leader_skew = if self.loss > 0.0 { self.random.u64(..3) * SECOND } else { 0 };
         let node = &self.nodes[self.leader];
         self.lender = Lender::new(
-            Holder { life: self.random.u64(..), ..node.holder },
+            Holder { incarnation: self.random.u64(..), ..node.holder },
             node.clock(self.now),
             node.book.revision(),
         );
@@ -252,7 +252,7 @@
 
 impl Node {
     fn new(number: u16, random: &mut fastrand::Rng) -> Self {
-        let holder = Holder { number, life: random.u64(..) };
+        let holder = Holder { number, incarnation: random.u64(..) };
         let rate = 1.0 + (random.f64() - 0.5) / 1_001.0;
         let offset = random.u64(..1_000 * SECOND);
         let (book, admission) = (Book::default(), Admission::new(holder));
--- a/crates/spindlebeam/src/fleet.rs
+++ b/crates/spindlebeam/src/fleet.rs
@@ -87,10 +87,10 @@
     let (calls, calls_in) = mpsc::channel(CALLS);
     let (acted, acted_in) = mpsc::channel(RECORDS);
     let unix = Unix { clock, offset };
-    let life = unix.now(); // grows from start to start, but for clocks that go back: membership sees to these
+    let incarnation = unix.now(); // grows from start to start, but for clocks that go back: membership sees to these
     let program = xxhash_rust::xxh3::xxh3_64(PROGRAM.as_bytes());
     let configuration = file.hash;
-    let begin = Start { me: number, life, store, seed: seed ^ life };
+    let begin = Start { me: number, incarnation, store, seed: seed ^ incarnation };
     let thread = std::thread::Builder::new().name("fleet".into()).spawn(move || {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
         let part = Fleet::new(file, begin, clock.now());
@@ -109,7 +109,7 @@
         audit_events: acted,
         clock,
         number,
-        life,
+        incarnation,
         program,
         configuration,
     }))
