--- a/crates/decide/src/api.rs
+++ b/crates/decide/src/api.rs
@@ -2,7 +2,7 @@
 //!
 //! Plain data only. Times are integer microseconds on the caller's clock.
 
-pub use crate::endings::{Outcome, Reason};
+pub use crate::outcome::{Outcome, Reason};
 
 /// Microseconds: a span, or a point on the caller's clock.
 pub type Micros = u64;
--- a/crates/decide/src/endpoint_counts.rs
+++ b/crates/decide/src/endpoint_counts.rs
@@ -1,27 +1,30 @@
-//! What the decision module makes of the list as a whole, for those who ask it and decide nothing.
+//! Counts of the listed endpoints, for metrics. Nothing is decided by them.
 
 use crate::api::{Micros, Presence};
 use crate::policy::Router;
 
-/// Cache servers on the list.
+/// Counts of the cache endpoints on the list.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct EndpointCounts {
-    /// All of them.
+    /// All cache endpoints that are not gone.
     pub known: u64,
-    /// Those that a new request would not be sent to now: they drain, or were taken out of use for what they failed.
+    /// Those that no new request would be sent to now, because they drain or are ejected.
     pub excluded: u64,
 }
 
 impl Router {
-    /// Counts the cache servers on the list, the origin not among them.
+    /// Counts the listed cache endpoints; the origin is not among them.
     #[must_use]
     pub fn endpoint_counts(&self, now: Micros) -> EndpointCounts {
-        let listed = (0..)
-            .zip(&self.fleet.servers)
-            .filter(|(_, server)| !server.is_origin && server.entry.presence != Presence::Gone);
-        listed.fold(EndpointCounts::default(), |sum, (slot, _)| EndpointCounts {
-            known: sum.known + 1,
-            excluded: sum.excluded + u64::from(!self.fleet.usable(slot, now)),
-        })
+        let table = self.endpoint_table();
+        let mut counts = EndpointCounts::default();
+        for (slot, endpoint) in table.iter() {
+            if endpoint.is_origin || endpoint.entry.presence == Presence::Gone {
+                continue;
+            }
+            counts.known += 1;
+            counts.excluded += u64::from(!table.is_usable(slot, now));
+        }
+        counts
     }
 }
--- a/crates/decide/src/lib.rs
+++ b/crates/decide/src/lib.rs
@@ -58,10 +58,15 @@
 //! assert!(matches!(actions[0], Action::Forward { endpoint: EndpointId(99), .. }));
 //! ```
 #![forbid(unsafe_code)]
+#![warn(unreachable_pub)]
 
 pub mod api;
-mod endings;
+mod decaying_counter;
 pub mod endpoint_counts;
+mod endpoint_table;
+mod in_flight;
+mod key_table;
+mod latency_estimate;
+mod outcome;
 pub mod policy;
-mod records;
 pub mod settings;
--- /dev/null
+++ b/crates/decide/src/policy/outliers.rs
@@ -0,0 +1,114 @@
+//! Outlier detection: endpoints whose reads fail or are slow are ejected for a time.
+
+use super::attempts::HEDGE_DELAY_FRACTION;
+use super::context::Context;
+use super::endpoints::MIN_IN_FLIGHT_BOUND;
+use crate::api::{Micros, Outcome};
+use crate::endpoint_table::{Endpoint, EndpointTable, Health, Slot};
+use crate::latency_estimate::LatencyEstimate;
+
+const FULL_SPAN_US: Micros = 100_000; // an endpoint that rejected a read is out of bounds for this long
+const PERMITS_PER_QUICK_HIT: f64 = 1.2; // further sends in slow start for each quick hit ...
+const PERMITS_PER_QUICK_MISS: f64 = 0.55; // ... and for each quick miss
+const SILENCE_GAIN: f64 = 0.25; // weight of one timeout in an endpoint's smoothed silent share
+const CONNECT_GAIN: f64 = 0.5; // the same for a failed connection
+const FAULT_GAIN: f64 = 0.08; // the same for resets and bad answers: chance alone must not eject
+const MAX_SILENT_SHARE: f64 = 0.45; // smoothed silent share that ejects
+const MAX_FAULT_SHARE: f64 = 0.4; // smoothed fault share that ejects: one that serves most is worth keeping
+const HEALTHY_SILENT_SHARE: f64 = 0.05; // below both of these shares earlier ejections are forgotten
+const HEALTHY_FAULT_SHARE: f64 = 0.1;
+const RETURNED_FRACTION: f64 = 0.5; // of the thresholds: the shares of an endpoint that returns from ejection
+const EJECTION_US: Micros = 1_000_000; // the first ejection; doubles with each failed trial ...
+const MAX_DOUBLINGS: u32 = 3; // ... this many times at most
+const SLOW_FACTOR: f64 = 3.0; // an answer is a fault beyond this multiple of the median and the hedge delay
+const MAX_FAULT_EJECTED: f64 = 0.2; // of the endpoints at a time for faults: the rest bears their load
+const MAX_SILENT_EJECTED: f64 = 0.34; // of the endpoints at a time without proof of unreachability
+
+/// Passive health checks: learns from the outcomes of reads.
+#[derive(Debug, Default)]
+pub(super) struct OutlierDetector {
+    latency: LatencyEstimate,
+}
+
+impl OutlierDetector {
+    /// Creates a detector for answers with this latency objective.
+    pub(super) fn new(latency: LatencyEstimate) -> Self {
+        Self { latency }
+    }
+
+    /// Records what a read's outcome says of its endpoint, and ejects the endpoint if it fails too often.
+    pub(super) fn record(
+        &mut self, table: &mut EndpointTable, slot: Slot, outcome: Outcome, latency_us: Micros,
+        context: &mut Context,
+    ) {
+        let endpoint = &mut table[slot];
+        endpoint.count_outcome(outcome);
+        let late = self.is_late(endpoint, latency_us);
+        if matches!(outcome, Outcome::Ok | Outcome::Miss) {
+            self.latency.observe(latency_us);
+            endpoint.has_answered = true;
+            endpoint.health.silent_share *= 1.0 - SILENCE_GAIN;
+        }
+        let health = &mut endpoint.health;
+        match outcome {
+            Outcome::Ok | Outcome::Miss if !late => self.record_success(endpoint, outcome, latency_us),
+            Outcome::NotSent | Outcome::Cancelled => {}
+            Outcome::Rejected => health.full_until = context.now + FULL_SPAN_US,
+            Outcome::Timeout => health.silent_share += (1.0 - health.silent_share) * SILENCE_GAIN,
+            Outcome::ConnectFailed => health.silent_share += (1.0 - health.silent_share) * CONNECT_GAIN,
+            // An error, a broken connection, or an answer too late: guards the keys of a slow endpoint.
+            _ => health.fault_share += (1.0 - health.fault_share) * FAULT_GAIN,
+        }
+        eject_if_faulty(table, slot, outcome, context);
+    }
+
+    /// Whether an answer is late by the endpoint's own fault: few of our reads were in its way, and others
+    /// are quick.
+    fn is_late(&self, endpoint: &Endpoint, latency_us: Micros) -> bool {
+        let slow_us = self.hedge_delay_us().max(SLOW_FACTOR * self.latency.median_us());
+        (latency_us as f64).min(self.latency.objective_us()) > slow_us
+            && f64::from(endpoint.in_flight()) < MIN_IN_FLIGHT_BOUND
+    }
+
+    /// Records an answer that was not late.
+    fn record_success(&self, endpoint: &mut Endpoint, outcome: Outcome, latency_us: Micros) {
+        let health = &mut endpoint.health;
+        health.fault_share *= 1.0 - FAULT_GAIN;
+        if (latency_us as f64) < self.latency.median_us().min(self.hedge_delay_us()) {
+            let hit = outcome == Outcome::Ok;
+            endpoint.slow_start.permits += if hit { PERMITS_PER_QUICK_HIT } else { PERMITS_PER_QUICK_MISS };
+        }
+        if health.ejected_until > 0 {
+            // An endpoint that fails intermittently is soon ejected again, and for longer.
+            health.ejected_until = 0;
+            health.silent_share = RETURNED_FRACTION * MAX_SILENT_SHARE;
+            health.fault_share = health.fault_share.min(RETURNED_FRACTION * MAX_FAULT_SHARE);
+        } else if health.silent_share < HEALTHY_SILENT_SHARE && health.fault_share < HEALTHY_FAULT_SHARE {
+            health.ejections = 0;
+        }
+    }
+
+    fn hedge_delay_us(&self) -> f64 {
+        HEDGE_DELAY_FRACTION * self.latency.objective_us()
+    }
+}
+
+/// Ejects the endpoint when its health is beyond a threshold and enough others are in use.
+fn eject_if_faulty(table: &mut EndpointTable, slot: Slot, outcome: Outcome, context: &mut Context) {
+    let Health { silent_share, fault_share, ejected_until, .. } = table[slot].health;
+    let silent = silent_share > MAX_SILENT_SHARE;
+    if (!silent && fault_share <= MAX_FAULT_SHARE) || context.now < ejected_until {
+        return;
+    }
+    // When many look bad, the origin or the network is: only proof of unreachability ejects more.
+    let unreachable = outcome == Outcome::ConnectFailed;
+    let ejected = table.iter().filter(|(other, endpoint)| *other != slot && endpoint.is_ejected()).count();
+    let max_ejected = if silent { MAX_SILENT_EJECTED } else { MAX_FAULT_EJECTED };
+    let ready = table.ready();
+    if unreachable || (ready > 1 && (ejected as f64) < f64::from(ready) * max_ejected) {
+        let health = &mut table[slot].health;
+        let span_us = EJECTION_US << health.ejections.min(MAX_DOUBLINGS);
+        health.ejected_until = context.now + span_us + context.rng.u64(0..=span_us / 2);
+        health.ejections += 1;
+    }
+}
