--- a/crates/decide/tests/fleet.rs
+++ b/crates/decide/tests/endpoints.rs
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn balancers_that_share_nothing_choose_the_same_server_for_a_key() {
+fn balancers_that_share_nothing_choose_the_same_endpoint_for_a_key() {
     let (mut a, mut b) = (Rig::new(settings(), 1, 9), Rig::new(settings(), 2, 9));
     b.list(ListKind::Full, (1..=9).rev().chain([ORIGIN]).map(server).collect()); // in another order
     let (a, b) = (homes(&mut a, 0..300, 1), homes(&mut b, 0..300, 1));
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn few_keys_move_when_the_fleet_changes() {
+fn few_keys_move_when_the_endpoints_change() {
     let mut rig = Rig::new(settings(), 1, 10);
     let before = homes(&mut rig, 0..1_000, 1);
     rig.list(ListKind::Delta, vec![EndpointEntry { presence: Presence::Gone, ..server(4) }]);
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn heavier_servers_have_more_keys() {
+fn heavier_endpoints_have_more_keys() {
     let mut rig = Rig::new(Settings { weights_are_lasting: true, ..settings() }, 1, 2);
     rig.list(ListKind::Delta, vec![EndpointEntry { weight: 3.0, ..server(2) }]);
     let share = homes(&mut rig, 0..2_000, 1).values().filter(|&&s| s == 2).count();
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn a_key_moves_only_when_its_server_leaves_bounds() {
+fn key_moves_only_when_its_endpoint_leaves_its_bounds() {
     let mut rig = Rig::new(settings(), 1, 8);
     let home = rig.sent_to(request(1, 0, 5)).unwrap();
     let first_other = (2..40).find(|&id| rig.sent_to(request(id, 0, 5)).is_some_and(|s| s != home));
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn a_hot_key_is_spread_over_several_servers_and_a_cool_one_is_not() {
+fn hot_key_is_spread_over_several_endpoints_and_another_is_not() {
     let mut rig = Rig::new(settings(), 1, 20);
     let mut hot = BTreeSet::new();
     let mut cool = BTreeSet::new();
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn one_of_a_hundred_balancers_spreads_a_key_that_it_sees_but_a_few_times() {
+fn one_of_a_hundred_balancers_spreads_a_key_that_it_sees_a_few_times() {
     // Sixty servers, fifteen reads a second: a key with a twentieth of all reads is worth three servers' part.
     let mut rig = Rig::new(Settings { balancers: 100, ..settings() }, 1, 60);
     let mut hot = BTreeSet::new();
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn a_full_server_is_passed_over_for_a_moment() {
+fn endpoint_that_rejected_a_read_is_avoided_for_a_moment() {
     let mut rig = Rig::new(settings(), 1, 5);
     let home = rig.sent_to(request(1, 0, 5)).unwrap();
     let next = sends(&rig.end(1, 0, Outcome::Rejected));
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn nothing_is_sent_to_a_server_that_drains_or_is_gone_held_fetches_included() {
+fn nothing_is_sent_to_an_endpoint_that_drains_or_is_gone_waiting_fetches_included() {
     for presence in [Presence::Draining, Presence::Gone] {
         let mut rig = Rig::new(settings(), 1, 3);
         rig.miss(1, 0, 11);
@@ -125,14 +125,14 @@
 }
 
 #[test]
-fn a_server_absent_from_a_whole_list_is_gone() {
+fn endpoint_absent_from_a_complete_list_is_gone() {
     let mut rig = Rig::new(settings(), 1, 3);
     rig.list(ListKind::Full, [1, 3, ORIGIN].map(server).to_vec());
     assert!(homes(&mut rig, 0..100, 1).values().all(|&s| s != 2));
 }
 
 #[test]
-fn a_cold_server_gets_its_ramped_share_even_of_one_hot_key_and_more_only_while_it_is_quick() {
+fn endpoint_in_slow_start_gets_its_ramped_share_even_of_one_hot_key_and_more_only_while_it_is_quick() {
     let mut rig = Rig::new(settings(), 1, 9);
     timed(&mut rig, 20_000..20_400, |_| 30);
     let cold = EndpointEntry { online_since: rig.now, ..server(10) };
@@ -160,7 +160,7 @@
 }
 
 #[test]
-fn a_fleet_that_is_all_cold_is_not_sent_everything() {
+fn endpoints_all_in_slow_start_are_not_sent_everything() {
     let mut rig = Rig::new(settings(), 1, 0);
     let now = rig.now;
     rig.list(ListKind::Delta, (1..=10).map(|id| EndpointEntry { online_since: now, ..server(id) }).collect());
@@ -177,7 +177,7 @@
 }
 
 #[test]
-fn a_restarted_server_warms_up_again() {
+fn restarted_endpoint_warms_up_again() {
     let mut rig = Rig::new(settings(), 1, 4);
     let before = homes(&mut rig, 0..400, 1).values().filter(|&&s| s == 2).count();
     let again = EndpointEntry { online_since: rig.now, ..server(2) };
@@ -204,7 +204,7 @@
 }
 
 #[test]
-fn hosts_that_drain_do_not_count_among_those_that_faults_took_out() {
+fn draining_endpoints_do_not_count_as_ejected() {
     let (mut rig, _) = after_failures(Rig::new(settings(), 1, 10), 1..=2, Outcome::ConnectFailed);
     rig.list(
         ListKind::Delta,
@@ -215,7 +215,7 @@
 }
 
 #[test]
-fn a_failing_server_is_taken_out_and_tried_again_later() {
+fn failing_endpoint_is_ejected_and_tried_again_later() {
     for outcome in [Outcome::Error, Outcome::Timeout, Outcome::ConnectFailed] {
         let (mut rig, used) = after_failures(Rig::new(settings(), 1, 9), 3..=3, outcome);
         assert!(!used.contains(&3) && used.len() == 8, "{outcome:?}: {used:?}");
@@ -240,7 +240,7 @@
 }
 
 #[test]
-fn a_server_that_answers_far_slower_than_the_fleet_is_taken_out_until_it_is_quick_again() {
+fn endpoint_far_slower_than_the_others_is_ejected_until_it_is_quick_again() {
     let mut rig = Rig::new(settings(), 1, 9);
     timed(&mut rig, 0..400, |_| 30);
     timed(&mut rig, 400..800, |to| if to == 3 { 280 } else { 30 });
@@ -253,7 +253,7 @@
 }
 
 #[test]
-fn slowness_takes_none_out_where_all_are_slow_and_a_fifth_at_most_where_many_are() {
+fn slowness_ejects_none_where_all_are_slow_and_a_fifth_at_most_where_many_are() {
     let mut rig = Rig::new(settings(), 1, 9);
     timed(&mut rig, 0..400, |_| 180);
     let jammed = timed(&mut rig, 400..800, |to| if to == 3 { 600 } else { 180 });
@@ -274,7 +274,7 @@
 }
 
 #[test]
-fn when_most_servers_fail_few_are_taken_out_unless_they_cannot_be_reached() {
+fn when_most_endpoints_fail_few_are_ejected_unless_they_are_unreachable() {
     let (_, used) = after_failures(Rig::new(settings(), 1, 9), 1..=8, Outcome::Timeout);
     assert!(used.len() >= 5, "time-outs everywhere: suspect the origin or the network: {used:?}");
     let (_, used) = after_failures(Rig::new(settings(), 1, 9), 1..=8, Outcome::ConnectFailed);
@@ -282,7 +282,7 @@
 }
 
 #[test]
-fn a_dear_crossing_keeps_keys_in_the_zone() {
+fn expensive_cross_zone_attempts_keep_keys_in_the_zone() {
     let zoned = Settings { zones: 2, cross_zone_price: 0.2, ..settings() };
     let mut rig = Rig::new(zoned, 1, 0);
     let zone = |id: u64| EndpointEntry { zone: ZoneId((id % 2) as u8), ..server(id) };
@@ -291,7 +291,7 @@
 }
 
 #[test]
-fn discovery_is_asked_once_and_again_after_a_failure_with_growing_waits() {
+fn discovery_is_polled_again_after_a_failure_with_backoff() {
     let ask = Settings { discovery: Discovery::Poll, max_poll_interval_us: 8_000 * MS, ..settings() };
     let mut rig = Rig::new(ask, 1, 0);
     let mut actions = rig.list(ListKind::Cached, vec![server(1)]);
@@ -312,7 +312,7 @@
 }
 
 #[test]
-fn the_same_events_bring_the_same_actions() {
+fn same_events_and_seed_give_the_same_actions() {
     let run = || {
         let mut rig = Rig::new(settings(), 42, 7);
         let mut log = Vec::new();
@@ -327,7 +327,7 @@
 }
 
 #[test]
-fn what_is_held_and_how_it_ended_is_told_once_and_parts_move_keys_of_that_server_alone() {
+fn load_is_reported_once_and_weight_factors_move_keys_of_that_endpoint_only() {
     let mut rig = Rig::new(settings(), 1, 9);
     let before = homes(&mut rig, 0..600, 1);
     rig.feed(Event::PublishLoad);
--- a/crates/decide/tests/limiter.rs
+++ b/crates/decide/tests/limiter.rs
@@ -8,7 +8,7 @@
 const MS: u64 = 1_000;
 
 #[test]
-fn cold_start_costs_the_area_under_the_slope_and_the_next_caller_pays() {
+fn cold_start_costs_the_area_under_the_slope_and_the_next_caller_waits_for_it() {
     let mut limiter = WarmUpLimiter::new(20.0, 0);
     assert_eq!(limiter.reserve(0), 0, "the first caller waits for nothing");
     // From 10 stored permits to 9: 5 and 4 above the threshold, (150 + 130) / 2 = 140 ms.
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn a_permit_is_split_between_the_slope_and_the_level() {
+fn permit_is_split_between_the_slope_and_the_level() {
     let mut limiter = WarmUpLimiter::new(20.0, 0);
     for _ in 0..10 {
         limiter.reserve(0);
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn a_refused_reservation_takes_no_permit() {
+fn rejected_reservation_takes_no_permit() {
     let mut limiter = WarmUpLimiter::new(20.0, 0);
     limiter.reserve(0);
     assert_eq!(limiter.try_reserve(0, 139 * MS), None);
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn a_rate_change_keeps_the_fill_and_the_debt() {
+fn rate_change_keeps_the_fill_and_the_debt() {
     let mut limiter = WarmUpLimiter::new(20.0, 0);
     for _ in 0..5 {
         limiter.reserve(0);
--- a/crates/decide/tests/requests.rs
+++ b/crates/decide/tests/requests.rs
@@ -5,7 +5,7 @@
 use decide::api::*;
 
 #[test]
-fn a_miss_is_fetched_and_later_ones_are_held_for_their_reserved_time() {
+fn miss_is_fetched_and_later_misses_wait_for_their_reserved_time() {
     let mut rig = Rig::new(settings(), 1, 3);
     assert_eq!(sends(&rig.miss(1, 0, 11)), [ORIGIN], "the first permit is free at once");
     let held = rig.miss(2, 0, 12);
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn a_fetch_beyond_its_time_left_is_refused_as_the_miss_is_answered() {
+fn fetch_beyond_its_time_left_is_rejected_at_the_miss() {
     let mut rig = Rig::new(settings(), 1, 3);
     let first_refusal = (1..200).find(|&id| refused(&rig.miss(id, 0, 100 + id)));
     assert!(
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn low_worth_is_refused_first() {
+fn low_weight_is_rejected_first() {
     let mut rig = Rig::new(settings(), 1, 3);
     rig.miss(1, 0, 11);
     let (low, high) = (rig.miss(2, 3, 12), rig.miss(3, 0, 13));
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn a_tenant_beyond_its_quota_counts_as_low_worth() {
+fn tenant_beyond_its_quota_counts_as_low_weight() {
     let mut tenants = settings();
     tenants.tenants = vec![Tenant { quota_per_s: 1.0 }, Tenant { quota_per_s: 1e6 }];
     tenants.over_quota_weight = 0.1;
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn one_fetch_a_key_the_others_wait_and_read_what_it_stored() {
+fn fetches_of_a_key_are_coalesced_and_waiters_read_the_stored_value() {
     let mut rig = Rig::new(settings(), 1, 3);
     let home = rig.sent_to(request(1, 0, 7));
     rig.ask(request(2, 0, 7));
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn when_the_fetch_fails_one_of_those_who_wait_leads_the_next() {
+fn waiter_leads_the_next_fetch_when_one_fails() {
     let mut rig = Rig::new(settings(), 1, 3);
     for id in 1..4 {
         rig.ask(request(id, 0, 7));
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn every_request_is_answered_once_even_if_no_answer_ever_comes() {
+fn every_request_is_answered_once_even_without_any_outcome() {
     let mut rig = Rig::new(settings(), 1, 3);
     rig.miss(1, 0, 7);
     let waiting = rig.miss(2, 0, 7);
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn a_held_fetch_of_a_client_that_left_is_not_sent() {
+fn waiting_fetch_of_a_client_that_left_is_not_sent() {
     let mut rig = Rig::new(settings(), 1, 3);
     rig.miss(1, 0, 11);
     let held = rig.miss(2, 0, 12);
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn a_second_copy_that_ends_while_the_fetch_is_out_does_not_lose_the_request() {
+fn hedge_that_ends_during_the_fetch_does_not_lose_the_request() {
     // Found on the bench: the copy's end was passed over for good once the fetch had failed.
     let mut rig = Rig::new(Settings { hedged_requests: true, max_attempts: 3, ..settings() }, 1, 3);
     let sent = rig.ask(request(1, 0, 7));
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn without_second_copies_no_two_attempts_are_out() {
+fn without_hedging_no_two_attempts_are_outstanding() {
     let mut rig = Rig::new(settings(), 1, 3);
     let sent = rig.ask(request(1, 0, 7));
     assert!(
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn writes_go_to_the_origin_unheld_but_take_a_permit() {
+fn write_goes_to_the_origin_at_once_but_takes_a_permit() {
     let mut rig = Rig::new(settings(), 1, 3);
     assert_eq!(sends(&rig.ask(write(1, 2))), [ORIGIN]);
     assert_eq!(sends(&rig.ask(write(2, 2))), [ORIGIN]);
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn a_fragile_request_that_may_have_run_is_neither_repeated_nor_refused() {
+fn non_idempotent_request_that_may_have_run_is_neither_retried_nor_rejected() {
     for outcome in [Outcome::Error, Outcome::Timeout, Outcome::Reset] {
         let mut rig = Rig::new(settings(), 1, 3);
         rig.ask(write(1, 2));
@@ -143,7 +143,7 @@
 }
 
 #[test]
-fn a_fragile_request_that_never_ran_is_tried_again() {
+fn non_idempotent_request_that_never_ran_is_retried() {
     for outcome in [Outcome::Rejected, Outcome::ConnectFailed] {
         let mut rig = Rig::new(settings(), 1, 3);
         rig.ask(write(1, 2));
@@ -154,7 +154,7 @@
 }
 
 #[test]
-fn a_keyed_repeat_stays_inside_its_window() {
+fn retry_with_idempotency_key_stays_inside_its_span() {
     let mut rig = Rig::new(settings(), 1, 3);
     rig.ask(write(1, 1));
     rig.now += 50 * MS;
@@ -170,7 +170,7 @@
 }
 
 #[test]
-fn a_keyed_request_of_one_zone_is_not_refused_once_it_may_have_run() {
+fn request_with_zone_scoped_key_is_not_rejected_once_it_may_have_run() {
     let mut rig = Rig::new(settings(), 1, 3);
     rig.ask(write(1, 4));
     rig.now += 450 * MS;
@@ -178,7 +178,7 @@
 }
 
 #[test]
-fn a_keyed_repeat_stays_inside_its_zone() {
+fn retry_with_zone_scoped_key_stays_inside_its_zone() {
     // In through mode writes go to cache servers, of which only one other is in the zone of the first.
     let through = Settings { mode: Mode::ReadThrough, ..settings() };
     for seed in 0..20 {
@@ -193,7 +193,7 @@
 }
 
 #[test]
-fn the_retry_budget_bounds_repeats() {
+fn retry_budget_bounds_retries() {
     let mut rig = Rig::new(settings(), 1, 5);
     let repeats: usize = (1..=200)
         .map(|id| {
@@ -205,7 +205,7 @@
 }
 
 #[test]
-fn a_try_is_cut_short_only_with_its_repeat_set_aside() {
+fn attempt_is_cut_short_only_with_a_reserved_retry() {
     // Found on real sockets: more tries were cut than could be repeated, and the rest refused for want of a repeat.
     let mut rig = Rig::new(settings(), 1, 40);
     let cut: Vec<u64> = (1..=30)
@@ -234,7 +234,7 @@
 }
 
 #[test]
-fn only_a_try_that_looks_lost_is_cut() {
+fn only_an_attempt_that_looks_lost_is_cut_short() {
     // Found on real sockets: most tries that took long were at servers that were only slow.
     for overtaken in [true, false] {
         let mut rig = Rig::new(Settings { cancel: true, ..settings() }, 1, 3);
@@ -263,7 +263,7 @@
 }
 
 #[test]
-fn a_read_whose_fetch_was_spoilt_takes_a_further_permit() {
+fn read_whose_fetch_broke_takes_a_further_permit() {
     for outcome in [Outcome::Error, Outcome::Reset] {
         let mut rig = Rig::new(settings(), 1, 3);
         assert_eq!(sends(&rig.miss(1, 0, 7)), [ORIGIN]);
@@ -274,7 +274,7 @@
 }
 
 #[test]
-fn a_low_fetch_within_the_tick_is_no_wait() {
+fn low_priority_fetch_within_the_tick_is_no_wait() {
     let fetch = |tick_us| {
         let mut rig = Rig::new(Settings { tick_us, ..settings() }, 1, 3);
         rig.miss(1, 0, 11);
@@ -284,7 +284,7 @@
 }
 
 #[test]
-fn a_server_that_fails_by_fits_and_starts_is_soon_out_again() {
+fn endpoint_that_fails_intermittently_is_soon_ejected_again() {
     let mut rig = Rig::new(settings(), 1, 4);
     let mut keys = Vec::new(); // of this server; none is asked often enough to be spread
     while keys.len() < 20 {
@@ -332,7 +332,7 @@
 }
 
 #[test]
-fn a_server_that_answers_most_requests_stays_in_use_and_one_that_answers_few_does_not() {
+fn endpoint_that_answers_most_requests_stays_in_use_and_one_that_answers_few_does_not() {
     // Seen on a day of resets: six of twelve servers failed a quarter of their tries and were put out of use.
     assert_eq!(reads_at_the_first(4, Outcome::Error, false), 200);
     assert_eq!(reads_at_the_first(4, Outcome::Reset, false), 200);
@@ -345,7 +345,7 @@
 }
 
 #[test]
-fn a_read_lost_with_a_stale_connection_goes_to_the_same_server_again_and_a_folio_nowhere() {
+fn read_lost_with_a_stale_connection_goes_to_the_same_endpoint_again_and_a_non_idempotent_one_nowhere() {
     let mut rig = Rig::new(settings(), 1, 4);
     let first = rig.sent_to(request(1, 0, 7)).unwrap();
     let again = sends(&rig.end_flagged(1, 0, Outcome::Reset, true));
@@ -360,7 +360,7 @@
 }
 
 #[test]
-fn failures_without_load_do_not_use_up_the_budget_for_repeats() {
+fn failures_without_load_do_not_use_up_the_retry_budget() {
     let repeats = |outcome| {
         let mut rig = Rig::new(settings(), 1, 5);
         let repeated = (1..=200).filter(|&id| {
@@ -376,7 +376,7 @@
 }
 
 #[test]
-fn a_burst_upon_an_idle_fleet_is_no_overload_and_one_that_gets_no_answers_is() {
+fn burst_on_idle_endpoints_is_no_overload_and_one_without_answers_is() {
     let mut rig = Rig::new(settings(), 1, 12);
     let burst = |rig: &mut Rig, from: u64| {
         let asked = (from..from + 32).map(|id| rig.ask(request(id, 0, id)));
@@ -391,7 +391,7 @@
 }
 
 #[test]
-fn every_refusal_says_why() {
+fn every_rejection_has_its_reason() {
     let why = |actions: Vec<Action>| {
         actions.into_iter().find_map(|action| match action {
             Action::Reject { reason, .. } | Action::Fail { reason, .. } => Some(reason.label()),
@@ -414,7 +414,7 @@
 }
 
 #[test]
-fn reads_are_shed_when_those_in_flight_would_miss_their_aim() {
+fn reads_are_shed_when_those_in_flight_would_miss_their_objective() {
     let mut rig = Rig::new(settings(), 1, 5);
     let shed = (1..=500).filter(|&id| refused(&rig.ask(request(id, 0, id)))).count();
     assert!(shed > 300, "five hundred out and none answered: {shed}");
@@ -426,7 +426,7 @@
 }
 
 #[test]
-fn a_jammed_server_does_not_shut_out_reads_of_an_idle_one() {
+fn overloaded_endpoint_does_not_shut_out_reads_of_an_idle_one() {
     // Found in incident i115d1f: a few hot servers held most of what was in flight, and closed the gate for all.
     let mut rig = Rig::new(settings(), 1, 5);
     let mut free = 0;
@@ -445,7 +445,7 @@
 }
 
 #[test]
-fn the_most_urgent_class_is_not_shed_before_a_patient_one() {
+fn most_urgent_class_is_not_shed_before_a_less_urgent_one() {
     let mut mixed = settings();
     mixed.classes[3] =
         Class { latency_objective_us: 1_000 * MS, priority_weight: 3.0, ..mixed.classes[3].clone() };
@@ -463,7 +463,7 @@
 }
 
 #[test]
-fn ids_that_are_late_repeated_or_unknown_are_ignored() {
+fn late_repeated_and_unknown_ids_are_ignored() {
     let mut rig = Rig::new(settings(), 1, 3);
     assert_eq!(rig.end(77, 0, Outcome::Ok), []);
     assert_eq!(rig.feed(Event::ClientLeft(RequestId(77))), []);
@@ -477,7 +477,7 @@
 }
 
 #[test]
-fn a_started_stream_is_left_to_its_client() {
+fn started_stream_is_left_to_its_client() {
     // Found by the wire's drill: the module cancelled the stream itself, and the client had no answer.
     let mut rig = Rig::new(Settings { hedged_requests: true, cancel: true, ..settings() }, 1, 3);
     let sent = rig.ask(request(1, 0, 7));
@@ -487,7 +487,7 @@
 }
 
 #[test]
-fn the_loser_of_two_copies_is_cancelled_where_that_is_permitted() {
+fn losing_hedge_is_cancelled_where_that_is_permitted() {
     let mut rig = Rig::new(Settings { hedged_requests: true, cancel: true, ..settings() }, 1, 3);
     let sent = rig.ask(request(1, 0, 7));
     rig.pass(250 * MS, &sent);
@@ -496,7 +496,7 @@
 }
 
 #[test]
-fn without_servers_or_origin_each_request_still_has_its_answer() {
+fn every_request_is_answered_without_endpoints_or_origin() {
     let mut rig = Rig { router: decide::policy::Router::new(settings(), 1, 0), now: 0 };
     assert!(refused(&rig.ask(request(1, 0, 7))), "no list yet");
     rig.list(ListKind::Full, vec![]);
@@ -507,7 +507,7 @@
 }
 
 #[test]
-fn the_rate_rises_while_the_limiter_binds_and_fetches_are_good_and_falls_when_they_fail() {
+fn fetch_rate_rises_while_the_limiter_binds_and_fetches_are_good_and_falls_when_they_fail() {
     // Fetches a second that a steady flow of misses gets through, before and after a spell of outcomes.
     let fetched = |outcome: Option<Outcome>| {
         let mut rig = Rig::new(Settings { balancers: 4, ..settings() }, 1, 4);
@@ -534,7 +534,7 @@
 }
 
 #[test]
-fn a_lone_bad_fetch_does_not_cut_the_rate() {
+fn single_bad_fetch_does_not_cut_the_rate() {
     // Found on real sockets: any bad one brought the smoothed share above its bound, however long ago the last was.
     let wait_after = |last: Outcome| {
         let mut rig = Rig::new(settings(), 1, 4);
@@ -557,7 +557,7 @@
 }
 
 #[test]
-fn the_origins_connections_are_kept_after_one_bad_fetch_but_not_while_it_fails() {
+fn idle_origin_connections_are_kept_after_one_bad_fetch_but_not_while_it_fails() {
     // Found on real sockets: one late fetch had each of the next ten dial anew, half of all connections.
     let mut rig = Rig::new(settings(), 1, 3);
     let mut closed = |id: u64, outcome| {
@@ -571,7 +571,7 @@
 }
 
 #[test]
-fn a_fetch_that_a_jammed_cache_server_made_late_cuts_no_rate_where_there_are_many_balancers() {
+fn fetch_that_a_slow_cache_node_delayed_cuts_no_rate_with_many_balancers() {
     // Every answer of the origin comes after the aim: of quick fetches after late misses, or of slow fetches.
     let wait_after = |miss_ms: u64, fetch_ms: u64| {
         let mut rig = Rig::new(Settings { balancers: 100, ..settings() }, 1, 60);
--- a/crates/decide/tests/settings.rs
+++ b/crates/decide/tests/settings.rs
@@ -3,7 +3,7 @@
 use decide::api::Settings;
 
 #[test]
-fn what_tips_a_cold_server_over_is_read_and_never_less_than_it_can_do() {
+fn overload_multiple_is_read_and_never_less_than_one() {
     let read = |text: &str| text.parse::<Settings>().map(|it| (it.overload_multiple, it.overload_window_us));
     assert_eq!(read(""), Ok((3.0, 1_000_000)), "where nothing is said");
     assert_eq!(read("rules.fallMultiple=2.5\nrules.tipAfterUs=3000000"), Ok((2.5, 3_000_000)));
