--- a/crates/decide/src/api.rs
+++ b/crates/decide/src/api.rs
@@ -7,15 +7,15 @@
 /// Microseconds: a span, or a point on the caller's clock.
 pub type Micros = u64;
 
-/// A request, named by the caller; returned unmodified.
+/// A request, identified by the caller; returned unmodified.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct RequestId(pub u64);
 
-/// A cache server or the origin, named by the caller; opaque.
+/// A cache node or the origin, identified by the caller; opaque.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct EndpointId(pub u64);
 
-/// What a request is about; requests that share a key read the same kept copy.
+/// What a request reads or writes; requests that share a key read the same cached value.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Key(pub u64);
 
@@ -31,33 +31,33 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ZoneId(pub u8);
 
-/// A cell: a small set of servers that remember the same request keys.
+/// A cell: a small set of endpoints that share their memory of idempotency keys.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct CellId(pub u16);
 
-/// A timer, named by the module; hand it back in [`Event::Timer`].
+/// A timer, identified by the module; the caller returns it in [`Event::Timer`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Token(pub u64);
 
-/// Which servers drop a repeat of a keyed request.
+/// Which endpoints drop a repeat of a request with an idempotency key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DedupScope {
-    /// Every server.
+    /// Every endpoint.
     All,
-    /// Those in the zone of the first server.
+    /// Those in the zone of the endpoint that it was first sent to.
     Zone,
-    /// Those in the cell of the first server.
+    /// Those in the cell of the endpoint that it was first sent to.
     Cell,
 }
 
 /// What a repeat of a request may do.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Effect {
-    /// Safe to repeat.
+    /// A repeat changes nothing.
     Idempotent,
     /// Repeats are dropped inside `scope`, for `span_us` after the first send that may have run.
     IdempotentWithKey {
-        /// Who drops the repeats.
+        /// Which endpoints drop the repeats.
         scope: DedupScope,
         /// For how long.
         span_us: Micros,
@@ -69,29 +69,29 @@
 /// A class of requests.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Class {
-    /// An answer within this time earns the full worth.
+    /// An answer within this time has the full weight.
     pub latency_objective_us: Micros,
-    /// The longest a client waits, over all its tries.
+    /// The longest a client waits, over all its attempts.
     pub deadline_us: Micros,
-    /// Worth of one request (or of one unit of its work).
+    /// Weight of one request (or of one unit of its work).
     pub priority_weight: f64,
-    /// Part of the worth that an answer after the aim still earns.
+    /// Fraction of the weight that an answer after the objective still has.
     pub late_weight: f64,
     /// What a repeat may do.
     pub effect: Effect,
 }
 
-/// A tenant's share.
+/// A tenant.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Tenant {
-    /// Requests a second within its share, over all instances.
+    /// Requests a second within its quota, over all instances.
     pub quota_per_s: f64,
 }
 
-/// How the server list is learned.
+/// How changes of the endpoint list arrive.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Discovery {
-    /// Changes arrive unasked.
+    /// Changes are pushed.
     Push,
     /// Changes arrive only after [`Action::Watch`].
     Poll,
@@ -104,14 +104,14 @@
     Off,
     /// With every answer.
     Inline,
-    /// With probe results alone.
+    /// With the results of health checks only.
     OnProbe,
 }
 
-/// How a cache server treats a key that it lacks.
+/// How a cache node treats a key that it lacks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Mode {
-    /// It answers [`Outcome::Miss`]; the module asks the origin. Writes go to the origin.
+    /// It answers [`Outcome::Miss`], and the module fetches from the origin. Writes go to the origin.
     CacheAside,
     /// It fetches the value by itself and forwards writes.
     ReadThrough,
@@ -132,57 +132,57 @@
     pub classes: Vec<Class>,
     /// Tenants; may be empty.
     pub tenants: Vec<Tenant>,
-    /// Worth of a request beyond its tenant's quota, as a part of its class's.
+    /// Weight of a request beyond its tenant's quota, as a fraction of its class's.
     pub over_quota_weight: f64,
     /// Treatment of missing keys.
     pub mode: Mode,
     /// The kind of list entry that is the origin, in [`Mode::CacheAside`].
     pub origin_kind: Option<u16>,
-    /// How the list is learned.
+    /// How changes of the list arrive.
     pub discovery: Discovery,
     /// Where load reports come from.
     pub reporting: Reporting,
-    /// Whether listed weights are a lasting size, worth placing keys by.
+    /// Whether listed weights are lasting, so that keys can be placed by them.
     pub weights_are_lasting: bool,
     /// Attempts allowed for one request.
     pub max_attempts: u32,
-    /// Whether two attempts of a request may be out at once.
+    /// Whether two attempts of a request may be outstanding at once.
     pub hedged_requests: bool,
     /// Whether an attempt may be cancelled.
     pub cancel: bool,
-    /// Whether instances may send one another messages.
+    /// Whether instances may send each other messages.
     pub peers: bool,
-    /// The longest hold-off a client honours; 0 where advice is not passed on.
+    /// The longest retry-after that a client honours; 0 where none is passed on.
     pub max_retry_after_us: Micros,
     /// Price of one attempt that crosses zones, per request.
     pub cross_zone_price: f64,
-    /// A started server can do at least this part of its work at once.
+    /// The fraction of its work that an endpoint can do at its start.
     pub slow_start_fraction: f64,
-    /// A started server is warm after this time at the latest.
+    /// The longest time after its start until an endpoint is warm.
     pub slow_start_us: Micros,
-    /// A started server falls when it is sent this multiple of what it can do then ...
+    /// An endpoint in slow start is overloaded by this multiple of what it can do ...
     pub overload_multiple: f64,
     /// ... within this time.
     pub overload_window_us: Micros,
-    /// With [`Discovery::Poll`]: the longest an instance may go without asking.
+    /// With [`Discovery::Poll`]: the longest an instance may go without a poll.
     pub max_poll_interval_us: Micros,
     /// The shortest span between two batches of events.
     pub tick_us: Micros,
 }
 
 impl Settings {
-    /// The shortest aim among the classes that are safe to repeat; a second where there are none.
+    /// The shortest latency objective of the idempotent classes; a second where there are none.
     #[must_use]
     pub fn shortest_latency_objective(&self) -> Micros {
-        let safe = self.classes.iter().filter(|class| class.effect == Effect::Idempotent);
-        safe.map(|class| class.latency_objective_us).min().unwrap_or(1_000_000).max(1)
+        let idempotent = self.classes.iter().filter(|class| class.effect == Effect::Idempotent);
+        idempotent.map(|class| class.latency_objective_us).min().unwrap_or(1_000_000).max(1)
     }
 }
 
 impl Default for Settings {
-    /// One lone instance, one zone, no classes, aside mode without an origin, three attempts one at a time,
-    /// a pushed list, and servers that start at a tenth of their capacity, take 30 s to warm, and fall under three times
-    /// their work of a second.
+    /// One instance, one zone, no classes, cache-aside without an origin, three attempts one at a time, a pushed
+    /// list, and endpoints that start at a tenth of their capacity, take 30 s to warm up, and are overloaded by three
+    /// times their work of a second.
     fn default() -> Self {
         Settings {
             balancers: 1,
@@ -213,25 +213,25 @@
     }
 }
 
-/// What the list says of a server's process.
+/// What the list says of an endpoint's process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Presence {
-    /// Runs and takes work.
+    /// Running; accepts work.
     Ready,
-    /// Finishes what it has; takes nothing new.
+    /// Finishes the work it has; accepts no more.
     Draining,
     /// Removed.
     Gone,
 }
 
-/// One line of the server list.
+/// One entry of the endpoint list.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct EndpointEntry {
-    /// The server.
+    /// The endpoint.
     pub id: EndpointId,
     /// State of its process.
     pub presence: Presence,
-    /// Machine kind; the origin is known by it.
+    /// Machine kind; tells the origin from cache nodes.
     pub kind: u16,
     /// Listed weight.
     pub weight: f64,
@@ -248,37 +248,37 @@
 pub enum ListKind {
     /// Changed entries only.
     Delta,
-    /// The whole list: what it lacks is gone.
+    /// The complete list: endpoints that are not on it are gone.
     Full,
-    /// The whole list as held before a restart, perhaps stale.
+    /// The complete list from before a restart, perhaps stale.
     Cached,
-    /// Asking failed, or the subscription broke; no entries.
+    /// A poll failed, or the subscription broke; no entries.
     Failed,
 }
 
 /// A request of a client.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Request {
-    /// Its name.
+    /// Its id.
     pub id: RequestId,
     /// Its class.
     pub class: ClassId,
     /// Its tenant, where there are any.
     pub tenant: TenantId,
-    /// What it is about.
+    /// What it reads or writes.
     pub key: Option<Key>,
     /// Whether it changes its key.
     pub write: bool,
-    /// Time until the client gives this try up.
+    /// Time until the client gives up.
     pub remaining_us: Micros,
 }
 
 /// What happened.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
-    /// News of the server list.
+    /// A change of the endpoint list.
     EndpointList(ListKind, Vec<EndpointEntry>),
-    /// A client's request: it is owed exactly one final answer.
+    /// A client's request. It gets exactly one final answer.
     Request(Request),
     /// An attempt ended.
     Outcome {
@@ -292,37 +292,37 @@
         latency_us: Micros,
         /// Whether the request is finished.
         finished: bool,
-        /// On a miss: whether the server has told another request to fetch the key.
+        /// On a miss: whether the endpoint has told another request to fetch the key.
         fetch_pending: bool,
-        /// Whether it was lost with its connection, which tells nothing of the server: one that had carried others
-        /// broke without a byte of an answer, or an open one before the request was written whole. What the outcome
-        /// says of having run holds all the same.
+        /// Whether it was lost with a stale connection, which says nothing of the endpoint: a reused connection broke
+        /// without a byte of an answer, or an open one before the request was written completely. What the outcome
+        /// says of having run is still true.
         stale: bool,
     },
-    /// The answer of an attempt has begun to stream: the attempt is the client's now.
+    /// The answer of an attempt has begun to stream to the client; the attempt is no longer the module's.
     FirstByte(RequestId),
-    /// The client left: nothing is owed for this request any more.
+    /// The client left: the request needs no answer any more.
     ClientLeft(RequestId),
-    /// It is time to tell the other instances: to be answered by [`Action::PublishLoad`].
+    /// A load report is due; the module responds with [`Action::PublishLoad`].
     PublishLoad,
-    /// What the instances together make of servers: for each, the part of its listed weight to place keys by.
+    /// For each endpoint, the fraction of its listed weight to place keys by, from the reports of all instances.
     WeightFactors(Vec<(EndpointId, f64)>),
-    /// A timer fell due.
+    /// A timer is due.
     Timer(Token),
 }
 
-/// What this instance's requests came to at a server since it last told.
+/// The load that this instance put on an endpoint since its last report.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LoadReport {
-    /// The server.
+    /// The endpoint.
     pub endpoint: EndpointId,
     /// Its listed weight.
     pub weight: f64,
-    /// How many of them it held, in the mean over the time.
+    /// Requests in flight, as the mean over the time.
     pub in_flight: f64,
-    /// How many it answered, a miss included.
+    /// Requests answered, misses included.
     pub answered: u32,
-    /// How many it failed, turned away or left unanswered.
+    /// Requests that failed with an error, a broken connection or none.
     pub failed: u32,
 }
 
@@ -333,21 +333,21 @@
     Forward {
         /// The request.
         id: RequestId,
-        /// Where to.
+        /// The endpoint.
         endpoint: EndpointId,
-        /// Time-out; 0 for as long as the client waits.
+        /// Timeout; 0 for as long as the client waits.
         timeout_us: Micros,
     },
-    /// Final answer: refused; trying again is harmless.
+    /// Final answer: rejected; a retry is harmless.
     Reject {
         /// The request.
         id: RequestId,
-        /// How long the client should stay away; 0 for no advice.
+        /// How long the client should wait before a retry; 0 for no advice.
         retry_after_us: Micros,
         /// Why.
         reason: Reason,
     },
-    /// Final answer: failed; promises nothing.
+    /// Final answer: failed; the request may have run.
     Fail {
         /// The request.
         id: RequestId,
@@ -368,10 +368,10 @@
         /// The timer.
         token: Token,
     },
-    /// Close the idle connections to a server.
+    /// Close the idle connections to an endpoint.
     CloseIdle(EndpointId),
-    /// Subscribe to the server list.
+    /// Subscribe to the endpoint list, or poll it.
     Watch,
-    /// Tell the other instances of these, all servers that may be sent to, and hand back [`Event::WeightFactors`].
+    /// Publish these reports, of all ready cache endpoints, and return [`Event::WeightFactors`].
     PublishLoad(Vec<LoadReport>),
 }
--- a/crates/decide/src/lib.rs
+++ b/crates/decide/src/lib.rs
@@ -1,8 +1,8 @@
-//! The decision module: which server a request goes to, whether it is tried again, what is refused.
+//! The decision module: which endpoint a request goes to, whether it is retried, and what is rejected.
 //!
-//! [`policy`] is a sans-IO state machine that the gateway and the adapter to the simulator share. The caller owns the
-//! clock and all input and output: it hands [`api::Event`]s to a [`policy::Router`] and carries out the
-//! [`api::Action`]s it gets back.
+//! [`policy`] is a sans-IO state machine that the gateway, the emulator and the simulator adapter share. The caller owns
+//! the clock and all input and output: it passes [`api::Event`]s to a [`policy::Router`] and carries out the
+//! [`api::Action`]s that it returns.
 //!
 //! ```
 //! use decide::api::*;
@@ -28,7 +28,7 @@
 //!     zone: ZoneId(0),
 //!     online_since: 0,
 //! };
-//! let list = vec![entry(10, 0), entry(99, 1)]; // a cache server and the origin
+//! let list = vec![entry(10, 0), entry(99, 1)]; // a cache node and the origin
 //! router.handle(0, Event::EndpointList(ListKind::Full, list), &mut actions);
 //!
 //! let id = RequestId(1);
@@ -43,7 +43,7 @@
 //! router.handle(1_000, Event::Request(request), &mut actions);
 //! assert!(matches!(actions[0], Action::Forward { endpoint: EndpointId(10), .. }));
 //!
-//! // The server lacks the key, so the origin is asked, as the warm-up limiter permits.
+//! // The node lacks the key, so the value is fetched from the origin as soon as the warm-up limiter permits.
 //! actions.clear();
 //! let miss = Event::Outcome {
 //!     id,
--- a/crates/decide/src/outcome.rs
+++ b/crates/decide/src/outcome.rs
@@ -1,13 +1,13 @@
-//! How a try ended, and why a request did that was not served.
+//! How an attempt ended, and why a request was rejected or failed.
 
 /// How an attempt ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
     /// Served.
     Ok,
-    /// The server failed; the request may have run.
+    /// The endpoint failed; the request may have run.
     Error,
-    /// Turned away unseen; it never ran.
+    /// Rejected unread; it never ran.
     Rejected,
     /// No answer in time; it may have run, or may yet.
     Timeout,
@@ -19,7 +19,7 @@
     Cancelled,
     /// Never sent.
     NotSent,
-    /// No value kept for the key; it never ran.
+    /// No value is cached for the key; it never ran.
     Miss,
 }
 
@@ -30,43 +30,43 @@
         matches!(self, Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent | Outcome::Miss)
     }
 
-    /// Whether its server has said or done something: neither silence nor our own doing.
+    /// Whether the endpoint responded in some way: neither silence nor this side's own doing.
     #[must_use]
     pub fn is_answer(self) -> bool {
         !matches!(self, Outcome::NotSent | Outcome::Cancelled | Outcome::Timeout | Outcome::ConnectFailed)
     }
 }
 
-/// Why a request was refused or failed: one for each final answer that does not serve.
+/// Why a request was rejected or failed: each final answer that does not serve has one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Reason {
-    /// Beyond its tenant's share, when there was not enough for all.
+    /// Beyond its tenant's quota, when there was not enough for all.
     OverQuota,
-    /// On arrival: more reads are out than the fleet can answer in time.
+    /// On arrival: more reads are in flight than the endpoints can answer in time.
     Shed,
-    /// After a miss: no permit for a fetch comes in time.
+    /// After a miss: no permit for a fetch is free in time.
     NoPermit,
-    /// A try was turned away or timed out, and the budget for repeats is spent.
+    /// An attempt failed, and the retry budget is spent.
     RetryBudget,
     /// All the attempts that a request may make were made.
     AttemptLimit,
-    /// No server that may be sent to.
+    /// No endpoint that may be sent to.
     NoEndpoint,
-    /// The origin turned the fetch away, or was too slow for it, and another would be no better.
+    /// The origin rejected the fetch or was too slow for it, and a retry would be no better.
     FetchFailed,
-    /// A try may have run, and may not be sent again.
+    /// An attempt may have run, and must not be sent again.
     MayHaveRun,
-    /// A try could not be sent: a connection limit of our own, or its time was over.
+    /// An attempt could not be sent: a connection limit of this side, or its time was over.
     NotSent,
     /// Its time was over.
     Deadline,
-    /// Held memory or places for answers are used up; the module has not heard of it.
+    /// The memory for values or the slots for answers are used up; the module has not seen it.
     NoCapacity,
-    /// On arrival: no lease of the fleet is held; the module has not heard of it.
+    /// On arrival: this balancer holds no lease; the module has not seen it.
     Fenced,
-    /// The balancer drains, or its process ends.
+    /// The balancer is draining, or its process ends.
     ShuttingDown,
-    /// Forgotten: a fault of this program.
+    /// Its record was lost: a fault of this program.
     Forgotten,
 }
 
--- a/crates/decide/src/policy/limiter.rs
+++ b/crates/decide/src/policy/limiter.rs
@@ -1,65 +1,77 @@
-//! Guava's SmoothWarmingUp limiter, by the formulas of the design page; it starts cold.
+//! A rate limiter that warms up, by the formulas of Guava's `SmoothWarmingUp`; see `docs/design.md`.
 
 use crate::api::Micros;
 
-const WARM_UP_US: f64 = 500_000.0; // warm-up period: about a burst of misses, so that pauses are soon made up
+const WARM_UP_US: f64 = 500_000.0; // about a burst of misses, so that pauses are soon made up for
 const COLD_FACTOR: f64 = 3.0; // cold interval over stable interval, as in Guava
 
-/// Guava's SmoothWarmingUp limiter, by the formulas of the design page.
+/// Issues permits at a rate that rises from cold to stable while it is used.
+///
+/// Unused permits are stored. Stored permits above a threshold cost up to three times the stable interval.
 #[derive(Debug, Clone, Default)]
 pub struct WarmUpLimiter {
-    stable_us: f64,
-    stored: f64,
-    threshold: f64,
-    max: f64,
-    slope: f64,
+    stable_interval_us: f64,
+    stored_permits: f64,
+    threshold_permits: f64,
+    max_permits: f64,
+    slope_us: f64,
     next_free_us: f64,
 }
 
 impl WarmUpLimiter {
-    /// A limiter that starts cold: with all permits stored.
-    pub fn new(per_s: f64, now: Micros) -> Self {
-        let mut it = Self { next_free_us: now as f64, ..Self::default() };
-        it.set_rate(per_s, now);
-        it
+    /// Creates a limiter that starts cold: with all permits stored.
+    pub fn new(permits_per_s: f64, now: Micros) -> Self {
+        let mut limiter = Self { next_free_us: now as f64, ..Self::default() };
+        limiter.set_rate(permits_per_s, now);
+        limiter
     }
-    /// Changes the rate; the store keeps its fill, so a warm limiter stays warm.
-    pub fn set_rate(&mut self, per_s: f64, now: Micros) {
-        self.resync(now);
-        let fill = if self.max > 0.0 { self.stored / self.max } else { 1.0 };
-        self.stable_us = 1e6 / per_s;
-        let slow_start_us = COLD_FACTOR * self.stable_us;
-        self.threshold = 0.5 * WARM_UP_US / self.stable_us;
-        self.max = self.threshold + 2.0 * WARM_UP_US / (self.stable_us + slow_start_us);
-        self.slope = (slow_start_us - self.stable_us) / (self.max - self.threshold);
-        self.stored = fill * self.max;
+
+    /// Changes the rate. The fill level of the store is kept, so a warm limiter stays warm.
+    pub fn set_rate(&mut self, permits_per_s: f64, now: Micros) {
+        self.store_idle_time(now);
+        let fill = if self.max_permits > 0.0 { self.stored_permits / self.max_permits } else { 1.0 };
+        self.stable_interval_us = 1e6 / permits_per_s;
+        let cold_interval_us = COLD_FACTOR * self.stable_interval_us;
+        self.threshold_permits = 0.5 * WARM_UP_US / self.stable_interval_us;
+        self.max_permits =
+            self.threshold_permits + 2.0 * WARM_UP_US / (self.stable_interval_us + cold_interval_us);
+        self.slope_us =
+            (cold_interval_us - self.stable_interval_us) / (self.max_permits - self.threshold_permits);
+        self.stored_permits = fill * self.max_permits;
     }
-    fn resync(&mut self, now: Micros) {
+
+    /// Stores the permits of the time since the last one was free.
+    fn store_idle_time(&mut self, now: Micros) {
         let idle_us = now as f64 - self.next_free_us;
         if idle_us > 0.0 {
-            self.stored = (self.stored + idle_us / (WARM_UP_US / self.max)).min(self.max);
+            let permits = idle_us / (WARM_UP_US / self.max_permits);
+            self.stored_permits = (self.stored_permits + permits).min(self.max_permits);
             self.next_free_us = now as f64;
         }
     }
+
     /// When the next permit is free; `now` or earlier when it is free at once.
     pub fn earliest(&self) -> Micros {
         self.next_free_us.ceil() as Micros
     }
-    /// Takes one permit and returns when it may be used; its cost is waited for by the next caller.
+
+    /// Takes one permit and returns when it may be used. The next caller waits for its cost.
     pub fn reserve(&mut self, now: Micros) -> Micros {
-        self.resync(now);
-        let at = self.earliest();
-        let from_store = self.stored.min(1.0);
-        let above = (self.stored - self.threshold).max(0.0);
-        let climb = above.min(from_store);
-        let permits_to_time = |x: f64| self.stable_us + x * self.slope;
-        let area = climb * (permits_to_time(above) + permits_to_time(above - climb)) / 2.0;
-        self.stored -= from_store;
-        self.next_free_us += area + (1.0 - climb) * self.stable_us;
-        at
+        self.store_idle_time(now);
+        let usable_at = self.earliest();
+        let from_store = self.stored_permits.min(1.0);
+        let above_threshold = (self.stored_permits - self.threshold_permits).max(0.0);
+        let on_slope = above_threshold.min(from_store);
+        let interval_at = |permits: f64| self.stable_interval_us + permits * self.slope_us;
+        let slope_cost_us =
+            on_slope * (interval_at(above_threshold) + interval_at(above_threshold - on_slope)) / 2.0;
+        self.stored_permits -= from_store;
+        self.next_free_us += slope_cost_us + (1.0 - on_slope) * self.stable_interval_us;
+        usable_at
     }
-    /// Takes a permit that is usable within `wait`, or none at all.
-    pub fn try_reserve(&mut self, now: Micros, wait: Micros) -> Option<Micros> {
-        (self.earliest() <= now + wait).then(|| self.reserve(now))
+
+    /// Takes a permit that is usable within `max_wait_us`, or none at all.
+    pub fn try_reserve(&mut self, now: Micros, max_wait_us: Micros) -> Option<Micros> {
+        (self.earliest() <= now + max_wait_us).then(|| self.reserve(now))
     }
 }
--- a/crates/decide/src/settings.rs
+++ b/crates/decide/src/settings.rs
@@ -1,6 +1,6 @@
 //! The text form of [`Settings`]: `path=value`, one a line, as an instance receives it when it starts.
 
-use crate::api::{Class, DedupScope, Discovery, Effect, Mode, Reporting, Settings, Tenant, ZoneId};
+use crate::api::{Class, DedupScope, Discovery, Effect, Micros, Mode, Reporting, Settings, Tenant, ZoneId};
 use rustc_hash::FxHashMap;
 use std::str::FromStr;
 use thiserror::Error;
@@ -8,90 +8,142 @@
 /// The most classes or tenants a settings text may announce.
 const MAX_ITEMS: usize = 1 << 16;
 
+/// The deadline of a class that states none.
+const DEFAULT_DEADLINE_US: Micros = 1_000_000;
+
+/// The shortest window in which an endpoint in slow start is overloaded.
+const MIN_OVERLOAD_WINDOW_US: Micros = 100_000;
+
 /// A setting that cannot be used.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("setting {path}: {value:?} is not {wanted}")]
 pub struct SettingsError {
-    /// Path of the setting.
+    /// The path of the setting.
     pub path: String,
-    /// What was found.
+    /// The text that was found.
     pub value: String,
-    /// What would have been right.
+    /// A description of a valid value.
     pub wanted: &'static str,
 }
 
-struct Facts<'a>(FxHashMap<&'a str, &'a str>);
+/// The lines of a settings text by path.
+struct Lines<'a>(FxHashMap<&'a str, &'a str>);
 
-impl<'a> Facts<'a> {
-    fn bad(&self, path: &str, wanted: &'static str) -> SettingsError {
-        let value = self.0.get(path).copied().unwrap_or_default();
+impl<'a> Lines<'a> {
+    fn parse(text: &'a str) -> Self {
+        Self(text.lines().filter_map(|line| line.split_once('=')).collect())
+    }
+
+    fn error(&self, path: &str, wanted: &'static str) -> SettingsError {
+        let value = self.0.get(path).copied().unwrap_or("");
         SettingsError { path: path.to_owned(), value: value.to_owned(), wanted }
     }
 
-    fn get<T: FromStr>(&self, path: &str, default: T, wanted: &'static str) -> Result<T, SettingsError> {
+    /// Reads a value that `wanted` describes.
+    fn read<T: FromStr>(&self, path: &str, default: T, wanted: &'static str) -> Result<T, SettingsError> {
         match self.0.get(path) {
             None => Ok(default),
-            Some(text) => text.parse().map_err(|_| self.bad(path, wanted)),
+            Some(text) => text.parse().map_err(|_| self.error(path, wanted)),
         }
     }
 
-    fn whole(&self, path: &str, default: u64) -> Result<u64, SettingsError> {
-        self.get(path, default, "a whole number")
+    fn read_integer<T: FromStr>(&self, path: &str, default: T) -> Result<T, SettingsError> {
+        self.read(path, default, "a whole number")
     }
 
-    fn flag(&self, path: &str, default: bool) -> Result<bool, SettingsError> {
-        self.get(path, default, "true or false")
+    fn read_bool(&self, path: &str, default: bool) -> Result<bool, SettingsError> {
+        self.read(path, default, "true or false")
     }
 
-    /// A finite number of at least 0: a negative share or price would turn decisions around.
-    fn number(&self, path: &str, default: f64) -> Result<f64, SettingsError> {
+    /// Reads a finite number of at least 0: a negative weight or price would reverse decisions.
+    fn read_number(&self, path: &str, default: f64) -> Result<f64, SettingsError> {
         let wanted = "a number of at least 0";
-        let value = self.get(path, default, wanted)?;
-        if value.is_finite() && value >= 0.0 { Ok(value) } else { Err(self.bad(path, wanted)) }
+        let value = self.read(path, default, wanted)?;
+        if value.is_finite() && value >= 0.0 { Ok(value) } else { Err(self.error(path, wanted)) }
     }
 
-    fn count(&self, path: &str) -> Result<usize, SettingsError> {
+    fn read_count(&self, path: &str) -> Result<usize, SettingsError> {
         let wanted = "a count of at most 65536";
-        let n = self.get(path, 0_usize, wanted)?;
-        if n <= MAX_ITEMS { Ok(n) } else { Err(self.bad(path, wanted)) }
+        let count = self.read(path, 0_usize, wanted)?;
+        if count <= MAX_ITEMS { Ok(count) } else { Err(self.error(path, wanted)) }
     }
 
-    fn word<T: Copy>(
+    /// Reads one of several words.
+    fn read_word<T: Copy>(
         &self, path: &str, words: &[(&str, T)], default: T, wanted: &'static str,
     ) -> Result<T, SettingsError> {
         let Some(text) = self.0.get(path) else { return Ok(default) };
-        words.iter().find(|(word, _)| word == text).map(|(_, v)| *v).ok_or_else(|| self.bad(path, wanted))
+        let found = words.iter().find(|(word, _)| word == text);
+        found.map(|(_, value)| *value).ok_or_else(|| self.error(path, wanted))
     }
 
-    fn listed(&self, path: &str) -> usize {
+    /// Counts the items of a list that commas separate.
+    fn count_items(&self, path: &str) -> usize {
         self.0.get(path).map_or(0, |list| list.split(',').filter(|item| !item.is_empty()).count())
     }
 
-    fn class(&self, i: usize) -> Result<Class, SettingsError> {
-        let at = |name: &str| format!("profiles.{i}.{name}");
-        let deadline_us = self.whole(&at("deadlineUs"), 1_000_000)?;
-        let scope = self.word(
-            &at("keyScope"),
-            &[("all", DedupScope::All), ("zone", DedupScope::Zone), ("cell", DedupScope::Cell)],
-            // The narrowest group is the safe reading of a missing one.
-            DedupScope::Cell,
-            "all, zone or cell",
-        )?;
-        let dedup = Effect::IdempotentWithKey { scope, span_us: self.whole(&at("memorySpanUs"), 0)? };
+    fn read_class(&self, index: usize) -> Result<Class, SettingsError> {
+        let path = |name: &str| format!("profiles.{index}.{name}");
+        let deadline_us = self.read_integer(&path("deadlineUs"), DEFAULT_DEADLINE_US)?;
+        let with_key = self.read_idempotency_key(path)?;
         Ok(Class {
-            latency_objective_us: self.whole(&at("onTimeUs"), deadline_us)?,
+            latency_objective_us: self.read_integer(&path("onTimeUs"), deadline_us)?,
             deadline_us,
-            priority_weight: self.number(&at("worth"), 1.0)?,
-            late_weight: self.number(&at("lateWorth"), 0.0)?,
-            effect: self.word(
-                &at("effect"),
-                &[("retryable", Effect::Idempotent), ("dedup", dedup), ("fragile", Effect::NonIdempotent)],
-                // A class of unknown effect is never run twice.
-                Effect::NonIdempotent,
-                "retryable, dedup or fragile",
-            )?,
+            priority_weight: self.read_number(&path("worth"), 1.0)?,
+            late_weight: self.read_number(&path("lateWorth"), 0.0)?,
+            effect: self.read_effect(&path("effect"), with_key)?,
         })
     }
+
+    /// Reads the scope and span of idempotency keys, whether or not the class uses them.
+    fn read_idempotency_key(&self, path: impl Fn(&str) -> String) -> Result<Effect, SettingsError> {
+        let scopes = [("all", DedupScope::All), ("zone", DedupScope::Zone), ("cell", DedupScope::Cell)];
+        // The narrowest scope is the safe reading of a missing one.
+        let scope = self.read_word(&path("keyScope"), &scopes, DedupScope::Cell, "all, zone or cell")?;
+        let span_us = self.read_integer(&path("memorySpanUs"), 0)?;
+        Ok(Effect::IdempotentWithKey { scope, span_us })
+    }
+
+    fn read_effect(&self, path: &str, with_key: Effect) -> Result<Effect, SettingsError> {
+        let effects =
+            [("retryable", Effect::Idempotent), ("dedup", with_key), ("fragile", Effect::NonIdempotent)];
+        // A class of unknown effect is never run twice.
+        self.read_word(path, &effects, Effect::NonIdempotent, "retryable, dedup or fragile")
+    }
+
+    fn read_tenant(&self, index: usize) -> Result<Tenant, SettingsError> {
+        let path = format!("tenants.{index}.quotaPerS");
+        // A tenant without a quota has no limit.
+        let is_limited = self.0.contains_key(&*path);
+        let quota_per_s = if is_limited { self.read_number(&path, 0.0)? } else { f64::INFINITY };
+        Ok(Tenant { quota_per_s })
+    }
+
+    fn read_mode(&self, default: Mode) -> Result<Mode, SettingsError> {
+        let modes = [("aside", Mode::CacheAside), ("through", Mode::ReadThrough)];
+        self.read_word("specifics.mode", &modes, default, "aside or through")
+    }
+
+    fn read_origin_kind(&self) -> Result<Option<u16>, SettingsError> {
+        let kind: i64 = self.read_integer("specifics.originKind", -1)?;
+        Ok(u16::try_from(kind).ok())
+    }
+
+    fn read_max_retry_after(&self) -> Result<Micros, SettingsError> {
+        let is_permitted = self.read_bool("permissions.retryAfter", false)?;
+        if is_permitted { self.read_integer("permissions.maxRetryAfterUs", 0) } else { Ok(0) }
+    }
+
+    fn read_discovery(&self, default: Discovery) -> Result<Discovery, SettingsError> {
+        let words = [("push", Discovery::Push), ("ask", Discovery::Poll)];
+        self.read_word("discovery", &words, default, "push or ask")
+    }
+
+    fn read_reporting(&self, default: Reporting) -> Result<Reporting, SettingsError> {
+        let words =
+            [("off", Reporting::Off), ("inline", Reporting::Inline), ("on_probe", Reporting::OnProbe)];
+        self.read_word("reporting.how", &words, default, "inline, on_probe or off")
+    }
 }
 
 impl FromStr for Settings {
@@ -99,65 +151,41 @@
 
     /// Reads the text form. Unknown paths are ignored, missing ones take the defaults of [`Settings::default`].
     fn from_str(text: &str) -> Result<Self, SettingsError> {
-        let facts = Facts(text.lines().filter_map(|line| line.split_once('=')).collect());
-        let plain = Settings::default();
-        let mode = facts.word(
-            "specifics.mode",
-            &[("aside", Mode::CacheAside), ("through", Mode::ReadThrough)],
-            plain.mode,
-            "aside or through",
-        )?;
-        let origin: i64 = facts.get("specifics.originKind", -1, "a whole number")?;
-        let hold_off = if facts.flag("permissions.retryAfter", false)? {
-            facts.whole("permissions.maxRetryAfterUs", 0)?
-        } else {
-            0
-        };
-        let weights = facts.0.get("weights").copied().unwrap_or("off");
+        let lines = Lines::parse(text);
+        let default = Settings::default();
+        let mode = lines.read_mode(default.mode)?;
+        let origin_kind = lines.read_origin_kind()?;
+        let max_retry_after_us = lines.read_max_retry_after()?;
+        let classes = lines.read_count("profiles.count");
+        let tenants = lines.read_count("tenants.count");
         Ok(Settings {
-            balancers: facts.get("siblings", plain.balancers, "a whole number")?.max(1),
-            instance: facts.get("me", plain.instance, "a whole number")?,
-            zone: ZoneId(facts.get("locality", plain.zone.0, "a zone number")?),
-            zones: u32::try_from(facts.listed("dcs")).unwrap_or(u32::MAX).max(1),
-            classes: (0..facts.count("profiles.count")?).map(|i| facts.class(i)).collect::<Result<_, _>>()?,
-            tenants: (0..facts.count("tenants.count")?)
-                .map(|i| {
-                    let path = format!("tenants.{i}.quotaPerS");
-                    // A tenant without a quota has no limit.
-                    let quota_per_s =
-                        if facts.0.contains_key(&*path) { facts.number(&path, 0.0)? } else { f64::INFINITY };
-                    Ok(Tenant { quota_per_s })
-                })
-                .collect::<Result<_, SettingsError>>()?,
-            over_quota_weight: facts.number("overShareWorth", plain.over_quota_weight)?,
+            balancers: lines.read_integer("siblings", default.balancers)?.max(1),
+            instance: lines.read_integer("me", default.instance)?,
+            zone: ZoneId(lines.read("locality", default.zone.0, "a zone number")?),
+            zones: u32::try_from(lines.count_items("dcs")).unwrap_or(u32::MAX).max(1),
+            classes: (0..classes?).map(|index| lines.read_class(index)).collect::<Result<_, _>>()?,
+            tenants: (0..tenants?).map(|index| lines.read_tenant(index)).collect::<Result<_, _>>()?,
+            over_quota_weight: lines.read_number("overShareWorth", default.over_quota_weight)?,
             mode,
-            origin_kind: u16::try_from(origin).ok(),
-            discovery: facts.word(
-                "discovery",
-                &[("push", Discovery::Push), ("ask", Discovery::Poll)],
-                plain.discovery,
-                "push or ask",
-            )?,
-            reporting: facts.word(
-                "reporting.how",
-                &[("off", Reporting::Off), ("inline", Reporting::Inline), ("on_probe", Reporting::OnProbe)],
-                plain.reporting,
-                "inline, on_probe or off",
-            )?,
-            weights_are_lasting: matches!(weights, "nominal" | "rough"),
-            max_attempts: facts.get("permissions.maxAttempts", plain.max_attempts, "a whole number")?,
-            hedged_requests: facts.flag("permissions.secondCopies", plain.hedged_requests)?,
-            cancel: facts.flag("permissions.cancel", plain.cancel)?,
-            peers: facts.flag("permissions.peers", plain.peers)?,
-            max_retry_after_us: hold_off,
-            cross_zone_price: facts.number("prices.crossZone", plain.cross_zone_price)?,
-            slow_start_fraction: facts.number("rules.coldFrom", plain.slow_start_fraction)?.min(1.0),
-            slow_start_us: facts.whole("rules.coldUs", plain.slow_start_us)?,
-            // A server bears what it can do; a span too short for any call would keep all from it.
-            overload_multiple: facts.number("rules.fallMultiple", plain.overload_multiple)?.max(1.0),
-            overload_window_us: facts.whole("rules.tipAfterUs", plain.overload_window_us)?.max(100_000),
-            max_poll_interval_us: facts.whole("rules.mustAskInUs", plain.max_poll_interval_us)?,
-            tick_us: facts.whole("resolutionUs", plain.tick_us)?,
+            origin_kind,
+            discovery: lines.read_discovery(default.discovery)?,
+            reporting: lines.read_reporting(default.reporting)?,
+            weights_are_lasting: matches!(lines.0.get("weights"), Some(&("nominal" | "rough"))),
+            max_attempts: lines.read_integer("permissions.maxAttempts", default.max_attempts)?,
+            hedged_requests: lines.read_bool("permissions.secondCopies", default.hedged_requests)?,
+            cancel: lines.read_bool("permissions.cancel", default.cancel)?,
+            peers: lines.read_bool("permissions.peers", default.peers)?,
+            max_retry_after_us,
+            cross_zone_price: lines.read_number("prices.crossZone", default.cross_zone_price)?,
+            slow_start_fraction: lines.read_number("rules.coldFrom", default.slow_start_fraction)?.min(1.0),
+            slow_start_us: lines.read_integer("rules.coldUs", default.slow_start_us)?,
+            // An endpoint can bear what it can do, and a window too short for any call would block all calls.
+            overload_multiple: lines.read_number("rules.fallMultiple", default.overload_multiple)?.max(1.0),
+            overload_window_us: lines
+                .read_integer("rules.tipAfterUs", default.overload_window_us)?
+                .max(MIN_OVERLOAD_WINDOW_US),
+            max_poll_interval_us: lines.read_integer("rules.mustAskInUs", default.max_poll_interval_us)?,
+            tick_us: lines.read_integer("resolutionUs", default.tick_us)?,
         })
     }
 }
