--- a/crates/gossip-transport/src/lib.rs
+++ b/crates/gossip-transport/src/lib.rs
@@ -1,104 +1,133 @@
-//! The other balancers of the tier: the socket on which they are told of servers, and heard.
+//! The UDP socket over which the balancers of one tier gossip.
 //!
-//! [`GossipTransport`] holds the socket and drives `gossip`, which says what to tell and what to believe. It leaves to its owner, the
-//! core, the time, the waiting between two turns, and what the decision module makes of what was heard.
+//! [`GossipTransport`] holds the socket and drives [`GossipState`], which creates the reports and evaluates those
+//! received. It leaves to its owner, the gateway's core, the time, the waiting between two reports, and the weight
+//! factors that follow.
 #![forbid(unsafe_code)]
 #![warn(unreachable_pub)]
 
-use anyhow::{Context, Result};
 use decide::api::{Event, LoadReport, Micros};
 use gossip::wire::MAX_BYTES;
-use gossip::{Counts, GossipState};
+use gossip::{GossipCounters, GossipState};
 use log_throttle::LogThrottle;
 use rustc_hash::FxHashMap;
+use std::io;
 use std::net::SocketAddr;
 use std::time::Duration;
+use thiserror::Error;
 use tokio::net::UdpSocket;
 
-/// Where balancers reach one another.
+/// The pause after a failed receive, so that a socket that keeps failing costs no time.
+const RECEIVE_RETRY_DELAY: Duration = Duration::from_millis(100);
+
+/// Where balancers reach each other.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct GossipAddresses {
-    /// Where this one is reached.
+    /// Where this balancer is reached.
     pub listen: SocketAddr,
-    /// Each by its number, this one included: they send from these.
+    /// The address that each balancer sends from, by its number, this one included.
     pub each: Vec<SocketAddr>,
-    /// One address that reaches every one of them, where there is such.
+    /// One address that reaches all of them, where there is one.
     pub all: Option<SocketAddr>,
-    /// This one's number.
+    /// The number of this balancer.
     pub me: usize,
 }
 
-/// The socket, and what has been heard on it.
+impl GossipAddresses {
+    /// Where reports are sent: to the common address, or else to each other balancer.
+    fn destinations(&self) -> Vec<SocketAddr> {
+        if let Some(all) = self.all {
+            return vec![all];
+        }
+        let others = self.each.iter().enumerate().filter(|(number, _)| *number != self.me);
+        others.map(|(_, address)| *address).collect()
+    }
+}
+
+/// Why the transport could not be opened.
+#[derive(Debug, Error)]
+pub enum OpenError {
+    /// The address is taken, or is not one of this machine.
+    #[error("listening on peer_listen {address}: {error}")]
+    Bind {
+        /// The address.
+        address: SocketAddr,
+        /// What the system reported.
+        error: io::Error,
+    },
+}
+
+/// The socket, and the state of gossip over it.
 #[derive(Debug)]
 pub struct GossipTransport {
     socket: UdpSocket,
-    to: Vec<SocketAddr>,
+    destinations: Vec<SocketAddr>,
     numbers: FxHashMap<SocketAddr, usize>,
-    hearsay: GossipState,
+    state: GossipState,
     rng: fastrand::Rng,
-    unsent: LogThrottle,
+    send_errors: LogThrottle,
 }
 
 impl GossipTransport {
-    /// Begins to listen.
+    /// Binds the socket. `unix` is the time now, `seed` that of the jitter between reports.
     ///
     /// # Errors
-    /// When the address is taken or is not this machine's; the error names it.
-    pub async fn open(siblings: &GossipAddresses, unix: Micros, seed: u64) -> Result<Self> {
-        let socket = UdpSocket::bind(siblings.listen).await;
-        let socket = socket.with_context(|| format!("listening on peer_listen {}", siblings.listen))?;
-        let others = (0..).zip(&siblings.each).filter(|(n, _)| *n != siblings.me).map(|(_, addr)| *addr);
+    /// When the address is taken or is not one of this machine; the error names it.
+    pub async fn open(addresses: &GossipAddresses, unix: Micros, seed: u64) -> Result<Self, OpenError> {
+        let address = addresses.listen;
+        let bound = UdpSocket::bind(address).await;
+        let socket = bound.map_err(|error| OpenError::Bind { address, error })?;
         Ok(Self {
             socket,
-            to: siblings.all.map_or_else(|| others.collect(), |all| vec![all]),
-            numbers: siblings.each.iter().copied().zip(0..).collect(),
-            hearsay: GossipState::new(siblings.me, siblings.each.len(), unix),
+            destinations: addresses.destinations(),
+            numbers: addresses.each.iter().copied().zip(0..).collect(),
+            state: GossipState::new(addresses.me, addresses.each.len(), unix),
             rng: fastrand::Rng::with_seed(seed),
-            unsent: LogThrottle::default(),
+            send_errors: LogThrottle::default(),
         })
     }
 
-    /// Waits for the next datagram. Nothing that comes is an error: a socket that fails stays silent for a while.
+    /// Receives the next datagram. Errors are not returned: after one the socket is read again later.
     pub async fn next(&self) -> (Vec<u8>, SocketAddr) {
-        let mut buffer = [0; MAX_BYTES + 1]; // one more, so that a longer one shows
+        let mut buffer = [0; MAX_BYTES + 1]; // one byte more, so that a longer datagram is detected
         loop {
             match self.socket.recv_from(&mut buffer).await {
-                Ok((n, from)) => return (buffer[..n].to_vec(), from),
-                Err(_) => tokio::time::sleep(Duration::from_millis(100)).await,
+                Ok((length, from)) => return (buffer[..length].to_vec(), from),
+                Err(_) => tokio::time::sleep(RECEIVE_RETRY_DELAY).await,
             }
         }
     }
 
-    /// How long to wait before it tells the others next.
+    /// How long to wait before the next report.
     pub fn pause(&mut self) -> Duration {
-        Duration::from_micros(self.hearsay.pause(self.rng.f64()))
+        Duration::from_micros(self.state.pause(self.rng.f64()))
     }
 
-    /// Takes in a datagram.
+    /// Handles a datagram that was received from an address.
     pub fn take(&mut self, now: Micros, datagram: &[u8], from: SocketAddr) {
         match self.numbers.get(&from) {
-            Some(&number) => self.hearsay.hear(now, number, datagram),
-            None => self.hearsay.hear_stranger(),
+            Some(&number) => self.state.hear(now, number, datagram),
+            None => self.state.count_unknown_sender(),
         }
     }
 
-    /// Tells the others of this balancer's part of the load, and yields what all of it together comes to.
+    /// Publishes this balancer's loads, and returns the weight factors that follow from all reports.
     pub fn tell(&mut self, now: Micros, loads: &[LoadReport]) -> Event {
-        let turn = self.hearsay.turn(now, loads);
-        for to in &self.to {
-            // One that does not go out is lost, as others are on their way.
-            if let Err(error) = self.socket.try_send_to(&turn.datagram, *to)
-                && let Some(more) = self.unsent.line()
+        let turn = self.state.turn(now, loads);
+        for destination in &self.destinations {
+            // A report that cannot be sent is lost; the next one follows soon.
+            if let Err(error) = self.socket.try_send_to(&turn.datagram, *destination)
+                && let Some(suppressed) = self.send_errors.line()
             {
-                log::warn!("telling {to}: {error}{more}");
+                log::warn!("gossip: sending a report to {destination} failed: {error}{suppressed}");
             }
         }
         Event::WeightFactors(turn.parts)
     }
 
-    /// What has come of datagrams so far.
+    /// The counters of reports and datagrams since the start.
     #[must_use]
-    pub fn counts(&self) -> Counts {
-        self.hearsay.counts()
+    pub fn counts(&self) -> GossipCounters {
+        self.state.counters()
     }
 }
--- a/crates/gossip/src/lib.rs
+++ b/crates/gossip/src/lib.rs
@@ -1,23 +1,28 @@
-//! What balancers of one tier tell one another of their servers, and what is believed of it.
+//! Gossip between the balancers of one tier about the load of endpoints.
 //!
-//! Each of a hundred balancers sees a hundredth of what a server does: too little to tell one that is jammed from one that
-//! idles. About once a second each tells all how many of its own requests each server held in the mean since it last told
-//! ([`wire`]). [`GossipState`] adds the reports up and yields, for each server, the part of its listed weight to place keys by:
-//! less than 1 for one that holds more than its part of the fleet's requests, more than 1 for one that holds less.
+//! Each of a hundred balancers sees a hundredth of what an endpoint does: too little to tell an overloaded endpoint
+//! from an idle one. About once a second each balancer publishes, for each endpoint, the mean number of its own
+//! requests in flight and the requests that ended since its last report ([`wire`]). [`GossipState`] sums the reports
+//! and estimates the fraction of its listed weight that each endpoint keeps: less than 1 for one that has more than its
+//! share of the requests in flight, more than 1 for one that has less.
 //!
-//! What is heard is evidence with an age and a sender, never an order: a report counts until the sender's next one and at
-//! the longest for [`FRESH_US`]; no part leaves [`LEAST`] to [`MOST`]; where few others are heard of, all parts go back to 1.
+//! A report has an age and a sender. It counts until the sender's next one and for [`REPORT_LIFETIME_US`] at the
+//! longest. Weight factors stay between [`MIN_WEIGHT_FACTOR`] and [`MAX_WEIGHT_FACTOR`]; where few other balancers are
+//! heard from, they all return to 1.
 //!
-//! The crate does no I/O, reads no clock and draws no randomness. It leaves to its owner the socket, the time, who may
-//! send (a sender is named by its number among the balancers), and the waiting between turns ([`GossipState::pause`]): at each it
-//! hands the decision module [`decide::api::Event::Speak`] and, with what comes of [`decide::api::Action::Tell`], takes a turn.
+//! The crate does no I/O, reads no clock and draws no random numbers. It leaves to its owner the socket, the time, the
+//! mapping of senders to their numbers, and the waiting between turns ([`GossipState::pause`]). At each turn the owner
+//! passes [`decide::api::Event::PublishLoad`] to the decision module, and the loads of the
+//! [`decide::api::Action::PublishLoad`] that it returns to [`GossipState::turn`].
 #![forbid(unsafe_code)]
 #![warn(unreachable_pub)]
 
-mod belief;
+mod state;
+mod weights;
 pub mod wire;
 
-pub use belief::{Counts, ENOUGH, FRESH_US, GossipState, LEAST, MOST, PAUSE_US, Turn};
+pub use state::{ENOUGH, GossipCounters, GossipState, PUBLISH_INTERVAL_US, REPORT_LIFETIME_US, Turn};
+pub use weights::{MAX_WEIGHT_FACTOR, MIN_WEIGHT_FACTOR};
 
 /// Microseconds on the owner's clock: a span, or a point in time.
 pub type Micros = u64;
--- a/crates/gossip/src/wire.rs
+++ b/crates/gossip/src/wire.rs
@@ -1,36 +1,38 @@
-//! The datagram: a version, its sender's life and number, then four bytes for each server there is something to say of.
+//! The datagram: a version, the sender's incarnation and the report's number, then four bytes for each endpoint with load.
 //!
 //! | bytes | what |
 //! | --- | --- |
 //! | 0 | version, 1 |
-//! | 1, 2 | life: the sender's start, in quarters of a second, modulo 2^16, big-endian |
-//! | 3, 4 | number of this report within that life, modulo 2^16, big-endian |
-//! | then 4 each | a server's short name (2, big-endian); requests held in the mean, in sixteenths (1); answered and not answered, at most 15 of each (4 bits, 4 bits) |
+//! | 1, 2 | incarnation: the sender's start, in quarters of a second, modulo 2^16, big-endian |
+//! | 3, 4 | number of this report within that incarnation, modulo 2^16, big-endian |
+//! | then 4 each | the hash of an endpoint's id (2, big-endian); mean requests in flight, in sixteenths (1); answered and failed requests, at most 15 of each (4 bits, 4 bits) |
 
 use crate::Micros;
-use decide::api::EndpointId;
+use decide::api::{EndpointId, LoadReport};
 use fnv::FnvHasher;
 use std::hash::Hasher;
 use thiserror::Error;
 
-/// The version that this build speaks, and the only one that it reads.
+/// The version that this build writes, and the only one that it reads.
 pub const VERSION: u8 = 1;
 /// The longest datagram that the platform carries, in bytes.
 pub const MAX_BYTES: usize = 256;
-const HEAD: usize = 5;
-const ENTRY: usize = 4;
-/// The most servers that one report names: what fits. The busiest go first.
-pub const MAX_ENTRIES: usize = (MAX_BYTES - HEAD) / ENTRY;
-/// Steps of the byte for requests held, in one request.
-const STEPS: f64 = 16.0;
-/// The most that half a byte counts to.
-const MOST_COUNTED: u32 = 15;
-
-/// A server's name on the wire. Two servers may share one; then both are believed to hold what either does.
+const HEADER_BYTES: usize = 5;
+const ENTRY_BYTES: usize = 4;
+/// The most endpoints in one report: what fits. Those with the most requests in flight go first.
+pub const MAX_ENTRIES: usize = (MAX_BYTES - HEADER_BYTES) / ENTRY_BYTES;
+/// Steps of the byte for requests in flight, for one request.
+const STEPS_PER_REQUEST: f64 = 16.0;
+/// The largest count that fits half a byte.
+const MAX_COUNT: u32 = 15;
+/// One step of [`ReportStamp::incarnation`].
+const INCARNATION_STEP_US: Micros = 250_000;
+
+/// The hash of an endpoint's id on the wire. Where two endpoints share one, the load of either counts for both.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct Short(pub u16);
+pub struct EndpointHash(pub u16);
 
-impl From<EndpointId> for Short {
+impl From<EndpointId> for EndpointHash {
     fn from(id: EndpointId) -> Self {
         // Every bit of the id counts: ids may be addresses that differ in few of them.
         let mut hasher = FnvHasher::default();
@@ -39,58 +41,87 @@
     }
 }
 
-/// Which of a sender's reports this is. Guards against those that come late, twice, or from a former life.
+/// The position of a report among those of its sender. Detects reports that are late, duplicated, or of an earlier
+/// incarnation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Stamp {
+pub struct ReportStamp {
     /// The sender's start.
     pub incarnation: u16,
     /// The report's number since then.
     pub number: u16,
 }
 
-impl Stamp {
-    /// The first stamp of a life that began at `unix`.
+impl ReportStamp {
+    /// The first stamp of an incarnation that began at `unix`.
     #[must_use]
     pub fn first(unix: Micros) -> Self {
-        Self { incarnation: (unix / 250_000) as u16, number: 0 }
+        Self { incarnation: (unix / INCARNATION_STEP_US) as u16, number: 0 }
     }
+
     /// The stamp after this one.
     #[must_use]
     pub fn next(self) -> Self {
         Self { number: self.number.wrapping_add(1), ..self }
     }
-    /// Whether this was given later than `other`, by the shorter way round.
+
+    /// Whether this is newer than `other`, by the shorter way round.
     #[must_use]
-    pub fn after(self, other: Self) -> bool {
-        let later = |a: u16, b: u16| (a.wrapping_sub(b) as i16) > 0;
-        later(self.incarnation, other.incarnation)
-            || (self.incarnation == other.incarnation && later(self.number, other.number))
+    pub fn is_newer_than(self, other: Self) -> bool {
+        let is_newer = |a: u16, b: u16| (a.wrapping_sub(b) as i16) > 0;
+        is_newer(self.incarnation, other.incarnation)
+            || (self.incarnation == other.incarnation && is_newer(self.number, other.number))
     }
 }
 
-/// What a balancer's requests came to at a server since its last report.
+/// The load of one balancer's requests on an endpoint since its last report.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct Word {
-    /// Held in the mean.
-    pub held: f64,
-    /// Answered.
+pub struct EndpointLoad {
+    /// Requests in flight, in the mean.
+    pub in_flight: f64,
+    /// Requests answered.
     pub answered: u32,
-    /// Failed, turned away or left unanswered.
+    /// Requests that failed.
     pub failed: u32,
 }
 
+impl EndpointLoad {
+    /// The sum of this load and a further one.
+    pub(crate) fn plus(self, report: &LoadReport) -> Self {
+        Self {
+            in_flight: self.in_flight + report.in_flight,
+            answered: self.answered + report.answered,
+            failed: self.failed + report.failed,
+        }
+    }
+
+    /// The two bytes on the wire: the requests in flight, and both counts.
+    fn encode(self) -> (u8, u8) {
+        let [answered, failed] = [self.answered, self.failed].map(|count| count.min(MAX_COUNT) as u8);
+        ((self.in_flight * STEPS_PER_REQUEST).round() as u8, answered << 4 | failed)
+    }
+
+    fn decode(in_flight: u8, counts: u8) -> Self {
+        let counts = u32::from(counts);
+        Self {
+            in_flight: f64::from(in_flight) / STEPS_PER_REQUEST,
+            answered: counts >> 4,
+            failed: counts & MAX_COUNT,
+        }
+    }
+}
+
 /// One report.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Report {
-    /// Which it is.
-    pub stamp: Stamp,
-    /// What it says of servers.
-    pub words: Vec<(Short, Word)>,
+    /// Its position among those of its sender.
+    pub stamp: ReportStamp,
+    /// The load of each endpoint.
+    pub loads: Vec<(EndpointHash, EndpointLoad)>,
 }
 
-/// A datagram that is no report.
+/// Why a datagram is no report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
-pub enum Unreadable {
+pub enum DecodeError {
     /// Another version than [`VERSION`].
     #[error("version {0}, not {VERSION}")]
     Version(u8),
@@ -99,49 +130,57 @@
     Length(usize),
 }
 
+/// An endpoint's load as it is written.
+struct Entry {
+    endpoint: EndpointHash,
+    in_flight: u8,
+    counts: u8,
+}
+
 impl Report {
-    /// The datagram; servers beyond [`MAX_ENTRIES`] are left out, the least busy first.
+    /// Encodes the report. Endpoints without load are left out, and those beyond [`MAX_ENTRIES`] with the least load.
     #[must_use]
     pub fn encode(&self) -> Vec<u8> {
-        let word = |(name, word): &(Short, Word)| {
-            let counts = [word.answered, word.failed].map(|n| n.min(MOST_COUNTED) as u8);
-            (*name, (word.held * STEPS).round() as u8, counts[0] << 4 | counts[1])
-        };
-        let mut words: Vec<(Short, u8, u8)> = self.words.iter().map(word).collect();
-        words.retain(|(_, held, counts)| (*held, *counts) != (0, 0));
-        words.sort_by_key(|(name, held, _)| (u8::MAX - held, *name));
-        words.truncate(MAX_ENTRIES);
-        let mut out = Vec::with_capacity(HEAD + ENTRY * words.len());
-        out.push(VERSION);
-        out.extend(self.stamp.incarnation.to_be_bytes());
-        out.extend(self.stamp.number.to_be_bytes());
-        for (name, held, counts) in words {
-            out.extend(name.0.to_be_bytes());
-            out.extend([held, counts]);
+        let mut entries = Vec::with_capacity(self.loads.len());
+        for &(endpoint, load) in &self.loads {
+            let (in_flight, counts) = load.encode();
+            if (in_flight, counts) != (0, 0) {
+                entries.push(Entry { endpoint, in_flight, counts });
+            }
+        }
+        entries.sort_by_key(|entry| (u8::MAX - entry.in_flight, entry.endpoint));
+        entries.truncate(MAX_ENTRIES);
+        let mut datagram = Vec::with_capacity(HEADER_BYTES + ENTRY_BYTES * entries.len());
+        datagram.push(VERSION);
+        datagram.extend(self.stamp.incarnation.to_be_bytes());
+        datagram.extend(self.stamp.number.to_be_bytes());
+        for entry in entries {
+            datagram.extend(entry.endpoint.0.to_be_bytes());
+            datagram.extend([entry.in_flight, entry.counts]);
         }
-        out
+        datagram
     }
 
-    /// Reads a datagram.
+    /// Decodes a datagram.
     ///
     /// # Errors
-    /// When it is none of this version; it then says nothing.
-    pub fn decode(datagram: &[u8]) -> Result<Self, Unreadable> {
-        let length = Unreadable::Length(datagram.len());
-        let (&version, rest) = datagram.split_first().ok_or(length)?;
+    /// When it is no report of this version.
+    pub fn decode(datagram: &[u8]) -> Result<Self, DecodeError> {
+        let wrong_length = DecodeError::Length(datagram.len());
+        let (&version, rest) = datagram.split_first().ok_or(wrong_length)?;
         if version != VERSION {
-            return Err(Unreadable::Version(version));
+            return Err(DecodeError::Version(version));
         }
-        let (head, entries) = rest.split_first_chunk::<{ HEAD - 1 }>().ok_or(length)?;
-        if datagram.len() > MAX_BYTES || entries.len() % ENTRY != 0 {
-            return Err(length);
+        let (header, entries) = rest.split_first_chunk::<{ HEADER_BYTES - 1 }>().ok_or(wrong_length)?;
+        if datagram.len() > MAX_BYTES || entries.len() % ENTRY_BYTES != 0 {
+            return Err(wrong_length);
         }
-        let pair = |high, low| u16::from_be_bytes([high, low]);
-        let stamp = Stamp { incarnation: pair(head[0], head[1]), number: pair(head[2], head[3]) };
-        let word = |e: &[u8]| {
-            let (held, counts) = (f64::from(e[2]) / STEPS, u32::from(e[3]));
-            (Short(pair(e[0], e[1])), Word { held, answered: counts >> 4, failed: counts & MOST_COUNTED })
+        let [incarnation, number] = [[header[0], header[1]], [header[2], header[3]]].map(u16::from_be_bytes);
+        let decode_entry = |entry: &[u8]| {
+            let endpoint = EndpointHash(u16::from_be_bytes([entry[0], entry[1]]));
+            (endpoint, EndpointLoad::decode(entry[2], entry[3]))
         };
-        Ok(Self { stamp, words: entries.chunks_exact(ENTRY).map(word).collect() })
+        let loads = entries.chunks_exact(ENTRY_BYTES).map(decode_entry).collect();
+        Ok(Self { stamp: ReportStamp { incarnation, number }, loads })
     }
 }
--- a/crates/gossip/tests/hearsay.rs
+++ b/crates/gossip/tests/gossip.rs
@@ -1,19 +1,21 @@
-//! What is believed of what is heard.
+//! Which reports count, and the weight factors that follow from them.
 
 use decide::api::{EndpointId, LoadReport};
-use gossip::wire::{MAX_BYTES, MAX_ENTRIES, Report, Short, Stamp, Word};
-use gossip::{FRESH_US, GossipState, LEAST, MOST, Micros, PAUSE_US};
+use gossip::wire::{EndpointHash, EndpointLoad, MAX_BYTES, MAX_ENTRIES, Report, ReportStamp};
+use gossip::{
+    GossipState, MAX_WEIGHT_FACTOR, MIN_WEIGHT_FACTOR, Micros, PUBLISH_INTERVAL_US, REPORT_LIFETIME_US,
+};
 use proptest::prelude::*;
 
 const SERVERS: u64 = 6;
 
-fn load(server: u64, held: f64) -> LoadReport {
-    LoadReport { endpoint: EndpointId(server), weight: 1.5, in_flight: held, answered: 2, failed: 0 }
+fn load(server: u64, in_flight: f64) -> LoadReport {
+    LoadReport { endpoint: EndpointId(server), weight: 1.5, in_flight, answered: 2, failed: 0 }
 }
 
 /// What each balancer holds: `held` at server 0, one request at every other.
-fn loads(held: f64) -> Vec<LoadReport> {
-    (0..SERVERS).map(|n| load(n, if n == 0 { held } else { 1.0 })).collect()
+fn loads(in_flight: f64) -> Vec<LoadReport> {
+    (0..SERVERS).map(|n| load(n, if n == 0 { in_flight } else { 1.0 })).collect()
 }
 
 fn part(parts: &[(EndpointId, f64)], server: u64) -> f64 {
@@ -33,7 +35,7 @@
     }
     /// One turn of each; the parts that the first one yields.
     fn round(&mut self, loads: &[LoadReport], lost: impl Fn(usize, usize) -> bool) -> Vec<(EndpointId, f64)> {
-        self.now += PAUSE_US;
+        self.now += PUBLISH_INTERVAL_US;
         let turns: Vec<_> = self.all.iter_mut().map(|it| it.turn(self.now, loads)).collect();
         for (from, turn) in turns.iter().enumerate() {
             for (to, hearer) in self.all.iter_mut().enumerate() {
@@ -52,19 +54,19 @@
 }
 
 #[test]
-fn a_host_that_holds_more_than_its_part_loses_keys_and_the_others_agree() {
+fn endpoint_with_more_than_its_share_loses_weight_and_all_balancers_agree() {
     let mut fleet = Fleet::new(20);
     let parts = fleet.rounds(12, &loads(4.0), |_, _| false);
     assert!(part(&parts, 0) < 0.3, "{parts:?}");
     assert!((1..SERVERS).all(|n| part(&parts, n) > 1.0), "{parts:?}");
-    let (now, loads) = (fleet.now + PAUSE_US, loads(4.0));
+    let (now, loads) = (fleet.now + PUBLISH_INTERVAL_US, loads(4.0));
     let all: Vec<f64> = fleet.all.iter_mut().map(|it| part(&it.turn(now, &loads).parts, 0)).collect();
     let (least, most) = all.iter().fold((f64::MAX, 0.0_f64), |(a, b), p| (a.min(*p), b.max(*p)));
     assert!(most / least < 1.2, "balancers that hear the same must place keys alike: {all:?}");
 }
 
 #[test]
-fn a_host_that_fails_half_of_what_it_is_sent_loses_keys_though_it_holds_little() {
+fn endpoint_that_fails_half_of_its_requests_loses_weight_though_few_are_in_flight() {
     let mut fleet = Fleet::new(20);
     let mut loads = loads(1.0);
     (loads[0].answered, loads[0].failed) = (1, 1);
@@ -73,27 +75,31 @@
 }
 
 #[test]
-fn no_part_leaves_its_bounds_and_all_come_back_when_the_cause_has_gone() {
+fn weight_factors_stay_in_bounds_and_return_when_the_cause_is_gone() {
     let mut fleet = Fleet::new(10);
     let parts = fleet.rounds(40, &loads(1_000.0), |_, _| false);
-    assert!(parts.iter().all(|(_, part)| (LEAST..=MOST).contains(part)), "{parts:?}");
+    assert!(
+        parts.iter().all(|(_, part)| (MIN_WEIGHT_FACTOR..=MAX_WEIGHT_FACTOR).contains(part)),
+        "{parts:?}"
+    );
     let parts = fleet.rounds(60, &loads(1.0), |_, _| false);
     assert!(parts.iter().all(|(_, part)| (part - 1.0).abs() < 0.15), "{parts:?}");
 }
 
 #[test]
-fn with_every_message_lost_every_host_keeps_its_whole_weight() {
+fn without_reports_every_endpoint_keeps_its_weight() {
     let mut fleet = Fleet::new(20);
     let parts = fleet.rounds(12, &loads(4.0), |_, _| true);
     assert!(parts.iter().all(|(_, part)| *part == 1.0), "{parts:?}");
     // And again when they are lost only after a while.
     fleet.rounds(12, &loads(4.0), |_, _| false);
-    let parts = fleet.rounds(1 + (FRESH_US / PAUSE_US) as usize, &loads(4.0), |_, _| true);
+    let parts =
+        fleet.rounds(1 + (REPORT_LIFETIME_US / PUBLISH_INTERVAL_US) as usize, &loads(4.0), |_, _| true);
     assert!(parts.iter().all(|(_, part)| *part == 1.0), "{parts:?}");
 }
 
 #[test]
-fn a_third_of_the_messages_lost_changes_little() {
+fn loss_of_a_third_of_the_reports_changes_little() {
     let mut fleet = Fleet::new(61);
     let whole = part(&fleet.rounds(12, &loads(4.0), |_, _| false), 0);
     let mut fleet = Fleet::new(61);
@@ -102,12 +108,12 @@
 }
 
 #[test]
-fn one_balancer_that_lies_does_not_put_out_a_good_host() {
+fn one_wrong_balancer_does_not_take_the_weight_of_a_good_endpoint() {
     let mut fleet = Fleet::new(100);
     let honest = loads(1.0);
     let liar = Report {
-        stamp: Stamp::first(fleet.now),
-        words: vec![(EndpointId(0).into(), Word { held: 15.9, answered: 0, failed: 15 })],
+        stamp: ReportStamp::first(fleet.now),
+        loads: vec![(EndpointId(0).into(), EndpointLoad { in_flight: 15.9, answered: 0, failed: 15 })],
     };
     let mut stamp = liar.stamp;
     let mut parts = Vec::new();
@@ -121,55 +127,56 @@
 }
 
 #[test]
-fn a_report_counts_once_in_order_and_not_for_long() {
+fn report_counts_once_in_order_and_until_it_expires() {
     let mut it = GossipState::new(0, 3, 0);
     let report = |incarnation: u16, number: u16| {
-        let words = vec![(EndpointId(0).into(), Word { held: 9.0, answered: 1, failed: 0 })];
-        Report { stamp: Stamp { incarnation, number }, words }.encode()
+        let loads = vec![(EndpointId(0).into(), EndpointLoad { in_flight: 9.0, answered: 1, failed: 0 })];
+        Report { stamp: ReportStamp { incarnation, number }, loads }.encode()
     };
     it.hear(1, 1, &report(7, 5));
     it.hear(2, 1, &report(7, 5)); // doubled
     it.hear(3, 1, &report(7, 4)); // late
     it.hear(4, 1, &report(6, 900)); // of a former life
-    assert_eq!((it.counts().heard, it.counts().old), (1, 3));
+    assert_eq!((it.counters().accepted, it.counters().outdated), (1, 3));
     it.hear(5, 1, &report(7, 6));
     it.hear(6, 1, &report(8, 0)); // restarted
     it.hear(7, 2, &report(u16::MAX, u16::MAX));
     it.hear(8, 2, &report(u16::MAX, 0)); // the number has come round
-    assert_eq!((it.counts().heard, it.counts().old), (5, 3));
-    it.hear(9 + FRESH_US, 1, &report(6, 0)); // after a silence whatever comes is news
-    assert_eq!(it.counts().heard, 6);
-    it.hear(9 + FRESH_US, 0, &report(9, 9)); // from itself
-    it.hear(9 + FRESH_US, 3, &report(9, 9)); // from none of the balancers
-    assert_eq!(it.counts().strangers, 2);
+    assert_eq!((it.counters().accepted, it.counters().outdated), (5, 3));
+    it.hear(9 + REPORT_LIFETIME_US, 1, &report(6, 0)); // after a silence whatever comes is news
+    assert_eq!(it.counters().accepted, 6);
+    it.hear(9 + REPORT_LIFETIME_US, 0, &report(9, 9)); // from itself
+    it.hear(9 + REPORT_LIFETIME_US, 3, &report(9, 9)); // from none of the balancers
+    assert_eq!(it.counters().unknown_senders, 2);
 }
 
 #[test]
-fn a_lone_balancer_and_one_of_two_hundred_take_their_turns() {
+fn turns_work_for_one_balancer_and_for_two_hundred() {
     for balancers in [1, 200] {
         let mut it = GossipState::new(0, balancers, 0);
         let turn = it.turn(1_000_000, &loads(3.0));
         assert!(turn.parts.iter().all(|(_, part)| *part == 1.0));
-        assert!(it.turn(2_000_000, &[]).parts.is_empty(), "no servers, no words");
+        assert!(it.turn(2_000_000, &[]).parts.is_empty(), "no servers, no loads");
         assert!(it.pause(0.0) < it.pause(1.0));
     }
 }
 
 #[test]
-fn ten_thousand_busy_servers_fit_one_datagram_the_busiest_first() {
-    let words = (0..10_000).map(|n| (Short(n), Word { held: f64::from(n) / 1e3, answered: 99, failed: 99 }));
-    let datagram = Report { stamp: Stamp::first(0), words: words.collect() }.encode();
+fn report_of_ten_thousand_endpoints_fits_a_datagram_the_busiest_first() {
+    let loads = (0..10_000)
+        .map(|n| (EndpointHash(n), EndpointLoad { in_flight: f64::from(n) / 1e3, answered: 99, failed: 99 }));
+    let datagram = Report { stamp: ReportStamp::first(0), loads: loads.collect() }.encode();
     assert!(datagram.len() <= MAX_BYTES);
     let back = Report::decode(&datagram).unwrap();
-    assert_eq!(back.words.len(), MAX_ENTRIES);
-    assert!(back.words.iter().all(|(_, word)| word.held > 9.8), "{:?}", back.words);
+    assert_eq!(back.loads.len(), MAX_ENTRIES);
+    assert!(back.loads.iter().all(|(_, load)| load.in_flight > 9.8), "{:?}", back.loads);
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { rng_seed: proptest::test_runner::RngSeed::Fixed(16), ..ProptestConfig::with_cases(512) })]
 
     #[test]
-    fn no_datagram_panics_or_leaves_a_part_out_of_bounds(
+    fn no_datagram_causes_a_panic_or_a_weight_factor_out_of_bounds(
         datagrams in prop::collection::vec((0_usize..5, prop::collection::vec(any::<u8>(), 0..300)), 0..20)
     ) {
         let mut it = GossipState::new(0, 4, 0);
@@ -181,26 +188,26 @@
             it.hear(n as Micros * 100_000, *from, &bytes);
             let turn = it.turn(n as Micros * 100_000 + 1, &loads(0.5));
             prop_assert!(turn.datagram.len() <= MAX_BYTES);
-            prop_assert!(turn.parts.iter().all(|(_, part)| (LEAST..=MOST).contains(part)));
+            prop_assert!(turn.parts.iter().all(|(_, part)| (MIN_WEIGHT_FACTOR..=MAX_WEIGHT_FACTOR).contains(part)));
         }
-        let counts = it.counts();
-        prop_assert_eq!(counts.heard + counts.unreadable + counts.old + counts.strangers, datagrams.len() as u64);
+        let counts = it.counters();
+        prop_assert_eq!(counts.accepted + counts.undecodable + counts.outdated + counts.unknown_senders, datagrams.len() as u64);
     }
 
     #[test]
-    fn what_is_written_is_read_to_the_nearest_step(
-        words in prop::collection::vec((any::<u16>(), 0.1_f64..15.9, 0_u32..16, 0_u32..16), 0..MAX_ENTRIES),
+    fn decoding_returns_what_was_encoded_to_the_nearest_step(
+        loads in prop::collection::vec((any::<u16>(), 0.1_f64..15.9, 0_u32..16, 0_u32..16), 0..MAX_ENTRIES),
         incarnation: u16, number: u16,
     ) {
-        let word = |(_, held, answered, failed): &(u16, f64, u32, u32)| Word { held: *held, answered: *answered, failed: *failed };
+        let load = |(_, held, answered, failed): &(u16, f64, u32, u32)| EndpointLoad { in_flight: *held, answered: *answered, failed: *failed };
         let report = Report {
-            stamp: Stamp { incarnation, number },
-            words: words.iter().map(|w| (Short(w.0), word(w))).collect(),
+            stamp: ReportStamp { incarnation, number },
+            loads: loads.iter().map(|w| (EndpointHash(w.0), load(w))).collect(),
         };
         let back = Report::decode(&report.encode()).unwrap();
         prop_assert_eq!(back.stamp, report.stamp);
-        prop_assert_eq!(back.words.len(), report.words.len());
-        let sum = |r: &Report| r.words.iter().map(|(_, w)| w.held).sum::<f64>();
-        prop_assert!((sum(&back) - sum(&report)).abs() <= report.words.len() as f64 / 32.0 + 1e-9);
+        prop_assert_eq!(back.loads.len(), report.loads.len());
+        let sum = |r: &Report| r.loads.iter().map(|(_, w)| w.in_flight).sum::<f64>();
+        prop_assert!((sum(&back) - sum(&report)).abs() <= report.loads.len() as f64 / 32.0 + 1e-9);
     }
 }
--- a/crates/spindlebeam/src/serve.rs
+++ b/crates/spindlebeam/src/serve.rs
@@ -127,7 +127,7 @@
                 log::info!("{error:#}; other balancers are told nothing until it is free");
                 tokio::task::spawn_local(talk_later(siblings, seed, handle.clone()));
             }
-            Err(error) => return Err(error),
+            Err(error) => return Err(error.into()),
         }
     }
     let slot_wait = slot_wait(config.bounds.shortest);
