--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -1,17 +1,19 @@
-//! Who is let in, decided ahead of the decision module.
+//! Admission of client connections: which may stay open, and which are closed for others.
 //!
-//! The crate does no I/O, reads no clock and draws no randomness: its owner tells it what happened and when, and
-//! carries out what it asks for. It leaves sockets, descriptors and the protocol of a front to that owner.
-//!
-//! [`Places`] holds the places for client connections of one front.
+//! [`ConnectionSlots`] manages the connection slots of one front. The crate does no I/O, reads no clock and draws no random
+//! numbers: its owner reports what happens on each connection and when, and closes those that
+//! [`ConnectionSlots::poll_close`] returns. Sockets, descriptors and the protocol are left to that owner.
 #![forbid(unsafe_code)]
 #![warn(unreachable_pub)]
 
-mod addresses;
-mod places;
+#[doc(hidden)]
+pub mod addresses;
+mod connections;
 mod reuse;
+mod slots;
 
-pub use places::{ConnectionId, Counts, Patience, Places};
+pub use connections::ConnectionId;
+pub use slots::{CommandTimeout, ConnectionCounters, ConnectionSlots};
 
 /// Microseconds on the owner's clock: a span, or a point in time.
 pub type Micros = u64;
--- a/crates/admission/src/reuse.rs
+++ b/crates/admission/src/reuse.rs
@@ -1,50 +1,65 @@
-//! What idle connections are worth: the share of them that is used again, learned from those that were left alone.
+//! The share of idle connections that are used again, estimated from those that were left open.
 
 use crate::Micros;
 
-/// How long a finished idle spell counts: 1/e of its weight is left after this. Short, because a whole population of
-/// clients can change its ways from one second to the next.
-const SPAN_US: f64 = 2e6;
+/// The time constant of the estimate. It is short because a whole population of clients can change its behaviour from one
+/// second to the next.
+const TIME_CONSTANT_US: f64 = 2e6;
 
-/// The share of first idle spells that end in a further command.
+/// How a first idle period ended.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(crate) enum IdleEnd {
+    /// A command arrived.
+    Reused,
+    /// The client closed the connection.
+    ClosedByClient,
+    /// We ended it, which says nothing of the client.
+    EndedByUs,
+}
+
+/// Estimates the share of first idle periods that end in a further command.
 ///
-/// A spell ends used (a command came) or wasted (its client left). One that we ended ourselves tells nothing and is
-/// not counted, nor is one that began while connections were being closed for want of reuse, unless it is a witness:
-/// else the rule would only see what it left over. Spells that still last count as wasted so far.
+/// Periods that we end ourselves are not counted. Neither are those that begin while connections are closed for want of
+/// reuse, except for samples that are left open: otherwise the estimate would see only what the closing leaves. Periods
+/// that still last count as not reused.
 #[derive(Debug, Clone, Default)]
-pub(crate) struct Reuse {
-    used: f64,
-    wasted: f64,
+pub(crate) struct ReuseEstimate {
+    reused: f64,
+    unused: f64,
     lasting: usize,
-    at: Micros,
+    decayed_at: Micros,
 }
 
-impl Reuse {
-    /// A counted spell has begun.
+impl ReuseEstimate {
+    /// Records that a counted idle period begins.
     pub(crate) fn begin(&mut self) {
         self.lasting += 1;
     }
 
-    /// A counted spell has ended: used, wasted, or by ourselves (`None`).
-    pub(crate) fn end(&mut self, now: Micros, used: Option<bool>) {
-        self.age(now);
+    /// Records that a counted idle period ends.
+    pub(crate) fn end(&mut self, now: Micros, how: IdleEnd) {
+        let retained = self.retained(now);
+        self.reused *= retained;
+        self.unused *= retained;
+        self.decayed_at = now;
         self.lasting -= 1;
-        match used {
-            Some(true) => self.used += 1.0,
-            Some(false) => self.wasted += 1.0,
-            None => {}
+        match how {
+            IdleEnd::Reused => self.reused += 1.0,
+            IdleEnd::ClosedByClient => self.unused += 1.0,
+            IdleEnd::EndedByUs => {}
         }
     }
 
-    fn age(&mut self, now: Micros) {
-        let kept = (-(now.saturating_sub(self.at) as f64) / SPAN_US).exp();
-        (self.used, self.wasted, self.at) = (self.used * kept, self.wasted * kept, now);
+    /// The fraction of earlier counts that is left by now.
+    fn retained(&self, now: Micros) -> f64 {
+        (-(now.saturating_sub(self.decayed_at) as f64) / TIME_CONSTANT_US).exp()
     }
 
-    /// The share used again of late, from 0 to 1; 0 when nothing has been seen.
+    /// The share of recent idle periods that ended in a command, from 0 to 1; 0 when there were none.
     pub(crate) fn share(&self, now: Micros) -> f64 {
-        let kept = (-(now.saturating_sub(self.at) as f64) / SPAN_US).exp();
-        let (used, wasted) = (self.used * kept, self.wasted * kept + self.lasting as f64);
-        if used + wasted > 0.0 { used / (used + wasted) } else { 0.0 }
+        let retained = self.retained(now);
+        let reused = self.reused * retained;
+        let unused = self.unused * retained + self.lasting as f64;
+        if reused + unused > 0.0 { reused / (reused + unused) } else { 0.0 }
     }
 }
--- a/crates/admission/tests/slots.rs
+++ b/crates/admission/tests/slots.rs
@@ -1,6 +1,6 @@
-//! [`Places`] against scripted clients on a clock of their own, and against any sequence of events.
+//! [`ConnectionSlots`] against scripted clients on a clock of their own, and against any sequence of events.
 
-use admission::{ConnectionId, Micros, Places};
+use admission::{ConnectionId, ConnectionSlots, Micros};
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 use std::net::IpAddr;
@@ -33,7 +33,7 @@
 
 /// A front of `most` places, clients that hold at most `cap` of them for requests, and answers after 30 ms.
 struct Play {
-    places: Places,
+    slots: ConnectionSlots,
     cap: usize,
     now: Micros,
     steps: BinaryHeap<std::cmp::Reverse<(Micros, u64, Step)>>,
@@ -51,7 +51,7 @@
 impl Play {
     fn new(most: usize, cap: usize) -> Self {
         Self {
-            places: Places::new(most),
+            slots: ConnectionSlots::new(most),
             cap,
             now: 0,
             steps: BinaryHeap::new(),
@@ -83,7 +83,7 @@
             let std::cmp::Reverse((at, _, step)) = self.steps.pop().unwrap();
             self.now = at;
             self.take(step);
-            while let Some(id) = self.places.poll_close() {
+            while let Some(id) = self.slots.poll_close() {
                 self.close(id);
             }
         }
@@ -98,8 +98,8 @@
                     self.lost += 1;
                     return;
                 }
-                if !self.places.has_room(self.now) {
-                    let room = self.places.poll_close();
+                if !self.slots.has_free_slot(self.now) {
+                    let room = self.slots.poll_close();
                     self.lost += usize::from(room.is_none());
                     let Some(id) = room else { return };
                     self.close(id);
@@ -107,7 +107,7 @@
                 self.next += 1;
                 self.open.insert(self.next, way);
                 let from = if way == Way::Silent { address(9) } else { address(1) };
-                let patience = self.places.enter(self.now, ConnectionId(self.next), from);
+                let patience = self.slots.accepted(self.now, ConnectionId(self.next), from);
                 match way {
                     Way::Silent => self.at(self.now + patience.0, Step::Ends(self.next)),
                     _ => self.at(self.now, Step::Asks(self.next)),
@@ -115,11 +115,11 @@
             }
             Step::Asks(id) if self.open.contains_key(&id) => {
                 self.asked += 1;
-                self.places.asked(self.now, ConnectionId(id));
+                self.slots.command_received(self.now, ConnectionId(id));
                 self.at(self.now + 30 * MS, Step::IsAnswered(id));
             }
             Step::IsAnswered(id) if self.open.contains_key(&id) => {
-                self.places.answered(self.now, ConnectionId(id));
+                self.slots.answered(self.now, ConnectionId(id));
                 let first = self.reused.insert(id);
                 match self.open[&id] {
                     Way::Reuses { pause } if first => {
@@ -131,15 +131,15 @@
                 }
             }
             Step::Ends(id) if self.open.remove(&id).is_some() => {
-                self.places.left(self.now, ConnectionId(id));
+                self.slots.closed(self.now, ConnectionId(id));
             }
             _ => {} // closed meanwhile
         }
     }
 
     fn close(&mut self, id: ConnectionId) {
-        assert!(self.places.is_closing(id));
-        self.places.left(self.now, id);
+        assert!(self.slots.is_closing(id));
+        self.slots.closed(self.now, id);
         let way = self.open.remove(&id.0).expect("an open connection");
         self.closed.push((self.now, way));
         match way {
@@ -156,13 +156,13 @@
 }
 
 #[test]
-fn clients_that_ask_once_and_linger_do_not_use_up_what_they_may_hold() {
+fn clients_that_send_one_command_and_linger_do_not_use_up_the_slots() {
     // The incident: 256 descriptors and up, a new connection for each request, idle until its client ends it.
     for (most, cap) in [(145, 85), (225, 128), (625, 341)] {
         let mut play = Play::new(most, cap);
         play.arrivals(320, 0, 20 * SECOND, Way::AsksOnce { ends: 1_200 * MS });
         play.run(20 * SECOND);
-        assert!(play.lost * 100 < play.asked, "{} lost of {} asked, {most} places", play.lost, play.asked);
+        assert!(play.lost * 100 < play.asked, "{} lost of {} asked, {most} slots", play.lost, play.asked);
     }
 }
 
@@ -179,7 +179,7 @@
 }
 
 #[test]
-fn a_pool_that_rests_for_three_seconds_is_still_there() {
+fn pool_that_rests_for_three_seconds_stays_open() {
     let mut play = Play::new(225, 128);
     let rests = Way::Reuses { pause: 3 * SECOND };
     play.arrivals(24, 0, SECOND, rests);
@@ -189,7 +189,7 @@
 }
 
 #[test]
-fn many_clients_with_slow_cycles_are_not_made_to_dial_for_each_request() {
+fn many_clients_with_slow_cycles_need_not_connect_for_each_request() {
     // Two hundred that each ask once a second: a bound on idle ones alone would close each before it is used again.
     let mut play = Play::new(625, 341);
     play.first_pause = SECOND;
@@ -201,7 +201,7 @@
 }
 
 #[test]
-fn a_close_that_brings_a_silent_dial_at_once_brings_no_further_close() {
+fn silent_connect_after_a_close_causes_no_further_close() {
     let mut play = Play::new(225, 128);
     play.redial = true;
     play.arrivals(200, 0, SECOND, Way::AsksOnce { ends: 60 * SECOND });
@@ -212,7 +212,7 @@
 }
 
 #[test]
-fn silent_ones_give_way_before_clients_that_ask() {
+fn silent_connections_are_closed_before_clients_that_send_commands() {
     let usual = Way::Reuses { pause: 100 * MS };
     let mut play = Play::new(145, 85);
     play.arrivals(40, 0, SECOND, usual);
@@ -228,22 +228,22 @@
 }
 
 #[test]
-fn a_connection_whose_command_crosses_the_request_to_close_stays() {
-    let mut places = Places::new(2);
+fn connection_whose_command_races_the_request_to_close_stays_open() {
+    let mut slots = ConnectionSlots::new(2);
     for id in [1, 2].map(ConnectionId) {
-        places.enter(0, id, address(1));
-        places.asked(0, id);
-        places.answered(0, id);
+        slots.accepted(0, id, address(1));
+        slots.command_received(0, id);
+        slots.answered(0, id);
     }
-    assert!(!places.has_room(SECOND));
-    let asked = places.poll_close().unwrap();
-    places.asked(SECOND, asked);
-    assert!(!places.is_closing(asked), "its command was read: it has been taken");
-    assert!(!places.has_room(SECOND));
-    let other = places.poll_close().unwrap();
+    assert!(!slots.has_free_slot(SECOND));
+    let asked = slots.poll_close().unwrap();
+    slots.command_received(SECOND, asked);
+    assert!(!slots.is_closing(asked), "its command was read: it has been taken");
+    assert!(!slots.has_free_slot(SECOND));
+    let other = slots.poll_close().unwrap();
     assert_ne!(asked, other);
-    places.left(SECOND, other);
-    assert!(places.has_room(SECOND));
+    slots.closed(SECOND, other);
+    assert!(slots.has_free_slot(SECOND));
 }
 
 #[derive(Debug, Clone)]
@@ -282,8 +282,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { rng_seed: proptest::test_runner::RngSeed::Fixed(7), ..ProptestConfig::default() })]
     #[test]
-    fn bounds_hold_reused_ones_go_last_and_accepting_never_starves(most in 1..24_usize, acts in acts()) {
-        let (mut places, mut now, mut next) = (Places::new(most), 0, 0);
+    fn bounds_hold_and_reused_connections_are_closed_last_and_accepting_never_starves(most in 1..24_usize, acts in acts()) {
+        let (mut slots, mut now, mut next) = (ConnectionSlots::new(most), 0, 0);
         let mut open: BTreeMap<u64, Known> = BTreeMap::new();
         for act in acts {
             let pick = |n: usize, open: &BTreeMap<u64, Known>| open.keys().nth(n % open.len().max(1)).copied();
@@ -291,55 +291,55 @@
                 Act::Wait(us) => now += Micros::from(us),
                 Act::Evict => {
                     let any = open.values().any(|known| !known.busy);
-                    prop_assert_eq!(places.evict(now), any, "one that is not busy can always be closed");
+                    prop_assert_eq!(slots.evict(now), any, "one that is not busy can always be closed");
                 }
                 Act::Enter(from) => {
-                    if places.has_room(now) {
+                    if slots.has_free_slot(now) {
                         next += 1;
-                        places.enter(now, ConnectionId(next), address(from));
+                        slots.accepted(now, ConnectionId(next), address(from));
                         let known = Known { idle_since: None, busy: false, asked: false, reused: false };
                         open.insert(next, known);
                     } else {
                         prop_assert_eq!(open.len(), most);
                         let all_busy = open.values().all(|known| known.busy);
-                        prop_assert_eq!(places.all_busy(), all_busy);
+                        prop_assert_eq!(slots.all_busy(), all_busy);
                     }
                 }
                 Act::Asked(n) => if let Some(id) = pick(n, &open) {
-                    places.asked(now, ConnectionId(id));
+                    slots.command_received(now, ConnectionId(id));
                     let known = open.get_mut(&id).unwrap();
                     known.reused |= known.idle_since.is_some();
                     (known.idle_since, known.busy, known.asked) = (None, true, true);
                 },
                 Act::Answered(n) => if let Some(id) = pick(n, &open) {
-                    places.answered(now, ConnectionId(id));
+                    slots.answered(now, ConnectionId(id));
                     let known = open.get_mut(&id).unwrap();
                     if known.busy {
                         (known.idle_since, known.busy) = (Some(now), false);
                     }
                 },
                 Act::Awaits(n) => if let Some(id) = pick(n, &open) {
-                    places.awaits(now, ConnectionId(id));
+                    slots.command_started(now, ConnectionId(id));
                     let known = open.get_mut(&id).unwrap();
                     (known.idle_since, known.busy) = (None, false);
                 },
                 Act::Left(n) => if let Some(id) = pick(n, &open) {
-                    places.left(now, ConnectionId(id));
+                    slots.closed(now, ConnectionId(id));
                     open.remove(&id);
                 },
             }
-            while let Some(ConnectionId(id)) = places.poll_close() {
+            while let Some(ConnectionId(id)) = slots.poll_close() {
                 let Some(closing) = open.get(&id).copied() else { continue };
                 prop_assert!(!closing.busy, "nothing is closed that is owed an answer");
                 let longer = |known: &Known| {
                     known.asked && !known.reused && known.idle_since.zip(closing.idle_since).is_some_and(|(a, b)| a < b)
                 };
                 prop_assert!(!closing.reused || !open.values().any(longer), "{:?} of {:?}", closing, open);
-                places.left(now, ConnectionId(id));
+                slots.closed(now, ConnectionId(id));
                 open.remove(&id);
             }
-            prop_assert!(places.held() <= most);
-            prop_assert_eq!(places.held(), open.len());
+            prop_assert!(slots.open_connections() <= most);
+            prop_assert_eq!(slots.open_connections(), open.len());
         }
     }
 }
--- a/crates/front/src/accept.rs
+++ b/crates/front/src/accept.rs
@@ -5,7 +5,7 @@
 //! listener's queue included; then what it has written is refused, and its client can ask elsewhere in time.
 
 use crate::{Front, Room};
-use admission::Places;
+use admission::ConnectionSlots;
 use futures_util::FutureExt;
 use gateway::stall_monitor::StallMonitor;
 use std::io;
@@ -140,7 +140,7 @@
     /// cost all behind it: where there is no time to wait, none is set.
     async fn room_within(&self, may_wait: Duration) -> Room {
         if may_wait.is_zero() {
-            return if self.decide(Places::has_room) { Room::Slot } else { Room::None };
+            return if self.decide(ConnectionSlots::has_free_slot) { Room::Slot } else { Room::None };
         }
         timeout(may_wait, self.room()).await.unwrap_or(Room::None)
     }
@@ -153,7 +153,7 @@
             match timeout(LAST_ACCEPTS, listener.accept()).await {
                 Err(_) => return,
                 Ok(Err(error)) => self.failed_to_accept(&error).await,
-                Ok(Ok((stream, address))) if self.decide(Places::has_room) => {
+                Ok(Ok((stream, address))) if self.decide(ConnectionSlots::has_free_slot) => {
                     self.clone().serve(stream, address.ip(), Room::Slot, Duration::ZERO);
                 }
                 Ok(Ok((stream, address))) => self.refuse(stream, address.ip()).await,
@@ -175,17 +175,17 @@
         if let Some(more) = self.failed.line() {
             log::warn!("accepting: {error}{more}");
         }
-        self.decide(|places, now| places.evict(now));
+        self.decide(|slots, now| slots.evict(now));
         sleep(ACCEPT_PAUSE).await;
     }
 
-    /// Waits for a slot for one more client, at the cost of one that [`Places`] picks.
+    /// Waits for a slot for one more client, at the cost of one that [`ConnectionSlots`] picks.
     async fn room(&self) -> Room {
-        while !self.decide(Places::has_room) {
+        while !self.decide(ConnectionSlots::has_free_slot) {
             if self.shutdown.get().turns_away(Instant::now()) {
                 return Room::None;
             }
-            if self.places.borrow().all_busy()
+            if self.slots.borrow().all_busy()
                 && let Some(more) = self.full.line()
             {
                 log::warn!("all {} client connections are busy{more}", self.most);
--- a/crates/front/src/client.rs
+++ b/crates/front/src/client.rs
@@ -5,7 +5,7 @@
 
 use crate::shutdown::{Activity, Schedule, Stage};
 use crate::{Front, Room};
-use admission::{ConnectionId, Patience};
+use admission::{CommandTimeout, ConnectionId};
 use bytes::{BufMut, BytesMut};
 use closing::{ClientEvent, Close, client_left, read_or_watch, write};
 use futures_util::FutureExt;
@@ -116,8 +116,8 @@
 impl Client {
     /// A connection that was just accepted.
     pub(crate) fn new(
-        front: Rc<Front>, stream: TcpStream, id: ConnectionId, close_signal: Rc<Notify>, patience: Patience,
-        room: Room, waited: Duration,
+        front: Rc<Front>, stream: TcpStream, id: ConnectionId, close_signal: Rc<Notify>,
+        patience: CommandTimeout, room: Room, waited: Duration,
     ) -> Self {
         let age_at_accept = waited + front.handle.stall_monitor.overdue(Instant::now());
         Self {
@@ -238,7 +238,7 @@
                 ClientEvent::SentOn => self.fail_owed_answers(),
             },
             () = self.close_signal.notified(), if at_rest => {
-                let closing = self.front.places.borrow().is_closing(self.id);
+                let closing = self.front.slots.borrow().is_closing(self.id);
                 return Ok(if closing { Next::GiveWay } else { Next::GoOn });
             }
             () = self.front.shutdown_changed.notified() => {}
@@ -331,10 +331,10 @@
             return;
         }
         let id = self.id;
-        self.front.decide(|places, now| match state {
-            SlotState::Awaits => places.awaits(now, id),
-            SlotState::Busy => places.asked(now, id),
-            SlotState::Idle => places.answered(now, id),
+        self.front.decide(|slots, now| match state {
+            SlotState::Awaits => slots.command_started(now, id),
+            SlotState::Busy => slots.command_received(now, id),
+            SlotState::Idle => slots.answered(now, id),
         });
     }
 }
--- a/crates/front/src/client/closing.rs
+++ b/crates/front/src/client/closing.rs
@@ -142,7 +142,7 @@
             return Ok(());
         };
         if !ready?.is_read_closed() {
-            self.front.places.borrow_mut().crossed();
+            self.front.slots.borrow_mut().count_close_race();
             let _ = timeout_at(until, client_left(&self.stream)).await;
         }
         Ok(())
--- a/crates/front/src/lib.rs
+++ b/crates/front/src/lib.rs
@@ -14,7 +14,7 @@
 mod request;
 pub mod shutdown;
 
-use admission::{ConnectionId, Micros, Patience, Places};
+use admission::{CommandTimeout, ConnectionId, ConnectionSlots, Micros};
 use gateway::engine::Handle;
 use gateway::setup::Names;
 use log_throttle::LogThrottle;
@@ -38,7 +38,7 @@
     slot_wait: Duration,
     started: Instant,
     next: RefCell<u64>,
-    places: RefCell<Places>,
+    slots: RefCell<ConnectionSlots>,
     /// The way to ask each connection to close.
     close_signals: RefCell<FxHashMap<ConnectionId, Rc<Notify>>>,
     malformed: LogThrottle,
@@ -72,7 +72,7 @@
             slot_wait,
             started: Instant::now(),
             next: RefCell::default(),
-            places: RefCell::new(Places::new(most)),
+            slots: RefCell::new(ConnectionSlots::new(most)),
             close_signals: RefCell::default(),
             malformed: LogThrottle::default(),
             full: LogThrottle::default(),
@@ -85,10 +85,10 @@
     }
 
     /// Notifies the places of something, and passes on whom they ask to close for it.
-    fn decide<T>(&self, notify: impl FnOnce(&mut Places, Micros) -> T) -> T {
-        let mut places = self.places.borrow_mut();
-        let outcome = notify(&mut places, self.started.elapsed().as_micros() as Micros);
-        while let Some(id) = places.poll_close() {
+    fn decide<T>(&self, notify: impl FnOnce(&mut ConnectionSlots, Micros) -> T) -> T {
+        let mut slots = self.slots.borrow_mut();
+        let outcome = notify(&mut slots, self.started.elapsed().as_micros() as Micros);
+        while let Some(id) = slots.poll_close() {
             if let Some(close_signal) = self.close_signals.borrow().get(&id) {
                 close_signal.notify_one();
             }
@@ -97,8 +97,8 @@
     }
 
     fn report(&self) {
-        let (places, now) = (self.places.borrow(), self.started.elapsed().as_micros() as Micros);
-        let (held, reuse, counts) = (places.held(), places.reuse(now), places.counts());
+        let (slots, now) = (self.slots.borrow(), self.started.elapsed().as_micros() as Micros);
+        let (held, reuse, counts) = (slots.open_connections(), slots.reuse_share(now), slots.counters());
         log::info!("{held} client connections of {}; reuse {reuse:.2}; so far {counts:?}", self.most);
     }
 
@@ -109,13 +109,13 @@
         let close_signal = Rc::new(Notify::new());
         self.close_signals.borrow_mut().insert(id, close_signal.clone());
         let patience = match room {
-            Room::Slot => self.decide(|places, now| places.enter(now, id, address)),
+            Room::Slot => self.decide(|slots, now| slots.accepted(now, id, address)),
             Room::None => {
                 self.slotless.set(self.slotless.get() + 1);
                 // Guards one that is slow to say its first word; a crowd has no time for that.
                 let few = self.slotless.get() <= accept::FEW_SLOTLESS;
                 let patience = if few { shutdown::FIRST_COMMAND } else { shutdown::SLOTLESS };
-                Patience(patience.as_micros() as Micros)
+                CommandTimeout(patience.as_micros() as Micros)
             }
         };
         let client = client::Client::new(self.clone(), stream, id, close_signal, patience, room, waited);
@@ -124,7 +124,7 @@
                 log::debug!("client {}: {error}", id.0);
             }
             self.close_signals.borrow_mut().remove(&id);
-            self.decide(|places, now| places.left(now, id));
+            self.decide(|slots, now| slots.closed(now, id));
             if room == Room::None {
                 self.slotless.set(self.slotless.get() - 1);
             }
@@ -170,7 +170,7 @@
 
     /// Waits until no client connection is open.
     pub async fn emptied(&self) {
-        while self.places.borrow().held() + self.slotless.get() > 0 {
+        while self.slots.borrow().open_connections() + self.slotless.get() > 0 {
             self.freed.notified().await;
         }
     }
