--- a/crates/front/src/accept.rs
+++ b/crates/front/src/accept.rs
@@ -1,11 +1,13 @@
-//! Which newcomers are served, and which are refused for want of a connection slot.
+//! Accepts client connections: which are served, and which are rejected for want of a connection slot.
 //!
-//! A request is taken once it is written to a connection that the system has accepted, and its time runs from then on. So
-//! a newcomer waits for a slot only for as long as the shortest time that requests give allows, those ahead of it in the
-//! listener's queue included; then what it has written is refused, and its client can ask elsewhere in time.
-
-use crate::{Front, Room};
-use admission::ConnectionSlots;
+//! A request counts as taken once it is written to a connection that the system has accepted, and its time runs from then on.
+//! So a new connection waits for a slot only for a part of the shortest deadline of requests, the wait in the listener's queue
+//! included. Then what it has written is rejected, and its client can try elsewhere in time.
+
+use crate::client::{Accepted, Client};
+use crate::front::{Front, SlotGrant};
+use crate::shutdown;
+use admission::{CommandTimeout, ConnectionId, ConnectionSlots, Micros};
 use futures_util::FutureExt;
 use gateway::stall_monitor::StallMonitor;
 use std::io;
@@ -16,183 +18,209 @@
 use tokio::sync::oneshot;
 use tokio::time::{Instant, interval, sleep, timeout};
 
-/// The wait after a failed accept, when descriptors may have run out.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
-/// How long, at the end, nothing may have been dialled before no more is accepted.
-const LAST_ACCEPTS: Duration = Duration::from_millis(20);
-/// Connections without a slot that are open at a time, to be refused: of the descriptors that are kept back from clients.
-const MOST_SLOTLESS: usize = 16;
-/// As many of these are no crowd: each may take its time to its first command.
-pub(crate) const FEW_SLOTLESS: usize = MOST_SLOTLESS / 2;
-/// How often what has become of client connections is logged.
-const REPORT: Duration = Duration::from_secs(10);
-/// The part of the shortest time of a request for which a newcomer may wait for a slot, and the longest wait.
-const SLOT_WAIT: (u32, Duration) = (4, Duration::from_millis(500));
-
-/// How long a newcomer may wait for a slot, by the shortest time that requests give.
+/// The wait after a failed accept, when descriptors may have run out, and the longest wait for a connection to end.
+const RETRY_DELAY: Duration = Duration::from_millis(20);
+/// When the listener is closed: no more is accepted once nothing has arrived for this long.
+const FINAL_ACCEPT_TIMEOUT: Duration = Duration::from_millis(20);
+/// Connections without a slot that are open at a time, to be rejected. Their descriptors are reserved.
+const MAX_SLOTLESS: usize = 16;
+/// Up to this many of them each may take its time to its first command; more are a crowd.
+const FEW_SLOTLESS: usize = MAX_SLOTLESS / 2;
+/// How often the counters of client connections are logged.
+const REPORT_INTERVAL: Duration = Duration::from_secs(10);
+/// A new connection may wait for a slot for this part of the shortest deadline ...
+const SLOT_WAIT_DIVISOR: u32 = 4;
+/// ... and for this long at most.
+const MAX_SLOT_WAIT: Duration = Duration::from_millis(500);
+
+/// How long a new connection may wait for a slot, by the shortest deadline of requests.
 #[must_use]
 pub fn slot_wait(shortest: Duration) -> Duration {
-    (shortest / SLOT_WAIT.0).min(SLOT_WAIT.1)
+    (shortest / SLOT_WAIT_DIVISOR).min(MAX_SLOT_WAIT)
 }
 
-/// The listener's queue, as far as it is known how long its connections have waited.
+/// What is known of the waiting times in the listener's queue.
 #[derive(Debug, Clone, Copy)]
-pub struct Queue {
-    /// When it was last known to be empty: nobody in it came before that.
+pub struct AcceptQueue {
+    /// When it was last known to be empty: no connection in it arrived before that.
     empty_at: Instant,
 }
 
-impl Queue {
-    /// One that is empty now.
+impl AcceptQueue {
+    /// Creates a queue that is empty now.
     #[must_use]
     pub fn empty(now: Instant) -> Self {
         Self { empty_at: now }
     }
 
-    /// Takes in that it was empty up to now.
-    pub fn found_empty(&mut self, now: Instant) {
+    /// Records that it was empty at `now`.
+    pub fn record_empty(&mut self, now: Instant) {
         self.empty_at = now;
     }
 
-    /// How long the newcomer at its head may have waited.
+    /// How long the connection at its head may have waited.
     #[must_use]
     pub fn waited(&self, now: Instant) -> Duration {
         now.saturating_duration_since(self.empty_at)
     }
 
-    /// How long that one may go on waiting for a slot.
+    /// How long that connection may still wait for a slot.
     #[must_use]
-    pub fn may_wait(&self, now: Instant, slot_wait: Duration) -> Duration {
+    pub fn remaining_wait(&self, now: Instant, slot_wait: Duration) -> Duration {
         slot_wait.saturating_sub(self.waited(now))
     }
 }
 
-/// The next newcomer. Nothing is lost where this is dropped before it is done.
-async fn next_newcomer(
-    listener: &TcpListener, queue: &mut Queue, heartbeat: &StallMonitor,
+/// Accepts the next connection. Nothing is lost if this is dropped before it completes.
+async fn accept_next(
+    listener: &TcpListener, queue: &mut AcceptQueue, stall_monitor: &StallMonitor,
 ) -> io::Result<(TcpStream, SocketAddr)> {
     if let Some(accepted) = listener.accept().now_or_never() {
         return accepted;
     }
-    queue.found_empty(Instant::now());
+    queue.record_empty(Instant::now());
     let accepted = listener.accept().await;
-    // Guards those behind it: all may have come while the thread was held up.
+    // Those behind it may all have arrived while the event loop was stalled.
     let now = Instant::now();
-    queue.found_empty(now.checked_sub(heartbeat.overdue(now)).unwrap_or(now));
+    queue.record_empty(now.checked_sub(stall_monitor.overdue(now)).unwrap_or(now));
     accepted
 }
 
 impl Front {
-    /// Accepts until `stop` fires, then takes what has been dialled already, and lets the listener go. A `shared` one is
-    /// held by others too, who serve meanwhile: nothing is taken from it before it can be served as well.
+    /// Accepts connections until `stop` fires, then accepts what is in the queue and closes the listener. A `shared` listener
+    /// is also held by other processes, which serve meanwhile: nothing is accepted from it before this process is ready.
     pub async fn accept(
         self: Rc<Self>, listener: TcpListener, shared: bool, mut stop: oneshot::Receiver<()>,
     ) {
         if shared {
             tokio::select! {
                 _ = &mut stop => return,
-                () = self.handle.until_ready() => log::info!("accepting from the inherited socket"),
+                () = self.handle.until_ready() => log::info!("front: accepting from the inherited socket"),
             }
         }
-        let mut report = interval(REPORT);
-        report.reset(); // nothing to tell yet
-        let mut queue = Queue::empty(Instant::now());
+        let mut report = interval(REPORT_INTERVAL);
+        report.reset(); // there is nothing to report yet
+        let mut queue = AcceptQueue::empty(Instant::now());
         loop {
-            // Guards the signal to stop against a wait for a slot that never comes.
+            // The stop signal comes first: a wait for a slot may never end.
             let accepted = tokio::select! {
                 biased;
                 _ = &mut stop => break,
                 accepted = async {
                     if shared {
-                        self.room().await;
+                        self.wait_for_slot().await;
                     }
-                    next_newcomer(&listener, &mut queue, &self.handle.stall_monitor).await
+                    accept_next(&listener, &mut queue, &self.handle.stall_monitor).await
                 } => accepted,
                 _ = report.tick() => {
-                    queue.found_empty(Instant::now()); // nothing had come up to now
-                    self.report();
+                    queue.record_empty(Instant::now()); // nothing had arrived up to now
+                    self.log_report();
                     continue;
                 }
             };
             match accepted {
                 Ok((stream, address)) => self.admit(stream, address.ip(), &queue).await,
-                Err(error) => self.failed_to_accept(&error).await,
+                Err(error) => self.handle_accept_error(&error).await,
             }
         }
         if !shared {
-            self.accept_rest(&listener).await; // who waits in the queue of a shared one is served by the others
+            self.accept_rest(&listener).await; // the queue of a shared one is served by the other processes
         }
     }
 
-    /// Serves a newcomer as soon as there is a slot for it; refuses it where that takes too long.
-    async fn admit(self: &Rc<Self>, stream: TcpStream, address: IpAddr, queue: &Queue) {
-        let may_wait = queue.may_wait(Instant::now(), self.slot_wait);
-        match self.room_within(may_wait).await {
-            Room::Slot => {
-                let waited = queue.waited(Instant::now());
-                self.clone().serve(stream, address, Room::Slot, waited);
-            }
-            Room::None => self.refuse(stream, address).await,
+    /// Serves a connection as soon as there is a slot for it, or rejects it if that takes too long.
+    async fn admit(self: &Rc<Self>, stream: TcpStream, address: IpAddr, queue: &AcceptQueue) {
+        let remaining = queue.remaining_wait(Instant::now(), self.slot_wait);
+        match self.wait_for_slot_within(remaining).await {
+            SlotGrant::Granted => self.serve(stream, address, queue.waited(Instant::now())),
+            SlotGrant::Denied => self.serve_without_slot(stream, address).await,
         }
     }
 
-    /// The same as [`Front::room`], for so long. A timer takes a millisecond at the least, which each newcomer of a crowd would
-    /// cost all behind it: where there is no time to wait, none is set.
-    async fn room_within(&self, may_wait: Duration) -> Room {
-        if may_wait.is_zero() {
-            return if self.decide(ConnectionSlots::has_free_slot) { Room::Slot } else { Room::None };
+    /// Waits for a slot for at most `remaining`. No timer is set where there is no time: it would take a millisecond at least,
+    /// which each connection of a crowd would cost all behind it.
+    async fn wait_for_slot_within(&self, remaining: Duration) -> SlotGrant {
+        if remaining.is_zero() {
+            let is_free = self.update_slots(ConnectionSlots::has_free_slot);
+            return if is_free { SlotGrant::Granted } else { SlotGrant::Denied };
         }
-        timeout(may_wait, self.room()).await.unwrap_or(Room::None)
+        timeout(remaining, self.wait_for_slot()).await.unwrap_or(SlotGrant::Denied)
     }
 
-    /// Takes what the system has accepted for us: with the listener it would be reset, and the requests written on it lost.
-    /// Those for whom there is no slot are refused. Over when nothing more comes, or all else is to be answered.
+    /// Accepts the connections that the system has accepted already: they would be reset with the listener, and the requests
+    /// written to them lost. Those without a slot are rejected. Ends when none is left, or when all else is to be answered.
     async fn accept_rest(self: &Rc<Self>, listener: &TcpListener) {
-        let ends = self.shutdown.get().ends().unwrap_or_else(Instant::now);
+        let ends = self.shutdown().ends().unwrap_or_else(Instant::now);
         while Instant::now() < ends {
-            match timeout(LAST_ACCEPTS, listener.accept()).await {
+            match timeout(FINAL_ACCEPT_TIMEOUT, listener.accept()).await {
                 Err(_) => return,
-                Ok(Err(error)) => self.failed_to_accept(&error).await,
-                Ok(Ok((stream, address))) if self.decide(ConnectionSlots::has_free_slot) => {
-                    self.clone().serve(stream, address.ip(), Room::Slot, Duration::ZERO);
+                Ok(Err(error)) => self.handle_accept_error(&error).await,
+                Ok(Ok((stream, address))) if self.update_slots(ConnectionSlots::has_free_slot) => {
+                    self.serve(stream, address.ip(), Duration::ZERO);
                 }
-                Ok(Ok((stream, address))) => self.refuse(stream, address.ip()).await,
+                Ok(Ok((stream, address))) => self.serve_without_slot(stream, address.ip()).await,
             }
         }
     }
 
-    /// Refuses what a newcomer has written for whom there is no slot, and closes its connection.
-    async fn refuse(self: &Rc<Self>, stream: TcpStream, address: IpAddr) {
-        log::debug!("{address}: refused, there is no connection slot");
-        while self.slotless.get() >= MOST_SLOTLESS {
-            let _ = timeout(ACCEPT_PAUSE, self.freed.notified()).await;
+    /// Serves a connection that has a slot and has waited this long for it.
+    fn serve(self: &Rc<Self>, stream: TcpStream, address: IpAddr, waited: Duration) {
+        let (id, close_signal) = self.register_connection();
+        let timeout = self.update_slots(|slots, now| slots.accepted(now, id, address));
+        self.spawn_client(id, Accepted { stream, close_signal, timeout, grant: SlotGrant::Granted, waited });
+    }
+
+    /// Rejects what is written on a connection without a slot, and closes it.
+    async fn serve_without_slot(self: &Rc<Self>, stream: TcpStream, address: IpAddr) {
+        log::debug!("front: rejecting {address}: no connection slot is free");
+        while self.slotless.get() >= MAX_SLOTLESS {
+            let _ = timeout(RETRY_DELAY, self.connection_ended.notified()).await;
         }
-        self.clone().serve(stream, address, Room::None, Duration::ZERO);
+        let (id, close_signal) = self.register_connection();
+        self.slotless.set(self.slotless.get() + 1);
+        // A client that is slow to send its first command gets time for it, unless there is a crowd.
+        let few = self.slotless.get() <= FEW_SLOTLESS;
+        let until_command = if few { shutdown::FIRST_COMMAND } else { shutdown::SLOTLESS };
+        let timeout = CommandTimeout(until_command.as_micros() as Micros);
+        let (grant, waited) = (SlotGrant::Denied, Duration::ZERO);
+        self.spawn_client(id, Accepted { stream, close_signal, timeout, grant, waited });
+    }
+
+    fn spawn_client(self: &Rc<Self>, id: ConnectionId, accepted: Accepted) {
+        let grant = accepted.grant;
+        let client = Client::new(self.clone(), id, accepted);
+        let front = self.clone();
+        tokio::task::spawn_local(async move {
+            if let Err(error) = client.run().await {
+                log::debug!("front: client {}: {error}", id.0);
+            }
+            front.remove_connection(id, grant);
+        });
     }
 
-    /// Guards against a spin on EMFILE: the client stays in the queue meanwhile.
-    async fn failed_to_accept(&self, error: &io::Error) {
-        if let Some(more) = self.failed.line() {
-            log::warn!("accepting: {error}{more}");
+    /// Waits after a failed accept, so that EMFILE causes no busy loop; the client stays in the queue meanwhile.
+    async fn handle_accept_error(&self, error: &io::Error) {
+        if let Some(suppressed) = self.lines.accept_failed.line() {
+            log::warn!("front: accept failed: {error}{suppressed}");
         }
-        self.decide(|slots, now| slots.evict(now));
-        sleep(ACCEPT_PAUSE).await;
+        self.update_slots(|slots, now| slots.evict(now));
+        sleep(RETRY_DELAY).await;
     }
 
-    /// Waits for a slot for one more client, at the cost of one that [`ConnectionSlots`] picks.
-    async fn room(&self) -> Room {
-        while !self.decide(ConnectionSlots::has_free_slot) {
-            if self.shutdown.get().turns_away(Instant::now()) {
-                return Room::None;
+    /// Waits for a slot, for which a connection that [`ConnectionSlots`] chooses is closed.
+    async fn wait_for_slot(&self) -> SlotGrant {
+        while !self.update_slots(ConnectionSlots::has_free_slot) {
+            if self.shutdown().turns_away(Instant::now()) {
+                return SlotGrant::Denied;
             }
-            if self.slots.borrow().all_busy()
-                && let Some(more) = self.full.line()
+            if self.all_slots_busy()
+                && let Some(suppressed) = self.lines.all_slots_busy.line()
             {
-                log::warn!("all {} client connections are busy{more}", self.most);
+                log::warn!("front: all {} client connections are busy{suppressed}", self.max_connections);
             }
-            // Guards against waiting for one that was asked to close just as its next request came.
-            let _ = timeout(ACCEPT_PAUSE, self.freed.notified()).await;
+            // The timeout covers a connection that was asked to close just as its next request arrived.
+            let _ = timeout(RETRY_DELAY, self.connection_ended.notified()).await;
         }
-        Room::Slot
+        SlotGrant::Granted
     }
 }
--- a/crates/front/src/client/commands.rs
+++ b/crates/front/src/client/commands.rs
@@ -1,7 +1,8 @@
-//! From the bytes of a client to commands, and from a command to its reply.
+//! Decodes commands from the input of a connection, and creates the reply to each.
 
-use super::{Client, MOST_WAITING, REFUSED, Reply, SlotState, line};
-use crate::request::{self, Asked};
+use super::connection::{Client, MAX_PENDING_REPLIES, ReportedState};
+use super::reply::{BUSY, Reply};
+use crate::request::{self, ParsedCommand};
 use crate::shutdown::Stage;
 use bytes::{Buf, Bytes};
 use gateway::{MemoryPermit, stall_monitor};
@@ -10,137 +11,139 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How long a large value may take to come, from its length on; meanwhile it must go on coming. Bounds how long one client
-/// holds a part of the room for values.
-const LARGE_VALUE_TIME: Duration = Duration::from_secs(30);
+/// How long a large value may take to arrive, from its length on; meanwhile it must go on arriving. Bounds how long one client
+/// holds a part of the memory for values.
+const LARGE_VALUE_TIMEOUT: Duration = Duration::from_secs(30);
 
 impl Client {
-    /// Something has been read.
-    pub(super) fn take_in_bytes(&mut self) {
+    /// Handles input that was just read.
+    pub(super) fn handle_input(&mut self) {
         self.input_age = self.age_of_input();
-        if self.value_until.is_some() {
-            self.awaited_since = Some(Instant::now()); // a value that goes on coming is waited for
+        if self.value_deadline.is_some() {
+            self.command_awaited_since = Some(Instant::now()); // a value that goes on arriving is waited for
         }
-        if self.skip > 0 {
-            let skipped = self.skip.min(self.input.len());
+        if self.bytes_to_skip > 0 {
+            let skipped = self.bytes_to_skip.min(self.input.len());
             self.input.advance(skipped);
-            self.skip -= skipped;
-            if self.skip == 0 {
-                (self.awaited_since, self.value_until) = (None, None);
+            self.bytes_to_skip -= skipped;
+            if self.bytes_to_skip == 0 {
+                self.clear_command_timers();
             }
         }
         self.read_commands();
     }
 
-    /// How long ago what was just read may have come: as long as the thread has been held up, or was as it accepted the
+    /// How long ago the input just read may have arrived: as long as the event loop was stalled now, or when it accepted the
     /// connection a moment ago.
     fn age_of_input(&self) -> Duration {
         let age = self.front.handle.stall_monitor.overdue(Instant::now());
-        let fresh = self.opened.elapsed() < stall_monitor::CHECK_INTERVAL;
-        if fresh { age.max(self.age_at_accept) } else { age }
+        let is_new = self.opened.elapsed() < stall_monitor::CHECK_INTERVAL;
+        if is_new { age.max(self.age_at_accept) } else { age }
     }
 
-    /// When the last byte of a command that is read now came. What waited in our memory behind other commands has not aged.
+    /// When the last byte of a command that is decoded now arrived. The wait in our buffer behind other commands does not count.
     fn received(&self) -> Instant {
         let now = Instant::now();
         now.checked_sub(self.input_age).unwrap_or(now)
     }
 
-    /// Looks at a command that is not whole: one whose value is large needs room before it is read on. An answer, if the
-    /// command has come to its end by it.
-    fn unfinished(&mut self) -> Option<Reply> {
-        if self.input.is_empty() || self.room.is_some() || self.skip > 0 {
+    /// Checks an incomplete command: one with a large value needs memory before it is read on. Returns the reply if the command
+    /// ends by it.
+    fn check_partial_command(&mut self) -> Option<Reply> {
+        if self.input.is_empty() || self.memory.is_some() || self.bytes_to_skip > 0 {
             return None;
         }
-        self.awaited_since.get_or_insert_with(Instant::now);
-        let unfinished = match resp::partial_command(&self.input) {
+        self.command_awaited_since.get_or_insert_with(Instant::now);
+        let partial = match resp::partial_command(&self.input) {
             Ok(found) => found?,
-            Err(error) => return Some(self.malformed(error)),
+            Err(error) => return Some(self.reject_malformed(error)),
         };
-        let time = if unfinished.large { LARGE_VALUE_TIME } else { self.patience };
-        self.value_until.get_or_insert_with(|| Instant::now() + time);
-        if !unfinished.large {
+        let timeout = if partial.large { LARGE_VALUE_TIMEOUT } else { self.command_timeout };
+        self.value_deadline.get_or_insert_with(|| Instant::now() + timeout);
+        if !partial.large {
             return None;
         }
-        let mut command = unfinished.words;
-        command.0.push(Bytes::new()); // in place of the value, so that it can be read
-        let Asked::Request(incoming) = request::read(&command, &self.front.names, self.received()) else {
-            return Some(self.malformed(ProtoError::TooLong("command"))); // no other has a large word
+        let mut command = partial.words;
+        command.0.push(Bytes::new()); // in place of the value, so that it can be parsed
+        let ParsedCommand::Request(incoming) = request::parse(&command, &self.front.names, self.received())
+        else {
+            return Some(self.reject_malformed(ProtoError::TooLong("command"))); // no other command has a large argument
         };
-        let missing = unfinished.bytes.saturating_sub(self.input.len());
-        self.room = self.front.handle.reserve_memory(unfinished.bytes);
-        if self.room.is_some() {
+        let missing = partial.bytes.saturating_sub(self.input.len());
+        self.memory = self.front.handle.reserve_memory(partial.bytes);
+        if self.memory.is_some() {
             self.input.reserve(missing);
             return None;
         }
         self.front.handle.count_out_of_memory(incoming.class);
         self.input.clear();
-        self.skip = missing;
-        Some(line(REFUSED))
+        self.bytes_to_skip = missing;
+        Some(Reply::line(BUSY))
     }
 
-    fn malformed(&mut self, error: ProtoError) -> Reply {
-        if let Some(more) = self.front.malformed.line() {
-            log::info!("client {}: {error}{more}", self.id.0);
+    /// Ends the connection with an error.
+    fn reject_malformed(&mut self, error: ProtoError) -> Reply {
+        if let Some(suppressed) = self.front.lines.malformed_command.line() {
+            log::info!("front: client {}: {error}{suppressed}", self.id.0);
         }
-        self.ending = true;
-        line(&format!("-ERR {error}\r\n"))
+        self.is_ending = true;
+        Reply::line(&format!("-ERR {error}\r\n"))
     }
 
-    /// Reads the commands that are whole, as far as there are places for their answers.
+    /// Decodes the complete commands, as far as there is room for their replies.
     pub(super) fn read_commands(&mut self) {
         let stage = self.schedule().stage_now();
-        while !self.ending && self.replies.len() < MOST_WAITING {
-            let found = match self.room {
+        while !self.is_ending && self.replies.len() < MAX_PENDING_REPLIES {
+            let decoded = match self.memory {
                 Some(_) => resp::decode_large_command(&mut self.input),
                 None => resp::decode_command(&mut self.input),
             };
-            let room = if let Ok(Some(_)) = found {
-                (self.awaited_since, self.value_until) = (None, None);
-                self.notify_slots(SlotState::Busy);
-                self.room.take()
+            let memory = if let Ok(Some(_)) = decoded {
+                self.clear_command_timers();
+                self.report_state(ReportedState::Busy);
+                self.memory.take()
             } else {
                 None
             };
-            let reply = match found {
-                Ok(None) => match self.unfinished() {
+            let reply = match decoded {
+                Ok(None) => match self.check_partial_command() {
                     Some(reply) => reply,
                     None => return,
                 },
-                Ok(Some(command)) => self.reply_to(&command, room, stage),
-                Err(error) => self.malformed(error),
+                Ok(Some(command)) => self.reply_to(&command, memory, stage),
+                Err(error) => self.reject_malformed(error),
             };
             self.replies.push_back(reply);
         }
     }
 
-    fn reply_to(&mut self, command: &Command, room: Option<MemoryPermit>, stage: Stage) -> Reply {
-        match request::read(command, &self.front.names, self.received()) {
-            Asked::Request(incoming) if stage >= Stage::Shedding => {
+    fn reply_to(&mut self, command: &Command, memory: Option<MemoryPermit>, stage: Stage) -> Reply {
+        match request::parse(command, &self.front.names, self.received()) {
+            ParsedCommand::Request(incoming) if stage >= Stage::Shedding => {
                 self.front.handle.count_shed(incoming.class);
-                line(REFUSED)
+                Reply::line(BUSY)
             }
-            Asked::Request(mut incoming) => {
-                incoming.memory = room;
+            ParsedCommand::Request(mut incoming) => {
+                incoming.memory = memory;
                 match self.front.handle.submit(incoming) {
-                    Some(ticket) => Reply::Later(ticket),
-                    None => line("-ERR a request with this id is open\r\n"),
+                    Some(ticket) => Reply::Pending(ticket),
+                    None => Reply::line("-ERR a request with this id is open\r\n"),
                 }
             }
-            Asked::Ping => line(self.answer_to_ping()),
-            Asked::Ok => line("+OK\r\n"),
-            Asked::Quit => {
-                self.ending = true;
-                line("+OK\r\n")
+            ParsedCommand::Ping => Reply::line(self.ping_reply()),
+            ParsedCommand::Ok => Reply::line("+OK\r\n"),
+            ParsedCommand::Quit => {
+                self.is_ending = true;
+                Reply::line("+OK\r\n")
             }
-            Asked::Refused(why) => line(&format!("-ERR {why}\r\n")),
+            ParsedCommand::Invalid(why) => Reply::line(&format!("-ERR {why}\r\n")),
         }
     }
 
-    /// Any other answer than yes sends clients elsewhere.
-    fn answer_to_ping(&self) -> &'static str {
+    /// Any reply but `+PONG` makes clients connect elsewhere.
+    fn ping_reply(&self) -> &'static str {
         let handle = &self.front.handle;
-        if self.front.shutdown.get().is_draining() {
+        if self.front.shutdown().is_draining() {
             "-DRAINING\r\n"
         } else if handle.ready() {
             "+PONG\r\n"
--- /dev/null
+++ b/crates/front/src/client/serve.rs
@@ -0,0 +1,236 @@
+//! The life of a connection: waits for commands and answers, writes replies, and decides when the connection ends.
+
+use super::closing::CloseReason;
+use super::connection::{Client, MAX_PENDING_REPLIES, ReportedState};
+use super::reply::{BUSY, Reply, next_answer};
+use super::socket::{ClientEvent, ReadMode, client_left, read_or_watch, write};
+use crate::shutdown::{Schedule, Stage};
+use bytes::BytesMut;
+use futures_util::FutureExt;
+use proto::resp;
+use std::io;
+use tokio::task::yield_now;
+use tokio::time::{Instant, sleep_until};
+
+/// Bytes of replies that are collected before they are written.
+const MAX_BATCH_BYTES: usize = 256 * 1024;
+/// The capacity of the buffer for the header of a streamed value.
+const HEADER_BYTES: usize = 16;
+
+/// What happened on a connection.
+enum Event {
+    /// Something that was handled.
+    Handled,
+    /// Its slot is needed for another connection.
+    SlotNeeded,
+    /// It was idle for too long, or its command is overdue.
+    Overdue,
+    /// The time for a large value is over.
+    ValueOverdue,
+}
+
+/// How a connection goes on.
+enum Step {
+    Continue,
+    /// It is closed after an error or `QUIT`.
+    LingeringClose,
+    /// It is closed between requests.
+    Close(CloseReason),
+}
+
+impl Client {
+    /// Serves the connection until it ends. Requests that are unanswered then have lost their client.
+    pub(crate) async fn run(mut self) -> io::Result<()> {
+        self.stream.set_nodelay(true)?;
+        // The client may have left while its connection waited to be accepted. The runtime notices that once it has checked the
+        // socket, and without this would read a request first.
+        yield_now().await;
+        let mut batch = BytesMut::new();
+        while !self.client_left {
+            if self.write_replies(&mut batch).await? {
+                self.written_at = Some(Instant::now());
+                continue;
+            }
+            match self.step().await? {
+                Step::Continue => {}
+                Step::LingeringClose => return self.lingering_close().await,
+                Step::Close(reason) => return self.close_between_requests(reason).await,
+            }
+        }
+        Ok(())
+    }
+
+    /// Writes the replies that are ready; returns whether there were any.
+    async fn write_replies(&mut self, batch: &mut BytesMut) -> io::Result<bool> {
+        self.collect_ready_replies(batch);
+        if !batch.is_empty() {
+            write(&self.stream, batch).await?;
+            batch.clear();
+            return Ok(true);
+        }
+        if let Some(Reply::Streamed(_)) = self.replies.front() {
+            self.stream_value().await?;
+            return Ok(true);
+        }
+        Ok(false)
+    }
+
+    /// Waits for the next event, and decides how the connection goes on.
+    async fn step(&mut self) -> io::Result<Step> {
+        if self.is_ending && self.replies.is_empty() {
+            return Ok(Step::LingeringClose);
+        }
+        let schedule = self.schedule();
+        let stage = schedule.stage_now();
+        if stage >= Stage::Finishing {
+            if self.reject_partial_command() {
+                return Ok(Step::Continue);
+            }
+            if self.replies.is_empty() {
+                return Ok(Step::Close(CloseReason::Shutdown));
+            }
+        }
+        if stage == Stage::Failing {
+            self.fail_pending_replies();
+            return Ok(Step::Continue);
+        }
+        match self.next_event(&schedule, stage).await? {
+            Event::Handled => {}
+            Event::ValueOverdue => self.end_overdue_command(),
+            // A request that arrived as the connection was about to close has been taken.
+            Event::SlotNeeded | Event::Overdue if !self.is_input_drained().await? => {}
+            Event::Overdue if self.has_partial_command() => self.end_overdue_command(),
+            Event::SlotNeeded => return Ok(Step::Close(CloseReason::SlotNeeded)),
+            Event::Overdue if self.front.shutdown().is_closing() => {
+                return Ok(Step::Close(CloseReason::Shutdown));
+            }
+            Event::Overdue => return Ok(Step::Close(CloseReason::IdleTimeout)),
+        }
+        Ok(Step::Continue)
+    }
+
+    /// Ends the connection with an error after the replies owed: the rest of a command did not arrive in time.
+    fn end_overdue_command(&mut self) {
+        self.is_ending = true;
+        self.replies.push_back(Reply::line("-ERR the command did not end in time\r\n"));
+    }
+
+    /// Waits for the next event, and handles input and answers.
+    async fn next_event(&mut self, schedule: &Schedule, stage: Stage) -> io::Result<Event> {
+        let nothing_owed = self.replies.is_empty();
+        if nothing_owed {
+            let is_awaiting = self.command_awaited_since.is_some();
+            let state = if is_awaiting { ReportedState::AwaitingCommand } else { ReportedState::Idle };
+            self.report_state(state);
+        }
+        let mode = self.read_mode(stage);
+        let may_read = mode == ReadMode::Read;
+        let command_deadline = self.command_awaited_since.map(|since| since + self.command_timeout);
+        let command_deadline = command_deadline.filter(|_| may_read);
+        let value_deadline = self.value_deadline.filter(|_| may_read);
+        let idle_deadline = schedule.idle.filter(|_| nothing_owed && !self.has_partial_command());
+        let deadline = command_deadline.into_iter().chain(value_deadline).chain(idle_deadline).min();
+        // Deadlines go before the socket, where there may always be more to read.
+        if let Some(deadline) = deadline.filter(|deadline| *deadline <= Instant::now()) {
+            let value_is_overdue = value_deadline.is_some_and(|until| until <= deadline);
+            return Ok(if value_is_overdue { Event::ValueOverdue } else { Event::Overdue });
+        }
+        let wake_at = deadline.into_iter().chain(schedule.next_stage(stage)).min();
+        tokio::select! {
+            biased;
+            answer = next_answer(&mut self.replies) => {
+                self.replies[0] = Reply::encode(answer);
+                self.answered_at = self.front.shutdown().is_closing().then(Instant::now);
+            }
+            event = read_or_watch(&mut self.stream, &mut self.input, mode) => match event? {
+                ClientEvent::Bytes => self.handle_input(),
+                ClientEvent::End => self.client_left = true,
+                ClientEvent::Unread => self.fail_pending_replies(),
+            },
+            () = self.close_signal.notified(), if nothing_owed => {
+                let is_closing = self.front.is_closing(self.id);
+                return Ok(if is_closing { Event::SlotNeeded } else { Event::Handled });
+            }
+            () = self.front.shutdown_changed.notified() => {}
+            () = sleep_until(wake_at.unwrap_or(self.opened)), if wake_at.is_some() => {}
+        }
+        Ok(Event::Handled)
+    }
+
+    fn read_mode(&self, stage: Stage) -> ReadMode {
+        if !self.is_ending && self.replies.len() < MAX_PENDING_REPLIES && stage < Stage::Finishing {
+            ReadMode::Read
+        } else if stage >= Stage::Abandoning {
+            ReadMode::WatchForBytes
+        } else {
+            ReadMode::WatchForEnd
+        }
+    }
+
+    /// Moves the replies that are ready to `batch`, and reads further commands as that makes room for their replies.
+    fn collect_ready_replies(&mut self, batch: &mut BytesMut) {
+        loop {
+            while batch.len() < MAX_BATCH_BYTES {
+                match self.replies.pop_front() {
+                    Some(Reply::Ready(bytes)) if batch.is_empty() => *batch = bytes,
+                    Some(Reply::Ready(bytes)) => batch.unsplit(bytes),
+                    Some(pending) => {
+                        self.replies.push_front(pending);
+                        break;
+                    }
+                    None => break,
+                }
+            }
+            // Commands that have arrived may have waited for room: without this they would wait for more input.
+            let pending = self.replies.len();
+            self.read_commands();
+            if self.replies.len() == pending {
+                return;
+            }
+        }
+    }
+
+    /// Rejects an incomplete command when no more is read: its last bytes may be on their way, and it would be lost with the
+    /// connection. Returns whether there was one.
+    fn reject_partial_command(&mut self) -> bool {
+        // With as many replies as may be pending, the input may hold complete commands, which are read as those are answered.
+        let may_hold_complete = self.replies.len() >= MAX_PENDING_REPLIES;
+        if self.is_ending || may_hold_complete || self.input.is_empty() || self.bytes_to_skip > 0 {
+            return false;
+        }
+        self.memory = None;
+        self.replies.push_back(Reply::line(BUSY));
+        self.input.clear();
+        self.clear_command_timers();
+        true
+    }
+
+    /// Ends the wait for all answers: requests without one are answered as failed, since the connection closes.
+    fn fail_pending_replies(&mut self) {
+        for reply in &mut self.replies {
+            if let Reply::Pending(ticket) = reply {
+                let answer = ticket.now_or_never().unwrap_or_else(|| ticket.give_up());
+                *reply = Reply::encode(answer);
+            }
+        }
+    }
+
+    /// Passes on a large value as it arrives. If it breaks off, the connection ends, and the client can tell by the length in
+    /// the header.
+    async fn stream_value(&mut self) -> io::Result<()> {
+        let Some(Reply::Streamed(mut streamed)) = self.replies.pop_front() else { return Ok(()) };
+        let mut header = BytesMut::with_capacity(HEADER_BYTES);
+        resp::encode_bulk_header(&mut header, streamed.length());
+        write(&self.stream, &header).await?;
+        while !streamed.done() {
+            let bytes = tokio::select! {
+                bytes = streamed.next() => bytes?,
+                () = client_left(&self.stream) => return Err(io::ErrorKind::ConnectionAborted.into()),
+            };
+            let written = bytes.len();
+            write(&self.stream, bytes).await?;
+            streamed.take(written);
+        }
+        write(&self.stream, b"\r\n").await
+    }
+}
--- a/crates/front/tests/accept.rs
+++ b/crates/front/tests/accept.rs
@@ -1,6 +1,6 @@
-//! The queue of newcomers: how long the one at its head may have waited, and may go on waiting. Times are reckoned.
+//! The accept queue: how long the connection at its head may have waited, and may still wait. No test waits.
 
-use front::accept::{Queue, slot_wait};
+use front::accept::{AcceptQueue, slot_wait};
 use std::time::Duration;
 use tokio::time::Instant;
 
@@ -9,21 +9,21 @@
 }
 
 #[test]
-fn a_newcomer_waits_for_a_quarter_of_the_shortest_deadline_and_half_a_second_at_most() {
+fn new_connection_waits_for_a_quarter_of_the_shortest_deadline_and_half_a_second_at_most() {
     for (shortest, wait) in [(0, 0), (80, 20), (400, 100), (2_000, 500), (60_000, 500)] {
         assert_eq!(slot_wait(ms(shortest)), ms(wait), "{shortest} ms");
     }
 }
 
 #[test]
-fn those_ahead_in_the_queue_count_for_the_wait() {
+fn connections_ahead_in_the_queue_count_for_the_wait() {
     let start = Instant::now();
-    let mut queue = Queue::empty(start);
-    assert_eq!(queue.may_wait(start, ms(100)), ms(100));
-    assert_eq!(queue.may_wait(start + ms(60), ms(100)), ms(40), "one behind another that has waited");
-    assert_eq!(queue.may_wait(start + ms(300), ms(100)), ms(0), "none is left");
+    let mut queue = AcceptQueue::empty(start);
+    assert_eq!(queue.remaining_wait(start, ms(100)), ms(100));
+    assert_eq!(queue.remaining_wait(start + ms(60), ms(100)), ms(40), "one behind another that has waited");
+    assert_eq!(queue.remaining_wait(start + ms(300), ms(100)), ms(0), "none is left");
     assert_eq!(queue.waited(start + ms(300)), ms(300), "and all of it counts for its request");
-    queue.found_empty(start + ms(300));
+    queue.record_empty(start + ms(300));
     assert_eq!(queue.waited(start + ms(301)), ms(1));
-    assert_eq!(queue.may_wait(start + ms(301), ms(100)), ms(99));
+    assert_eq!(queue.remaining_wait(start + ms(301), ms(100)), ms(99));
 }
--- a/crates/spindlebeam/tests/crossings_list.rs
+++ b/crates/spindlebeam/tests/crossings_list.rs
@@ -144,7 +144,7 @@
         clients.push(client);
     }
     if how == Clients::TakeAll {
-        balancer.logged("accepting: ");
+        balancer.logged("front: accept failed: ");
     } else {
         // Each that waits holds a connection to a host as well; those that rest keep the places that reuse pays for.
         wait_until(|| how == Clients::Rest || open() > LIMIT * 3 / 4);
