--- a/crates/front/src/accept.rs
+++ b/crates/front/src/accept.rs
@@ -210,7 +210,7 @@
     /// Waits for a slot, for which a connection that [`ConnectionSlots`] chooses is closed.
     async fn wait_for_slot(&self) -> SlotGrant {
         while !self.update_slots(ConnectionSlots::has_free_slot) {
-            if self.shutdown().turns_away(Instant::now()) {
+            if self.shutdown().rejects_without_slot(Instant::now()) {
                 return SlotGrant::Denied;
             }
             if self.all_slots_busy()
--- a/crates/front/src/client/commands.rs
+++ b/crates/front/src/client/commands.rs
@@ -41,7 +41,8 @@
         if is_new { age.max(self.age_at_accept) } else { age }
     }
 
-    /// When the last byte of a command that is decoded now arrived. The wait in our buffer behind other commands does not count.
+    /// When the last byte of a command that is decoded now arrived. The wait in our buffer behind other commands does not
+    /// count.
     fn received(&self) -> Instant {
         let now = Instant::now();
         now.checked_sub(self.input_age).unwrap_or(now)
--- a/crates/front/src/front.rs
+++ b/crates/front/src/front.rs
@@ -152,7 +152,7 @@
         let mut draining = self.handle.draining();
         loop {
             let is_draining = *draining.borrow_and_update();
-            self.change_shutdown(|shutdown| shutdown.drain(Instant::now(), is_draining));
+            self.change_shutdown(|shutdown| shutdown.set_draining(Instant::now(), is_draining));
             if draining.changed().await.is_err() {
                 return; // the core is gone
             }
--- a/crates/front/src/operator/connection.rs
+++ b/crates/front/src/operator/connection.rs
@@ -1,5 +1,5 @@
-//! One caller's connection: hyper reads its call and writes the answer. What hyper leaves without one is answered here, and
-//! the close resets no answer.
+//! One caller's connection: hyper reads the call and writes the answer. A call that hyper leaves without an answer is answered
+//! here, and the connection is closed so that no answer is lost to a reset.
 
 use http_body_util::Full;
 use hyper::body::{Bytes, Incoming};
@@ -20,34 +20,36 @@
 use tokio::time::{Instant, sleep_until, timeout_at};
 
 /// How long a call may take from connecting to its last byte. Its answer is due within 1 s.
-pub(super) const CALL_READ: Duration = Duration::from_millis(800);
+const CALL_READ_TIMEOUT: Duration = Duration::from_millis(800);
 /// How long it may take to the last byte of its answer.
-const CALL_TIME: Duration = Duration::from_secs(2);
-/// How long a caller that sends on behind its answer is read from: a close over unread bytes would reset the answer.
+const CALL_TIMEOUT: Duration = Duration::from_secs(2);
+/// How long a caller that sends more after its call is read from: closing with unread bytes would reset the answer.
 const LINGER: Duration = Duration::from_millis(500);
-/// What is read meanwhile is thrown away, so many bytes at a time.
-const LINGER_READ: usize = 4 * 1024;
+/// Bytes that are read and discarded at a time meanwhile.
+const LINGER_READ_BYTES: usize = 4 * 1024;
 
-const CUT_SHORT: &str = "400 Bad Request";
-const TOO_SLOW: &str = "408 Request Timeout";
+/// The answer to a call that is no HTTP or ends early.
+const BAD_REQUEST: &str = "400 Bad Request";
+/// The answer to a call that is not complete in time.
+const REQUEST_TIMEOUT: &str = "408 Request Timeout";
 
-/// How far a caller has come.
+/// How far a caller's connection has come.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Progress {
-    /// Its call has not come, or it has been answered: it gives way to others.
+    /// Its call has not arrived, or was answered: it may be closed for others.
     Waiting,
     /// Its call is being answered.
     Called,
 }
 
-/// A caller's socket, and what has gone through it.
+/// A caller's socket, and whether anything was read or written.
 struct CallerStream {
     stream: TcpStream,
     has_read: bool,
     has_written: bool,
 }
 
-/// Reads a call, has it answered and closes the connection.
+/// Reads a call, answers it by `answer`, and closes the connection.
 pub(super) async fn serve<F>(
     stream: TcpStream, progress: Rc<Cell<Progress>>, answer: impl Fn(Request<Incoming>, Instant) -> F,
 ) where
@@ -56,11 +58,11 @@
     let opened = Instant::now();
     let service = service_fn(|request| {
         progress.set(Progress::Called);
-        let answer = answer(request, opened + CALL_READ);
+        let answer = answer(request, opened + CALL_READ_TIMEOUT);
         Box::pin(async move { Ok::<_, Infallible>(answer.await) })
     });
     let stream = CallerStream { stream, has_read: false, has_written: false };
-    // A caller may end its sending behind its call, and reads on all the same.
+    // A caller may close its sending side after its call and still read the answer.
     let mut connection = http1::Builder::new()
         .keep_alive(false)
         .half_close(true)
@@ -71,22 +73,22 @@
                 if let Err(error) = ended {
                     log::debug!("operators: {error}");
                 }
-                CUT_SHORT
+                BAD_REQUEST
             }
-            () = no_call_until(opened + CALL_READ, &progress) => TOO_SLOW,
+            () = no_call_until(opened + CALL_READ_TIMEOUT, &progress) => REQUEST_TIMEOUT,
         }
     };
-    let unanswered = timeout_at(opened + CALL_TIME, answered).await.unwrap_or(TOO_SLOW);
+    let status = timeout_at(opened + CALL_TIMEOUT, answered).await.unwrap_or(REQUEST_TIMEOUT);
     let mut caller = connection.into_parts().io.into_inner();
     progress.set(Progress::Waiting);
     if caller.has_read && !caller.has_written {
-        let head = format!("HTTP/1.1 {unanswered}\r\nconnection: close\r\ncontent-length: 0\r\n\r\n");
-        let _ = caller.stream.try_write(head.as_bytes()); // nothing was written before: there is room
+        let header = format!("HTTP/1.1 {status}\r\nconnection: close\r\ncontent-length: 0\r\n\r\n");
+        let _ = caller.stream.try_write(header.as_bytes()); // nothing was written before: the socket's buffer is empty
     }
     let _ = timeout_at(Instant::now() + LINGER, caller.close()).await;
 }
 
-/// Waits until a call is overdue; for ever if it has come.
+/// Waits until a call is overdue; for ever if it has arrived.
 async fn no_call_until(overdue: Instant, progress: &Cell<Progress>) {
     sleep_until(overdue).await;
     if progress.get() == Progress::Called {
@@ -95,11 +97,11 @@
 }
 
 impl CallerStream {
-    /// Ends our sending, then reads to the caller's end.
+    /// Closes the sending side, then reads until the caller closes its own.
     async fn close(&mut self) -> io::Result<()> {
         self.stream.shutdown().await?;
-        let mut thrown_away = [0; LINGER_READ];
-        while self.stream.read(&mut thrown_away).await? > 0 {}
+        let mut discarded = [0; LINGER_READ_BYTES];
+        while self.stream.read(&mut discarded).await? > 0 {}
         Ok(())
     }
 }
--- a/crates/front/src/shutdown.rs
+++ b/crates/front/src/shutdown.rs
@@ -1,36 +1,36 @@
-//! When client connections close as the balancer drains or its process ends: one state machine, fed with orders and the time.
+//! Graceful shutdown: when client connections close because the balancer drains or its process ends.
 //!
-//! Orders go in, and every connection asks for its [`Schedule`]: up to when it is served, and what is done with it from then
-//! on, whatever it is doing. The connection's own driver does it. This knows no socket.
+//! [`Shutdown`] records a drain and the end of the process. From it each connection gets its [`Schedule`]: until when it is
+//! served, and what is done with it from then on, whatever it is doing. The connection itself carries that out.
 
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How long a drained connection may rest. Clients that ask again in this time are closed behind an answer, where no command
-/// crosses the close.
+/// How long a connection may be idle in a drain. Clients that send a request in this time are closed after its answer, where no
+/// command races the close.
 const DRAIN_IDLE: Duration = Duration::from_millis(1_000);
-/// How long requests are taken after a drain; later ones are shed, and part of one is refused. At 4 s after the drain no
-/// request taken in the last 2 s may be open, and the process may have been held up for a moment or have heard of the drain
-/// from another one.
+/// How long requests are accepted in a drain; later ones are shed, and an incomplete one is rejected. 4 s after the start of
+/// the drain no request accepted in the last 2 s may be open, and the process may have been stalled for a moment or have
+/// learned of the drain from another one.
 const DRAIN_READS: Duration = Duration::from_millis(1_500);
-/// How long answers are waited for of which the client does not wait: it sends on, and what it sends would be an open request.
+/// How long answers are awaited whose client does not wait for them: it sends more, which would be an open request.
 const DRAIN_ANSWERS: Duration = Duration::from_millis(2_500);
-/// When a connection is closed that has nothing to come: no lingering close lasts longer. Leaves time to 4 s for the same delays.
+/// When a connection with nothing to come is closed: no lingering close lasts longer. Leaves time to 4 s for the same delays.
 const DRAIN_CLOSED: Duration = Duration::from_millis(3_250);
-/// How long a connection that was just accepted may take to its first command while connections are to close. Guards
-/// against closing it as that command is on its way.
+/// How long a connection that was just accepted may take to its first command in a shutdown, so that it is not closed while
+/// that command is on its way.
 pub(crate) const FIRST_COMMAND: Duration = Duration::from_millis(300);
 /// How long the lingering close of a connection that was accepted late may last.
 const LATE_CLOSE: Duration = Duration::from_millis(500);
-/// How long a newcomer without a slot may take to its first command where many are refused: what it has written by now is read.
-/// Others wait for their turn meanwhile.
+/// How long a connection without a slot may take to its first command while many are rejected: what it has written by now is
+/// read. Others wait meanwhile.
 pub(crate) const SLOTLESS: Duration = Duration::from_millis(3);
-/// How long the process lives on behind the last answers, for their writes.
+/// How long the process lives on after the last answers, to write them.
 pub const LAST_WRITES: Duration = Duration::from_millis(100);
-
-/// How long behind its time the lingering close of a connection without a slot may last: the next waits for its descriptor.
+/// How long the lingering close of a connection without a slot may last: the next one waits for its descriptor.
 const SLOTLESS_CLOSE: Duration = Duration::from_millis(60);
-/// The process is to end.
+
+/// The end of the process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct Termination {
     since: Instant,
@@ -38,12 +38,12 @@
     ends: Instant,
 }
 
-/// What was ordered: a drain, which may end, and the end of the process, which may not. Both may be in force.
+/// The shutdown under way: a drain, which may be undone, and the end of the process, which may not. Both may be in force.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Shutdown {
     draining_since: Option<Instant>,
     termination: Option<Termination>,
-    /// Since when the process is known to end, though its connections are not closed as yet.
+    /// Since when the process is known to end, while its connections are not closed yet.
     end_announced: Option<Instant>,
 }
 
@@ -52,60 +52,62 @@
 pub struct Activity {
     /// When it was accepted.
     pub opened: Instant,
-    /// Whether a command has ever come.
+    /// Whether it has sent a command.
     pub has_asked: bool,
-    /// When its last request was answered while connections were to close.
+    /// When its last request was answered during the shutdown.
     pub answered_at: Option<Instant>,
 }
 
-/// The times from which on a connection is served less; each is missing where it never comes.
+/// The times of the steps in which a connection is shut down; `None` for a step that never comes.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Schedule {
-    /// It is closed if it rests: owes nothing, is owed nothing, and nothing has come of a further command.
+    /// It is closed if it is idle: all requests are answered, and no further command has begun.
     pub idle: Option<Instant>,
-    /// Requests that come are shed.
+    /// New requests are shed.
     shed: Option<Instant>,
     /// Nothing more is read.
     read: Option<Instant>,
-    /// What is owed fails if the client sends on.
+    /// Pending requests fail if the client sends more.
     abandon: Option<Instant>,
-    /// All that is owed fails.
+    /// Pending requests fail.
     fail: Option<Instant>,
     /// Its lingering close is over.
     closed: Option<Instant>,
 }
 
-/// How far a connection has come in its schedule, in order.
+/// The step of its schedule that a connection has reached, in order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Stage {
     /// It is served.
     Serving,
-    /// Requests that come on it are shed.
+    /// New requests are shed.
     Shedding,
     /// Nothing more is read; what was read is answered, then it is closed.
     Finishing,
-    /// The same; what is owed fails if the client sends on.
+    /// The same; pending requests fail if the client sends more.
     Abandoning,
-    /// All that is owed fails.
+    /// Pending requests fail.
     Failing,
 }
 
+/// The earlier of two times, if there are any.
 fn earlier(one: Option<Instant>, other: Option<Instant>) -> Option<Instant> {
     one.into_iter().chain(other).min()
 }
 
 impl Shutdown {
-    /// Takes in whether the balancer is being drained; a drain that is in force goes on by its own time.
-    pub fn drain(&mut self, now: Instant, draining: bool) {
+    /// Starts or ends a drain. One that is in force keeps its start.
+    pub fn set_draining(&mut self, now: Instant, draining: bool) {
         self.draining_since = draining.then(|| self.draining_since.unwrap_or(now));
     }
 
-    /// Takes in that the process will be told to end soon: nobody waits for a slot any more.
+    /// Announces that the process will end soon: from now on no connection waits for a slot.
     pub fn announce_end(&mut self, now: Instant) {
         self.end_announced.get_or_insert(now);
     }
 
-    /// Takes in that the process is to end: connections at rest close after `idle`, and all is answered by `ends`. For good.
+    /// Starts the end of the process: idle connections close after `idle`, and all requests are answered by `ends`. This cannot
+    /// be undone.
     pub fn terminate(&mut self, now: Instant, idle: Duration, ends: Instant) {
         self.termination = Some(Termination { since: now, idle, ends });
     }
@@ -120,7 +122,7 @@
         self.reason().is_some()
     }
 
-    /// Why no client should come here now, if so.
+    /// Why clients should not connect now, if there is a reason.
     pub fn reason(&self) -> Option<&'static str> {
         match (self.termination, self.draining_since) {
             (Some(_), _) => Some("this process is ending"),
@@ -129,13 +131,13 @@
         }
     }
 
-    /// When all that is owed fails, where the process is to end.
+    /// When all pending requests fail, if the process is ending.
     pub fn ends(&self) -> Option<Instant> {
         self.termination.map(|termination| termination.ends)
     }
 
-    /// Whether newcomers for whom there is no connection slot are refused: none of those who hold one leaves in time.
-    pub fn turns_away(&self, now: Instant) -> bool {
+    /// Whether connections without a slot are rejected at once: no other connection will end in time for them.
+    pub fn rejects_without_slot(&self, now: Instant) -> bool {
         let drained = self.draining_since.is_some_and(|since| now >= since + DRAIN_READS);
         drained || self.end_announced.is_some()
     }
@@ -145,13 +147,13 @@
         let drain = self.draining_since.map(|since| drain_schedule(since, connection));
         let end = self.termination.map(|termination| termination.schedule(connection));
         match (drain, end) {
-            (Some(drain), Some(end)) => drain.and(end),
+            (Some(drain), Some(end)) => drain.merge(end),
             (one, other) => one.or(other).unwrap_or_default(),
         }
     }
 }
 
-/// When a connection at rest closes: right behind an answer that it was given since then, where a close can cross no command.
+/// When an idle connection closes: right after an answer that it was given since then, when no command can race the close.
 fn idle_until(since: Instant, idle: Duration, connection: &Activity) -> Instant {
     match connection.answered_at {
         Some(at) if at >= since => at,
@@ -187,8 +189,8 @@
 }
 
 impl Schedule {
-    /// The schedule under two orders: the earlier time counts for each step.
-    fn and(self, other: Self) -> Self {
+    /// The schedule when two shutdowns are in force: the earlier time counts for each step.
+    fn merge(self, other: Self) -> Self {
         Self {
             idle: earlier(self.idle, other.idle),
             shed: earlier(self.shed, other.shed),
@@ -199,17 +201,17 @@
         }
     }
 
-    /// The schedule of a connection that has no slot: all that comes on it is shed, and it is closed soon.
-    pub(crate) fn without_slot(self, connection: &Activity, patience: Duration) -> Self {
+    /// The schedule of a connection without a slot: all its requests are shed, and it is closed soon.
+    pub(crate) fn without_slot(self, connection: &Activity, command_timeout: Duration) -> Self {
         let opened = connection.opened;
-        let until = Some(opened + patience);
+        let until = Some(opened + command_timeout);
         let idle = if connection.has_asked { Some(opened) } else { until };
-        let closed = Some(opened + patience + SLOTLESS_CLOSE);
+        let closed = Some(opened + command_timeout + SLOTLESS_CLOSE);
         let shed = Self { idle, shed: Some(opened), read: until, closed, ..self };
-        self.and(shed)
+        self.merge(shed)
     }
 
-    /// How far a connection has come by this time.
+    /// The step reached at this time.
     pub fn stage(&self, now: Instant) -> Stage {
         let over = |time: Option<Instant>| time.is_some_and(|time| now >= time);
         match () {
@@ -221,12 +223,12 @@
         }
     }
 
-    /// How far it has come by now; the clock is read only where connections are to close.
+    /// The step reached now. The clock is read only in a shutdown.
     pub fn stage_now(&self) -> Stage {
         if self.shed.is_none() { Stage::Serving } else { self.stage(Instant::now()) }
     }
 
-    /// When it leaves this stage.
+    /// When the next step begins.
     pub fn next_stage(&self, stage: Stage) -> Option<Instant> {
         match stage {
             Stage::Serving => self.shed,
@@ -237,7 +239,7 @@
         }
     }
 
-    /// When a lingering close that begins now ends: after `most`, and after `least` even where the time for it is over.
+    /// When a lingering close that begins now ends: after `most`, but not before `least`, even if its time is over.
     pub fn linger_until(&self, now: Instant, least: Duration, most: Duration) -> Instant {
         self.closed.map_or(now + most, |closed| (now + most).min(closed.max(now + least)))
     }
--- a/crates/front/tests/shutdown.rs
+++ b/crates/front/tests/shutdown.rs
@@ -1,4 +1,4 @@
-//! The schedule of a client connection: each order in each stage. Times are reckoned, none is waited for.
+//! The schedule of a client connection: each kind of shutdown in each stage. No test waits.
 
 use front::shutdown::{Activity, Schedule, Shutdown, Stage};
 use rstest::rstest;
@@ -11,7 +11,7 @@
     Duration::from_millis(ms)
 }
 
-/// One that was opened long ago, has asked, and was answered before all orders.
+/// A connection that was opened long ago, and was answered before any shutdown.
 fn used(start: Instant) -> Activity {
     Activity { opened: start, has_asked: true, answered_at: None }
 }
@@ -29,8 +29,8 @@
     let mut shutdown = Shutdown::default();
     for order in orders {
         match *order {
-            Order::Drain(at) => shutdown.drain(start + ms(at), true),
-            Order::Undrain(at) => shutdown.drain(start + ms(at), false),
+            Order::Drain(at) => shutdown.set_draining(start + ms(at), true),
+            Order::Undrain(at) => shutdown.set_draining(start + ms(at), false),
             Order::Terminate(at) => shutdown.terminate(start + ms(at), ms(500), start + ms(at + 3_500)),
         }
     }
@@ -67,7 +67,7 @@
     &[Order::Terminate(0), Order::Drain(100), Order::Undrain(200)],
     &[(2_000, Stage::Serving), (3_500, Stage::Failing)]
 )]
-fn every_order_in_every_stage(#[case] orders: &[Order], #[case] stages: &[(u64, Stage)]) {
+fn every_shutdown_in_every_stage(#[case] orders: &[Order], #[case] stages: &[(u64, Stage)]) {
     let start = Instant::now();
     let schedule = ordered(start, orders).schedule(&used(start));
     for (at, stage) in stages {
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn connection_at_rest_closes_behind_its_answer_or_when_its_time_is_over() {
+fn idle_connection_closes_after_its_answer_or_when_its_time_is_over() {
     let start = Instant::now();
     let shutdown = ordered(start, &[Order::Drain(0)]);
     let idle = |activity: Activity| shutdown.schedule(&activity).idle;
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn drain_is_known_beside_end_of_process() {
+fn drain_is_known_during_the_end_of_the_process() {
     let start = Instant::now();
     for orders in [[Order::Drain(0), Order::Terminate(1)], [Order::Terminate(0), Order::Drain(1)]] {
         let shutdown = ordered(start, &orders);
@@ -122,6 +122,8 @@
     }
     let draining = ordered(start, &[Order::Drain(0)]);
     assert_eq!(draining.reason(), Some("draining"));
-    assert!(!draining.turns_away(start + ms(1_499)) && draining.turns_away(start + ms(1_500)));
-    assert!(!ordered(start, &[Order::Terminate(0)]).turns_away(start + ms(3_000)));
+    assert!(
+        !draining.rejects_without_slot(start + ms(1_499)) && draining.rejects_without_slot(start + ms(1_500))
+    );
+    assert!(!ordered(start, &[Order::Terminate(0)]).rejects_without_slot(start + ms(3_000)));
 }
--- a/crates/spindlebeam/tests/operators.rs
+++ b/crates/spindlebeam/tests/operators.rs
@@ -41,7 +41,7 @@
         })
         .collect();
     assert_eq!(call(door, "GET", "/ready", "").0, 200);
-    p.balancer.logged("a caller that said nothing gave way");
+    p.balancer.logged("operators: closed a silent connection for a new one");
     let first = &mut &callers[0];
     first.set_read_timeout(Some(PATIENCE)).unwrap();
     assert!(first.read(&mut [0]).is_ok_and(|n| n == 0) || first.peek(&mut [0]).is_err(), "it gave way");
