--- a/crates/proto/src/discovery.rs
+++ b/crates/proto/src/discovery.rs
@@ -1,39 +1,39 @@
-//! Discovery's list and the lines of its watch, as typed values.
+//! The endpoint list of discovery, and the lines of its watch.
 
 mod scan;
 
 use bytes::{Buf, BytesMut};
 use rustc_hash::FxHashSet;
-use scan::{Scan, Scanned};
+use scan::{Scanned, Scanner};
 use serde::Deserialize;
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// Endpoints of the largest fleet: sixteen times the two hundred of a usual one.
-const LARGEST_FLEET: usize = 16 * 200;
-/// A member with the longest names and the deepest indentation; a usual one takes 150 bytes.
-const LARGEST_MEMBER: usize = 1024;
-/// The longest line or list, in bytes: twice what the largest fleet may come to. Bounds the memory that one may take.
-pub const MAX_LIST_BYTES: usize = 2 * LARGEST_FLEET * LARGEST_MEMBER;
+/// Endpoints of the largest list: sixteen times the two hundred of a usual one.
+const MAX_ENDPOINTS: usize = 16 * 200;
+/// Bytes of an endpoint with the longest names and the deepest indentation; a usual one takes 150 bytes.
+const MAX_ENDPOINT_BYTES: usize = 1024;
+/// The longest line or list, in bytes: twice what the largest list may take. Bounds the memory for one.
+pub const MAX_LIST_BYTES: usize = 2 * MAX_ENDPOINTS * MAX_ENDPOINT_BYTES;
 
-/// The state that discovery gives a member.
+/// The state of an endpoint's process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Phase {
-    /// Takes work.
+    /// Accepts work.
     Ready,
-    /// Completes what it has.
+    /// Completes the work it has.
     Draining,
-    /// Removed; only among changes.
+    /// Removed; only in a list of changes.
     Gone,
 }
 
-/// A peer as discovery lists it.
+/// An endpoint as discovery lists it.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct EndpointRecord {
-    /// Its lasting name, the same at every balancer.
+    /// Its id, the same for every balancer and across restarts.
     pub id: String,
-    /// Where this balancer reaches it.
+    /// The address where this balancer reaches it.
     pub host_port: SocketAddr,
     /// Its zone, by name.
     #[serde(default)]
@@ -54,52 +54,52 @@
     pub up_since_ms: u64,
 }
 
-/// The list, or changes to it.
+/// The complete list, or changes to it.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct EndpointList {
-    /// The version that this brings the holder to.
+    /// The revision of the list once this is applied.
     pub revision: u64,
-    /// Whether these are all members.
+    /// Whether these are all endpoints.
     pub complete: bool,
-    /// The members, or those that changed.
+    /// All endpoints, or those that changed.
     pub members: Vec<EndpointRecord>,
 }
 
-/// What is heard of discovery.
+/// What arrives from discovery.
 #[derive(Debug)]
 pub enum WatchEvent {
-    /// It has taken up our watch: what it has to tell is on its way.
+    /// The watch was accepted; what there is to report follows.
     Subscribed,
     /// A list.
     List(EndpointList),
 }
 
-/// Why a list, or a line of a watch, cannot be used. What follows it on its connection cannot be trusted.
+/// Why a list, or a line of a watch, cannot be used. What follows it on the connection cannot be trusted.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum ListError {
-    /// It is longer than any fleet's.
+    /// It is longer than any list.
     #[error("the list is longer than {MAX_LIST_BYTES} bytes")]
     TooLong,
-    /// It is not in the form of JSON.
+    /// It is no JSON.
     #[error("the list is no JSON: its byte {0} cannot stand there")]
     Syntax(usize),
-    /// It is JSON, but not in the form of a list; says what is wrong, and in which line and column.
+    /// It is JSON, but no list; the text says what is wrong, with line and column.
     #[error("the list is none: {0}")]
     Form(String),
-    /// A whole list has a member twice.
+    /// A complete list contains an endpoint twice.
     #[error("the list has {0} twice")]
     Duplicate(String),
 }
 
-/// Reads one list.
+/// Parses one list.
 ///
 /// # Errors
-/// When it is not in the form of a list, with what is wrong and where.
+/// When it is no list; the error says what is wrong and where.
 pub fn parse_endpoint_list(text: &[u8]) -> Result<EndpointList, ListError> {
     let list: EndpointList =
         serde_json::from_slice(text).map_err(|error| ListError::Form(error.to_string()))?;
     let mut ids = FxHashSet::default();
-    // Among changes, a member may come again: the last counts.
+    // In a list of changes an endpoint may occur again: the last entry counts.
     for member in list.members.iter().filter(|_| list.complete) {
         if !ids.insert(member.id.as_str()) {
             return Err(ListError::Duplicate(member.id.clone()));
@@ -108,54 +108,55 @@
     Ok(list)
 }
 
-/// What a line of a watch says.
+/// The content of a line of a watch.
 #[derive(Debug, Clone, PartialEq)]
 pub enum WatchLine {
     /// Nothing changed.
     KeepAlive,
-    /// Changes, or the whole list.
+    /// Changes, or the complete list.
     Update(EndpointList),
 }
 
-/// Reads the lines of a watch. A list that is indented goes on over several lines. Each byte is looked at once as it comes,
-/// in pieces of any size, and once more when its list has come to its end.
+/// Reads the lines of a watch. An indented list extends over several lines. Each byte is scanned once as it arrives, in pieces
+/// of any size, and once more when its list is complete.
 #[derive(Debug, Default)]
 pub struct WatchReader {
-    scan: Scan,
-    /// Bytes of the buffer that were looked at.
-    looked_at: usize,
+    scanner: Scanner,
+    /// Bytes of the buffer that were scanned.
+    scanned: usize,
 }
 
 impl WatchReader {
-    /// Takes the next whole line off the buffer, to which more is only added in between; `None` while it has not all come.
+    /// Removes the next line from the buffer; `None` while it is incomplete. Between two calls, bytes may only be appended to
+    /// the buffer.
     ///
     /// # Errors
-    /// When the line is too long or no list.
+    /// When the line is too long, or no list.
     pub fn next(&mut self, buffer: &mut BytesMut) -> Result<Option<WatchLine>, ListError> {
-        while let Some(byte) = buffer.get(self.looked_at).copied() {
-            self.looked_at += 1;
-            if self.looked_at > MAX_LIST_BYTES {
+        while let Some(byte) = buffer.get(self.scanned).copied() {
+            self.scanned += 1;
+            if self.scanned > MAX_LIST_BYTES {
                 return Err(ListError::TooLong);
             }
-            match self.scan.byte(byte) {
-                Scanned::GoesOn => {}
-                Scanned::Wrong => return Err(ListError::Syntax(self.looked_at - 1)),
-                Scanned::Blank => {
-                    self.take(buffer);
+            match self.scanner.scan(byte) {
+                Scanned::Incomplete => {}
+                Scanned::Invalid => return Err(ListError::Syntax(self.scanned - 1)),
+                Scanned::BlankLine => {
+                    self.remove_scanned(buffer);
                     return Ok(Some(WatchLine::KeepAlive));
                 }
-                Scanned::Object => {
-                    let found = parse_endpoint_list(&buffer[..self.looked_at]);
-                    self.take(buffer);
-                    return Ok(Some(WatchLine::Update(found?)));
+                Scanned::ObjectLine => {
+                    let list = parse_endpoint_list(&buffer[..self.scanned]);
+                    self.remove_scanned(buffer);
+                    return Ok(Some(WatchLine::Update(list?)));
                 }
             }
         }
         Ok(None)
     }
 
-    fn take(&mut self, buffer: &mut BytesMut) {
-        buffer.advance(self.looked_at);
+    fn remove_scanned(&mut self, buffer: &mut BytesMut) {
+        buffer.advance(self.scanned);
         *self = Self::default();
     }
 }
--- /dev/null
+++ b/crates/proto/src/http/head.rs
@@ -0,0 +1,119 @@
+//! The head of a response: its status line and headers.
+
+use super::parse::{Found, MAX_HEADERS, Malformed, Step, checked_length};
+use crate::MAX_BUFFERED_VALUE_BYTES;
+use httparse::{Header, ParserConfig, Response};
+use std::mem::MaybeUninit;
+
+/// The head of a response.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct ResponseHead {
+    /// The status code.
+    pub status: u16,
+    /// `Srv-Declined: 1`: the request never ran.
+    pub declined: bool,
+    /// Whether the connection stays open after this response.
+    pub keep: bool,
+    pub(super) body: BodyFraming,
+}
+
+/// How the end of a body is found.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(super) enum BodyFraming {
+    /// It has this length.
+    Length(usize),
+    /// It is sent in chunks.
+    Chunked,
+    /// It ends with the connection.
+    UntilClose,
+}
+
+impl ResponseHead {
+    /// The length of the body, if it is stated and longer than what is read as one message.
+    #[must_use]
+    pub fn large(&self) -> Option<usize> {
+        match self.body {
+            BodyFraming::Length(length) if length > MAX_BUFFERED_VALUE_BYTES => Some(length),
+            _ => None,
+        }
+    }
+}
+
+/// Parses a head.
+pub(super) fn parse(text: &[u8]) -> Step<ResponseHead> {
+    // httparse skips empty lines here; nothing may stand before a response.
+    if text.first().is_some_and(|byte| *byte != b'H') {
+        return Err(Malformed);
+    }
+    let mut headers = [const { MaybeUninit::uninit() }; MAX_HEADERS];
+    let mut response = Response::new(&mut []);
+    let parsed =
+        ParserConfig::default().parse_response_with_uninit_headers(&mut response, text, &mut headers);
+    // An invalid status is rejected before the rest of its head has arrived.
+    if response.code.is_some_and(|code| !(100..600).contains(&code)) {
+        return Err(Malformed);
+    }
+    let Some(length) = checked_length(text, parsed, |length| length)? else { return Ok(None) };
+    Ok(Some(Found { value: interpret(&response)?, length }))
+}
+
+/// The headers that matter.
+#[derive(Default)]
+struct Headers {
+    content_length: Option<usize>,
+    is_chunked: bool,
+    closes: bool,
+    declined: bool,
+}
+
+impl Headers {
+    fn read(&mut self, header: &Header<'_>) -> Result<(), Malformed> {
+        let Header { name, value } = header;
+        if name.eq_ignore_ascii_case("content-length") {
+            let text = std::str::from_utf8(value).map_err(|_| Malformed)?;
+            let length = text.parse().map_err(|_| Malformed)?;
+            // Two lengths that differ would let one response be read as two.
+            if self.content_length.is_some_and(|earlier| earlier != length) {
+                return Err(Malformed);
+            }
+            self.content_length = Some(length);
+        } else if name.eq_ignore_ascii_case("transfer-encoding") {
+            if !value.eq_ignore_ascii_case(b"chunked") {
+                return Err(Malformed);
+            }
+            self.is_chunked = true;
+        } else if name.eq_ignore_ascii_case("connection") {
+            self.closes |= value.eq_ignore_ascii_case(b"close");
+        } else if name.eq_ignore_ascii_case("srv-declined") {
+            self.declined = *value == b"1";
+        }
+        Ok(())
+    }
+
+    fn framing(&self, status: u16) -> Result<BodyFraming, Malformed> {
+        // Interim responses (1xx) state no length, since they have no body.
+        let has_no_body = status < 200 || status == 204 || status == 304;
+        if has_no_body {
+            return Ok(BodyFraming::Length(0));
+        }
+        match self.content_length {
+            _ if self.is_chunked => Ok(BodyFraming::Chunked),
+            Some(length) => Ok(BodyFraming::Length(length)),
+            // It ends with its connection, and says so. The version alone does not say it.
+            None if self.closes => Ok(BodyFraming::UntilClose),
+            // Any other body without a stated end cannot be told from a broken one.
+            None => Err(Malformed),
+        }
+    }
+}
+
+fn interpret(response: &Response<'_, '_>) -> Result<ResponseHead, Malformed> {
+    let status = response.code.ok_or(Malformed)?;
+    let mut headers = Headers::default();
+    for header in response.headers.iter() {
+        headers.read(header)?;
+    }
+    let is_http_1_1 = response.version == Some(1);
+    let body = headers.framing(status)?;
+    Ok(ResponseHead { status, declined: headers.declined, keep: is_http_1_1 && !headers.closes, body })
+}
--- a/crates/proto/tests/bad_lists.rs
+++ b/crates/proto/tests/bad_lists.rs
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn what_is_wrong_with_a_list_is_named_with_its_place() {
+fn error_of_a_list_names_the_fault_and_its_place() {
     let spoilt = [
         ("\"ready\"", "\"asleep\"", "unknown variant `asleep`", "an unknown phase"),
         (
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn a_member_that_comes_twice_spoils_a_whole_list_and_counts_last_among_changes() {
+fn duplicate_endpoint_is_an_error_in_a_complete_list_and_the_last_counts_among_changes() {
     let member = |phase: &str| format!(r#"{{"id":"s-1","host_port":"127.0.0.1:1","phase":"{phase}"}}"#);
     let both = |complete| {
         let members = [member("ready"), member("draining")].join(",");
@@ -52,14 +52,14 @@
 }
 
 #[test]
-fn a_line_that_is_cut_short_is_awaited_and_the_next_reader_takes_the_next_good_one() {
+fn incomplete_line_is_awaited_and_a_new_reader_reads_the_next_good_one() {
     let mut buffer = BytesMut::from(&GOOD.as_bytes()[..GOOD.len() / 2]);
     assert_eq!(WatchReader::default().next(&mut buffer), Ok(None));
     assert!(matches!(read(GOOD), Ok(Some(WatchLine::Update(list))) if list.revision == 7));
 }
 
 #[test]
-fn a_list_of_the_largest_fleet_with_deep_indentation_is_taken_and_one_beyond_the_bound_is_not() {
+fn largest_list_with_deep_indentation_is_accepted_and_one_beyond_the_limit_is_not() {
     let (mut text, deep) = (String::from("{\"revision\":1,\"complete\":true,\"members\":["), " ".repeat(240));
     for number in 0..4_800 {
         let comma = if number == 0 { "" } else { "," };
--- a/crates/proto/tests/parsers.rs
+++ b/crates/proto/tests/parsers.rs
@@ -57,7 +57,7 @@
     }
 
     #[test]
-    fn answers_survive_any_cut(
+    fn replies_survive_any_cut(
         value in prop::collection::vec(any::<u8>(), 0..300), cuts in prop::collection::vec(any::<usize>(), 0..12),
     ) {
         let mut bytes = BytesMut::from("*3\r\n");
@@ -75,7 +75,7 @@
     }
 
     #[test]
-    fn large_answers_and_commands_survive_any_cut(
+    fn large_replies_and_commands_survive_any_cut(
         extra in 1..3_000_usize, cuts in prop::collection::vec(any::<usize>(), 0..12),
     ) {
         let value = vec![b'\n'; MAX_BUFFERED_VALUE_BYTES + extra];
@@ -120,7 +120,7 @@
     }
 
     #[test]
-    fn http_answers_survive_any_cut(
+    fn http_responses_survive_any_cut(
         parts in prop::collection::vec(prop::collection::vec(any::<u8>(), 1..60), 0..5),
         cuts in prop::collection::vec(any::<usize>(), 0..12),
     ) {
@@ -156,7 +156,7 @@
     }
 
     #[test]
-    fn garbage_is_an_error_or_awaited_but_never_a_panic(
+    fn garbage_is_an_error_or_incomplete_but_never_a_panic(
         start in prop::sample::select(vec!["", "*", "*2\r\n$", "*3\r\n$-1\r\n", "HTTP/1.1 200 ", "HTTP/1.1 200 OK\r\n", "{"]),
         noise in prop::collection::vec(prop_oneof![any::<u8>(), prop::sample::select(b"\r\n$*-:+0179a{}".to_vec())], 0..200),
         cuts in prop::collection::vec(any::<usize>(), 0..6),
@@ -171,7 +171,7 @@
 }
 
 #[test]
-fn what_never_ends_is_refused_before_it_fills_the_memory() {
+fn endless_message_is_rejected_before_it_fills_the_memory() {
     let long = vec![b'1'; 2 * MAX_BUFFERED_VALUE_BYTES];
     let with = |start: &[u8]| [start, &long].concat();
     assert!(fed(&with(b"*1\r\n$"), &[], resp::decode_command).is_err(), "a length without end");
@@ -196,7 +196,7 @@
 }
 
 #[test]
-fn a_spoilt_head_is_a_fault_as_soon_as_it_shows() {
+fn malformed_head_is_rejected_as_soon_as_it_shows() {
     let good = "HTTP/1.1 200 OK\r\nA: b\r\nContent-Length: 0\r\n\r\n";
     assert_eq!(http(good.as_bytes(), &[]).unwrap().len(), 1);
     let spoilt = [
