--- a/crates/decide/src/lib.rs
+++ b/crates/decide/src/lib.rs
@@ -5,7 +5,10 @@
 //! [`api::Action`]s that it returns.
 //!
 //! ```
-//! use decide::api::*;
+//! use decide::api::{
+//!     Action, CellId, Class, ClassId, Effect, EndpointEntry, EndpointId, Event, Key, ListKind, Outcome, Presence, Request,
+//!     RequestId, Settings, TenantId, ZoneId,
+//! };
 //! use decide::policy::Router;
 //!
 //! let class = Class {
@@ -61,9 +64,12 @@
 #![warn(unreachable_pub)]
 
 pub mod api;
+mod configuration;
 mod decaying_counter;
+mod endpoint;
 pub mod endpoint_counts;
 mod endpoint_table;
+mod ids;
 mod in_flight;
 mod key_table;
 mod latency_estimate;
--- a/crates/decide/src/policy/endpoints.rs
+++ b/crates/decide/src/policy/endpoints.rs
@@ -4,7 +4,8 @@
 use super::windows::READS_WINDOW_US;
 use crate::api::{EndpointEntry, ListKind, Micros};
 use crate::decaying_counter::DecayingCounter;
-use crate::endpoint_table::{EndpointTable, Slot, SlowStartBudget};
+use crate::endpoint::SlowStartBudget;
+use crate::endpoint_table::{EndpointTable, Slot};
 use crate::in_flight::Target;
 use std::mem;
 
--- a/crates/decide/src/policy/outliers.rs
+++ b/crates/decide/src/policy/outliers.rs
@@ -4,7 +4,8 @@
 use super::context::Context;
 use super::endpoints::MIN_IN_FLIGHT_BOUND;
 use crate::api::{Micros, Outcome};
-use crate::endpoint_table::{Endpoint, EndpointTable, Health, Slot};
+use crate::endpoint::{Endpoint, Health};
+use crate::endpoint_table::{EndpointTable, Slot};
 use crate::latency_estimate::LatencyEstimate;
 
 const FULL_SPAN_US: Micros = 100_000; // an endpoint that rejected a read is out of bounds for this long
--- a/crates/decide/tests/common/mod.rs
+++ b/crates/decide/tests/common/mod.rs
@@ -17,7 +17,8 @@
     }
 }
 
-/// Classes: 0 retryable worth 3, 1 dedup (all, 400 ms), 2 fragile, 3 retryable worth 1, 4 dedup (zone, 400 ms).
+/// Classes: 0 idempotent of weight 3, 1 with an idempotency key (all, 400 ms), 2 non-idempotent, 3 idempotent of weight 1,
+/// 4 with an idempotency key (zone, 400 ms).
 pub fn settings() -> Settings {
     let dedup = |scope| Effect::IdempotentWithKey { scope, span_us: 400 * MS };
     Settings {
