--- a/crates/decide/src/policy/origin.rs
+++ b/crates/decide/src/policy/origin.rs
@@ -105,7 +105,8 @@
         self.limiter.set_rate(self.rate.per_s, context.now);
     }
 
-    /// Whether so many fetches fail that idle connections would take places that a struggling origin needs.
+    /// Whether so many fetches fail that idle connections would take up connections that a struggling origin
+    /// needs.
     pub(super) fn should_close_idle(&self) -> bool {
         self.rate.bad_share > CLOSE_IDLE_SHARE
     }
--- a/crates/decide/src/policy/outliers.rs
+++ b/crates/decide/src/policy/outliers.rs
@@ -57,7 +57,7 @@
             Outcome::Rejected => health.full_until = context.now + FULL_SPAN_US,
             Outcome::Timeout => health.silent_share += (1.0 - health.silent_share) * SILENCE_GAIN,
             Outcome::ConnectFailed => health.silent_share += (1.0 - health.silent_share) * CONNECT_GAIN,
-            // An error, a broken connection, or an answer too late: guards the keys of a slow endpoint.
+            // An error, a broken connection, or an answer too late, which would slow down its keys.
             _ => health.fault_share += (1.0 - health.fault_share) * FAULT_GAIN,
         }
         eject_if_faulty(table, slot, outcome, context);
--- a/crates/proto/src/resp.rs
+++ b/crates/proto/src/resp.rs
@@ -3,10 +3,10 @@
 use crate::{MAX_BUFFERED_VALUE_BYTES, MAX_VALUE_BYTES, ProtoError};
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use std::ops::Range;
+use winnow::Parser;
 use winnow::ascii::{crlf, dec_int};
 use winnow::combinator::{alt, dispatch, fail, preceded, repeat, terminated};
 use winnow::error::{ContextError, ErrMode};
-use winnow::prelude::*;
 use winnow::stream::{LocatingSlice, Partial};
 use winnow::token::{any, take, take_while};
 
