--- /dev/null
+++ b/crates/spindlebeam/src/serve/serving_file.rs
@@ -0,0 +1,44 @@
+//! Tells which process of a balancer serves, where several share its inherited listening socket.
+//!
+//! A file in the shared folder holds the id of the process that became ready last.
+
+use gateway::engine::Handle;
+use gateway::setup::Config;
+use std::path::PathBuf;
+use std::time::Duration;
+use tokio::task::spawn_blocking;
+use tokio::time::timeout;
+
+/// The name of the file.
+const FILE_NAME: &str = "spindlebeam-serving";
+/// How long a process that shuts down waits for the disk to say what the file holds.
+const READ_TIMEOUT: Duration = Duration::from_millis(100);
+
+/// The file that names the serving process.
+#[derive(Clone)]
+pub(super) struct ServingFile(PathBuf);
+
+impl ServingFile {
+    /// The file of this balancer; none where its processes share neither a folder nor a socket.
+    pub(super) fn new(config: &Config) -> Option<Self> {
+        config.inherited_descriptor?;
+        config.folder.as_ref().map(|folder| Self(folder.join(FILE_NAME)))
+    }
+
+    /// Writes the id of this process as soon as it is ready.
+    pub(super) async fn announce(self, handle: Handle) {
+        handle.until_ready().await;
+        let process_id = std::process::id().to_string();
+        let file = self.0.clone();
+        if let Ok(Err(error)) = spawn_blocking(move || std::fs::write(file, process_id)).await {
+            log::warn!("{}: {error}; a process before this one accepts on for a while", self.0.display());
+        }
+    }
+
+    /// Whether another process serves. False where the disk does not answer in time: accepting for longer harms nobody.
+    pub(super) async fn names_another_process(self) -> bool {
+        let read = timeout(READ_TIMEOUT, spawn_blocking(move || std::fs::read_to_string(self.0))).await;
+        let process_id = read.ok().and_then(|read| read.ok()?.ok()?.parse().ok());
+        process_id.is_some_and(|process_id: u32| process_id != std::process::id())
+    }
+}
--- /dev/null
+++ b/crates/spindlebeam/src/serve/shutdown.rs
@@ -0,0 +1,52 @@
+//! The graceful shutdown: what happens from SIGTERM until the process ends, and when.
+//!
+//! The platform ends the process after the longest deadline (counted as [`COUNTED_DEADLINE`] where it is longer) plus 0.7 s.
+
+use super::parts::Parts;
+use front::shutdown::LAST_WRITES;
+use std::time::Duration;
+use tokio::time::{Instant, sleep, sleep_until, timeout_at};
+
+/// The longest deadline that the platform counts with.
+const COUNTED_DEADLINE: Duration = Duration::from_secs(3);
+/// Every request gets its answer by this long after the counted deadline; [`LAST_WRITES`] is left for writing it.
+const LAST_ANSWER: Duration = Duration::from_millis(500);
+/// The platform has ended the process by this long after the counted deadline; one that still runs ends by itself.
+const LATEST_EXIT: Duration = Duration::from_millis(1_900);
+/// New connections are accepted for this long after SIGTERM.
+const ACCEPT_AFTER_SIGTERM: Duration = Duration::from_millis(500);
+/// Where another process serves, idle connections are closed this long after SIGTERM: most have sent another request by
+/// then, and were closed behind its answer.
+const IDLE_AT_REPLACEMENT: Duration = Duration::from_millis(1_500);
+
+/// Answers every accepted request, closes all client connections, and returns when the process is to end.
+pub(super) async fn shut_down(parts: Parts) {
+    let now = Instant::now();
+    // The platform counts from when it sent the signal, which may have come while the event loop stalled.
+    let signalled_at = now.checked_sub(parts.handle.stall_monitor.overdue(now)).unwrap_or(now);
+    let deadline = signalled_at + parts.longest_deadline.min(COUNTED_DEADLINE) + LAST_ANSWER;
+    let replaced = match parts.serving_file {
+        Some(file) => file.names_another_process().await,
+        None => false,
+    };
+    if replaced {
+        log::info!("shutdown: another process serves; accepting no more");
+        let _ = parts.stop_accepting.send(());
+        parts.front.terminate(IDLE_AT_REPLACEMENT, deadline);
+    } else {
+        parts.front.announce_end();
+        sleep(ACCEPT_AFTER_SIGTERM).await;
+        parts.front.terminate(Duration::ZERO, deadline);
+        let _ = parts.stop_accepting.send(());
+        let _ = parts.accepting.await;
+    }
+    if timeout_at(deadline + LAST_WRITES, parts.front.emptied()).await.is_err() {
+        log::warn!("shutdown: client connections were still busy at the deadline");
+    }
+    log::info!("{}: done", parts.name);
+    if replaced {
+        // A platform books what a process used in its whole life in the second in which it ends by itself, and then
+        // throttles the other process. This one holds nothing any more, so it waits to be ended.
+        sleep_until(signalled_at + parts.longest_deadline.max(COUNTED_DEADLINE) + LATEST_EXIT).await;
+    }
+}
--- a/crates/spindlebeam/tests/crossings_client.rs
+++ b/crates/spindlebeam/tests/crossings_client.rs
@@ -79,7 +79,7 @@
     busy.set("folio", "1");
     let _first = p.origin.asked();
     p.balancer.terminate();
-    p.balancer.logged("winding down");
+    p.balancer.logged("shutting down gracefully");
     let told = std::time::Instant::now();
     clock.send(&["CACHE.SET", "1", "aa", "c=folio,t=acme,d=1000,k=1", "v"]);
     let _second = p.origin.asked();
--- a/crates/spindlebeam/tests/platform/process.rs
+++ b/crates/spindlebeam/tests/platform/process.rs
@@ -102,7 +102,7 @@
         let mut it = Self { door: None, folder, child, file, log, addr: "127.0.0.1:0".parse().unwrap() };
         let addr = |line: String| line.rsplit(' ').next().unwrap().parse().unwrap();
         it.addr = addr(it.logged("listening on "));
-        it.door = config["operator"].as_str().map(|_| addr(it.logged("operators call at ")));
+        it.door = config["operator"].as_str().map(|_| addr(it.logged("admin endpoint on ")));
         it
     }
     /// Waits for a line of the log; lines before it are passed over, and count for the time.
--- a/crates/spindlebeam/tests/serve.rs
+++ b/crates/spindlebeam/tests/serve.rs
@@ -288,7 +288,7 @@
     busy.get("leer", "1");
     let asked = p.peers[0].asked();
     p.balancer.terminate();
-    p.balancer.logged("winding down");
+    p.balancer.logged("shutting down gracefully");
     assert!(idle.ended());
     asked.value("v");
     assert_eq!(busy.answer(), "v");
--- a/crates/testfleet/src/fleet.rs
+++ b/crates/testfleet/src/fleet.rs
@@ -236,7 +236,7 @@
     pub(crate) fn await_listening(&mut self, number: usize) {
         let it = &mut self.balancers[number];
         let address = it.process.said_address(&format!("n{number}: listening on "));
-        it.operators = it.process.said_address("operators call at ");
+        it.operators = it.process.said_address("admin endpoint on ");
         it.front = address;
         it.from_clients.aim(address);
         if self.in_fleet {
--- a/crates/testfleet/tests/process.rs
+++ b/crates/testfleet/tests/process.rs
@@ -13,7 +13,7 @@
 /// Says what a balancer of a fleet says, and its arguments; then stays until a signal ends it.
 const SCRIPT: &str = r#"#!/bin/sh
 echo "n0: listening on 127.0.0.1:9" >&2
-echo "n0: operators call at 127.0.0.1:10" >&2
+echo "n0: admin endpoint on 127.0.0.1:10" >&2
 echo "fleet: listening on 127.0.0.1:11" >&2
 echo "fleet: joined" >&2
 echo "it is ready" >&2
