--- a/crates/spindlebeam/src/config/document.rs
+++ b/crates/spindlebeam/src/config/json.rs
@@ -1,35 +1,35 @@
-//! The configuration's JSON as a value in which no name stands twice: the last of two would be in force unsaid.
+//! Reads JSON and rejects names that occur twice in an object: the last of two would silently win.
 
 use serde::de::{DeserializeSeed, Deserializer, Error, MapAccess, SeqAccess, Visitor};
 use serde_json::{Map, Number, Value};
 use std::fmt;
 
-/// Reads the whole text.
+/// Parses the whole text.
 ///
 /// # Errors
-/// When it is no JSON, or a name stands twice in an object; the error says where.
-pub fn read(json: &[u8]) -> serde_json::Result<Value> {
+/// When it is no JSON, or a name occurs twice in an object; the error says where.
+pub(super) fn read(json: &[u8]) -> serde_json::Result<Value> {
     let mut reader = serde_json::Deserializer::from_slice(json);
-    let value = At(String::new()).deserialize(&mut reader)?;
+    let value = ValueAt(String::new()).deserialize(&mut reader)?;
     reader.end().map(|()| value)
 }
 
-/// The path of a field, as errors give it.
-pub fn within(path: &str, name: &str) -> String {
+/// The path of a field as error messages show it.
+pub(super) fn child_path(path: &str, name: &str) -> String {
     if path.is_empty() { name.to_owned() } else { format!("{path}.{name}") }
 }
 
-/// What stands at this path.
-struct At(String);
+/// Deserializes the value at this path.
+struct ValueAt(String);
 
-impl<'de> DeserializeSeed<'de> for At {
+impl<'de> DeserializeSeed<'de> for ValueAt {
     type Value = Value;
     fn deserialize<D: Deserializer<'de>>(self, deserializer: D) -> Result<Value, D::Error> {
         deserializer.deserialize_any(self)
     }
 }
 
-impl<'de> Visitor<'de> for At {
+impl<'de> Visitor<'de> for ValueAt {
     type Value = Value;
     fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("a JSON value")
@@ -54,7 +54,7 @@
     }
     fn visit_seq<A: SeqAccess<'de>>(self, mut items: A) -> Result<Value, A::Error> {
         let mut list = Vec::new();
-        while let Some(item) = items.next_element_seed(At(format!("{}[{}]", self.0, list.len())))? {
+        while let Some(item) = items.next_element_seed(ValueAt(format!("{}[{}]", self.0, list.len())))? {
             list.push(item);
         }
         Ok(list.into())
@@ -62,8 +62,8 @@
     fn visit_map<A: MapAccess<'de>>(self, mut fields: A) -> Result<Value, A::Error> {
         let mut object = Map::new();
         while let Some(name) = fields.next_key::<String>()? {
-            let path = within(&self.0, &name);
-            let value = fields.next_value_seed(At(path.clone()))?;
+            let path = child_path(&self.0, &name);
+            let value = fields.next_value_seed(ValueAt(path.clone()))?;
             if object.insert(name, value).is_some() {
                 return Err(Error::custom(format!("{path}: stands twice")));
             }
--- a/crates/spindlebeam/src/lib.rs
+++ b/crates/spindlebeam/src/lib.rs
@@ -1,5 +1,8 @@
-//! The gateway as a program: its configuration and its life. The core is in the crate `gateway`.
+//! The balancer as a program: its configuration, the life of its process, and the thread of the fleet.
+//!
+//! The core is the crate `gateway`; the fronts are in `front`.
 #![forbid(unsafe_code)]
+#![warn(unreachable_pub)]
 
 pub mod config;
 pub mod fleet;
--- a/crates/spindlebeam/src/main.rs
+++ b/crates/spindlebeam/src/main.rs
@@ -1,6 +1,7 @@
-//! The command line.
+//! The command line of the balancer.
 
 use anyhow::{Context, Result, bail};
+use gateway::setup::Bounds;
 use pico_args::Arguments;
 use spindlebeam::config;
 use spindlebeam::fleet;
@@ -27,7 +28,7 @@
 
 fn main() -> ExitCode {
     let level = env_logger::Env::default().default_filter_or("info");
-    // Grace periods are fractions of a second: lines dated to the second cannot tell what came before what.
+    // Grace periods are fractions of a second: dates to the second could not order the lines.
     env_logger::Builder::from_env(level).format_timestamp_millis().init();
     match run() {
         Ok(()) => ExitCode::SUCCESS,
@@ -38,16 +39,19 @@
     }
 }
 
+/// The options of the command line.
+struct Options {
+    /// `--config`.
+    config: Option<PathBuf>,
+    /// `--fleet`, `--fleet-listen` and `--keep`.
+    fleet: fleet::Options,
+}
+
 fn run() -> Result<()> {
     let mut args = Arguments::from_env();
     let help = args.contains(["-h", "--help"]);
     let command = args.subcommand()?;
-    let file: Option<PathBuf> = args.opt_value_from_str("--config")?;
-    let fleet = fleet::Options {
-        file: args.opt_value_from_str("--fleet")?,
-        listen: args.opt_value_from_str("--fleet-listen")?,
-        keep: args.opt_value_from_str("--keep")?,
-    };
+    let options = parse_options(&mut args)?;
     if let Some(word) = args.finish().first() {
         bail!("unknown argument {word:?}; try `spindlebeam help`");
     }
@@ -55,30 +59,62 @@
         _ if help => println!("{HELP}"),
         Some("help") => println!("{HELP}"),
         Some("version") => println!("spindlebeam {}", env!("CARGO_PKG_VERSION")),
-        Some("serve") => serve::serve(&configuration(file)?, &fleet)?,
-        Some("check-config") => {
-            let config = config::read(&configuration(file)?)?;
-            let (classes, tenants) = (config.names.classes.len(), config.names.tenants.len());
-            println!("{}: usable; {classes} classes, {tenants} tenants, {:?}", config.name, config.bounds);
-            match config.inherited_descriptor {
-                Some(number) => println!("clients: the socket inherited as descriptor {number}"),
-                None => println!("clients: {}", config.listen),
-            }
-            match config.operator {
-                Some(addr) => println!("operators: {addr}"),
-                None => println!("operators: nowhere"),
-            }
-            if let Some(file) = &fleet.file {
-                println!("{}", fleet::checked(file, &config.name)?);
-            }
-        }
+        Some("serve") => serve::serve(&config_path(options.config)?, &options.fleet)?,
+        Some("check-config") => check_config(options)?,
         Some(other) => bail!("unknown command {other:?}; try `spindlebeam help`"),
         None => bail!("no command; try `spindlebeam help`"),
     }
     Ok(())
 }
 
-fn configuration(file: Option<PathBuf>) -> Result<PathBuf> {
-    let from_env = || std::env::var_os("PROXY_CONFIG").map(PathBuf::from);
-    file.or_else(from_env).context("no configuration: give --config or set PROXY_CONFIG")
+fn parse_options(args: &mut Arguments) -> Result<Options> {
+    let config = args.opt_value_from_str("--config")?;
+    let fleet = fleet::Options {
+        file: args.opt_value_from_str("--fleet")?,
+        listen: args.opt_value_from_str("--fleet-listen")?,
+        keep: args.opt_value_from_str("--keep")?,
+    };
+    Ok(Options { config, fleet })
+}
+
+/// Reads the configuration and prints what the program makes of it.
+fn check_config(options: Options) -> Result<()> {
+    let config = config::read(&config_path(options.config)?)?;
+    let (classes, tenants) = (config.names.classes.len(), config.names.tenants.len());
+    println!("{}: usable; {classes} classes, {tenants} tenants, {}", config.name, describe(&config.bounds));
+    match config.inherited_descriptor {
+        Some(number) => println!("clients: the socket inherited as descriptor {number}"),
+        None => println!("clients: {}", config.listen),
+    }
+    match config.operator {
+        Some(addr) => println!("operators: {addr}"),
+        None => println!("operators: nowhere"),
+    }
+    if let Some(file) = &options.fleet.file {
+        println!("{}", fleet::checked(file, &config.name)?);
+    }
+    Ok(())
+}
+
+/// The limits in the form that `check-config` has always printed, whatever the fields are called.
+fn describe(bounds: &Bounds) -> String {
+    format!(
+        "Bounds {{ clients: {}, peers: {}, held_bytes: {}, open: {}, answer_bytes: {}, dial: {:?}, idle: {:?}, \
+         longest: {:?}, shortest: {:?} }}",
+        bounds.clients,
+        bounds.peers,
+        bounds.held_bytes,
+        bounds.open,
+        bounds.answer_bytes,
+        bounds.dial,
+        bounds.idle,
+        bounds.longest,
+        bounds.shortest,
+    )
+}
+
+/// The configuration file: `--config`, or else `$PROXY_CONFIG`.
+fn config_path(option: Option<PathBuf>) -> Result<PathBuf> {
+    let from_environment = || std::env::var_os("PROXY_CONFIG").map(PathBuf::from);
+    option.or_else(from_environment).context("no configuration: give --config or set PROXY_CONFIG")
 }
--- a/crates/spindlebeam/src/reload.rs
+++ b/crates/spindlebeam/src/reload.rs
@@ -1,4 +1,4 @@
-//! A new configuration while the program runs: SIGHUP, and what of the new file can be taken over.
+//! Rereads the configuration file on SIGHUP, and applies what a running program can change.
 
 use crate::config;
 use anyhow::Result;
@@ -13,95 +13,111 @@
 use tokio::task::spawn_blocking;
 use tokio::time::sleep;
 
-/// How often it is asked again whether discovery may be moved, where the fleet holds that.
-const HELD_AGAIN: Duration = Duration::from_secs(1);
+/// How often a move of discovery that the fleet's calendar holds is tried again.
+const RETRY_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Rereads the file at each signal, for ever, and moves the watch of discovery where the new one says.
+/// Rereads the file at each signal, and moves the watch of discovery to the address that it names.
 ///
-/// Where the fleet's calendar holds planned changes, the move waits: the newest file wins.
-/// Nothing here ends the program or touches a client: a file that cannot be used is logged and changes nothing.
+/// Where the fleet's calendar holds planned changes, the move waits; of several files the newest wins. A file that cannot be
+/// used is logged and changes nothing. Never returns.
 pub async fn follow(
-    mut hangup: Signal, file: PathBuf, mut running: Config, discovery: watch::Sender<SocketAddr>,
-    handle: Handle,
+    mut hangup: Signal, file: PathBuf, running: Config, discovery: watch::Sender<SocketAddr>, handle: Handle,
 ) {
-    let mut held: Option<Config> = None;
+    let mut reloader = Reloader { file, running, pending: None, discovery, handle };
     loop {
-        let new = tokio::select! {
-            signal = hangup.recv() => match read_at(signal, &file).await {
-                Some(Ok(new)) => {
-                    say_what_waits(&new, &running);
-                    new
-                }
-                Some(Err(error)) => {
-                    log::error!("SIGHUP: {error:#}; the configuration in use stays");
-                    handle.count_reload(false);
-                    continue;
-                }
-                None => std::future::pending().await, // signals can no longer come; the program serves on
-            },
-            () = sleep(HELD_AGAIN), if held.is_some() => match held.take() {
-                Some(new) => {
-                    if handle.check_change(ChangeKind::Discovery).await.is_err() {
-                        held = Some(new);
-                    } else {
-                        apply(&new, &mut running, &discovery);
-                    }
-                    continue;
-                }
-                None => continue,
+        tokio::select! {
+            signal = hangup.recv() => match signal {
+                Some(()) => reloader.reload().await,
+                None => std::future::pending().await, // no further signal can come; the program serves on
             },
+            () = sleep(RETRY_INTERVAL), if reloader.pending.is_some() => reloader.retry_pending().await,
+        }
+    }
+}
+
+struct Reloader {
+    file: PathBuf,
+    /// The configuration in use.
+    running: Config,
+    /// The newest configuration, while the fleet's calendar holds its move of discovery.
+    pending: Option<Config>,
+    /// Where discovery is followed.
+    discovery: watch::Sender<SocketAddr>,
+    handle: Handle,
+}
+
+impl Reloader {
+    async fn reload(&mut self) {
+        let new = match read_file(&self.file).await {
+            Ok(new) => new,
+            Err(error) => {
+                log::error!("SIGHUP: {error:#}; the configuration in use stays");
+                self.handle.count_reload(false);
+                return;
+            }
         };
-        let moves = new.discovery != *discovery.borrow();
-        let may = if moves { handle.check_change(ChangeKind::Discovery).await } else { Ok(()) };
-        held = match may {
+        log_restart_needed(&self.running, &new);
+        match self.check_move(&new).await {
             Ok(()) => {
-                apply(&new, &mut running, &discovery);
-                None
+                self.pending = None;
+                self.apply(&new);
             }
-            Err(why) => {
-                log::warn!("SIGHUP: discovery is held: {why}");
-                Some(new)
+            Err(reason) => {
+                log::warn!("SIGHUP: discovery is held: {reason}");
+                self.pending = Some(new);
             }
-        };
-        handle.count_reload(true);
+        }
+        self.handle.count_reload(true);
     }
-}
 
-/// Reads the file at a signal, on a thread of its own: the disk may stand still for seconds, and a file as it is then is due as
-/// soon as it moves.
-async fn read_at(signal: Option<()>, file: &Path) -> Option<Result<Config>> {
-    signal?;
-    let file = file.to_owned();
-    Some(spawn_blocking(move || config::read(&file)).await.unwrap_or_else(|error| Err(error.into())))
-}
+    async fn check_move(&self, new: &Config) -> Result<(), String> {
+        let moves = new.discovery != *self.discovery.borrow();
+        if moves { self.handle.check_change(ChangeKind::Discovery).await } else { Ok(()) }
+    }
 
-/// Says what the file changes that a running program cannot.
-fn say_what_waits(new: &Config, running: &Config) {
-    let later = needs_restart(running, new);
-    if !later.is_empty() {
-        log::warn!("SIGHUP: {} changed in the file; in use after a restart", later.join(", "));
+    async fn retry_pending(&mut self) {
+        let Some(new) = self.pending.take() else { return };
+        match self.handle.check_change(ChangeKind::Discovery).await {
+            Ok(()) => self.apply(&new),
+            Err(_) => self.pending = Some(new),
+        }
     }
+
+    fn apply(&mut self, new: &Config) {
+        // Where the address stays the same, the watch is sound and goes on.
+        let moved =
+            self.discovery.send_if_modified(|addr| std::mem::replace(addr, new.discovery) != new.discovery);
+        self.running.discovery = new.discovery;
+        match moved {
+            true => log::info!("SIGHUP: discovery is now at {}", new.discovery),
+            false => log::info!("SIGHUP: discovery stays at {}", new.discovery),
+        }
+    }
+}
+
+/// Reads the file on a thread of its own: the disk may hang for seconds.
+async fn read_file(file: &Path) -> Result<Config> {
+    let file = file.to_owned();
+    spawn_blocking(move || config::read(&file)).await.unwrap_or_else(|error| Err(error.into()))
 }
 
-fn apply(new: &Config, running: &mut Config, discovery: &watch::Sender<SocketAddr>) {
-    // The address stays the same where only other things changed: its watch is sound and goes on.
-    let moved = discovery.send_if_modified(|addr| std::mem::replace(addr, new.discovery) != new.discovery);
-    running.discovery = new.discovery;
-    match moved {
-        true => log::info!("SIGHUP: discovery is now at {}", new.discovery),
-        false => log::info!("SIGHUP: discovery stays at {}", new.discovery),
+/// Logs which fields differ that a running program cannot change.
+fn log_restart_needed(running: &Config, new: &Config) {
+    let fields = fields_that_need_restart(running, new);
+    if !fields.is_empty() {
+        log::warn!("SIGHUP: {} changed in the file; in use after a restart", fields.join(", "));
     }
 }
 
-/// What differs and cannot be changed in a running program. The seed and the list known before speak of starts.
-fn needs_restart(old: &Config, new: &Config) -> Vec<&'static str> {
-    let differs = [
-        ("name", old.name != new.name),
-        ("listen", old.listen != new.listen),
-        ("operator", old.operator != new.operator),
-        ("peers, peers_all or peer_listen", old.gossip != new.gossip),
-        ("limits", old.bounds != new.bounds),
-        ("settings", old.settings != new.settings || old.names != new.names),
+/// The fields that differ and cannot be changed in a running program. The seed and the known list matter only at a start.
+fn fields_that_need_restart(running: &Config, new: &Config) -> Vec<&'static str> {
+    let fields = [
+        ("name", running.name != new.name),
+        ("listen", running.listen != new.listen),
+        ("operator", running.operator != new.operator),
+        ("peers, peers_all or peer_listen", running.gossip != new.gossip),
+        ("limits", running.bounds != new.bounds),
+        ("settings", running.settings != new.settings || running.names != new.names),
     ];
-    differs.into_iter().filter_map(|(what, differs)| differs.then_some(what)).collect()
+    fields.into_iter().filter_map(|(field, differs)| differs.then_some(field)).collect()
 }
--- a/crates/spindlebeam/tests/start.rs
+++ b/crates/spindlebeam/tests/start.rs
@@ -161,7 +161,7 @@
     let read = |operator: serde_json::Value, told: &[(&str, &str)]| {
         let mut config = config::parse(text(operator).as_bytes())?;
         let variable = |name: &str| told.iter().find(|it| it.0 == name).map(|it| it.1.to_owned());
-        config::told_by(variable, &mut config).map(|()| config)
+        config::apply_environment(variable, &mut config).map(|()| config)
     };
     let config = read(json!(null), &[]).unwrap();
     assert_eq!((config.operator, config.inherited_descriptor, config.folder), (None, None, None));
