--- a/crates/emulator/src/day/clients.rs
+++ b/crates/emulator/src/day/clients.rs
@@ -1,6 +1,6 @@
 //! Clients in a day: first tries as they come, and what follows an answer.
 
-use super::*;
+use super::{Answer, Day, Effect, End, Happening, KEYED_SPAN, Micros, RequestId, Rng, Try, micros};
 
 impl Day<'_> {
     pub(super) fn arrival(&mut self) {
--- a/crates/emulator/src/day/due.rs
+++ b/crates/emulator/src/day/due.rs
@@ -1,6 +1,6 @@
 //! What is due on the day's clock, soonest first.
 
-use super::*;
+use super::{Answer, EndpointEntry, Micros, Ordering, Outcome, RequestId, Tag, Token, Try, archive, node};
 
 #[derive(Debug)]
 pub(super) enum Happening {
--- a/crates/emulator/src/day/gateways.rs
+++ b/crates/emulator/src/day/gateways.rs
@@ -1,6 +1,10 @@
 //! Gateways in a day: what reaches them, what they decide, and what comes back to them.
 
-use super::*;
+use super::{
+    ARCHIVE, Action, Answer, Balancer, ClassId, Context, Day, Effect, End, EndpointId, Event, Fact,
+    Happening, Micros, Outcome, Reason, Request, RequestId, Slack, Tag, TenantId, Try, VecDeque, archive,
+    node, repeat,
+};
 
 impl Day<'_> {
     pub(super) fn reaches(&mut self, gateway: usize, this: Try) {
--- a/crates/emulator/src/day/machines.rs
+++ b/crates/emulator/src/day/machines.rs
@@ -1,6 +1,6 @@
 //! Cache nodes and the archive in a day: what is sent to them, and what they make of it.
 
-use super::*;
+use super::{DIAL, Day, EndpointId, Fact, Happening, Offered, Outcome, Presence, Rng, Tag, archive, node};
 
 impl Day<'_> {
     pub(super) fn at_node(&mut self, n: usize, job: node::Job<Tag>) {
--- a/crates/emulator/src/day/settings.rs
+++ b/crates/emulator/src/day/settings.rs
@@ -1,6 +1,8 @@
 //! What a scenario's gateways are told.
 
-use super::*;
+use super::{
+    ATTEMPTS, Class, DedupScope, Effect, HOLD_OFF, KEYED_SPAN, Mode, Scenario, Settings, Tenant, micros,
+};
 
 /// The settings that a scenario's gateways are told.
 #[must_use]
--- a/crates/emulator/src/day/troubles.rs
+++ b/crates/emulator/src/day/troubles.rs
@@ -1,6 +1,9 @@
 //! Troubles in a day, and how gateways are told of the nodes that they change.
 
-use super::*;
+use super::{
+    DRAINS_FOR, Day, EndpointEntry, Event, Fact, Happening, ListKind, Node, Outcome, Presence, Rng,
+    SliceRandom, State, Tag, What, micros,
+};
 
 impl Day<'_> {
     pub(super) fn told(&mut self, gateway: usize, n: usize, version: u32, entry: EndpointEntry) {
--- /dev/null
+++ b/crates/simulator-adapter/src/event.rs
@@ -0,0 +1,195 @@
+//! Decodes the events of a batch.
+
+use crate::WireError;
+use crate::record::Record;
+use decide::api::{
+    CellId, ClassId, EndpointEntry, Event, Key, ListKind, Micros, Outcome, Presence, Request, RequestId,
+    Settings, TenantId, Token, ZoneId,
+};
+
+/// Bytes of an event's record.
+pub(crate) const EVENT_BYTES: usize = 48;
+/// Bytes of a batch's clock.
+pub(crate) const CLOCK_BYTES: usize = 8;
+/// Bytes of an entry of the endpoint list.
+const ENTRY_BYTES: usize = 24;
+/// The flag of a request that writes.
+const WRITE_FLAG: u8 = 4;
+/// What a miss says where the endpoint has told another request to fetch the key.
+const FETCH_PENDING: u8 = 3;
+
+/// A module instance, by its number on the wire.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
+pub struct Instance(pub u16);
+
+/// What a record of a batch says.
+#[derive(Debug, Clone, PartialEq)]
+pub enum WireEvent {
+    /// An instance starts, with no state.
+    Start {
+        /// Seed of its random numbers.
+        seed: u64,
+        /// Its settings.
+        settings: Box<Settings>,
+    },
+    /// An instance was killed.
+    Stop,
+    /// A gossip datagram of another instance, by its number.
+    Gossip(usize, Vec<u8>),
+    /// Something for the module.
+    Module(Event),
+    /// Legal, but nothing the module acts on.
+    Unused,
+}
+
+/// One batch: all its events happen at `clock`.
+#[derive(Debug, Clone, PartialEq)]
+pub struct Batch {
+    /// The time, in microseconds.
+    pub clock: Micros,
+    /// The events, in order.
+    pub events: Vec<(Instance, WireEvent)>,
+}
+
+/// Decodes the body of a frame from [`read_frame`](crate::read_frame).
+///
+/// # Errors
+/// When a record is malformed; the error names it.
+pub fn decode(records: usize, body: &[u8]) -> Result<Batch, WireError> {
+    let start = records.saturating_mul(EVENT_BYTES).saturating_add(CLOCK_BYTES);
+    let (Some(head), Some(tail)) = (body.get(..start), body.get(start..)) else {
+        return Err(WireError::Short { len: body.len(), records });
+    };
+    let clock = Record(head).u64(0);
+    let decode_record = |(number, bytes)| {
+        let decoder = EventDecoder { number, record: Record(bytes), tail };
+        Ok((Instance(decoder.record.u16(1)), decoder.event()?))
+    };
+    let events = head[CLOCK_BYTES..]
+        .chunks_exact(EVENT_BYTES)
+        .enumerate()
+        .map(decode_record)
+        .collect::<Result<_, WireError>>()?;
+    Ok(Batch { clock, events })
+}
+
+/// Decodes one record, whose lists and texts lie in the tail of its batch.
+struct EventDecoder<'a> {
+    /// Number of the record in its batch, from 0.
+    number: usize,
+    record: Record<'a>,
+    tail: &'a [u8],
+}
+
+impl<'a> EventDecoder<'a> {
+    fn event(&self) -> Result<WireEvent, WireError> {
+        let record = self.record;
+        let request_id = || RequestId(record.u64(3));
+        Ok(match record.u8(0) {
+            1 => WireEvent::Module(self.request()),
+            2 => self.outcome(9).map(|_| WireEvent::Unused)?,
+            3 => WireEvent::Module(self.endpoint_list()?),
+            4 => WireEvent::Module(Event::Timer(Token(record.u64(3)))),
+            5 => WireEvent::Module(Event::FirstByte(request_id())),
+            6 => WireEvent::Module(self.attempt_outcome()?),
+            7 => WireEvent::Module(Event::ClientLeft(request_id())),
+            8 => WireEvent::Stop,
+            9 => self.start()?,
+            10 => WireEvent::Gossip(record.u16(3).into(), self.in_tail("the message", 5, 1)?.to_vec()),
+            code => return Err(self.unknown("event code", code.into())),
+        })
+    }
+
+    fn request(&self) -> Event {
+        let record = self.record;
+        Event::Request(Request {
+            id: RequestId(record.u64(3)),
+            class: ClassId(record.u8(23)),
+            tenant: TenantId(record.u32(11)),
+            key: Some(Key(record.u64(29))).filter(|key| key.0 != 0),
+            write: record.u8(28) & WRITE_FLAG != 0,
+            remaining_us: record.u32(19).into(),
+        })
+    }
+
+    fn endpoint_list(&self) -> Result<Event, WireError> {
+        let kind = match self.record.u8(3) {
+            0 => ListKind::Full,
+            1 => ListKind::Failed,
+            2 => ListKind::Cached,
+            3 => ListKind::Delta,
+            code => return Err(self.unknown("list mode", code.into())),
+        };
+        let entries = self.in_tail("the list", 8, ENTRY_BYTES)?.chunks_exact(ENTRY_BYTES);
+        let entries = entries.map(|bytes| self.entry(Record(bytes))).collect::<Result<_, _>>()?;
+        Ok(Event::EndpointList(kind, entries))
+    }
+
+    fn entry(&self, entry: Record<'_>) -> Result<EndpointEntry, WireError> {
+        let presence = match entry.u8(0) {
+            0 => Presence::Gone,
+            1 => Presence::Ready,
+            2 => Presence::Draining,
+            code => return Err(self.unknown("server phase", code.into())),
+        };
+        let weight = f64::from(f32::from_bits(entry.u32(9)));
+        Ok(EndpointEntry {
+            id: entry.endpoint(1),
+            presence,
+            kind: entry.u16(7),
+            // A weight that is no positive number counts as an ordinary endpoint's.
+            weight: if weight.is_finite() && weight > 0.0 { weight } else { 1.0 },
+            cell: CellId(entry.u16(13)),
+            zone: ZoneId(entry.u8(15)),
+            online_since: entry.u64(16),
+        })
+    }
+
+    fn attempt_outcome(&self) -> Result<Event, WireError> {
+        let record = self.record;
+        Ok(Event::Outcome {
+            id: RequestId(record.u64(3)),
+            attempt: record.u16(11),
+            outcome: self.outcome(19)?,
+            latency_us: record.u32(21).into(),
+            finished: record.u8(25) != 0,
+            fetch_pending: record.u8(26) == FETCH_PENDING,
+            stale: false, // connections are not modelled on the wire
+        })
+    }
+
+    fn outcome(&self, at: usize) -> Result<Outcome, WireError> {
+        match self.record.u16(at) {
+            1 => Ok(Outcome::Ok),
+            2 => Ok(Outcome::Error),
+            3 => Ok(Outcome::Rejected),
+            4 => Ok(Outcome::Timeout),
+            5 => Ok(Outcome::ConnectFailed),
+            6 => Ok(Outcome::Reset),
+            7 => Ok(Outcome::Cancelled),
+            8 => Ok(Outcome::NotSent),
+            9 => Ok(Outcome::Miss),
+            code => Err(self.unknown("outcome", code.into())),
+        }
+    }
+
+    fn start(&self) -> Result<WireEvent, WireError> {
+        let record = self.number;
+        let text = std::str::from_utf8(self.in_tail("the settings", 11, 1)?);
+        let text = text.map_err(|_| WireError::NotText { record })?;
+        let settings = text.parse().map_err(|source| WireError::Setting { record, source })?;
+        Ok(WireEvent::Start { seed: self.record.u64(3), settings: Box::new(settings) })
+    }
+
+    /// The part of the tail whose offset, and length in units of so many bytes, stand at this place of the record.
+    fn in_tail(&self, what: &'static str, at: usize, unit: usize) -> Result<&'a [u8], WireError> {
+        let (offset, bytes) = (self.record.size(at), self.record.size(at + 4).saturating_mul(unit));
+        let found = offset.checked_add(bytes).and_then(|end| self.tail.get(offset..end));
+        let tail = self.tail.len();
+        found.ok_or(WireError::OutsideTail { record: self.number, what, offset, bytes, tail })
+    }
+
+    fn unknown(&self, what: &'static str, code: u64) -> WireError {
+        WireError::Unknown { record: self.number, what, code }
+    }
+}
--- /dev/null
+++ b/crates/simulator-adapter/src/frame.rs
@@ -0,0 +1,35 @@
+//! Reads the frames of the wire.
+
+use crate::WireError;
+use crate::event::{CLOCK_BYTES, EVENT_BYTES};
+use crate::record::Record;
+use std::io::Read;
+
+/// Bytes of a frame's header: the number of records, and the length of the body.
+const HEADER_BYTES: usize = 8;
+
+/// Reads one frame: its number of records and its body. `None` when the input ended cleanly before it.
+///
+/// # Errors
+/// When the input ends inside the frame or cannot be read.
+pub fn read_frame(input: &mut impl Read) -> Result<Option<(usize, Vec<u8>)>, WireError> {
+    let mut header = Vec::with_capacity(HEADER_BYTES);
+    input.by_ref().take(HEADER_BYTES as u64).read_to_end(&mut header)?;
+    match header.len() {
+        0 => return Ok(None),
+        HEADER_BYTES => {}
+        got => return Err(WireError::Truncated { part: "header", got, wanted: HEADER_BYTES }),
+    }
+    let header = Record(&header);
+    let (records, len) = (header.size(0), header.size(4));
+    if records.checked_mul(EVENT_BYTES).and_then(|n| n.checked_add(CLOCK_BYTES)).is_none_or(|n| n > len) {
+        return Err(WireError::Short { len, records });
+    }
+    // Read to the end of what is there: a false length must not make us allocate gigabytes.
+    let mut body = Vec::new();
+    input.by_ref().take(len as u64).read_to_end(&mut body)?;
+    if body.len() < len {
+        return Err(WireError::Truncated { part: "body", got: body.len(), wanted: len });
+    }
+    Ok(Some((records, body)))
+}
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,26 +1,35 @@
-//! Runs many instances of the module on the thistle-28dc wire, from standard input to standard output.
+//! Hosts many instances of the decision module on the simulator's wire, from standard input to standard output.
 
-use decide::api::{Action, Event, Token};
+use decide::api::{Action, Event, Micros, Settings, Token};
 use decide::policy::Router;
 use gossip::GossipState;
-use simulator_adapter::{Instance, Reply, WireError, WireEvent, decode, read_frame};
+use simulator_adapter::{Batch, Instance, Reply, WireError, WireEvent, decode, read_frame};
 use std::collections::BTreeMap;
 use std::io::{self, BufReader, BufWriter, Write};
 use std::process::ExitCode;
 
-/// The timer of an instance's next word to the others; those of the module bear other names.
-const SPEAK: Token = Token(u64::MAX - 1);
+/// The timer of an instance's next gossip; the timers of the decision module have other tokens.
+const GOSSIP_TIMER: Token = Token(u64::MAX - 1);
+/// Bytes of the buffers of input and output.
+const BUFFER_BYTES: usize = 1 << 16;
 
-/// An instance: its decisions, and what it has heard from others.
-struct Hosted {
+/// An instance: its decisions, and what it knows from the others.
+struct HostedInstance {
     router: Router,
-    hearsay: GossipState,
+    gossip: GossipState,
     rng: fastrand::Rng,
 }
 
-impl Hosted {
-    fn later(&mut self) -> Action {
-        Action::Timer { delay_us: self.hearsay.pause(self.rng.f64()), token: SPEAK }
+impl HostedInstance {
+    fn new(seed: u64, settings: Settings, clock: Micros) -> Self {
+        let gossip = GossipState::new(settings.instance as usize, settings.balancers as usize, clock);
+        let router = Router::new(settings, seed, clock);
+        // Another seed than the router's: their draws must not go together.
+        Self { router, gossip, rng: fastrand::Rng::with_seed(!seed) }
+    }
+
+    fn schedule_gossip(&mut self) -> Action {
+        Action::Timer { delay_us: self.gossip.pause(self.rng.f64()), token: GOSSIP_TIMER }
     }
 }
 
@@ -35,62 +44,75 @@
 }
 
 fn run() -> Result<(), WireError> {
-    let mut input = BufReader::with_capacity(1 << 16, io::stdin().lock());
-    let mut output = BufWriter::with_capacity(1 << 16, io::stdout().lock());
-    let mut instances: BTreeMap<Instance, Hosted> = BTreeMap::new();
-    let mut actions = Vec::new();
+    let mut input = BufReader::with_capacity(BUFFER_BYTES, io::stdin().lock());
+    let mut output = BufWriter::with_capacity(BUFFER_BYTES, io::stdout().lock());
+    let mut host = Host::default();
     while let Some((records, body)) = read_frame(&mut input)? {
-        let batch = decode(records, &body)?;
+        let reply = host.handle_batch(decode(records, &body)?);
+        output.write_all(&reply.into_frame())?;
+        output.flush()?;
+    }
+    Ok(())
+}
+
+/// All instances of the process.
+#[derive(Default)]
+struct Host {
+    instances: BTreeMap<Instance, HostedInstance>,
+    /// Scratch space for the actions of one event.
+    actions: Vec<Action>,
+}
+
+impl Host {
+    fn handle_batch(&mut self, batch: Batch) -> Reply {
         let mut reply = Reply::default();
         for (instance, event) in batch.events {
             match event {
                 WireEvent::Start { seed, settings } => {
-                    let speaks = settings.peers && settings.balancers as usize >= gossip::ENOUGH;
-                    let hearsay = GossipState::new(
-                        settings.instance as usize,
-                        settings.balancers as usize,
-                        batch.clock,
-                    );
-                    let router = Router::new(*settings, seed, batch.clock);
-                    let mut it = Hosted { router, hearsay, rng: fastrand::Rng::with_seed(!seed) };
-                    if speaks {
-                        reply.push(instance, &it.later());
-                    }
-                    instances.insert(instance, it);
+                    self.start(instance, seed, *settings, batch.clock, &mut reply);
                 }
                 WireEvent::Stop => {
-                    instances.remove(&instance);
+                    self.instances.remove(&instance);
                 }
-                WireEvent::Module(event) => {
-                    let Some(it) = instances.get_mut(&instance) else { continue };
-                    let event = if event == Event::Timer(SPEAK) {
-                        reply.push(instance, &it.later());
-                        Event::PublishLoad
-                    } else {
-                        event
-                    };
-                    it.router.handle(batch.clock, event, &mut actions);
-                    for action in std::mem::take(&mut actions) {
-                        let Action::PublishLoad(loads) = &action else {
-                            reply.push(instance, &action);
-                            continue;
-                        };
-                        let turn = it.hearsay.turn(batch.clock, loads);
-                        reply.say(instance, &turn.datagram);
-                        // It yields no actions: what is heard only moves weights.
-                        it.router.handle(batch.clock, Event::WeightFactors(turn.parts), &mut actions);
-                    }
-                }
-                WireEvent::Said(from, message) => {
-                    if let Some(it) = instances.get_mut(&instance) {
-                        it.hearsay.hear(batch.clock, from, &message);
+                WireEvent::Module(event) => self.handle_event(instance, event, batch.clock, &mut reply),
+                WireEvent::Gossip(from, datagram) => {
+                    if let Some(hosted) = self.instances.get_mut(&instance) {
+                        hosted.gossip.hear(batch.clock, from, &datagram);
                     }
                 }
                 WireEvent::Unused => {}
             }
         }
-        output.write_all(&reply.into_frame())?;
-        output.flush()?;
+        reply
+    }
+
+    fn start(&mut self, instance: Instance, seed: u64, settings: Settings, clock: Micros, reply: &mut Reply) {
+        let gossips = settings.peers && settings.balancers as usize >= gossip::ENOUGH;
+        let mut hosted = HostedInstance::new(seed, settings, clock);
+        if gossips {
+            reply.push(instance, &hosted.schedule_gossip());
+        }
+        self.instances.insert(instance, hosted);
+    }
+
+    fn handle_event(&mut self, instance: Instance, event: Event, clock: Micros, reply: &mut Reply) {
+        let Some(hosted) = self.instances.get_mut(&instance) else { return };
+        let event = if event == Event::Timer(GOSSIP_TIMER) {
+            reply.push(instance, &hosted.schedule_gossip());
+            Event::PublishLoad
+        } else {
+            event
+        };
+        hosted.router.handle(clock, event, &mut self.actions);
+        for action in std::mem::take(&mut self.actions) {
+            let Action::PublishLoad(loads) = &action else {
+                reply.push(instance, &action);
+                continue;
+            };
+            let turn = hosted.gossip.turn(clock, loads);
+            reply.gossip(instance, &turn.datagram);
+            // Yields no actions: the factors only change weights.
+            hosted.router.handle(clock, Event::WeightFactors(turn.parts), &mut self.actions);
+        }
     }
-    Ok(())
 }
