--- a/crates/emulator/src/day/gateways.rs
+++ b/crates/emulator/src/day/gateways.rs
@@ -1,9 +1,8 @@
 //! Gateways in a day: what reaches them, what they decide, and what comes back to them.
 
 use super::{
-    ARCHIVE, Action, Answer, Balancer, ClassId, Context, Day, Effect, End, EndpointId, Event, Fact,
-    Happening, Micros, Outcome, Reason, Request, RequestId, Slack, Tag, TenantId, Try, VecDeque, archive,
-    node, repeat,
+    ARCHIVE, Action, Answer, ClassId, Context, Day, Effect, End, EndpointId, Event, Fact, Happening, Micros,
+    Outcome, Reason, Request, RequestId, Slack, Tag, TenantId, Try, VecDeque, archive, node, repeat,
 };
 
 impl Day<'_> {
--- a/crates/emulator/src/day/troubles.rs
+++ b/crates/emulator/src/day/troubles.rs
@@ -1,5 +1,7 @@
 //! Troubles in a day, and how gateways are told of the nodes that they change.
 
+use std::time::Duration;
+
 use super::{
     DRAINS_FOR, Day, EndpointEntry, Event, Fact, Happening, ListKind, Node, Outcome, Presence, Rng,
     SliceRandom, State, Tag, What, micros,
@@ -36,31 +38,10 @@
 
     pub(super) fn trouble_falls(&mut self, number: usize) {
         let what = self.scenario.troubles[number].what.clone();
-        let part_of = |part: f64, all: usize| (part * all as f64).round() as usize;
         let text = match &what {
-            What::Crash { part, back_after } | What::Vanish { part, back_after } => {
-                let silent = matches!(what, What::Vanish { .. });
-                let gone = self.some_up(part_of(*part, self.nodes.len()));
-                for &n in &gone {
-                    self.nodes[n].stop(if silent { State::Silent } else { State::Down });
-                    self.reset(n, silent);
-                    self.announce(n, Presence::Gone);
-                    let life = self.nodes[n].life;
-                    self.at(self.now + micros(*back_after), Happening::Returns(n, life));
-                }
-                format!("{} nodes {}", gone.len(), if silent { "fall silent" } else { "die" })
-            }
-            What::Drain { nodes, back_after } => {
-                let drained = self.some_up(*nodes);
-                for &n in &drained {
-                    self.nodes[n].state = State::Draining;
-                    self.announce(n, Presence::Draining);
-                    let life = self.nodes[n].life + 1;
-                    self.at(self.now + DRAINS_FOR, Happening::Goes(n));
-                    self.at(self.now + DRAINS_FOR + micros(*back_after), Happening::Returns(n, life));
-                }
-                format!("{} nodes drain", drained.len())
-            }
+            What::Crash { part, back_after } => self.stop_nodes(*part, *back_after, State::Down),
+            What::Vanish { part, back_after } => self.stop_nodes(*part, *back_after, State::Silent),
+            What::Drain { nodes, back_after } => self.drain_nodes(*nodes, *back_after),
             What::HotKeys { keys, part, lasts } => {
                 self.callers.hot = Some((*keys, *part));
                 self.at(self.now + micros(*lasts), Happening::Passes(number));
@@ -86,22 +67,52 @@
                 self.at(self.now + micros(*lasts), Happening::Passes(number));
                 format!("callers come at {times} times their rate")
             }
-            What::Grow { nodes } => {
-                for _ in 0..*nodes {
-                    let n = self.nodes.len();
-                    let mut node = Node::new(n, &self.scenario.fleet);
-                    node.start(self.now);
-                    self.nodes.push(node);
-                    self.versions.push(0);
-                    self.gateways.iter_mut().for_each(|gateway| gateway.versions.push(0));
-                    self.announce(n, Presence::Ready);
-                }
-                format!("{nodes} more nodes are switched on")
-            }
+            What::Grow { nodes } => self.add_nodes(*nodes),
         };
         self.troubles.push((self.now, text));
     }
 
+    /// Stops a part of the nodes that are up; they return later, cold.
+    fn stop_nodes(&mut self, part: f64, back_after: Duration, state: State) -> String {
+        let silent = state == State::Silent;
+        let stopped = self.some_up((part * self.nodes.len() as f64).round() as usize);
+        for &n in &stopped {
+            self.nodes[n].stop(state);
+            self.reset(n, silent);
+            self.announce(n, Presence::Gone);
+            let life = self.nodes[n].life;
+            self.at(self.now + micros(back_after), Happening::Returns(n, life));
+        }
+        format!("{} nodes {}", stopped.len(), if silent { "fall silent" } else { "die" })
+    }
+
+    /// Drains some nodes, which then stop and return later.
+    fn drain_nodes(&mut self, count: usize, back_after: Duration) -> String {
+        let drained = self.some_up(count);
+        for &n in &drained {
+            self.nodes[n].state = State::Draining;
+            self.announce(n, Presence::Draining);
+            let life = self.nodes[n].life + 1;
+            self.at(self.now + DRAINS_FOR, Happening::Goes(n));
+            self.at(self.now + DRAINS_FOR + micros(back_after), Happening::Returns(n, life));
+        }
+        format!("{} nodes drain", drained.len())
+    }
+
+    /// Switches on further nodes, cold and empty.
+    fn add_nodes(&mut self, count: usize) -> String {
+        for _ in 0..count {
+            let n = self.nodes.len();
+            let mut node = Node::new(n, &self.scenario.fleet);
+            node.start(self.now);
+            self.nodes.push(node);
+            self.versions.push(0);
+            self.gateways.iter_mut().for_each(|gateway| gateway.versions.push(0));
+            self.announce(n, Presence::Ready);
+        }
+        format!("{count} more nodes are switched on")
+    }
+
     pub(super) fn trouble_passes(&mut self, number: usize) {
         let text = match self.scenario.troubles[number].what {
             What::HotKeys { .. } => {
--- a/crates/emulator/src/scenario.rs
+++ b/crates/emulator/src/scenario.rs
@@ -1,10 +1,13 @@
 //! A day as a file tells it: the fleet, the archive, the gateways, the callers, and the troubles as they fall.
 
+mod validate;
+
 use crate::Micros;
 use serde::{Deserialize, Serialize};
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 use thiserror::Error;
+use validate::InvalidValue;
 
 /// Why a scenario cannot be played.
 #[derive(Debug, Error)]
@@ -382,81 +385,11 @@
     pub fn parse(text: &str, file: &Path) -> Result<Self, ScenarioError> {
         let scenario: Self = toml::from_str(text)
             .map_err(|error| ScenarioError::Form { file: file.to_owned(), text: error.to_string() })?;
-        scenario.check().map_err(|(field, wrong)| ScenarioError::Value {
-            file: file.to_owned(),
-            field,
-            wrong,
-        })?;
-        Ok(scenario)
-    }
-
-    fn check(&self) -> Result<(), (String, String)> {
-        let need = |good: bool, field: &str, wrong: &str| match good {
-            true => Ok(()),
-            false => Err((field.to_owned(), wrong.to_owned())),
-        };
-        let positive = |x: f64| x.is_finite() && x > 0.0;
-        let part = |x: f64| (0.0..=1.0).contains(&x);
-        need(!self.lasts.is_zero() && self.lasts <= Duration::from_secs(3_600), "lasts", "from 1us to 1h")?;
-        need((1..=100_000).contains(&self.fleet.nodes), "fleet.nodes", "from 1 to 100000")?;
-        need(positive(self.fleet.one_core), "fleet.one_core", "above 0")?;
-        need(positive(self.fleet.two_cores), "fleet.two_cores", "above 0")?;
-        need(self.fleet.keeps > 0, "fleet.keeps", "at least 1")?;
-        need(
-            positive(self.fleet.slow_start_fraction) && part(self.fleet.slow_start_fraction),
-            "fleet.cold_from",
-            "above 0, to 1",
-        )?;
-        need(part(self.fleet.miss_work), "fleet.miss_work", "from 0 to 1")?;
-        need(self.archive.workers > 0, "archive.workers", "at least 1")?;
-        need((0.0..=3.0).contains(&self.archive.spread), "archive.spread", "from 0 to 3")?;
-        need(part(self.archive.errors), "archive.errors", "from 0 to 1")?;
-        need((1..=1_000).contains(&self.gateways.count), "gateways.count", "from 1 to 1000")?;
-        let rate = self.callers.per_second;
-        need(positive(rate) && rate <= 1e6, "callers.per_second", "above 0, to 1000000")?;
-        need(self.callers.keys > 0, "callers.keys", "at least 1")?;
-        need(positive(self.callers.zipf), "callers.zipf", "above 0")?;
-        need(self.callers.retries <= 10, "callers.retries", "10 at most")?;
-        need(
-            positive(self.callers.patience) && part(self.callers.patience),
-            "callers.patience",
-            "above 0, to 1",
-        )?;
-        need((1..=255).contains(&self.classes.len()), "class", "from 1 to 255 of them")?;
-        for (n, class) in self.classes.iter().enumerate() {
-            need(positive(class.part), &format!("class[{n}].part"), "above 0")?;
-            need(positive(class.worth), &format!("class[{n}].worth"), "above 0")?;
-            need(
-                class.wanted <= class.deadline,
-                &format!("class[{n}].wanted"),
-                "no longer than its deadline",
-            )?;
-            need(!class.wanted.is_zero(), &format!("class[{n}].wanted"), "above 0")?;
-        }
-        need(!self.municipios.is_empty(), "municipio", "at least one")?;
-        for (n, municipio) in self.municipios.iter().enumerate() {
-            need(positive(municipio.share), &format!("municipio[{n}].share"), "above 0")?;
-            need(positive(municipio.asks), &format!("municipio[{n}].asks"), "above 0")?;
-        }
-        for (n, trouble) in self.troubles.iter().enumerate() {
-            need(trouble.at < self.lasts, &format!("trouble[{n}].at"), "before the day ends")?;
-            let (good, field, wrong) = match trouble.what {
-                What::Crash { part: p, .. } | What::Vanish { part: p, .. } | What::Flush { part: p } => {
-                    (part(p), "part", "from 0 to 1")
-                }
-                What::SpoiltAnswers { part: p, .. } => (part(p), "part", "from 0 to 1"),
-                What::HotKeys { part: p, keys, .. } => {
-                    (part(p) && keys > 0, "part or keys", "from 0 to 1; 1 at least")
-                }
-                What::ArchiveSlow { times, .. } | What::Surge { times, .. } => {
-                    (positive(times), "times", "above 0")
-                }
-                What::Drain { nodes, .. } | What::Grow { nodes } => {
-                    (nodes <= 100_000, "nodes", "100000 at most")
-                }
-            };
-            need(good, &format!("trouble[{n}].{field}"), wrong)?;
+        match validate::scenario(&scenario) {
+            Ok(()) => Ok(scenario),
+            Err(InvalidValue { field, wrong }) => {
+                Err(ScenarioError::Value { file: file.to_owned(), field, wrong })
+            }
         }
-        Ok(())
     }
 }
--- a/crates/emulator/tests/cold_hosts.rs
+++ b/crates/emulator/tests/cold_hosts.rs
@@ -101,6 +101,7 @@
     served: f64,
 }
 
+#[expect(clippy::too_many_lines, reason = "one scripted run, told from its start to its end")]
 fn play(balancers: usize, site: Site, play: Play, seed: u64) -> Seen {
     let (nodes, per_host) = (
         match balancers {
--- a/crates/lab/src/table.rs
+++ b/crates/lab/src/table.rs
@@ -5,7 +5,7 @@
 use emulator::score::Row;
 
 /// Prints a report.
-pub fn print(report: &Report) {
+pub(crate) fn print(report: &Report) {
     let score = &report.score;
     println!(
         "G {:.4}: whole day {:.4}, worst 10 s {:.4} (from {} s), worst class {:.4}, worst municipio {:.4}; prices: \
--- a/crates/spindlebeam/benches/turns.rs
+++ b/crates/spindlebeam/benches/turns.rs
@@ -85,6 +85,7 @@
     Event::Request(Request { id: RequestId(id), class, tenant, key, write: false, remaining_us: 900_000 })
 }
 
+#[expect(clippy::too_many_lines, reason = "one row of the table after the other, each with its set-up")]
 fn costs(endpoints: usize) -> Vec<(&'static str, f64)> {
     let (first, next) = (read(&line(endpoints, false, false)), read(&line(endpoints, true, false)));
     let (plain, indented) = (line(endpoints, true, false), line(endpoints, true, true));
