--- a/crates/calendar/src/change.rs
+++ b/crates/calendar/src/change.rs
@@ -56,6 +56,26 @@
     pub fn planned(self) -> bool {
         Self::PLANNED.contains(&self)
     }
+    /// The word for this kind in digests and log lines. Balancers compare digests, so a word must never change.
+    pub fn as_str(self) -> &'static str {
+        match self {
+            Self::Drain => "Drain",
+            Self::Gone => "Gone",
+            Self::Fall => "Fall",
+            Self::Cold => "Cold",
+            Self::Out => "Out",
+            Self::Back => "Back",
+            Self::Less => "Less",
+            Self::Join => "Join",
+            Self::More => "More",
+            Self::Zone => "Zone",
+            Self::Discovery => "Discovery",
+            Self::Configuration => "Configuration",
+            Self::Restart => "Restart",
+            Self::Growth => "Growth",
+            Self::Council => "Council",
+        }
+    }
 }
 
 /// A change of topology, and what it touches.
