--- a/crates/calendar/src/gate.rs
+++ b/crates/calendar/src/gate.rs
@@ -109,7 +109,7 @@
         match calendar.check(now.fleet_time, now.lease, &change) {
             Verdict::Allow { override_id: Some(id), .. } => Ok((new.size, ChangeOutcome::Override(id))),
             Verdict::Allow { override_id: None, .. } => Ok((new.size, ChangeOutcome::Applied)),
-            Verdict::Hold { reason: reason, until } => {
+            Verdict::Hold { reason, until } => {
                 let held = ChangeOutcome::Held { reason, until };
                 let by_loss = matches!(kind, ChangeKind::Join | ChangeKind::More)
                     && matches!(held, ChangeOutcome::Held { reason: HoldReason::Freeze { .. }, .. });
@@ -304,7 +304,7 @@
         let (took, held) = self.accepted.take(now, calendar, new, queue);
         match held {
             None => drop(self.waiting.cancel(&new.id)),
-            Some((kind, ChangeOutcome::Held { reason: reason, until })) => {
+            Some((kind, ChangeOutcome::Held { reason, until })) => {
                 self.hold(now, calendar, new, kind, reason, until)
             }
             Some((kind, outcome)) => self.accepted.note(calendar, &new.id, kind, outcome),
@@ -350,7 +350,7 @@
             }
             match held {
                 None => Looked::Taken,
-                Some((kind, ChangeOutcome::Held { reason: reason, until })) => {
+                Some((kind, ChangeOutcome::Held { reason, until })) => {
                     (it.kind, it.reason, it.until) = (kind, reason, until);
                     if took { Looked::InPart } else { Looked::Held }
                 }
