--- a/crates/audit/src/counting.rs
+++ b/crates/audit/src/counting.rs
@@ -1,171 +1,147 @@
-//! What one balancer counts under the version it acts on, and how it tells the fleet.
+//! Counts one balancer's activity under the version it acts on, and reports the counts to the fleet.
 
+pub use crate::activity::{COUNT_KINDS, CountKind};
+
+use crate::activity::{ActivityPeriod, ActivityReport, LedgerEntry, MAX_PERIODS_PER_REPORT};
 use crate::lease::TimeInterval;
-use crate::ledger::{ActivityPeriod, ActivityReport, LedgerEntry, MAX_PERIODS_PER_REPORT};
 use crate::version::Version;
-use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Versions that are remembered at once: with one a second, a try begun sixteen seconds ago still finds its own.
-pub const VERSIONS: usize = 16;
-
-/// How often a span that has ended is told: three datagrams in a row would have to be lost for it to be missed.
-const TOLD_ENOUGH: u8 = 3;
-
-/// What is counted.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-#[repr(u8)]
-#[allow(missing_docs)]
-pub enum CountKind {
-    ReadOk,
-    ReadError,
-    ReadFull,
-    ReadTimeout,
-    ReadUnreachable,
-    WriteOk,
-    WriteError,
-    WriteFull,
-    WriteTimeout,
-    WriteUnreachable,
-    FetchOk,
-    FetchError,
-    FetchFull,
-    FetchTimeout,
-    FetchUnreachable,
-    Refused,
-    ChangeAccepted,
-    ChangeRefused,
-}
+/// Versions remembered at once. At one new version a second, an attempt begun sixteen seconds ago still finds its version.
+pub const MAX_VERSIONS: usize = 16;
 
-/// How many kinds there are.
-pub const KINDS: usize = CountKind::ChangeRefused as usize + 1;
+/// Reports that repeat a period after it ended: three datagrams in a row would have to be lost for the period to be lost.
+const REPORTS_PER_PERIOD: u8 = 3;
 
-/// The small name of a span under one version, for what is begun in it and ends later.
+/// Identifies the version in force when an attempt began, so that its outcome is counted under that version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct VersionId(u64);
 
-/// One span, and how often it was told since it last changed.
+/// One period, and the number of reports that contained it since it last changed.
 #[derive(Clone, Copy, Debug)]
 struct Slot {
-    piece: ActivityPeriod,
-    told: u8,
+    period: ActivityPeriod,
+    reports: u8,
 }
 
-/// Counts under the version in force, at the cost of one addition.
+/// Counts activity under the version in force. A count costs one addition.
 #[derive(Clone, Debug)]
 pub struct ActivityCounter {
     number: u16,
     incarnation: u64,
     sequence: u64,
-    /// The serial of the span in progress; it and those before it lie in a ring.
+    /// The serial of the period in progress. That period and the ones before it are in the ring.
     current: u64,
-    ring: [Option<Slot>; VERSIONS],
-    counts: [u64; KINDS],
-    /// What was counted too late for its version to be remembered.
-    unplaced: u64,
+    ring: [Option<Slot>; MAX_VERSIONS],
+    counts: [u64; COUNT_KINDS],
+    /// Counts whose version was no longer in the ring.
+    expired: u64,
 }
 
 impl ActivityCounter {
-    /// A balancer that begins to act on `version`.
+    /// Creates the counter of a balancer that begins to act on `version`.
     pub fn new(number: u16, incarnation: u64, version: Version, now: TimeInterval) -> Self {
-        let mut ring = [None; VERSIONS];
-        ring[0] = Some(Slot { piece: ActivityPeriod::new(0, version, now), told: 0 });
-        Self { number, incarnation, sequence: 0, current: 0, ring, counts: [0; KINDS], unplaced: 0 }
+        let mut ring = [None; MAX_VERSIONS];
+        ring[0] = Some(Slot { period: ActivityPeriod::new(0, version, now), reports: 0 });
+        Self { number, incarnation, sequence: 0, current: 0, ring, counts: [0; COUNT_KINDS], expired: 0 }
     }
 
-    /// One more of this kind, under the version in force.
+    /// Adds one to a count under the version in force.
     #[inline]
     pub fn count(&mut self, kind: CountKind) {
         self.counts[kind as usize] += 1;
     }
 
-    /// The version in force, to be carried by what begins now.
+    /// The version in force, for an attempt that begins now.
     pub fn version(&self) -> VersionId {
         VersionId(self.current)
     }
 
-    /// One more of this kind, under the version that it began with.
+    /// Adds one to a count under the version that the attempt began with.
     pub fn count_under(&mut self, id: VersionId, kind: CountKind) {
         if id.0 == self.current {
             return self.count(kind);
         }
-        match &mut self.ring[index(id.0)] {
-            Some(slot) if slot.piece.serial == id.0 => {
-                slot.piece.counts[kind as usize] += 1;
-                slot.told = 0;
+        match &mut self.ring[slot_index(id.0)] {
+            Some(slot) if slot.period.serial == id.0 => {
+                slot.period.counts[kind as usize] += 1;
+                slot.reports = 0;
             }
-            _ => self.unplaced += 1,
+            _ => self.expired += 1,
         }
     }
 
-    /// A change of topology was accepted or refused; those of a span are digested whatever their order.
+    /// Records a change of topology that was applied or held. The digest does not depend on the order of changes.
     pub fn record_topology_change(&mut self, change: &[u8], accepted: bool) {
         self.count(if accepted { CountKind::ChangeAccepted } else { CountKind::ChangeRefused });
-        if let Some(slot) = &mut self.ring[index(self.current)] {
+        if let Some(slot) = &mut self.ring[slot_index(self.current)] {
             let digest = xxh3_64_with_seed(change, u64::from(accepted));
-            slot.piece.digest = slot.piece.digest.wrapping_add(digest);
+            slot.period.digest = slot.period.digest.wrapping_add(digest);
         }
     }
 
-    /// From now on another version is in force. Yields the oldest span where its place is needed, for the own ledger
-    /// ([`Ledger::record_own_entry`](crate::ledger::Ledger::take)): no place is used anew before its counts are there.
+    /// Puts another version in force. Returns the period that it evicts from the ring, if any, which the owner must hand to
+    /// [`Ledger::record_own_entry`](crate::ledger::Ledger::record_own_entry) so that its counts are not lost.
     pub fn switch_version(&mut self, version: Version, now: TimeInterval) -> Option<LedgerEntry> {
-        self.close(now);
-        let unchanged = self.ring[index(self.current)].is_some_and(|it| it.piece.version == version);
+        self.update_current(now);
+        let current = self.ring[slot_index(self.current)];
+        let unchanged = current.is_some_and(|slot| slot.period.version == version);
         if unchanged {
             return None;
         }
         self.current += 1;
-        self.counts = [0; KINDS];
-        let opened = Slot { piece: ActivityPeriod::new(self.current, version, now), told: 0 };
-        let oldest = self.ring[index(self.current)].replace(opened)?;
+        self.counts = [0; COUNT_KINDS];
+        let opened = Slot { period: ActivityPeriod::new(self.current, version, now), reports: 0 };
+        let oldest = self.ring[slot_index(self.current)].replace(opened)?;
         Some(LedgerEntry {
             number: self.number,
             incarnation: self.incarnation,
-            told: self.sequence + 1,
-            piece: oldest.piece,
+            sequence: self.sequence + 1,
+            period: oldest.period,
         })
     }
 
-    /// What to tell the fleet now: the span in progress, and the oldest of those that ended and were not told often enough.
-    /// Counts are those since the span's start, so that what one report loses the next makes good.
+    /// Makes a report of the period in progress and of the oldest ended periods that were in too few reports so far.
+    /// Counts are totals since the period's start, so a later report makes up for a lost one.
     pub fn report(&mut self, now: TimeInterval) -> ActivityReport {
-        self.close(now);
+        self.update_current(now);
         self.sequence += 1;
-        let mut pieces = Vec::with_capacity(MAX_PERIODS_PER_REPORT);
-        for serial in self.current.saturating_sub(VERSIONS as u64 - 1)..self.current {
-            match &mut self.ring[index(serial)] {
-                Some(slot) if slot.told < TOLD_ENOUGH && pieces.len() + 1 < MAX_PERIODS_PER_REPORT => {
-                    slot.told += 1;
-                    pieces.push(slot.piece);
+        let mut periods = Vec::with_capacity(MAX_PERIODS_PER_REPORT);
+        for serial in self.current.saturating_sub(MAX_VERSIONS as u64 - 1)..self.current {
+            match &mut self.ring[slot_index(serial)] {
+                Some(slot)
+                    if slot.reports < REPORTS_PER_PERIOD && periods.len() + 1 < MAX_PERIODS_PER_REPORT =>
+                {
+                    slot.reports += 1;
+                    periods.push(slot.period);
                 }
                 _ => {}
             }
         }
-        pieces.extend(self.ring[index(self.current)].map(|it| it.piece));
+        periods.extend(self.ring[slot_index(self.current)].map(|slot| slot.period));
         ActivityReport {
             number: self.number,
             incarnation: self.incarnation,
             sequence: self.sequence,
             at: now,
-            pieces,
+            pieces: periods,
         }
     }
 
-    /// What was counted too late for its version to be remembered.
-    pub fn unplaced(&self) -> u64 {
-        self.unplaced
+    /// How many counts were dropped because their version was no longer remembered.
+    pub fn expired(&self) -> u64 {
+        self.expired
     }
 
-    /// Brings the span in progress up to now.
-    fn close(&mut self, now: TimeInterval) {
-        if let Some(slot) = &mut self.ring[index(self.current)] {
-            slot.piece.to = now;
-            slot.piece.counts = self.counts;
+    /// Brings the period in progress up to now.
+    fn update_current(&mut self, now: TimeInterval) {
+        if let Some(slot) = &mut self.ring[slot_index(self.current)] {
+            slot.period.to = now;
+            slot.period.counts = self.counts;
         }
     }
 }
 
-fn index(serial: u64) -> usize {
-    (serial % VERSIONS as u64) as usize
+fn slot_index(serial: u64) -> usize {
+    (serial % MAX_VERSIONS as u64) as usize
 }
--- a/crates/audit/src/lease/granter.rs
+++ b/crates/audit/src/lease/granter.rs
@@ -1,67 +1,76 @@
-//! The leader's side: asks gathered into few entries of the log.
+//! The leader's side of leases: batches requests into few log entries.
 
-use super::{LeaseGrant, LeaseRequest};
+use super::messages::{LeaseGrant, LeaseRequest};
 use crate::Micros;
 use std::collections::BTreeMap;
 
-/// The least pause between two entries of grants: two entries a second carry the leases of any number of balancers.
-pub const GRANT_EVERY: Micros = 500_000;
+/// The shortest interval between two log entries of grants. Two entries a second carry the leases of any number of balancers.
+pub const GRANT_INTERVAL: Micros = 500_000;
 
-/// Gathers asks and yields what to propose; the newest ask of each balancer, so that the roster bounds it.
+/// A request that was not granted yet.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+struct PendingRequest {
+    incarnation: u64,
+    serial: u64,
+}
+
+/// Collects lease requests and yields the grants to propose. It keeps the newest request of each balancer, so the roster
+/// bounds its size.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseGranter {
     roster: u16,
-    every: Micros,
-    /// Life and serial of each that waits.
-    waiting: BTreeMap<u16, (u64, u64)>,
-    next: Micros,
+    interval: Micros,
+    pending: BTreeMap<u16, PendingRequest>,
+    next_at: Micros,
 }
 
 impl LeaseGranter {
-    /// Of a leader among so many balancers, with a pause of [`GRANT_EVERY`].
+    /// Creates the granter of a fleet of `roster` balancers, with an interval of [`GRANT_INTERVAL`].
     pub fn new(roster: u16) -> Self {
-        Self::with_pause(roster, GRANT_EVERY)
+        Self::with_interval(roster, GRANT_INTERVAL)
     }
 
-    /// The same with another pause between entries.
-    pub fn with_pause(roster: u16, every: Micros) -> Self {
-        Self { roster, every, waiting: BTreeMap::new(), next: 0 }
+    /// The same with another interval between log entries.
+    pub fn with_interval(roster: u16, interval: Micros) -> Self {
+        Self { roster, interval, pending: BTreeMap::new(), next_at: 0 }
     }
 
-    /// An ask has come in. One late or doubled never takes a newer one's place; one of another life does, as that is what speaks now.
-    pub fn handle_request(&mut self, ask: LeaseRequest) {
-        if ask.number >= self.roster {
+    /// Takes in a request. A late or duplicated request never replaces a newer one of the same incarnation. A request of
+    /// another incarnation does, since that is the process which sends now.
+    pub fn handle_request(&mut self, request: LeaseRequest) {
+        if request.number >= self.roster {
             return;
         }
-        let newest = self.waiting.entry(ask.number).or_insert((ask.incarnation, ask.serial));
-        if newest.0 != ask.incarnation || newest.1 < ask.serial {
-            *newest = (ask.incarnation, ask.serial);
+        let new = PendingRequest { incarnation: request.incarnation, serial: request.serial };
+        let pending = self.pending.entry(request.number).or_insert(new);
+        if pending.incarnation != new.incarnation || pending.serial < new.serial {
+            *pending = new;
         }
     }
 
-    /// The grants to propose now as one entry, if any wait and the last entry is long enough ago. One that is not agreed is not missed:
-    /// whoever got no lease asks again.
+    /// The grants to propose now as one log entry: `None` without a pending request, or too soon after the last entry.
+    /// An entry that is not committed needs no retry, since a balancer without a lease requests again.
     pub fn poll_grants(&mut self, now: Micros) -> Option<Vec<LeaseGrant>> {
-        if self.waiting.is_empty() || now < self.next {
+        if self.pending.is_empty() || now < self.next_at {
             return None;
         }
-        self.next = now.saturating_add(self.every);
-        let waiting = std::mem::take(&mut self.waiting);
-        Some(
-            waiting
-                .into_iter()
-                .map(|(number, (incarnation, serial))| LeaseGrant { number, incarnation, serial })
-                .collect(),
-        )
+        self.next_at = now.saturating_add(self.interval);
+        let pending = std::mem::take(&mut self.pending);
+        let grant = |(number, request): (u16, PendingRequest)| LeaseGrant {
+            number,
+            incarnation: request.incarnation,
+            serial: request.serial,
+        };
+        Some(pending.into_iter().map(grant).collect())
     }
 
-    /// When [`LeaseGranter::poll_grants`] next has something, if anything waits.
+    /// When to call [`LeaseGranter::poll_grants`] next; `None` without a pending request.
     pub fn next_due(&self) -> Option<Micros> {
-        (!self.waiting.is_empty()).then_some(self.next)
+        (!self.pending.is_empty()).then_some(self.next_at)
     }
 
-    /// This one leads no longer: what waits is asked of another.
+    /// Drops all pending requests, when this balancer is no longer the leader. The next leader is asked again.
     pub fn clear(&mut self) {
-        self.waiting.clear();
+        self.pending.clear();
     }
 }
--- a/crates/audit/src/lease/holders.rs
+++ b/crates/audit/src/lease/holders.rs
@@ -1,38 +1,46 @@
-//! Who holds a lease in the fleet's eyes, from the applied log.
+//! Which balancers hold a lease in the view of the fleet, from the applied log.
 
-use super::{LeaseGrant, Settings};
+use super::messages::LeaseGrant;
+use super::settings::Settings;
 use crate::Micros;
 use std::collections::BTreeMap;
 
-/// Lives of one balancer that are known at once. An ask of a life gone by may be granted after one of the next: were only one
-/// kept, the living would be taken for shut out.
-const LIVES: usize = 4;
+/// Incarnations of one balancer tracked at once. A request of an ended incarnation may be granted after one of its successor.
+/// If only one were tracked, the live one would be taken for fenced.
+const MAX_INCARNATIONS: usize = 4;
 
-/// A lease as everybody but its holder sees it.
+/// Whose lease: a balancer in one incarnation. Ordered by balancer first.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
+struct Holder {
+    number: u16,
+    incarnation: u64,
+}
+
+/// A lease as every balancer but its holder sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-struct Held {
+struct ObservedLease {
     serial: u64,
     ends: Micros,
 }
 
-/// Who holds a lease, as far as the log is applied here; bounded by the roster and [`LIVES`].
+/// Which balancers hold a lease, as far as the log is applied here. Bounded by the roster and [`MAX_INCARNATIONS`].
 ///
-/// A lease counts from when it was *heard of*, which is never before it was asked for, so that it ends here later than for its holder.
-/// "Holds none" is as good as the log applied: one behind in the log may not know of a grant yet.
+/// A lease counts from when its grant was *applied* here, which is never before it was requested. So it ends here later than
+/// for its holder. That a balancer holds none is known only up to the applied revision: a lagging replica may miss a grant.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseHolders {
     settings: Settings,
-    held: BTreeMap<(u16, u64), Held>,
+    leases: BTreeMap<Holder, ObservedLease>,
     applied: u64,
 }
 
 impl LeaseHolders {
-    /// Nobody holds one yet.
+    /// Creates a view in which nobody holds a lease.
     pub fn new(settings: Settings) -> Self {
-        Self { settings, held: BTreeMap::new(), applied: 0 }
+        Self { settings, leases: BTreeMap::new(), applied: 0 }
     }
 
-    /// The entry `revision` with these grants, or a snapshot up to it, is applied. A revision already seen changes nothing.
+    /// Applies the grants of the log entry `revision`, or of a snapshot up to it. A revision seen before changes nothing.
     pub fn apply_grants(&mut self, now: Micros, revision: u64, grants: &[LeaseGrant]) {
         if revision <= self.applied {
             return;
@@ -40,40 +48,44 @@
         self.applied = revision;
         let ends = now.saturating_add(self.settings.longer(self.settings.lease));
         let roster = self.settings.roster;
-        for grant in grants.iter().filter(|it| it.number < roster) {
-            self.held.insert((grant.number, grant.incarnation), Held { serial: grant.serial, ends });
-            self.bound(grant.number);
+        for grant in grants.iter().filter(|grant| grant.number < roster) {
+            let holder = Holder { number: grant.number, incarnation: grant.incarnation };
+            self.leases.insert(holder, ObservedLease { serial: grant.serial, ends });
+            self.evict_incarnation(grant.number);
         }
     }
 
-    /// Drops the life that ends first where there are too many of one balancer.
-    fn bound(&mut self, number: u16) {
-        let incarnations = self.held.range((number, 0)..=(number, u64::MAX));
-        if incarnations.clone().count() > LIVES
-            && let Some(first) = incarnations.min_by_key(|(_, it)| it.ends).map(|(key, _)| *key)
+    /// Drops the incarnation whose lease ends first, if too many of one balancer are tracked.
+    fn evict_incarnation(&mut self, number: u16) {
+        let first = Holder { number, incarnation: 0 };
+        let last = Holder { number, incarnation: u64::MAX };
+        let incarnations = self.leases.range(first..=last);
+        if incarnations.clone().count() > MAX_INCARNATIONS
+            && let Some(oldest) = incarnations.min_by_key(|(_, lease)| lease.ends).map(|(holder, _)| *holder)
         {
-            self.held.remove(&first);
+            self.leases.remove(&oldest);
         }
     }
 
-    /// Whether this one in this life still holds a lease; what one without says is not to be counted.
+    /// Whether the balancer holds a lease in this incarnation. Messages of a balancer without one are not to be counted.
     pub fn holds(&self, number: u16, incarnation: u64, now: Micros) -> bool {
-        self.held.get(&(number, incarnation)).is_some_and(|it| now < it.ends)
+        self.leases.get(&Holder { number, incarnation }).is_some_and(|lease| now < lease.ends)
     }
 
-    /// Number and life of all that hold one.
+    /// Number and incarnation of every balancer that holds a lease.
     pub fn current(&self, now: Micros) -> impl Iterator<Item = (u16, u64)> {
-        self.held.iter().filter(move |(_, it)| now < it.ends).map(|(key, _)| *key)
+        let held = self.leases.iter().filter(move |(_, lease)| now < lease.ends);
+        held.map(|(holder, _)| (holder.number, holder.incarnation))
     }
 
-    /// The last grant of each life, for a snapshot of the log: taken in again by [`LeaseHolders::granted`] and by
-    /// [`Lease::granted`](super::Lease::granted).
+    /// The last grant of each incarnation, for a snapshot of the log. A snapshot is restored by
+    /// [`LeaseHolders::apply_grants`] and [`Lease::apply_grants`](super::Lease::apply_grants).
     pub fn grants(&self) -> Vec<LeaseGrant> {
-        let grant = |(key, it): (&(u16, u64), &Held)| LeaseGrant {
-            number: key.0,
-            incarnation: key.1,
-            serial: it.serial,
+        let grant = |(holder, lease): (&Holder, &ObservedLease)| LeaseGrant {
+            number: holder.number,
+            incarnation: holder.incarnation,
+            serial: lease.serial,
         };
-        self.held.iter().map(grant).collect()
+        self.leases.iter().map(grant).collect()
     }
 }
--- a/crates/audit/src/lease/own_lease.rs
+++ b/crates/audit/src/lease/own_lease.rs
@@ -1,196 +1,205 @@
-//! One balancer's own lease: asked for, held, ended, and what it may do in each.
+//! One balancer's own lease: requests, grants, expiry, and what the balancer may do in each state.
 
-use super::hearing::Hearing;
-use super::{LeaseGrant, LeaseRequest, Settings, TimeInterval};
+use super::messages::{LeaseGrant, LeaseRequest, TimeInterval};
+use super::peer_grants::PeerGrants;
+use super::settings::Settings;
 use crate::{FleetMicros, Micros};
 use std::collections::VecDeque;
 
-/// Asks whose time of sending is remembered: two leases' worth. A grant for an older one would have ended on arrival.
-const ASKS_REMEMBERED: usize = 8;
+/// Requests whose send time is remembered: those of two leases. A lease granted for an older request has ended on arrival.
+const MAX_SENT_REQUESTS: usize = 8;
 
-/// Pauses between asks are shorter by up to this part, drawn, so that those of balancers started together part.
-const SPREAD: u64 = 4;
+/// Jitter: an interval between requests is shorter by up to one part in this many, so that balancers started together spread
+/// their requests.
+const JITTER_FRACTION: u64 = 4;
 
 /// What a balancer may do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum LeaseState {
-    /// A lease is in force: all is allowed.
+    /// A lease is in force, and everything is allowed.
     Held,
-    /// No lease, and the fault is ours: others are still granted theirs, or too few are heard. Nothing new is taken.
+    /// No lease, and the fault is here: peers are still granted leases, or too few peers report. No new request is admitted.
     Fenced,
-    /// No lease, others are heard, and nobody is granted one any more: the council is lost. Requests go on, planned changes wait.
+    /// No lease, and no peer that reports is granted one any more: the quorum group is lost. Requests are served, planned
+    /// changes are held.
     Orphaned,
 }
 
-/// When an ask left, on our own clock.
+/// When a request was sent, on the local clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-struct Sent {
+struct SentRequest {
     serial: u64,
     at: Micros,
 }
 
-/// What ties fleet time to our clock: a stamp that was made between asking and hearing.
+/// Ties fleet time to the local clock: the stamp was made between the request and the arrival of its grant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Anchor {
     stamp: FleetMicros,
-    asked: Micros,
-    heard: Micros,
-    /// By how much fleet time had come further here than the stamp says.
+    requested_at: Micros,
+    received_at: Micros,
+    /// By how much fleet time here was already ahead of the stamp.
     ahead: Micros,
 }
 
 /// One balancer's own lease.
 ///
-/// It counts from when it was *asked for*, on this clock: no leader can have granted it earlier, so whoever counts from the grant
-/// sees it end later than we do.
+/// The lease counts from when it was *requested*, on the local clock. No leader can have granted it earlier, so whoever counts
+/// from the grant sees it end later than its holder does.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Lease {
     number: u16,
     incarnation: u64,
     settings: Settings,
     serial: u64,
-    next_ask: Micros,
-    sent: VecDeque<Sent>,
-    /// The last revision applied that had grants in it.
+    next_request_at: Micros,
+    sent: VecDeque<SentRequest>,
+    /// The last applied revision that contained grants.
     applied: u64,
-    /// Held before this, never from it on.
+    /// The lease is held before this time only.
     ends: Micros,
-    /// The revision that the lease in force was granted at.
+    /// The revision at which the lease in force was granted.
     revision: u64,
     anchor: Option<Anchor>,
-    others: Hearing,
+    peers: PeerGrants,
 }
 
 impl Lease {
-    /// A balancer that starts now, without a lease: fenced until its first grant, or until it has listened for a whole lease
-    /// in which nobody was granted anything new: all that were granted before have ended by then.
+    /// Creates the lease of a balancer that starts now and holds none. It is fenced until its first grant, or until it has
+    /// listened for a whole lease without a new grant to anybody, when all earlier leases have ended.
     pub fn new(number: u16, incarnation: u64, settings: Settings, now: Micros) -> Self {
         Self {
             number,
             incarnation,
             settings,
             serial: 0,
-            next_ask: now,
-            sent: VecDeque::with_capacity(ASKS_REMEMBERED),
+            next_request_at: now,
+            sent: VecDeque::with_capacity(MAX_SENT_REQUESTS),
             applied: 0,
             ends: 0,
             revision: 0,
             anchor: None,
-            others: Hearing::new(now),
+            peers: PeerGrants::new(now),
         }
     }
 
-    /// What to send to the leader, if it is time to ask again. To be sent now: the lease is counted from here.
+    /// The request to send to the leader, if one is due. The caller sends it at once, since the lease counts from now.
     pub fn poll_request(&mut self, now: Micros) -> Option<LeaseRequest> {
-        if now < self.next_ask {
+        if now < self.next_request_at {
             return None;
         }
         self.serial += 1;
-        self.next_ask = now.saturating_add(self.pause());
-        if self.sent.len() == ASKS_REMEMBERED {
+        self.next_request_at = now.saturating_add(self.jittered_interval());
+        if self.sent.len() == MAX_SENT_REQUESTS {
             self.sent.pop_front();
         }
-        self.sent.push_back(Sent { serial: self.serial, at: now });
+        self.sent.push_back(SentRequest { serial: self.serial, at: now });
         Some(LeaseRequest { number: self.number, incarnation: self.incarnation, serial: self.serial })
     }
 
-    /// When [`Lease::poll_request`] next has something to send.
+    /// When to call [`Lease::poll_request`] next.
     pub fn next_request_at(&self) -> Micros {
-        self.next_ask
+        self.next_request_at
     }
 
-    /// The entry `revision` of the log, or a snapshot up to it, is applied, and these grants were in it, stamped `at`.
+    /// Applies the grants of the log entry `revision`, or of a snapshot up to it, stamped `at`.
     ///
-    /// To be called in the log's order and only when *all* up to `revision` is applied: that whoever holds a lease has applied what it
-    /// was granted behind rests on this. A revision already seen changes nothing.
+    /// The caller calls this in log order, and only after *everything* up to `revision` is applied. The guarantee that a lease
+    /// holder has applied all entries before its grant depends on this. A revision seen before changes nothing.
     pub fn apply_grants(&mut self, now: Micros, revision: u64, at: FleetMicros, grants: &[LeaseGrant]) {
         if revision <= self.applied {
             return;
         }
         self.applied = revision;
         if !grants.is_empty() {
-            self.others.logged(at);
+            self.peers.record_logged_grant(at);
         }
         let (number, incarnation) = (self.number, self.incarnation);
-        let ours = grants.iter().filter(|it| it.number == number && it.incarnation == incarnation);
+        let ours = grants.iter().filter(|grant| grant.number == number && grant.incarnation == incarnation);
         for grant in ours {
-            let Some(sent) = self.sent.iter().find(|it| it.serial == grant.serial).copied() else { continue };
+            let Some(sent) = self.sent.iter().find(|sent| sent.serial == grant.serial).copied() else {
+                continue;
+            };
             let ends = sent.at.saturating_add(self.settings.shorter(self.settings.lease));
             if ends > self.ends {
                 self.ends = ends;
                 self.revision = revision;
             }
             let before = self.fleet_time(now);
-            self.anchor = Some(Anchor { stamp: at, asked: sent.at, heard: now, ahead: 0 });
-            self.never_back(now, before);
+            self.anchor = Some(Anchor { stamp: at, requested_at: sent.at, received_at: now, ahead: 0 });
+            self.keep_monotonic(now, before);
         }
     }
 
-    /// Guards what came into force against being undone: the next leader's stamps may lie behind by the way of a message.
-    fn never_back(&mut self, now: Micros, before: Option<TimeInterval>) {
+    /// Keeps fleet time from going back, which could undo what is in force: the stamps of the next leader may be behind by
+    /// the latency of a message.
+    fn keep_monotonic(&mut self, now: Micros, before: Option<TimeInterval>) {
         let after = self.fleet_time(now);
         if let (Some(before), Some(after), Some(anchor)) = (before, after, &mut self.anchor) {
             anchor.ahead = before.earliest.saturating_sub(after.latest);
         }
     }
 
-    /// Another balancer said what its last grant was stamped, by its own [`Lease::granted_at`].
+    /// Records a peer's report of the stamp of its last grant, which is the peer's [`Lease::granted_at`].
     pub fn record_peer_grant(&mut self, now: Micros, number: u16, granted_at: Option<FleetMicros>) {
         if number < self.settings.roster && number != self.number {
-            self.others.heard(now, number, granted_at, self.settings.fresh);
+            self.peers.record_report(now, number, granted_at, self.settings.report_ttl);
         }
     }
 
-    /// The stamp of the last grant of ours that is applied, to tell the others, whether it has ended or not; none before the first.
+    /// The stamp of the last applied grant to this balancer, to be reported to peers even after the lease has ended. `None`
+    /// before the first grant.
     pub fn granted_at(&self) -> Option<FleetMicros> {
         self.anchor.map(|it| it.stamp)
     }
 
-    /// How we stand, and when that is to be looked at again: a lease ends then, or what was heard is no longer fresh.
+    /// The state of the lease, and when to check it again because the lease ends or a report expires.
     pub fn state(&self, now: Micros) -> (LeaseState, Micros) {
         if now < self.ends {
             return (LeaseState::Held, self.ends);
         }
-        let orphaned_until = self.others.orphaned_until(now, self.granted_at(), &self.settings);
+        let orphaned_until = self.peers.orphaned_until(now, self.granted_at(), &self.settings);
         if now < orphaned_until {
             return (LeaseState::Orphaned, orphaned_until);
         }
-        (LeaseState::Fenced, self.others.changes_at(now, self.settings.fresh))
+        (LeaseState::Fenced, self.peers.next_expiry(now, self.settings.report_ttl))
     }
 
-    /// Until when new requests may be taken; 0 if none may.
+    /// Until when new requests may be admitted; 0 if none may.
     ///
-    /// Where it is heard before the lease's end that nobody is granted one any more, this goes on past that end: the council is lost, and no turn of ours is needed in between for requests to go on.
+    /// If the quorum group is known to be lost before the lease ends, the result is after that end. Requests are then served
+    /// without a call in between.
     pub fn serve_until(&self, now: Micros) -> Micros {
-        let until = self.ends.max(self.others.orphaned_until(now, self.granted_at(), &self.settings));
+        let until = self.ends.max(self.peers.orphaned_until(now, self.granted_at(), &self.settings));
         if now < until { until } else { 0 }
     }
 
-    /// Until when planned changes may be made, 0 if none may: only a lease allows them. To be looked at for each change, so that a
-    /// process that was stopped finds it past.
+    /// Until when planned changes may be made; 0 if none may. Only a lease allows them. The caller checks this for each
+    /// change, so that a process that was stopped finds its lease ended.
     pub fn change_until(&self, now: Micros) -> Micros {
         if now < self.ends { self.ends } else { 0 }
     }
 
-    /// The revision at which the lease in force now was granted: all up to it is applied.
+    /// The revision at which the lease in force was granted. Everything up to it is applied.
     pub fn revision(&self, now: Micros) -> Option<u64> {
         (now < self.ends).then_some(self.revision)
     }
 
-    /// What fleet time is now, from the last grant; nothing before the first.
+    /// Fleet time now, derived from the last grant. `None` before the first grant.
     pub fn fleet_time(&self, now: Micros) -> Option<TimeInterval> {
-        let Anchor { stamp, asked, heard, ahead } = self.anchor?;
+        let Anchor { stamp, requested_at, received_at, ahead } = self.anchor?;
         let stamp = stamp.saturating_add(ahead);
         Some(TimeInterval {
-            earliest: stamp.saturating_add(self.settings.shorter(now.saturating_sub(heard))),
-            latest: stamp.saturating_add(self.settings.longer(now.saturating_sub(asked))),
+            earliest: stamp.saturating_add(self.settings.shorter(now.saturating_sub(received_at))),
+            latest: stamp.saturating_add(self.settings.longer(now.saturating_sub(requested_at))),
         })
     }
 
-    fn pause(&self) -> Micros {
-        let spread = self.settings.ask_every / SPREAD;
-        let least = self.settings.ask_every - spread;
-        // Never longer than `ask_every`: four asks fit into a lease whatever was drawn.
-        least + fastrand::Rng::with_seed(self.incarnation.wrapping_add(self.serial)).u64(0..=spread)
+    fn jittered_interval(&self) -> Micros {
+        let jitter = self.settings.ask_every / JITTER_FRACTION;
+        let shortest = self.settings.ask_every - jitter;
+        let mut random = fastrand::Rng::with_seed(self.incarnation.wrapping_add(self.serial));
+        // Never longer than `ask_every`, so that the planned number of requests fits into a lease.
+        shortest + random.u64(0..=jitter)
     }
 }
--- a/crates/audit/src/lease/peer_grants.rs
+++ b/crates/audit/src/lease/peer_grants.rs
@@ -1,98 +1,112 @@
-//! What the others said of their last grants, and whether it shows that the council is lost.
+//! What peers report of their last grants, and whether the reports show that the quorum group is lost.
 
-use super::{GRANT_EVERY, Settings};
+use super::granter::GRANT_INTERVAL;
+use super::settings::Settings;
 use crate::{FleetMicros, Micros};
 use std::collections::BTreeMap;
 
-/// What two last grants may differ by for no fault of their holders', beyond the pause between asks and one ask lost: half a second in
-/// which the leader gathers, and as much for the log to come round.
-const GRANT_MARGIN: Micros = 2 * GRANT_EVERY;
+/// By how much two last grants may differ without a fault of their holders, beyond the request interval and one lost request:
+/// one grant interval in which the leader batches, and as much for the log entry to be applied.
+const GRANT_MARGIN: Micros = 2 * GRANT_INTERVAL;
 
-/// A silence counts as listening for no more than this part of `fresh`: a process that was stopped heard nothing meanwhile.
-const LONGEST_PAUSE_PART: Micros = 4;
+/// A pause between two reports counts as listening for at most this fraction of [`Settings::report_ttl`], since a stopped
+/// process receives nothing.
+const MAX_PAUSE_FRACTION: Micros = 4;
 
-/// The last word of one other.
+/// The last report of one peer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-struct Word {
-    at: Micros,
+struct Report {
+    received_at: Micros,
     granted_at: Option<FleetMicros>,
 }
 
-/// What the others said; bounded by the roster, whose numbers alone are let in.
+/// The last grants that peers reported. Bounded by the roster, since the caller admits no other numbers.
 ///
-/// A council that works grants to somebody every moment, so that the newest stamp known, of the log or of a word, grows. It is lost if
-/// enough others are heard and that stamp stands *still* while we listen: for [`Settings::still`], or for a whole lease if an other was
-/// granted much later than we were (then it was our asks that failed at first) or if we never were. Stamps are compared with stamps
-/// only, since fleet time may stand for as long as a new leader's clock is behind. Stillness is counted while words come in: neither a
-/// stop nor what has lain in the socket meanwhile adds to it.
+/// A working quorum group grants leases continuously, so the newest grant stamp known from the log or from reports grows. The
+/// group is lost if enough peers report and that stamp *stalls* while this balancer listens: for
+/// [`Settings::max_grant_gap`], or for a whole lease if a peer was granted a lease much later than this balancer (then it was
+/// the requests of this balancer that failed first) or if this balancer was never granted one. Stamps are compared with
+/// stamps only, since fleet time may stand still for as long as a new leader's clock is behind. The stall is measured while
+/// reports arrive, so neither a stopped process nor reports queued in the socket meanwhile add to it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub(super) struct Hearing {
-    words: BTreeMap<u16, Word>,
-    last: Micros,
-    /// How long was listened since the newest stamp grew.
-    still: Micros,
-    newest_said: FleetMicros,
-    /// Apart from what was said: no word, however wrong, hides that the log goes on.
+pub(super) struct PeerGrants {
+    reports: BTreeMap<u16, Report>,
+    last_report_at: Micros,
+    /// How long reports arrived since the newest stamp grew.
+    stalled_for: Micros,
+    newest_reported: FleetMicros,
+    /// Kept apart from reported stamps, so that no wrong report hides that the log advances.
     newest_logged: FleetMicros,
 }
 
-impl Hearing {
+impl PeerGrants {
     pub(super) fn new(now: Micros) -> Self {
-        Self { words: BTreeMap::new(), last: now, still: 0, newest_said: 0, newest_logged: 0 }
+        Self {
+            reports: BTreeMap::new(),
+            last_report_at: now,
+            stalled_for: 0,
+            newest_reported: 0,
+            newest_logged: 0,
+        }
     }
 
-    pub(super) fn heard(&mut self, now: Micros, number: u16, granted_at: Option<FleetMicros>, fresh: Micros) {
-        let silence = now.saturating_sub(self.last);
-        self.still = self.still.saturating_add(silence.min(fresh / LONGEST_PAUSE_PART));
-        if silence >= fresh {
-            self.still = 0;
-            self.words.clear();
+    pub(super) fn record_report(
+        &mut self, now: Micros, number: u16, granted_at: Option<FleetMicros>, report_ttl: Micros,
+    ) {
+        let pause = now.saturating_sub(self.last_report_at);
+        self.stalled_for = self.stalled_for.saturating_add(pause.min(report_ttl / MAX_PAUSE_FRACTION));
+        if pause >= report_ttl {
+            self.stalled_for = 0;
+            self.reports.clear();
         }
-        self.last = self.last.max(now);
+        self.last_report_at = self.last_report_at.max(now);
         if let Some(stamp) = granted_at
-            && stamp > self.newest_said.max(self.newest_logged)
+            && stamp > self.newest_reported.max(self.newest_logged)
         {
-            self.newest_said = stamp;
-            self.still = 0;
+            self.newest_reported = stamp;
+            self.stalled_for = 0;
         }
-        self.words.insert(number, Word { at: now, granted_at });
+        self.reports.insert(number, Report { received_at: now, granted_at });
     }
 
-    /// Grants with this stamp, to whomever, are in the log.
-    pub(super) fn logged(&mut self, stamp: FleetMicros) {
+    /// Records that the log contains grants with this stamp, whoever holds them.
+    pub(super) fn record_logged_grant(&mut self, stamp: FleetMicros) {
         if stamp > self.newest_logged {
             self.newest_logged = stamp;
-            self.still = 0;
+            self.stalled_for = 0;
         }
     }
 
-    /// Until when the council counts as lost by what is heard so far, for one last granted at `own`: not now, if that is not after `now`.
+    /// Until when the quorum group counts as lost by the reports so far, for a balancer last granted a lease at `own`. The
+    /// group is not lost now if the result is not after `now`.
     pub(super) fn orphaned_until(
         &self, now: Micros, own: Option<FleetMicros>, settings: &Settings,
     ) -> Micros {
         let margin = settings.ask_every.saturating_add(GRANT_MARGIN);
-        let latest = own.map(|it| it.saturating_add(settings.ask_every).saturating_add(margin));
-        let mut needed = settings.still();
-        let mut ends = Vec::with_capacity(self.words.len());
-        for word in self.fresh(now, settings.fresh) {
-            if latest.is_none() || word.granted_at > latest {
+        let latest = own.map(|stamp| stamp.saturating_add(settings.ask_every).saturating_add(margin));
+        let mut needed = settings.max_grant_gap();
+        let mut ends = Vec::with_capacity(self.reports.len());
+        for report in self.current(now, settings.report_ttl) {
+            if latest.is_none() || report.granted_at > latest {
                 needed = needed.max(settings.longer(settings.lease));
             }
-            ends.push(word.at.saturating_add(settings.fresh));
+            ends.push(report.received_at.saturating_add(settings.report_ttl));
         }
-        if self.still < needed {
+        if self.stalled_for < needed {
             return 0;
         }
         ends.sort_unstable_by(|a, b| b.cmp(a));
-        ends.get(usize::from(settings.witnesses.max(1)) - 1).copied().unwrap_or(0)
+        ends.get(usize::from(settings.orphan_quorum.max(1)) - 1).copied().unwrap_or(0)
     }
 
-    /// When a verdict of "fenced" may change with nothing heard: a word lapses.
-    pub(super) fn changes_at(&self, now: Micros, fresh: Micros) -> Micros {
-        self.fresh(now, fresh).map(|it| it.at.saturating_add(fresh)).min().unwrap_or(Micros::MAX)
+    /// When the next report expires, which may change the lease state without another report.
+    pub(super) fn next_expiry(&self, now: Micros, report_ttl: Micros) -> Micros {
+        let expiries =
+            self.current(now, report_ttl).map(|report| report.received_at.saturating_add(report_ttl));
+        expiries.min().unwrap_or(Micros::MAX)
     }
 
-    fn fresh(&self, now: Micros, fresh: Micros) -> impl Iterator<Item = &Word> {
-        self.words.values().filter(move |it| now < it.at.saturating_add(fresh))
+    fn current(&self, now: Micros, report_ttl: Micros) -> impl Iterator<Item = &Report> {
+        self.reports.values().filter(move |report| now < report.received_at.saturating_add(report_ttl))
     }
 }
--- a/crates/audit/src/ledger/account.rs
+++ b/crates/audit/src/ledger/account.rs
@@ -1,178 +1,208 @@
-//! What one balancer told, in each of its lives.
+//! What one balancer reported, in each of its incarnations.
 
-use super::{
-    ActivityReport, LedgerEntry, MAX_INCARNATIONS_PER_BALANCER, MAX_PERIODS_PER_BALANCER, ReportStatus,
-};
+use crate::activity::{ActivityReport, LedgerEntry};
 use crate::lease::TimeInterval;
 use std::collections::VecDeque;
 
-/// Reports that may be overtaken and still be told from doubled ones: the bits of the word they are noted in.
-const WINDOW: u64 = u64::BITS as u64;
+/// Periods kept in memory of each balancer: those of 300 balancers take 3 MB. Older ones are on disk only.
+pub const MAX_PERIODS_PER_BALANCER: usize = 32;
+
+/// Incarnations kept of each balancer: how often it may restart while reports of its first incarnation are in flight.
+pub const MAX_INCARNATIONS_PER_BALANCER: usize = 4;
+
+/// How far behind the highest sequence number a late report is still told from a duplicate: the bits of
+/// [`IncarnationRecord::seen`].
+const REORDER_WINDOW: u64 = u64::BITS as u64;
+
+/// What became of a report.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+pub enum ReportStatus {
+    /// The newest report of its incarnation.
+    Newest,
+    /// A reordered report. Only what no newer report contains is taken in.
+    Late,
+    /// A duplicate, or too old to tell from one. Nothing is taken in.
+    Repeated,
+    /// Rejected: the sender is not on the roster, or the report is over its limits.
+    Refused,
+}
+
+/// Whether an entry is to be written to disk.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum Persistence {
+    /// The disk does not have the entry in this form.
+    Unsaved,
+    /// The disk has the entry, or it was handed out to be written.
+    Saved,
+}
 
-/// Which reports of a life were heard.
+/// Which reports of one incarnation were received.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct IncarnationRecord {
     pub(super) incarnation: u64,
     pub(super) at: TimeInterval,
     highest: u64,
-    /// Bit n: the report n before the highest was heard.
+    /// Bit n: the report n before the highest was received.
     seen: u64,
-    heard: u64,
+    received: u64,
     pub(super) repeated: u64,
 }
 
 impl IncarnationRecord {
     fn new(incarnation: u64, at: TimeInterval) -> Self {
-        Self { incarnation, at, highest: 0, seen: 0, heard: 0, repeated: 0 }
+        Self { incarnation, at, highest: 0, seen: 0, received: 0, repeated: 0 }
     }
 
-    /// All up to what a span from disk was told by counts as heard: it holds what they told.
+    /// Counts every report up to the stored entry's as received, since the entry contains what they said.
     fn restore(&mut self, entry: &LedgerEntry) {
-        if entry.told > self.highest {
-            self.heard += entry.told - self.highest;
-            self.highest = entry.told;
+        if entry.sequence > self.highest {
+            self.received += entry.sequence - self.highest;
+            self.highest = entry.sequence;
             self.seen = u64::MAX;
-            self.at = entry.piece.to;
+            self.at = entry.period.to;
         }
     }
 
-    /// Reports that were made and not heard, or not yet.
+    /// How many reports were made and not received so far.
     pub(super) fn missing(&self) -> u64 {
-        self.highest.saturating_sub(self.heard)
+        self.highest.saturating_sub(self.received)
     }
 
-    fn hear(&mut self, report: &ActivityReport) -> ReportStatus {
+    fn record_sequence(&mut self, report: &ActivityReport) -> ReportStatus {
         if report.sequence > self.highest {
             let ahead = report.sequence - self.highest;
-            self.seen = if ahead < WINDOW { self.seen << ahead } else { 0 } | 1;
+            self.seen = if ahead < REORDER_WINDOW { self.seen << ahead } else { 0 } | 1;
             self.highest = report.sequence;
             self.at = report.at;
-            self.heard += 1;
+            self.received += 1;
             return ReportStatus::Newest;
         }
         let ago = self.highest - report.sequence;
-        if report.sequence == 0 || ago >= WINDOW || self.seen & (1 << ago) != 0 {
+        if report.sequence == 0 || ago >= REORDER_WINDOW || self.seen & (1 << ago) != 0 {
             self.repeated += 1;
             return ReportStatus::Repeated;
         }
         self.seen |= 1 << ago;
-        self.heard += 1;
+        self.received += 1;
         ReportStatus::Late
     }
 }
 
-/// A span in memory, and whether it is to be kept on disk.
+/// An entry in memory.
 #[derive(Clone, Copy, Debug)]
-struct Kept {
+struct StoredEntry {
     entry: LedgerEntry,
-    changed: bool,
+    persistence: Persistence,
 }
 
-/// All that one balancer told, newest last.
+/// What one balancer reported, the newest last.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Account {
     incarnations: VecDeque<IncarnationRecord>,
-    spans: VecDeque<Kept>,
-    pub(super) unkept: u64,
+    entries: VecDeque<StoredEntry>,
+    /// Entries that were evicted before they were handed out for the disk.
+    pub(super) evicted_unsaved: u64,
 }
 
 impl Account {
-    pub(super) fn hear(&mut self, report: &ActivityReport) -> ReportStatus {
+    pub(super) fn record_report(&mut self, report: &ActivityReport) -> ReportStatus {
         let known = self.incarnations.iter_mut().find(|it| it.incarnation == report.incarnation);
-        let heard = match known {
-            Some(incarnation) => incarnation.hear(report),
+        let status = match known {
+            Some(incarnation) => incarnation.record_sequence(report),
             None => {
                 let mut incarnation = IncarnationRecord::new(report.incarnation, report.at);
-                let heard = incarnation.hear(report);
-                self.begin(incarnation);
-                heard
+                let status = incarnation.record_sequence(report);
+                self.add_incarnation(incarnation);
+                status
             }
         };
-        if matches!(heard, ReportStatus::Newest | ReportStatus::Late) {
-            for piece in &report.pieces {
+        if matches!(status, ReportStatus::Newest | ReportStatus::Late) {
+            for period in &report.pieces {
                 let entry = LedgerEntry {
                     number: report.number,
                     incarnation: report.incarnation,
-                    told: report.sequence,
-                    piece: *piece,
+                    sequence: report.sequence,
+                    period: *period,
                 };
-                self.keep(entry, true);
+                self.store(entry, Persistence::Unsaved);
             }
         }
-        heard
+        status
     }
 
-    /// Takes a span in from disk: what is known of its life goes on from there.
+    /// Takes in an entry from disk. The record of its incarnation continues from there.
     pub(super) fn restore(&mut self, entry: LedgerEntry) {
         if let Some(incarnation) = self.incarnations.iter_mut().find(|it| it.incarnation == entry.incarnation)
         {
             incarnation.restore(&entry);
         } else {
-            let mut incarnation = IncarnationRecord::new(entry.incarnation, entry.piece.to);
+            let mut incarnation = IncarnationRecord::new(entry.incarnation, entry.period.to);
             incarnation.restore(&entry);
-            self.begin(incarnation);
+            self.add_incarnation(incarnation);
         }
-        self.keep(entry, false);
+        self.store(entry, Persistence::Saved);
     }
 
-    fn begin(&mut self, incarnation: IncarnationRecord) {
+    fn add_incarnation(&mut self, incarnation: IncarnationRecord) {
         if self.incarnations.len() == MAX_INCARNATIONS_PER_BALANCER {
-            self.forget_first_life();
+            self.evict_incarnation();
         }
         self.incarnations.push_back(incarnation);
     }
 
-    /// Takes a span in where nothing newer is told of it.
-    pub(super) fn keep(&mut self, entry: LedgerEntry, changed: bool) {
-        if let Some(kept) = self.spans.iter_mut().find(|it| it.entry.key() == entry.key()) {
-            if kept.entry.told < entry.told {
-                let differs = kept.entry.piece != entry.piece;
-                *kept = Kept { entry, changed: kept.changed || (changed && differs) };
+    /// Stores an entry unless one with the same key is from a report at least as new.
+    pub(super) fn store(&mut self, entry: LedgerEntry, persistence: Persistence) {
+        if let Some(stored) = self.entries.iter_mut().find(|stored| stored.entry.key() == entry.key()) {
+            if stored.entry.sequence < entry.sequence {
+                if stored.entry.period != entry.period && persistence == Persistence::Unsaved {
+                    stored.persistence = Persistence::Unsaved;
+                }
+                stored.entry = entry;
             }
             return;
         }
-        if self.spans.len() == MAX_PERIODS_PER_BALANCER {
-            self.forget_first_span();
+        if self.entries.len() == MAX_PERIODS_PER_BALANCER {
+            self.evict_entry();
         }
-        self.spans.push_back(Kept { entry, changed });
+        self.entries.push_back(StoredEntry { entry, persistence });
     }
 
-    pub(super) fn take_changed(&mut self) -> Vec<LedgerEntry> {
-        let changed = self.spans.iter_mut().filter(|it| it.changed);
-        changed
-            .map(|it| {
-                it.changed = false;
-                it.entry
-            })
-            .collect()
+    pub(super) fn take_unsaved(&mut self) -> Vec<LedgerEntry> {
+        let unsaved = self.entries.iter_mut().filter(|stored| stored.persistence == Persistence::Unsaved);
+        let save = |stored: &mut StoredEntry| {
+            stored.persistence = Persistence::Saved;
+            stored.entry
+        };
+        unsaved.map(save).collect()
     }
 
     pub(super) fn entries(&self) -> impl Iterator<Item = &LedgerEntry> {
-        self.spans.iter().map(|it| &it.entry)
+        self.entries.iter().map(|stored| &stored.entry)
     }
 
-    /// The life that told last, by its own account of fleet time: lives have no order of their own.
-    pub(super) fn living(&self) -> Option<&IncarnationRecord> {
+    /// The incarnation that reported last, by its own fleet time: incarnations have no order of their own.
+    pub(super) fn latest_incarnation(&self) -> Option<&IncarnationRecord> {
         self.incarnations.iter().max_by_key(|it| (it.at.earliest, it.at.latest))
     }
 
-    /// The last span of the life that told last.
-    pub(super) fn last(&self) -> Option<(&IncarnationRecord, &LedgerEntry)> {
-        let incarnation = self.living()?;
-        let spans = self.entries().filter(|it| it.incarnation == incarnation.incarnation);
-        Some((incarnation, spans.max_by_key(|it| it.piece.serial)?))
+    /// The incarnation that reported last, with its last entry.
+    pub(super) fn latest(&self) -> Option<(&IncarnationRecord, &LedgerEntry)> {
+        let incarnation = self.latest_incarnation()?;
+        let entries = self.entries().filter(|it| it.incarnation == incarnation.incarnation);
+        Some((incarnation, entries.max_by_key(|it| it.period.serial)?))
     }
 
-    fn forget_first_life(&mut self) {
-        let first =
-            self.incarnations.iter().enumerate().min_by_key(|(_, it)| it.at.earliest).map(|(index, _)| index);
-        first.and_then(|index| self.incarnations.remove(index));
+    fn evict_incarnation(&mut self) {
+        let by_age = |(_, record): &(usize, &IncarnationRecord)| record.at.earliest;
+        let oldest = self.incarnations.iter().enumerate().min_by_key(by_age).map(|(index, _)| index);
+        oldest.and_then(|index| self.incarnations.remove(index));
     }
 
-    fn forget_first_span(&mut self) {
-        let oldest = self.spans.iter().enumerate().min_by_key(|(_, it)| it.entry.piece.from.earliest);
-        if let Some(kept) = oldest.map(|(index, _)| index).and_then(|index| self.spans.remove(index)) {
-            self.unkept += u64::from(kept.changed);
+    fn evict_entry(&mut self) {
+        let by_age = |(_, stored): &(usize, &StoredEntry)| stored.entry.period.from.earliest;
+        let oldest = self.entries.iter().enumerate().min_by_key(by_age).map(|(index, _)| index);
+        if let Some(evicted) = oldest.and_then(|index| self.entries.remove(index)) {
+            self.evicted_unsaved += u64::from(evicted.persistence == Persistence::Unsaved);
         }
     }
 }
--- a/crates/audit/src/ledger/query.rs
+++ b/crates/audit/src/ledger/query.rs
@@ -1,125 +1,127 @@
-//! What operators ask of the ledger.
+//! Queries on the ledger for operators.
 
-use super::{Ledger, LedgerEntry};
-use crate::counting::KINDS;
+use super::Ledger;
+use crate::activity::{COUNT_KINDS, LedgerEntry};
 use crate::lease::TimeInterval;
 use crate::version::Version;
 use crate::{FleetMicros, Micros};
 use serde::Serialize;
 
-/// What a balancer acts on as far as is known.
+/// What a balancer acts on, by its last report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub struct CurrentActivity {
-    /// Who.
+    /// The balancer.
     pub number: u16,
-    /// In which life.
+    /// The balancer's incarnation.
     #[serde(rename = "life")]
     pub incarnation: u64,
-    /// On what.
+    /// The version acted on.
     pub version: Version,
-    /// Since when.
+    /// Since when it acts on that version.
     pub since: TimeInterval,
-    /// Known until then; later it may have acted on anything.
+    /// The time up to which this is known. After it the balancer may have acted on any version.
     pub known_until: FleetMicros,
-    /// Reports of this life that were made and not heard.
+    /// Reports of this incarnation that were made and not received.
     pub missing: u64,
-    /// Reports of this life that came twice.
+    /// Duplicate reports of this incarnation.
     pub repeated: u64,
 }
 
 /// What a balancer did under a version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub struct PastActivity {
-    /// Who.
+    /// The balancer.
     pub number: u16,
-    /// In which life.
+    /// The balancer's incarnation.
     #[serde(rename = "life")]
     pub incarnation: u64,
-    /// It began within this.
+    /// When the period began.
     pub from: TimeInterval,
-    /// It ended, or was last told of, within this.
+    /// When the period ended, or was last reported.
     pub to: TimeInterval,
-    /// By kind, over the whole of the span.
-    pub counts: [u64; KINDS],
-    /// Of its changes of topology.
+    /// Counts by [`CountKind`](crate::counting::CountKind) over the whole period.
+    pub counts: [u64; COUNT_KINDS],
+    /// Digest of its topology changes.
     pub digest: u64,
-    /// Whether it surely was in the time asked for, and not only maybe.
+    /// Whether the period certainly overlaps the requested time; otherwise it may.
     pub certain: bool,
 }
 
-/// How far a balancer's account goes.
+/// Up to when the activity of a balancer is known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub struct KnownUntil {
-    /// The life that told last.
+    /// The incarnation that reported last.
     #[serde(rename = "life")]
     pub incarnation: u64,
-    /// What was told reaches to here at least; of a killed balancer nothing later is ever said.
+    /// The reports cover at least the time up to here. A killed balancer never reports what came later.
     pub until: FleetMicros,
 }
 
-/// A balancer that is behind, or silent.
+/// A balancer that lags, or that has stopped reporting.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub struct LaggingNode {
-    /// Who.
+    /// The balancer.
     pub number: u16,
-    /// How many revisions it is behind the newest that anybody acts on, at the time it was last heard of.
+    /// Lag in revisions behind the newest version that any balancer acts on, as of its last report.
     pub revisions: u64,
-    /// For how long others have surely acted on something newer.
+    /// How long other balancers have certainly acted on a newer version.
     pub behind_for: Micros,
-    /// For how long nothing was heard of it; nothing if never.
+    /// Time since its last report; `None` if it never reported.
     pub silent_for: Option<Micros>,
 }
 
 impl Ledger {
-    /// Who acts on what, as last told.
+    /// What each balancer acts on, by its last report.
     pub fn current_activity(&self) -> Vec<CurrentActivity> {
-        let told = self.accounts.iter().filter_map(|it| it.last());
-        told.map(|(incarnation, entry)| CurrentActivity {
-            number: entry.number,
-            incarnation: entry.incarnation,
-            version: entry.piece.version,
-            since: entry.piece.from,
-            known_until: incarnation.at.earliest,
-            missing: incarnation.missing(),
-            repeated: incarnation.repeated,
-        })
-        .collect()
+        let latest = self.accounts.iter().filter_map(|it| it.latest());
+        latest
+            .map(|(incarnation, entry)| CurrentActivity {
+                number: entry.number,
+                incarnation: entry.incarnation,
+                version: entry.period.version,
+                since: entry.period.from,
+                known_until: incarnation.at.earliest,
+                missing: incarnation.missing(),
+                repeated: incarnation.repeated,
+            })
+            .collect()
     }
 
-    /// Who acted on a version between two points of fleet time.
+    /// The periods in which balancers acted on a version between two points of fleet time.
     pub fn activity_under(&self, version: &Version, from: FleetMicros, to: FleetMicros) -> Vec<PastActivity> {
         let entries = self.accounts.iter().flat_map(|it| it.entries());
-        let maybe = entries.filter(|LedgerEntry { piece, .. }| {
-            piece.version == *version && piece.from.earliest <= to && from <= piece.to.latest
+        let overlapping = entries.filter(|LedgerEntry { period, .. }| {
+            period.version == *version && period.from.earliest <= to && from <= period.to.latest
         });
-        maybe
-            .map(|LedgerEntry { number, incarnation, piece, .. }| PastActivity {
+        overlapping
+            .map(|LedgerEntry { number, incarnation, period, .. }| PastActivity {
                 number: *number,
                 incarnation: *incarnation,
-                from: piece.from,
-                to: piece.to,
-                counts: piece.counts,
-                digest: piece.digest,
-                certain: piece.from.latest <= to && from <= piece.to.earliest,
+                from: period.from,
+                to: period.to,
+                counts: period.counts,
+                digest: period.digest,
+                certain: period.from.latest <= to && from <= period.to.earliest,
             })
             .collect()
     }
 
-    /// Until when a balancer's doings are known; nothing if it never told any.
+    /// Up to when the activity of a balancer is known; `None` if it never reported.
     pub fn known_until(&self, number: u16) -> Option<KnownUntil> {
-        let incarnation = self.accounts.get(usize::from(number))?.living()?;
+        let incarnation = self.accounts.get(usize::from(number))?.latest_incarnation()?;
         Some(KnownUntil { incarnation: incarnation.incarnation, until: incarnation.at.earliest })
     }
 
-    /// Who is more than `revisions` behind, or behind or silent for longer than `time`. `current_activity` is fleet time.
+    /// The balancers that lag by more than `revisions`, or that lag or have been silent for longer than `time`. `now` is fleet
+    /// time.
     pub fn lagging_nodes(&self, now: FleetMicros, revisions: u64, time: Micros) -> Vec<LaggingNode> {
         let numbered = self.accounts.iter().zip(0u16..);
         let all = numbered.map(|(account, number)| {
-            let Some((incarnation, entry)) = account.last() else {
+            let Some((incarnation, entry)) = account.latest() else {
                 return LaggingNode { number, revisions: 0, behind_for: 0, silent_for: None };
             };
-            let (revisions, since) = self.behind(&entry.piece.version);
-            let behind_for = since.map_or(0, |it| now.saturating_sub(it));
+            let (revisions, since) = self.lag(&entry.period.version);
+            let behind_for = since.map_or(0, |since| now.saturating_sub(since));
             LaggingNode {
                 number,
                 revisions,
@@ -127,23 +129,20 @@
                 silent_for: Some(now.saturating_sub(incarnation.at.earliest)),
             }
         });
-        all.filter(|it| {
-            it.revisions > revisions
-                || it.behind_for > time
-                || it.silent_for.is_none_or(|silent| silent > time)
-        })
-        .collect()
+        let lags = |node: &LaggingNode| node.revisions > revisions || node.behind_for > time;
+        let silent = |node: &LaggingNode| node.silent_for.is_none_or(|silent_for| silent_for > time);
+        all.filter(|node| lags(node) || silent(node)).collect()
     }
 
-    /// How far a version is behind the newest, and since when others have surely had a newer one.
-    fn behind(&self, version: &Version) -> (u64, Option<FleetMicros>) {
-        let newest = self.accounts.iter().filter_map(|it| it.last());
-        let revisions = newest.map(|(_, it)| version.behind(&it.piece.version)).max().unwrap_or(0);
+    /// The lag of a version in revisions, and since when others have certainly had a newer one.
+    fn lag(&self, version: &Version) -> (u64, Option<FleetMicros>) {
+        let newest = self.accounts.iter().filter_map(|it| it.latest());
+        let revisions = newest.map(|(_, it)| version.behind(&it.period.version)).max().unwrap_or(0);
         if revisions == 0 {
             return (0, None);
         }
         let entries = self.accounts.iter().flat_map(|it| it.entries());
-        let newer = entries.filter(|it| version.behind(&it.piece.version) > 0);
-        (revisions, newer.map(|it| it.piece.from.latest).min())
+        let newer = entries.filter(|it| version.behind(&it.period.version) > 0);
+        (revisions, newer.map(|it| it.period.from.latest).min())
     }
 }
--- a/crates/audit/src/lib.rs
+++ b/crates/audit/src/lib.rs
@@ -1,24 +1,26 @@
-//! Leases that shut out whoever did not follow, and the account of which balancer acted on which version.
+//! Leases that fence lagging balancers, and the ledger of which balancer acted on which version.
 //!
-//! [`lease`] says whether a balancer may serve: it asks for leases, learns of them from the applied log, and is fenced when its
-//! own has ended while others are granted theirs. [`lease::Granter`] gathers what is asked for at the leader, [`lease::Holders`] is who
-//! holds one in everybody else's eyes.
+//! [`lease`] decides whether a balancer may serve. A [`lease::Lease`] requests leases, learns of grants from the applied log,
+//! and fences its balancer when its own lease has ended while others are still granted theirs. [`lease::LeaseGranter`] batches
+//! the requests at the leader; [`lease::LeaseHolders`] is the view that the rest of the fleet has of who holds a lease.
 //!
-//! [`version::Version`] is all that a decision was made from; [`counting::Counting`] counts tries, refusals and changes of topology
-//! under the one in force and makes reports of them; [`ledger::Ledger`] is what the whole fleet told.
+//! [`version::Version`] identifies the state that a decision was made from. [`counting::ActivityCounter`] counts attempts,
+//! rejections and topology changes under the version in force and makes reports of them. [`ledger::Ledger`] collects the
+//! reports of the whole fleet.
 //!
-//! The crate does no I/O, reads no clock and draws no randomness: time is the owner's monotonic clock, the jitter comes of the
-//! life's number. It leaves to its owner the log, the datagrams, and a turn at the times that it names.
+//! The crate does no I/O, reads no clock and draws no randomness: time is the owner's monotonic clock, and the jitter is
+//! derived from the incarnation. The owner provides the log and the datagrams, and calls in at the times the crate names.
 #![forbid(unsafe_code)]
 #![warn(unreachable_pub)]
 
+mod activity;
 pub mod counting;
 pub mod lease;
 pub mod ledger;
 pub mod version;
 
-/// Microseconds on the owner's monotonic clock: a span, or a point in time.
+/// Microseconds on the owner's monotonic clock: a duration or a point in time.
 pub type Micros = u64;
 
-/// Fleet time: microseconds as the log's leaders stamp them.
+/// Fleet time: microseconds, as stamped by the leaders of the log.
 pub type FleetMicros = u64;
--- a/crates/audit/src/version.rs
+++ b/crates/audit/src/version.rs
@@ -1,28 +1,28 @@
-//! What a balancer acts on: every source of its decisions, with how far it has come in each.
+//! The version of the state that a balancer acts on: one revision for each source of its decisions.
 
 use serde::{Deserialize, Serialize};
 
-/// All that a decision was made from. Two balancers with equal versions decide from the same state.
+/// The state that a decision was made from. Two balancers with equal versions decide from the same state.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Version {
-    /// Hash of the program's own name and build.
+    /// Hash of the program's name and build.
     pub program: u64,
-    /// Hash of its configuration.
+    /// Hash of the configuration.
     pub configuration: u64,
-    /// Hash of the name of the source that listed the hosts.
+    /// Hash of the name of the source of the endpoint list.
     pub list_source: u64,
-    /// That source's revision.
+    /// Revision of the endpoint list.
     pub list_revision: u64,
     /// Revision of the calendar of freezes.
     pub calendar: u64,
-    /// Revision of the bookings.
+    /// Revision of the reservations.
     pub bookings: u64,
-    /// The council's epoch.
+    /// Epoch of the quorum group.
     pub epoch: u64,
 }
 
 impl Version {
-    /// How many revisions this is behind another, in what it is furthest behind in. Lists of two sources are not compared.
+    /// The lag behind another version in revisions: the largest lag of any source. Lists of different sources are not compared.
     pub fn behind(&self, other: &Self) -> u64 {
         let list = if self.list_source == other.list_source {
             other.list_revision.saturating_sub(self.list_revision)
--- a/crates/audit/tests/golden.rs
+++ b/crates/audit/tests/golden.rs
@@ -1,6 +1,6 @@
 //! Reports and spans in the form that goes between balancers and to disk, and the answers' JSON.
 
-use audit::counting::{ActivityCounter, CountKind, KINDS};
+use audit::counting::{ActivityCounter, COUNT_KINDS, CountKind};
 use audit::lease::{LeaseGrant, LeaseRequest, TimeInterval};
 use audit::ledger::{ActivityPeriod, ActivityReport, Ledger, LedgerEntry};
 use audit::version::Version;
@@ -41,7 +41,7 @@
         at: span(250),
         pieces: vec![piece(), piece()],
     };
-    let entry = LedgerEntry { number: 300, incarnation: 10, told: 11, piece: piece() };
+    let entry = LedgerEntry { number: 300, incarnation: 10, sequence: 11, period: piece() };
     assert_eq!(ActivityReport::from_bytes(&report.to_bytes()), Some(report.clone()));
     assert_eq!(LedgerEntry::from_bytes(&entry.to_bytes()), Some(entry));
     let ask = postcard::to_allocvec(&LeaseRequest { number: 300, incarnation: 10, serial: 1_000 }).unwrap();
@@ -55,7 +55,7 @@
 
 #[test]
 fn counts_keep_their_places_and_digests_their_values() {
-    const ALL: [CountKind; KINDS] = [
+    const ALL: [CountKind; COUNT_KINDS] = [
         CountKind::ReadOk,
         CountKind::ReadError,
         CountKind::ReadFull,
--- a/crates/audit/tests/ledger.rs
+++ b/crates/audit/tests/ledger.rs
@@ -1,7 +1,7 @@
 //! What the ledger says of who acted on what, from reports that are lost, doubled and overtaken.
 
 use audit::Micros;
-use audit::counting::{ActivityCounter, CountKind, KINDS, VERSIONS};
+use audit::counting::{ActivityCounter, COUNT_KINDS, CountKind, MAX_VERSIONS};
 use audit::lease::TimeInterval;
 use audit::ledger::{
     ActivityPeriod, ActivityReport, Ledger, LedgerEntry, MAX_PERIODS_PER_BALANCER, MAX_PERIODS_PER_REPORT,
@@ -86,10 +86,10 @@
     // Each version after the sixteenth needs the place of one, whose counts are handed out.
     let handed: Vec<_> =
         (3..30).filter_map(|it| counting.switch_version(calendar(it), at(10 + it))).collect();
-    assert_eq!(handed.len(), 29 - VERSIONS);
-    assert_eq!((handed[0].piece.version, handed[0].piece.counts[0]), (calendar(1), 2));
+    assert_eq!(handed.len(), 29 - MAX_VERSIONS);
+    assert_eq!((handed[0].period.version, handed[0].period.counts[0]), (calendar(1), 2));
     counting.count_under(begun, CountKind::ReadOk);
-    assert_eq!(counting.unplaced(), 1);
+    assert_eq!(counting.expired(), 1);
 }
 
 #[test]
@@ -170,8 +170,14 @@
             epoch: most,
         },
     );
-    let piece =
-        ActivityPeriod { serial: most, version, from: span, to: span, counts: [most; KINDS], digest: most };
+    let piece = ActivityPeriod {
+        serial: most,
+        version,
+        from: span,
+        to: span,
+        counts: [most; COUNT_KINDS],
+        digest: most,
+    };
     let report = ActivityReport {
         number: u16::MAX,
         incarnation: most,
@@ -205,7 +211,7 @@
     }
     ledger.record_report(&counting.report(at(101)));
     disk.extend(ledger.take_unsaved().into_iter().map(|it| (it.key(), it.to_bytes())));
-    assert_eq!((ledger.unkept(), disk.len()), (0, 101));
+    assert_eq!((ledger.evicted_unsaved(), disk.len()), (0, 101));
     let spans: usize = (0..=100).map(|it| reads(&ledger, it).len()).sum();
     assert_eq!(spans, MAX_PERIODS_PER_BALANCER);
     let mut restored = Ledger::new(2);
--- a/crates/audit/tests/model.rs
+++ b/crates/audit/tests/model.rs
@@ -180,7 +180,7 @@
         vec![Fleet {
             tick: 0,
             balancers: (0..self.balancers).map(|number| self.start(number, number as u64, 0)).collect(),
-            granter: LeaseGranter::with_pause(self.balancers as u16, 10_000),
+            granter: LeaseGranter::with_interval(self.balancers as u16, 10_000),
             leader: LeaseHolders::new(self.settings()),
             log: Vec::new(),
             asks: BTreeSet::new(),
