--- /dev/null
+++ b/crates/calendar/src/accepted.rs
@@ -0,0 +1,151 @@
+//! The endpoints as accepted so far, and the check of one endpoint's planned changes.
+
+use crate::list_delta::{planned_changes, serving_weight, with_planned};
+use crate::records::{ChangeOutcome, ChangeRecord, GateContext};
+use crate::{AvailableCapacity, Calendar, Change, ChangeKind, HoldReason, Verdict};
+use hashlink::LinkedHashMap;
+use proto::discovery::{EndpointRecord, Phase};
+
+/// Upper bound on the accepted endpoints: several of the longest lists.
+pub const MAX_MEMBERS: usize = 65_536;
+
+/// The calendar and the context that a change is checked against.
+#[derive(Clone, Copy)]
+pub(crate) struct CheckInput<'a> {
+    pub(crate) context: &'a GateContext,
+    pub(crate) calendar: &'a Calendar,
+}
+
+/// Whether changes that only the end of a freeze allows must queue behind those that are released in steps.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(crate) enum Queueing {
+    /// No queued change could be applied now, so new ones may.
+    NotNeeded,
+    /// Queued changes are being released; new ones wait for their turn.
+    Required,
+}
+
+/// A change that may be applied.
+struct Approval {
+    /// The weight to grant.
+    size: f64,
+    outcome: ChangeOutcome,
+}
+
+/// A change that may not be applied now.
+pub(crate) struct HeldChange {
+    pub(crate) kind: ChangeKind,
+    pub(crate) outcome: ChangeOutcome,
+}
+
+/// What became of the planned changes of one endpoint.
+#[derive(Default)]
+pub(crate) struct PlannedResult {
+    /// Whether any of them was applied.
+    pub(crate) applied: bool,
+    /// The first of them that was not.
+    pub(crate) held: Option<HeldChange>,
+}
+
+impl PlannedResult {
+    fn hold(&mut self, kind: ChangeKind, outcome: ChangeOutcome) {
+        self.held.get_or_insert(HeldChange { kind, outcome });
+    }
+}
+
+/// The endpoints as accepted, with what is needed to check a change of one.
+#[derive(Debug, Clone, Default)]
+pub(crate) struct AcceptedEndpoints {
+    pub(crate) members: LinkedHashMap<String, EndpointRecord>,
+    pub(crate) capacity: AvailableCapacity,
+    pub(crate) records: Vec<ChangeRecord>,
+    /// The revision of the endpoint list that is being applied.
+    pub(crate) list_revision: u64,
+}
+
+impl AcceptedEndpoints {
+    /// Replaces the accepted state of an endpoint.
+    pub(crate) fn insert(&mut self, member: EndpointRecord) {
+        self.capacity.set_weight(&member.id, &member.locality, serving_weight(&member));
+        if member.phase == Phase::Gone {
+            self.members.remove(&member.id);
+            return;
+        }
+        // Replaced in place: an insert would move the endpoint behind all others.
+        match self.members.get_mut(&member.id) {
+            Some(known) => *known = member,
+            None => drop(self.members.insert(member.id.clone(), member)),
+        }
+    }
+
+    /// Records what became of a change.
+    pub(crate) fn record(
+        &mut self, calendar: &Calendar, host: &str, kind: ChangeKind, outcome: ChangeOutcome,
+    ) {
+        let (list, revision) = (self.list_revision, calendar.revision());
+        self.records.push(ChangeRecord { host: host.to_owned(), kind, list, outcome, revision });
+    }
+
+    /// Whether a change would be applied now.
+    pub(crate) fn is_allowed(&self, input: CheckInput<'_>, new: &EndpointRecord, kind: ChangeKind) -> bool {
+        self.check(input, new, kind).is_ok()
+    }
+
+    /// Checks one change of an endpoint against the calendar. Weight lost during a freeze may be replaced.
+    fn check(
+        &self, input: CheckInput<'_>, new: &EndpointRecord, kind: ChangeKind,
+    ) -> Result<Approval, ChangeOutcome> {
+        let old = self.members.get(&new.id);
+        let old_zone = old.map(|it| it.locality.as_str());
+        let left_zone = old_zone.filter(|zone| *zone != new.locality && kind == ChangeKind::Zone);
+        // More weight comes to the zone that the endpoint is accepted in. A changed zone is a change of both zones.
+        let zone = old_zone.filter(|_| kind == ChangeKind::More).unwrap_or(&new.locality);
+        let change = Change { kind, host: Some(&new.id), zones: [Some(zone), left_zone] };
+        let GateContext { fleet_time, lease, .. } = *input.context;
+        let (reason, until) = match input.calendar.check(fleet_time, lease, &change) {
+            Verdict::Allow { override_id, .. } => {
+                let outcome = override_id.map_or(ChangeOutcome::Applied, ChangeOutcome::Override);
+                return Ok(Approval { size: new.size, outcome });
+            }
+            Verdict::Hold { reason, until } => (reason, until),
+        };
+        let replaceable = matches!(kind, ChangeKind::Join | ChangeKind::More)
+            && matches!(reason, HoldReason::Freeze { .. });
+        let current = old.map_or(0.0, serving_weight);
+        let replacement =
+            replaceable.then(|| self.capacity.replacement(&change, serving_weight(new) - current)).flatten();
+        match replacement {
+            Some(more) => Ok(Approval { size: current + more, outcome: ChangeOutcome::Replacement }),
+            None => Err(ChangeOutcome::Held { reason, until }),
+        }
+    }
+
+    /// Applies the planned changes in an endpoint's new state that may be applied now.
+    pub(crate) fn apply_planned(
+        &mut self, input: CheckInput<'_>, new: &EndpointRecord, queueing: Queueing,
+    ) -> PlannedResult {
+        let mut result = PlannedResult::default();
+        for kind in planned_changes(self.members.get(&new.id), new) {
+            match self.check(input, new, kind) {
+                Ok(Approval { outcome: ChangeOutcome::Applied, .. }) if queueing == Queueing::Required => {
+                    result.hold(kind, ChangeOutcome::Held { reason: HoldReason::Queued, until: None });
+                }
+                Ok(_) if kind == ChangeKind::Join && self.members.len() >= MAX_MEMBERS => {
+                    result.hold(kind, ChangeOutcome::QueueFull);
+                }
+                Ok(Approval { size, outcome }) => {
+                    self.insert(with_planned(self.members.get(&new.id), new, kind, size));
+                    self.record(input.calendar, &new.id, kind, outcome);
+                    result.applied = true;
+                    if size < new.size
+                        && let Err(rest) = self.check(input, new, ChangeKind::More)
+                    {
+                        result.hold(ChangeKind::More, rest);
+                    }
+                }
+                Err(outcome) => result.hold(kind, outcome),
+            }
+        }
+        result
+    }
+}
--- /dev/null
+++ b/crates/calendar/src/calendar.rs
@@ -0,0 +1,256 @@
+//! The calendar: the committed entries, applied in log order, and the check of topology changes against them.
+
+use crate::entry::{Entry, Proposal};
+use crate::errors::{ProposalError, RestoreError};
+use crate::index::{EntryKind, EntryTitle, Index};
+use crate::limits::{MAX_ENTRIES, MAX_OCCURRENCES, RETENTION_MS};
+use crate::occurrences::Interval;
+use crate::schedule::{CommittedEntry, ScheduledEntry};
+use crate::{Change, HoldReason, LeaseState, Millis, TimeInterval, Verdict};
+use serde::{Deserialize, Serialize};
+use std::collections::BTreeMap;
+use std::sync::{Arc, OnceLock};
+
+/// Version of the snapshot format. Snapshots of other versions are rejected.
+const SNAPSHOT_VERSION: u16 = 1;
+
+/// The outcome of a committed proposal.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub enum Applied {
+    /// The entry was added.
+    Added,
+    /// The entry was revoked.
+    Revoked,
+    /// Without effect, at all balancers alike.
+    Refused(ProposalError),
+    /// Without effect, since the calendar has applied that revision before.
+    Known,
+}
+
+/// The phase of an entry's life.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum EntryPhase {
+    /// Committed and not yet in force.
+    Agreed,
+    /// In force, or between two occurrences.
+    InForce,
+    /// The last occurrence is over.
+    Ended,
+    /// Revoked before its end.
+    Revoked,
+}
+
+/// The encoded form of a calendar. postcard fixes the order of the fields.
+#[derive(Serialize, Deserialize)]
+struct Snapshot {
+    version: u16,
+    binding: Millis,
+    revision: u64,
+    entries: Vec<CommittedEntry>,
+}
+
+/// The freezes and overrides that a fleet has committed.
+#[derive(Debug, Clone)]
+pub struct Calendar {
+    binding: Millis,
+    revision: u64,
+    entries: BTreeMap<String, ScheduledEntry>,
+    index: OnceLock<Index>,
+}
+
+impl PartialEq for Calendar {
+    fn eq(&self, other: &Self) -> bool {
+        (self.binding, self.revision, &self.entries) == (other.binding, other.revision, &other.entries)
+    }
+}
+
+impl Calendar {
+    /// Creates an empty calendar. A freeze is in force no sooner than `binding` after its commit, which covers the duration of
+    /// a lease and its clock error.
+    pub fn new(binding: Millis) -> Self {
+        Self { binding, revision: 0, entries: BTreeMap::new(), index: OnceLock::new() }
+    }
+
+    /// The last applied revision.
+    pub fn revision(&self) -> u64 {
+        self.revision
+    }
+
+    /// All entries ordered by id, including ended ones.
+    pub fn entries(&self) -> impl Iterator<Item = &Entry> {
+        self.entries.values().map(|it| &it.committed.entry)
+    }
+
+    /// The fleet time and the revision at which an entry was committed.
+    pub fn agreed_at(&self, id: &str) -> Option<(Millis, u64)> {
+        self.entries.get(id).map(|it| (it.committed.at, it.committed.revision))
+    }
+
+    /// The phase of an entry at a fleet time.
+    pub fn phase(&self, id: &str, fleet_time: Millis) -> Option<EntryPhase> {
+        let scheduled = self.entries.get(id)?;
+        let first = scheduled.in_force.first().map_or(Millis::MAX, |it| it.start);
+        Some(match scheduled.committed.revoked {
+            Some(at) if at <= fleet_time => EntryPhase::Revoked,
+            _ if fleet_time < first => EntryPhase::Agreed,
+            _ if fleet_time < scheduled.end => EntryPhase::InForce,
+            _ => EntryPhase::Ended,
+        })
+    }
+
+    /// Checks that the proposal would have an effect if it were committed at `at`. Callers check before they propose.
+    ///
+    /// # Errors
+    /// Why the proposal would have no effect.
+    pub fn validate_proposal(&self, at: Millis, proposal: &Proposal) -> Result<(), ProposalError> {
+        self.evaluate(0, at, proposal).map(|_| ())
+    }
+
+    /// The entry as it is after the proposal.
+    fn evaluate(
+        &self, revision: u64, at: Millis, proposal: &Proposal,
+    ) -> Result<ScheduledEntry, ProposalError> {
+        proposal.validate()?;
+        match proposal {
+            Proposal::Add(entry) => {
+                self.evaluate_new(CommittedEntry { at, revision, revoked: None, entry: entry.clone() })
+            }
+            Proposal::Revoke(revoke) => {
+                let open = self.entries.get(&revoke.id);
+                let open = open.filter(|it| it.committed.revoked.is_none() && at < it.end);
+                let open = open.ok_or_else(|| ProposalError::Unknown(revoke.id.clone()))?;
+                let revoked = CommittedEntry { revoked: Some(at), ..open.committed.clone() };
+                Ok(ScheduledEntry::new(revoked, self.binding))
+            }
+        }
+    }
+
+    fn evaluate_new(&self, committed: CommittedEntry) -> Result<ScheduledEntry, ProposalError> {
+        let id = committed.entry.id().to_owned();
+        if self.entries.contains_key(&id) {
+            return Err(ProposalError::Duplicate(id));
+        }
+        if self.entries.len() >= MAX_ENTRIES {
+            return Err(ProposalError::Full);
+        }
+        let scheduled = ScheduledEntry::new(committed, self.binding);
+        if scheduled.in_force.is_empty() && scheduled.committed.revoked.is_none() {
+            return Err(ProposalError::Over(id));
+        }
+        let occurrences: usize = self.entries.values().map(|it| it.occurrences).sum();
+        if occurrences + scheduled.occurrences > MAX_OCCURRENCES {
+            return Err(ProposalError::TooMany);
+        }
+        Ok(scheduled)
+    }
+
+    /// Applies a log entry. Calendars that apply the same log are equal.
+    pub fn apply(&mut self, revision: u64, at: Millis, proposal: &Proposal) -> Applied {
+        if revision <= self.revision {
+            return Applied::Known;
+        }
+        self.revision = revision;
+        self.index = OnceLock::new();
+        self.entries.retain(|_, it| it.end.saturating_add(RETENTION_MS) > at);
+        match self.evaluate(revision, at, proposal) {
+            Err(refused) => Applied::Refused(refused),
+            Ok(scheduled) => {
+                self.entries.insert(scheduled.committed.entry.id().to_owned(), scheduled);
+                if matches!(proposal, Proposal::Add(_)) { Applied::Added } else { Applied::Revoked }
+            }
+        }
+    }
+
+    /// Encodes the whole calendar.
+    pub fn snapshot(&self) -> Vec<u8> {
+        let entries = self.entries.values().map(|it| it.committed.clone()).collect();
+        let snapshot =
+            Snapshot { version: SNAPSHOT_VERSION, binding: self.binding, revision: self.revision, entries };
+        postcard::to_stdvec(&snapshot).expect("numbers, texts and dates always encode")
+    }
+
+    /// Decodes a calendar from [`Calendar::snapshot`].
+    ///
+    /// # Errors
+    /// When the bytes are no snapshot, or contain entries that could not have been committed.
+    pub fn restore(bytes: &[u8]) -> Result<Self, RestoreError> {
+        let (snapshot, rest): (Snapshot, _) =
+            postcard::take_from_bytes(bytes).map_err(|_| RestoreError::Form)?;
+        let known_form = snapshot.version == SNAPSHOT_VERSION && rest.is_empty();
+        if !known_form || snapshot.entries.len() > MAX_ENTRIES {
+            return Err(RestoreError::Form);
+        }
+        let mut calendar = Self { revision: snapshot.revision, ..Self::new(snapshot.binding) };
+        let mut occurrences = 0;
+        for committed in snapshot.entries {
+            Proposal::Add(committed.entry.clone()).validate().map_err(ProposalError::from)?;
+            let id = committed.entry.id().to_owned();
+            let scheduled = ScheduledEntry::new(committed, snapshot.binding);
+            occurrences += scheduled.occurrences;
+            if occurrences > MAX_OCCURRENCES {
+                return Err(ProposalError::TooMany.into());
+            }
+            if calendar.entries.insert(id.clone(), scheduled).is_some() {
+                return Err(ProposalError::Duplicate(id).into());
+            }
+        }
+        Ok(calendar)
+    }
+
+    /// Builds the index for [`Calendar::check`], unless it is current. The first check builds it too, so call this before the
+    /// calendar goes to a thread that must not block.
+    pub fn build_index(&self) {
+        self.index();
+    }
+
+    fn index(&self) -> &Index {
+        self.index.get_or_init(|| {
+            let mut index = Index::default();
+            for scheduled in self.entries.values() {
+                let entry = &scheduled.committed.entry;
+                let title = EntryTitle { id: entry.id().into(), reason: entry.reason().into() };
+                let kind = match entry {
+                    Entry::Freeze(_) => EntryKind::Freeze,
+                    Entry::Override(_) => EntryKind::Override,
+                };
+                index.add(title, kind, entry.scope(), &scheduled.in_force);
+            }
+            index.finish();
+            index
+        })
+    }
+
+    /// The freezes in force at any time of `span`, each with the start of its occurrence.
+    pub(crate) fn freezes_in_force(&self, span: TimeInterval) -> impl Iterator<Item = (&Entry, Millis)> {
+        let overlaps = move |it: &&Interval| it.start <= span.latest && span.earliest < it.end;
+        let freezes = self.entries.values().filter(|it| matches!(it.committed.entry, Entry::Freeze(_)));
+        freezes.filter_map(move |it| {
+            let occurrence = it.in_force.iter().find(overlaps)?;
+            Some((&it.committed.entry, occurrence.start))
+        })
+    }
+
+    /// Checks a change of topology: whether it is allowed now, or held and why. A change is frozen if a freeze is in force at
+    /// any time that fleet time may be.
+    pub fn check(&self, fleet_time: Option<TimeInterval>, lease: LeaseState, change: &Change<'_>) -> Verdict {
+        let allow = |override_id| Verdict::Allow { revision: self.revision, override_id };
+        if !change.kind.planned() {
+            return allow(None);
+        }
+        let span = match (lease, fleet_time) {
+            (LeaseState::Held | LeaseState::NoFleet, Some(span)) => span,
+            (LeaseState::NoFleet, None) => return allow(None),
+            _ => return Verdict::Hold { reason: HoldReason::NoLease, until: None },
+        };
+        let index = self.index();
+        let Some(freeze) = index.freeze(span, change) else { return allow(None) };
+        if let Some(title) = index.override_of(span, change).and_then(|it| index.title(it)) {
+            return allow(Some(Arc::clone(&title.id)));
+        }
+        let reason = index.title(freeze).map_or(HoldReason::NoLease, |title| HoldReason::Freeze {
+            id: Arc::clone(&title.id),
+            reason: Arc::clone(&title.reason),
+        });
+        Verdict::Hold { reason, until: Some(freeze.until) }
+    }
+}
--- a/crates/calendar/src/change.rs
+++ b/crates/calendar/src/change.rs
@@ -1,42 +1,42 @@
-//! A change of topology, and what is said of it.
+//! A change of topology, and the verdict on it.
 
 use crate::Millis;
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// What changes.
+/// The kind of a change. The order of the variants is part of the encoding.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ChangeKind {
-    /// A host drains. Never held.
+    /// An endpoint drains. Never held.
     Drain,
-    /// A host is gone. Never held.
+    /// An endpoint is gone. Never held.
     Gone,
-    /// A host falls. Never held.
+    /// An endpoint goes down. Never held.
     Fall,
-    /// A host is cold. Never held.
+    /// An endpoint has restarted and is cold. Never held.
     Cold,
-    /// A host is put out by staff. Never held.
+    /// An operator disables an endpoint. Never held.
     Out,
-    /// A host is called back by staff: an order of theirs as the other. Never held.
+    /// An operator enables an endpoint again. Never held, like every operator override.
     Back,
-    /// A host has less weight, or tells of another address. Never held.
+    /// An endpoint has less weight, or another address. Never held.
     Less,
-    /// A host joins.
+    /// An endpoint joins.
     Join,
-    /// A host comes back to more weight, or is given more.
+    /// An endpoint gets more weight, or returns from draining.
     More,
-    /// A host changes its zone, kind or cell.
+    /// An endpoint changes its zone, flavor or cell.
     Zone,
-    /// Discovery moves.
+    /// The discovery source changes.
     Discovery,
     /// The configuration changes.
     Configuration,
-    /// A balancer is restarted by plan.
+    /// A planned restart of a balancer.
     Restart,
     /// The fleet of balancers grows.
     Growth,
-    /// The council changes.
+    /// The quorum group changes.
     Council,
 }
 
@@ -52,7 +52,7 @@
         Self::Growth,
         Self::Council,
     ];
-    /// Whether a freeze can hold it.
+    /// Whether a freeze can hold this kind.
     pub fn planned(self) -> bool {
         Self::PLANNED.contains(&self)
     }
@@ -78,47 +78,47 @@
     }
 }
 
-/// A change of topology, and what it touches.
+/// A change of topology, and its scope.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Change<'a> {
-    /// What changes.
+    /// The kind of the change.
     pub kind: ChangeKind,
-    /// The host or balancer; `None` for what touches the whole fleet, which a freeze of any part of it holds.
+    /// The endpoint or balancer; `None` for a change of the whole fleet, which a freeze of any part of it holds.
     pub host: Option<&'a str>,
-    /// The zones that it is in, before and after.
+    /// The affected zones: the new one, and the old one if it differs.
     pub zones: [Option<&'a str>; 2],
 }
 
 impl<'a> Change<'a> {
-    /// A change of the whole fleet.
+    /// Creates a change of the whole fleet.
     pub fn of_fleet(kind: ChangeKind) -> Self {
         Self { kind, host: None, zones: [None, None] }
     }
-    /// A change of one host.
+    /// Creates a change of one endpoint or balancer.
     pub fn of_host(kind: ChangeKind, host: &'a str, zone: &'a str) -> Self {
         Self { kind, host: Some(host), zones: [Some(zone), None] }
     }
 }
 
-/// What is known of fleet time: it is now within, both ends included.
+/// Bounds on fleet time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TimeInterval {
-    /// The least that it can be.
+    /// Lower bound, inclusive.
     pub earliest: Millis,
-    /// The most that it can be.
+    /// Upper bound, inclusive.
     pub latest: Millis,
 }
 
-/// How the balancer stands to the fleet.
+/// The state of the balancer's lease.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LeaseState {
-    /// It holds a lease.
+    /// The balancer holds a lease.
     Held,
     /// It holds none, and others do.
     Fenced,
-    /// None that it hears of holds one.
+    /// It holds none, nor does any other balancer that it hears from.
     Orphaned,
-    /// It is in no fleet.
+    /// It is not part of a fleet.
     NoFleet,
 }
 
@@ -127,14 +127,14 @@
 pub enum HoldReason {
     /// A freeze covers it.
     Freeze {
-        /// The freeze.
+        /// The freeze's id.
         id: Arc<str>,
         /// The freeze's reason.
         reason: Arc<str>,
     },
-    /// What was agreed may not all be known here: no lease, or no fleet time.
+    /// The calendar may not be current: the balancer has no lease, or does not know fleet time.
     NoLease,
-    /// Others waited before it and are taken in steps.
+    /// Earlier held changes are being released in steps.
     Queued,
 }
 
--- a/crates/calendar/src/entry.rs
+++ b/crates/calendar/src/entry.rs
@@ -1,22 +1,22 @@
-//! What is proposed and agreed: freezes, overrides of them, and their revocation.
+//! The entries of a calendar: freezes, overrides of freezes, and revocations. Their encodings are stored and sent.
 
 use crate::ChangeKind;
 use jiff::civil::{Date, DateTime, Weekday};
 use serde::{Deserialize, Serialize};
 
-/// Where an entry holds.
+/// Where an entry applies.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ScopeTarget {
-    /// Everywhere, and all that names no host.
+    /// To the whole fleet, including changes without an endpoint.
     Fleet,
-    /// In these zones.
+    /// To these zones.
     Zones(Vec<String>),
-    /// At these hosts or balancers.
+    /// To these endpoints or balancers.
     Group {
-        /// What staff call them.
+        /// The operators' name of the group.
         name: String,
-        /// Their lasting names.
+        /// The ids of its members.
         hosts: Vec<String>,
     },
 }
@@ -24,24 +24,30 @@
 /// What an entry covers: where, and which kinds of change.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Scope {
-    /// The kinds of change; all that can be held when empty.
+    /// The kinds of change. If empty, all kinds that can be held.
     #[serde(default)]
     pub kinds: Vec<ChangeKind>,
-    /// Where.
+    /// Where the entry applies.
     pub place: ScopeTarget,
 }
 
 /// A day of the week.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-#[allow(missing_docs)]
 pub enum Day {
+    /// Monday.
     Monday,
+    /// Tuesday.
     Tuesday,
+    /// Wednesday.
     Wednesday,
+    /// Thursday.
     Thursday,
+    /// Friday.
     Friday,
+    /// Saturday.
     Saturday,
+    /// Sunday.
     Sunday,
 }
 
@@ -59,7 +65,7 @@
     }
 }
 
-/// How often a freeze comes again.
+/// How often a freeze recurs.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Recurrence {
@@ -72,9 +78,9 @@
         /// The days; the day of the start when empty.
         days: Vec<Day>,
     },
-    /// On the start's day of every so many months; in a shorter month on its last day.
+    /// On the day of month of the start, every so many months. In a shorter month, on its last day.
     Monthly(u16),
-    /// On the nth such weekday of every so many months; months without one are left out.
+    /// On the nth such weekday of every so many months. Months without one are skipped.
     MonthlyByDay {
         /// 1 for every month.
         every: u16,
@@ -83,31 +89,31 @@
         /// The weekday.
         day: Day,
     },
-    /// On the start's date of every so many years.
+    /// On the date of the start, every so many years.
     Yearly(u16),
 }
 
-/// A recurrence with its end: one without would never leave the calendar.
+/// A recurrence with its end. Without an end it would never leave the calendar.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Repeat {
     /// The last date that an occurrence may start on.
     pub until: Date,
-    /// How often.
+    /// How often the freeze recurs.
     pub rhythm: Recurrence,
 }
 
-/// A span of time, once or again, in which planned changes are held.
+/// A time, possibly recurring, in which planned changes are held.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Freeze {
-    /// Its name, unlike that of every other entry.
+    /// The unique id of the entry.
     pub id: String,
-    /// Why, for whoever reads that a change waits.
+    /// Why, for readers of a hold.
     pub reason: String,
-    /// Who asked for it.
+    /// Who requested it.
     pub asked_by: String,
-    /// The first moment, by the clocks of `zone`.
+    /// The first moment, in the civil time of `zone`.
     pub start: DateTime,
-    /// The first moment behind it, by the clocks of `zone`.
+    /// The first moment after the end, in the civil time of `zone`.
     pub end: DateTime,
     /// The time zone, by its IANA name.
     pub zone: String,
@@ -116,20 +122,20 @@
     pub exceptions: Vec<Date>,
     /// What it covers.
     pub scope: Scope,
-    /// How it comes again.
+    /// How it recurs, if it does.
     pub repeat: Option<Repeat>,
 }
 
-/// A named person's leave to change what freezes hold, from when it is agreed until its end.
+/// A named person's permission for changes that freezes hold, from its commit until its end.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Override {
-    /// Its name, unlike that of every other entry.
+    /// The unique id of the entry.
     pub id: String,
-    /// Who answers for it.
+    /// Who is responsible for it.
     pub person: String,
     /// Why.
     pub reason: String,
-    /// The first moment behind it, by the clocks of `zone`.
+    /// The first moment after the end, in the civil time of `zone`.
     pub end: DateTime,
     /// The time zone, by its IANA name.
     pub zone: String,
@@ -137,32 +143,32 @@
     pub scope: Scope,
 }
 
-/// What the calendar consists of.
+/// An entry of the calendar.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Entry {
     /// Holds changes.
     Freeze(Freeze),
-    /// Lets them pass.
+    /// Allows changes that freezes hold.
     Override(Override),
 }
 
 impl Entry {
-    /// Its name.
+    /// The id of the entry.
     pub fn id(&self) -> &str {
         match self {
             Self::Freeze(it) => &it.id,
             Self::Override(it) => &it.id,
         }
     }
-    /// Why it is there.
+    /// Why the entry was made.
     pub fn reason(&self) -> &str {
         match self {
             Self::Freeze(it) => &it.reason,
             Self::Override(it) => &it.reason,
         }
     }
-    /// What it covers.
+    /// What the entry covers.
     pub fn scope(&self) -> &Scope {
         match self {
             Self::Freeze(it) => &it.scope,
@@ -171,23 +177,23 @@
     }
 }
 
-/// The end of an entry before its time.
+/// Ends an entry before its time.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Revoke {
-    /// The entry's name.
+    /// The entry's id.
     pub id: String,
-    /// Who asked for it.
+    /// Who requested it.
     pub asked_by: String,
     /// Why.
     pub reason: String,
 }
 
-/// What is put into the log.
+/// A proposal for the replicated log.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Proposal {
-    /// A new entry.
+    /// Adds an entry.
     Add(Entry),
-    /// The end of one.
+    /// Revokes an entry.
     Revoke(Revoke),
 }
--- /dev/null
+++ b/crates/calendar/src/errors.rs
@@ -0,0 +1,41 @@
+//! Why a proposal has no effect, and why a snapshot is rejected.
+
+use crate::InvalidField;
+use crate::limits::{MAX_ENTRIES, MAX_OCCURRENCES};
+use thiserror::Error;
+
+/// Why a committed proposal has no effect, or should not be proposed.
+#[derive(Debug, Clone, PartialEq, Eq, Error)]
+pub enum ProposalError {
+    /// A field is invalid.
+    #[error(transparent)]
+    Invalid(#[from] InvalidField),
+    /// An entry with this `id` exists.
+    #[error("`id` is that of an entry that there is: {0}")]
+    Duplicate(String),
+    /// No entry with this `id` can be revoked.
+    #[error("`id` names no entry that is not over: {0}")]
+    Unknown(String),
+    /// The entry would end before it is in force.
+    #[error("`end` is before the entry could be in force: {0}")]
+    Over(String),
+    /// The calendar has the maximum number of entries.
+    #[error("`entries` has no room: {MAX_ENTRIES} at most")]
+    Full,
+    /// The entries together would have too many occurrences.
+    #[error(
+        "`repeat` has no room: {MAX_OCCURRENCES} occurrences at most, over all entries and the names in each"
+    )]
+    TooMany,
+}
+
+/// Why a snapshot is rejected.
+#[derive(Debug, Clone, PartialEq, Eq, Error)]
+pub enum RestoreError {
+    /// The bytes are not a snapshot of a known format.
+    #[error("the calendar's snapshot is not in a form that is known")]
+    Form,
+    /// The snapshot contains an entry that could not have been committed.
+    #[error("the calendar's snapshot holds an entry that cannot be: {0}")]
+    Entry(#[from] ProposalError),
+}
--- a/crates/calendar/src/index.rs
+++ b/crates/calendar/src/index.rs
@@ -1,4 +1,5 @@
-//! The coming stretches of freeze and leave for every place and kind, sorted, so that a check is a few searches.
+//! An index of the calendar: the intervals of freezes and overrides by scope and kind, sorted, so that a check is a few binary
+//! searches.
 
 use crate::entry::{Scope, ScopeTarget};
 use crate::occurrences::Interval;
@@ -6,35 +7,37 @@
 use rustc_hash::FxHashMap;
 use std::sync::Arc;
 
-const KINDS: usize = ChangeKind::PLANNED.len();
+/// The number of kinds that a freeze can hold.
+const PLANNED_KINDS: usize = ChangeKind::PLANNED.len();
 
-/// A stretch that one entry answers for.
+/// An interval in which one entry is in force.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Piece {
+pub(crate) struct IndexedInterval {
     start: Millis,
     end: Millis,
-    /// The end of the stretches that follow on one another without a gap.
+    /// The end of the intervals that follow one another without a gap.
     pub(crate) until: Millis,
-    /// The entry's place in the index.
-    pub(crate) entry: u32,
+    /// Index of the entry's title.
+    entry: u32,
 }
 
-/// Stretches that do not overlap, in their order.
+/// Intervals, ordered and without overlaps once [`Timeline::merge_overlaps`] was called.
 #[derive(Debug, Clone, Default)]
-struct Timeline(Vec<Piece>);
+struct Timeline(Vec<IndexedInterval>);
 
 impl Timeline {
-    fn push(&mut self, at: Interval, entry: u32) {
-        self.0.push(Piece { start: at.start, end: at.end, until: at.end, entry });
+    fn push(&mut self, interval: Interval, entry: u32) {
+        self.0.push(IndexedInterval { start: interval.start, end: interval.end, until: interval.end, entry });
     }
-    fn settle(&mut self) {
+    /// Sorts the intervals, and cuts each to the part that no earlier one covers.
+    fn merge_overlaps(&mut self) {
         self.0.sort_by_key(|it| (it.start, std::cmp::Reverse(it.end), it.entry));
-        let mut done: Vec<Piece> = Vec::with_capacity(self.0.len());
-        for mut piece in self.0.drain(..) {
-            let behind = done.last().map_or(0, |it| it.end);
-            piece.start = piece.start.max(behind);
-            if piece.start < piece.end {
-                done.push(piece);
+        let mut done: Vec<IndexedInterval> = Vec::with_capacity(self.0.len());
+        for mut interval in self.0.drain(..) {
+            let covered_until = done.last().map_or(0, |it| it.end);
+            interval.start = interval.start.max(covered_until);
+            if interval.start < interval.end {
+                done.push(interval);
             }
         }
         for at in (1..done.len()).rev() {
@@ -45,111 +48,125 @@
         done.shrink_to_fit();
         self.0 = done;
     }
-    /// The first stretch with any moment of the span.
-    fn touching(&self, span: TimeInterval) -> Option<&Piece> {
+    /// The first interval that overlaps the span.
+    fn overlapping(&self, span: TimeInterval) -> Option<&IndexedInterval> {
         let at = self.0.partition_point(|it| it.end <= span.earliest);
         self.0.get(at).filter(|it| it.start <= span.latest)
     }
-    /// The stretch that the span begins in, where the whole span is covered.
-    fn covering(&self, span: TimeInterval) -> Option<&Piece> {
-        self.touching(span).filter(|it| it.start <= span.earliest && span.latest < it.until)
+    /// The interval that contains the start of the span, if the whole span is covered.
+    fn covering(&self, span: TimeInterval) -> Option<&IndexedInterval> {
+        self.overlapping(span).filter(|it| it.start <= span.earliest && span.latest < it.until)
     }
 }
 
-type Kinds = [Timeline; KINDS];
+/// One timeline for each planned kind of change.
+type KindTimelines = [Timeline; PLANNED_KINDS];
 
-/// One timeline for each place and kind.
+/// The timelines of each scope.
 #[derive(Debug, Clone, Default)]
-struct Places {
-    fleet: Kinds,
-    /// Every place taken together, for what touches the whole fleet.
-    anywhere: Kinds,
-    zones: FxHashMap<Arc<str>, Kinds>,
-    hosts: FxHashMap<Arc<str>, Kinds>,
+struct ScopeTimelines {
+    fleet: KindTimelines,
+    /// All scopes together, for changes of the whole fleet.
+    any_scope: KindTimelines,
+    zones: FxHashMap<Arc<str>, KindTimelines>,
+    hosts: FxHashMap<Arc<str>, KindTimelines>,
 }
 
-fn fill(kinds: &mut Kinds, scope: &Scope, at: &[Interval], entry: u32) {
+/// Adds the intervals of an entry to the timelines of the kinds that it covers.
+fn add_to_kinds(kinds: &mut KindTimelines, scope: &Scope, in_force: &[Interval], entry: u32) {
     for (timeline, kind) in kinds.iter_mut().zip(ChangeKind::PLANNED) {
         if scope.kinds.is_empty() || scope.kinds.contains(&kind) {
-            at.iter().for_each(|it| timeline.push(*it, entry));
+            in_force.iter().for_each(|it| timeline.push(*it, entry));
         }
     }
 }
 
-impl Places {
-    fn add(&mut self, scope: &Scope, at: &[Interval], entry: u32) {
-        fill(&mut self.anywhere, scope, at, entry);
+impl ScopeTimelines {
+    fn add(&mut self, scope: &Scope, in_force: &[Interval], entry: u32) {
+        add_to_kinds(&mut self.any_scope, scope, in_force, entry);
         let (map, names) = match &scope.place {
-            ScopeTarget::Fleet => return fill(&mut self.fleet, scope, at, entry),
+            ScopeTarget::Fleet => return add_to_kinds(&mut self.fleet, scope, in_force, entry),
             ScopeTarget::Zones(zones) => (&mut self.zones, zones),
             ScopeTarget::Group { hosts, .. } => (&mut self.hosts, hosts),
         };
         for name in names {
-            fill(map.entry(Arc::from(name.as_str())).or_default(), scope, at, entry);
+            add_to_kinds(map.entry(Arc::from(name.as_str())).or_default(), scope, in_force, entry);
         }
     }
-    fn settle(&mut self) {
+    fn merge_overlaps(&mut self) {
         let named = self.zones.values_mut().chain(self.hosts.values_mut());
-        for kinds in named.chain([&mut self.fleet, &mut self.anywhere]) {
-            kinds.iter_mut().for_each(Timeline::settle);
+        for kinds in named.chain([&mut self.fleet, &mut self.any_scope]) {
+            kinds.iter_mut().for_each(Timeline::merge_overlaps);
         }
     }
 }
 
-/// What a report of a hold names of an entry.
+/// What the reason of a hold contains of an entry.
 #[derive(Debug, Clone)]
-pub(crate) struct Title {
+pub(crate) struct EntryTitle {
     pub(crate) id: Arc<str>,
     pub(crate) reason: Arc<str>,
 }
 
-/// All of the calendar, laid out for checks.
+/// Whether an entry holds changes or allows them.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(crate) enum EntryKind {
+    Freeze,
+    Override,
+}
+
+/// The index of all entries.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Index {
-    freezes: Places,
-    leaves: Places,
-    titles: Vec<Title>,
+    freezes: ScopeTimelines,
+    overrides: ScopeTimelines,
+    titles: Vec<EntryTitle>,
 }
 
 impl Index {
-    pub(crate) fn add(&mut self, title: Title, freezes: bool, scope: &Scope, at: &[Interval]) {
+    pub(crate) fn add(&mut self, title: EntryTitle, kind: EntryKind, scope: &Scope, in_force: &[Interval]) {
         let entry = u32::try_from(self.titles.len()).unwrap_or(u32::MAX);
         self.titles.push(title);
-        let places = if freezes { &mut self.freezes } else { &mut self.leaves };
-        places.add(scope, at, entry);
+        let timelines = match kind {
+            EntryKind::Freeze => &mut self.freezes,
+            EntryKind::Override => &mut self.overrides,
+        };
+        timelines.add(scope, in_force, entry);
     }
-    pub(crate) fn settle(&mut self) {
-        self.freezes.settle();
-        self.leaves.settle();
+    /// Sorts all timelines. To be called after the last entry was added, and before the first search.
+    pub(crate) fn finish(&mut self) {
+        self.freezes.merge_overlaps();
+        self.overrides.merge_overlaps();
     }
-    pub(crate) fn title(&self, piece: Piece) -> Option<&Title> {
-        self.titles.get(piece.entry as usize)
+    pub(crate) fn title(&self, interval: IndexedInterval) -> Option<&EntryTitle> {
+        self.titles.get(interval.entry as usize)
     }
-    /// The freeze that holds the change in the span: of several the one that lasts longest.
-    pub(crate) fn freeze(&self, span: TimeInterval, change: &Change<'_>) -> Option<Piece> {
+    /// The freeze that holds the change in the span. Of several, the one that lasts longest.
+    pub(crate) fn freeze(&self, span: TimeInterval, change: &Change<'_>) -> Option<IndexedInterval> {
         let kind = ChangeKind::PLANNED.iter().position(|it| *it == change.kind)?;
         let Some(host) = change.host else {
-            return self.freezes.anywhere[kind].touching(span).copied();
+            return self.freezes.any_scope[kind].overlapping(span).copied();
+        };
+        let timelines = &self.freezes;
+        let in_map = |map: &FxHashMap<Arc<str>, KindTimelines>, name: &str| {
+            map.get(name)?[kind].overlapping(span).copied()
         };
-        let at = &self.freezes;
-        let in_map =
-            |map: &FxHashMap<Arc<str>, Kinds>, name: &str| map.get(name)?[kind].touching(span).copied();
-        let zones = change.zones.iter().flatten().filter_map(|zone| in_map(&at.zones, zone));
-        let others = [at.fleet[kind].touching(span).copied(), in_map(&at.hosts, host)];
+        let zones = change.zones.iter().flatten().filter_map(|zone| in_map(&timelines.zones, zone));
+        let others = [timelines.fleet[kind].overlapping(span).copied(), in_map(&timelines.hosts, host)];
         zones.chain(others.into_iter().flatten()).max_by_key(|it| it.until)
     }
-    /// The override that lets the change pass: one place of it must cover all that changes, in all of the span.
-    pub(crate) fn leave(&self, span: TimeInterval, change: &Change<'_>) -> Option<Piece> {
+    /// The override that allows the change. One scope of it must cover the whole change during the whole span.
+    pub(crate) fn override_of(&self, span: TimeInterval, change: &Change<'_>) -> Option<IndexedInterval> {
         let kind = ChangeKind::PLANNED.iter().position(|it| *it == change.kind)?;
-        let at = &self.leaves;
-        if let Some(found) = at.fleet[kind].covering(span) {
+        let timelines = &self.overrides;
+        if let Some(found) = timelines.fleet[kind].covering(span) {
             return Some(*found);
         }
         let host = change.host?;
-        if let Some(found) = at.hosts.get(host).and_then(|it| it[kind].covering(span)) {
+        if let Some(found) = timelines.hosts.get(host).and_then(|it| it[kind].covering(span)) {
             return Some(*found);
         }
-        let in_zone = |zone: &str| at.zones.get(zone)?[kind].covering(span).copied();
+        let in_zone = |zone: &str| timelines.zones.get(zone)?[kind].covering(span).copied();
         let mut all = change.zones.iter().flatten().map(|zone| in_zone(zone));
         let first = all.next()??;
         all.all(|it| it.is_some()).then_some(first)
--- a/crates/calendar/src/occurrences.rs
+++ b/crates/calendar/src/occurrences.rs
@@ -1,24 +1,25 @@
-//! When an entry is in force: civil times and recurrences as spans of fleet time.
+//! Occurrences of entries: civil times and recurrences converted to intervals of fleet time.
 
 use crate::Millis;
 use crate::entry::{Freeze, Override, Recurrence, Repeat};
-use crate::valid::MAX_PER_ENTRY;
+use crate::limits::MAX_PER_ENTRY;
 use jiff::ToSpan;
 use jiff::civil::{Date, ISOWeekDate, Weekday};
 use jiff::tz::{TimeZone, TimeZoneDatabase};
 use std::sync::LazyLock;
 
-/// Dates that a rule is followed for: one whose days nearly all fall out must not be followed to the year 9999.
+/// Upper bound on the dates that a recurrence is expanded to. One with hardly any valid date must not run to the year 9999.
 const MAX_STEPS: usize = 8 * MAX_PER_ENTRY;
 
-/// One database for the process, and none of the machine's.
+/// The bundled database. The machine's own database may differ from that of another machine.
 static ZONES: LazyLock<TimeZoneDatabase> = LazyLock::new(TimeZoneDatabase::bundled);
 
-pub(crate) fn zone(name: &str) -> Option<TimeZone> {
+/// The time zone with an IANA name.
+pub(crate) fn time_zone(name: &str) -> Option<TimeZone> {
     ZONES.get(name).ok()
 }
 
-/// From the first moment to the first one behind.
+/// A half-open interval of fleet time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct Interval {
     pub(crate) start: Millis,
@@ -29,6 +30,7 @@
     Millis::try_from(at.ok()?.as_millisecond()).ok()
 }
 
+/// The given days of every so many ISO weeks, from the week of `start` on.
 fn weekly(start: Date, every: u16, days: Vec<Weekday>) -> impl Iterator<Item = Date> {
     let monday = |date: Date| {
         let week = date.iso_week_date();
@@ -43,6 +45,7 @@
     })
 }
 
+/// The dates of a recurrence, from `start` on.
 fn dates(start: Date, repeat: &Repeat) -> Box<dyn Iterator<Item = Date>> {
     match &repeat.rhythm {
         Recurrence::Daily(every) => Box::new(start.series(i64::from(*every).days())),
@@ -62,35 +65,36 @@
     }
 }
 
-/// The dates that occurrences start on: at most one more than are allowed.
-fn starts(it: &Freeze) -> Vec<Date> {
-    let first = it.start.date();
-    let all: Box<dyn Iterator<Item = Date>> = match &it.repeat {
+/// The dates on which occurrences start: at most one more than allowed.
+fn start_dates(freeze: &Freeze) -> Vec<Date> {
+    let first = freeze.start.date();
+    let all: Box<dyn Iterator<Item = Date>> = match &freeze.repeat {
         None => Box::new(std::iter::once(first)),
         Some(repeat) => {
             let until = repeat.until;
             Box::new(dates(first, repeat).take_while(move |date| *date <= until))
         }
     };
-    let wanted = all.take(MAX_STEPS).filter(|date| *date >= first && !it.exceptions.contains(date));
-    wanted.take(MAX_PER_ENTRY + 1).collect()
+    let valid = all.take(MAX_STEPS).filter(|date| *date >= first && !freeze.exceptions.contains(date));
+    valid.take(MAX_PER_ENTRY + 1).collect()
 }
 
-/// All occurrences in the order of their starts. A civil time that comes twice, or never, is read so that the freeze is the
-/// longer: an hour too much holds a change up, an hour too little lets it through.
-pub(crate) fn of_freeze(it: &Freeze) -> Vec<Interval> {
-    let (Some(zone), Ok(length)) = (zone(&it.zone), it.start.until(it.end)) else { return Vec::new() };
-    let one = |date: Date| {
-        let start = date.to_datetime(it.start.time());
+/// All occurrences ordered by start. An ambiguous or skipped civil time is resolved to the longer freeze: an extra hour only
+/// delays a change, a missing hour would let one through.
+pub(crate) fn of_freeze(freeze: &Freeze) -> Vec<Interval> {
+    let Some(zone) = time_zone(&freeze.zone) else { return Vec::new() };
+    let Ok(length) = freeze.start.until(freeze.end) else { return Vec::new() };
+    let occurrence = |date: Date| {
+        let start = date.to_datetime(freeze.start.time());
         let end = start.checked_add(length).ok()?;
         let start = millis(zone.to_ambiguous_timestamp(start).earlier())?;
         let end = millis(zone.to_ambiguous_timestamp(end).later())?;
         (start < end).then_some(Interval { start, end })
     };
-    starts(it).into_iter().filter_map(one).collect()
+    start_dates(freeze).into_iter().filter_map(occurrence).collect()
 }
 
-/// The first moment behind an override; of two, the sooner.
-pub(crate) fn end_of_override(it: &Override) -> Option<Millis> {
-    millis(zone(&it.zone)?.to_ambiguous_timestamp(it.end).earlier())
+/// The end of an override. An ambiguous civil time is resolved to the earlier one.
+pub(crate) fn end_of_override(entry: &Override) -> Option<Millis> {
+    millis(time_zone(&entry.zone)?.to_ambiguous_timestamp(entry.end).earlier())
 }
--- /dev/null
+++ b/crates/calendar/src/schedule.rs
@@ -0,0 +1,59 @@
+//! A committed entry and the intervals in which it is in force.
+
+use crate::Millis;
+use crate::entry::{Entry, ScopeTarget};
+use crate::occurrences::{self, Interval};
+use serde::{Deserialize, Serialize};
+
+/// An entry, and when it was committed.
+#[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
+pub(crate) struct CommittedEntry {
+    /// Fleet time of the commit.
+    pub(crate) at: Millis,
+    /// Revision of the commit.
+    pub(crate) revision: u64,
+    /// Fleet time of the revocation, if any.
+    pub(crate) revoked: Option<Millis>,
+    /// The entry.
+    pub(crate) entry: Entry,
+}
+
+/// A committed entry with its schedule, which is derived from it.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub(crate) struct ScheduledEntry {
+    pub(crate) committed: CommittedEntry,
+    /// When the entry is in force, in order.
+    pub(crate) in_force: Vec<Interval>,
+    /// When the last occurrence is over.
+    pub(crate) end: Millis,
+    /// The entry's part of [`MAX_OCCURRENCES`](crate::MAX_OCCURRENCES).
+    pub(crate) occurrences: usize,
+}
+
+impl ScheduledEntry {
+    /// Computes the schedule of an entry. A freeze is in force no sooner than `binding` after its commit.
+    pub(crate) fn new(committed: CommittedEntry, binding: Millis) -> Self {
+        let revoked = committed.revoked.unwrap_or(Millis::MAX);
+        let clip =
+            |start: Millis, it: Interval| Interval { start: it.start.max(start), end: it.end.min(revoked) };
+        let in_force: Vec<Interval> = match &committed.entry {
+            Entry::Freeze(freeze) => {
+                let first = committed.at.saturating_add(binding);
+                occurrences::of_freeze(freeze).into_iter().map(|it| clip(first, it)).collect()
+            }
+            // Effective at once: a balancer that has not applied the override yet holds more, which is safe.
+            Entry::Override(it) => {
+                let end = occurrences::end_of_override(it).unwrap_or(0);
+                vec![clip(committed.at, Interval { start: committed.at, end })]
+            }
+        };
+        let in_force: Vec<Interval> = in_force.into_iter().filter(|it| it.start < it.end).collect();
+        let last = in_force.iter().map(|it| it.end).max();
+        let end = last.max(committed.revoked).unwrap_or(0);
+        let names = match &committed.entry.scope().place {
+            ScopeTarget::Fleet => 1,
+            ScopeTarget::Zones(names) | ScopeTarget::Group { hosts: names, .. } => names.len(),
+        };
+        Self { end, occurrences: in_force.len() * names, committed, in_force }
+    }
+}
--- /dev/null
+++ b/crates/calendar/src/validate.rs
@@ -0,0 +1,168 @@
+//! Validation of the fields of a proposal, before it is proposed.
+
+use crate::ChangeKind;
+use crate::entry::{Entry, Freeze, Override, Proposal, Recurrence, Repeat, Scope, ScopeTarget};
+use crate::limits::{MAX_LENGTH_DAYS, MAX_NAMES, MAX_PER_ENTRY, MAX_TEXT};
+use crate::occurrences;
+use jiff::civil::DateTime;
+use std::fmt;
+use thiserror::Error;
+
+/// What is wrong with a field.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
+pub enum FieldProblem {
+    /// The field is empty.
+    #[error("is empty")]
+    Empty,
+    /// More bytes or names than allowed.
+    #[error("is too long")]
+    TooLong,
+    /// The end is not after the start.
+    #[error("is not behind the start")]
+    BeforeStart,
+    /// An unknown time zone.
+    #[error("names no time zone that is known")]
+    UnknownZone,
+    /// A kind of change that a freeze never holds.
+    #[error("names a kind of change that is never held")]
+    NeverHeld,
+    /// A number out of its range.
+    #[error("is out of its range")]
+    OutOfRange,
+    /// The entry would have no occurrence.
+    #[error("leaves no occurrence")]
+    Never,
+    /// More occurrences than allowed.
+    #[error("makes too many occurrences")]
+    TooMany,
+}
+
+/// An invalid field of a proposal.
+#[derive(Clone, Copy, PartialEq, Eq, Error)]
+#[error("`{field}` {problem}")]
+pub struct InvalidField {
+    /// The field.
+    pub field: &'static str,
+    /// What is wrong with it.
+    pub problem: FieldProblem,
+}
+
+/// Fixed words: the answer to an operator's proposal contains this form.
+impl fmt::Debug for InvalidField {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.debug_struct("Invalid").field("field", &self.field).field("what", &self.problem).finish()
+    }
+}
+
+fn invalid<T>(field: &'static str, problem: FieldProblem) -> Result<T, InvalidField> {
+    Err(InvalidField { field, problem })
+}
+
+fn validate_text(field: &'static str, value: &str) -> Result<(), InvalidField> {
+    match value.trim() {
+        "" => invalid(field, FieldProblem::Empty),
+        _ if value.len() > MAX_TEXT => invalid(field, FieldProblem::TooLong),
+        _ => Ok(()),
+    }
+}
+
+fn validate_names(field: &'static str, values: &[String]) -> Result<(), InvalidField> {
+    if values.is_empty() {
+        return invalid(field, FieldProblem::Empty);
+    }
+    if values.len() > MAX_NAMES {
+        return invalid(field, FieldProblem::TooLong);
+    }
+    values.iter().try_for_each(|value| validate_text(field, value))
+}
+
+fn validate_scope(scope: &Scope) -> Result<(), InvalidField> {
+    if scope.kinds.len() > ChangeKind::PLANNED.len() {
+        return invalid("scope.kinds", FieldProblem::TooLong);
+    }
+    if scope.kinds.iter().any(|it| !it.planned()) {
+        return invalid("scope.kinds", FieldProblem::NeverHeld);
+    }
+    match &scope.place {
+        ScopeTarget::Fleet => Ok(()),
+        ScopeTarget::Zones(zones) => validate_names("scope.place.zones", zones),
+        ScopeTarget::Group { name, hosts } => {
+            validate_text("scope.place.group.name", name)?;
+            validate_names("scope.place.group.hosts", hosts)
+        }
+    }
+}
+
+fn validate_time_zone(name: &str) -> Result<(), InvalidField> {
+    validate_text("zone", name)?;
+    occurrences::time_zone(name).map_or_else(|| invalid("zone", FieldProblem::UnknownZone), |_| Ok(()))
+}
+
+fn validate_length(start: DateTime, end: DateTime) -> Result<(), InvalidField> {
+    if end <= start {
+        return invalid("end", FieldProblem::BeforeStart);
+    }
+    let longest = jiff::SignedDuration::from_hours(24 * MAX_LENGTH_DAYS);
+    if end.duration_since(start) > longest { invalid("end", FieldProblem::OutOfRange) } else { Ok(()) }
+}
+
+fn validate_repeat(repeat: &Repeat) -> Result<(), InvalidField> {
+    let every = match &repeat.rhythm {
+        Recurrence::Daily(every) | Recurrence::Monthly(every) | Recurrence::Yearly(every) => *every,
+        Recurrence::Weekly { every, days } if days.len() <= 7 => *every,
+        Recurrence::Weekly { .. } => return invalid("repeat.rhythm.days", FieldProblem::TooLong),
+        Recurrence::MonthlyByDay { nth, .. } if !matches!(*nth, -5..=-1 | 1..=5) => {
+            return invalid("repeat.rhythm.nth", FieldProblem::OutOfRange);
+        }
+        Recurrence::MonthlyByDay { every, .. } => *every,
+    };
+    if every == 0 { invalid("repeat.rhythm", FieldProblem::OutOfRange) } else { Ok(()) }
+}
+
+fn validate_freeze(it: &Freeze) -> Result<(), InvalidField> {
+    validate_text("id", &it.id)?;
+    validate_text("reason", &it.reason)?;
+    validate_text("asked_by", &it.asked_by)?;
+    validate_time_zone(&it.zone)?;
+    validate_scope(&it.scope)?;
+    validate_length(it.start, it.end)?;
+    if it.exceptions.len() > MAX_NAMES {
+        return invalid("exceptions", FieldProblem::TooLong);
+    }
+    if let Some(again) = &it.repeat {
+        validate_repeat(again)?;
+    }
+    let field = if it.repeat.is_some() { "repeat" } else { "exceptions" };
+    match occurrences::of_freeze(it).len() {
+        0 => invalid(field, FieldProblem::Never),
+        many if many > MAX_PER_ENTRY => invalid(field, FieldProblem::TooMany),
+        _ => Ok(()),
+    }
+}
+
+fn validate_override(it: &Override) -> Result<(), InvalidField> {
+    validate_text("id", &it.id)?;
+    validate_text("person", &it.person)?;
+    validate_text("reason", &it.reason)?;
+    validate_time_zone(&it.zone)?;
+    validate_scope(&it.scope)?;
+    occurrences::end_of_override(it).map_or_else(|| invalid("end", FieldProblem::OutOfRange), |_| Ok(()))
+}
+
+impl Proposal {
+    /// Checks the fields of the proposal, without regard to the entries of a calendar.
+    ///
+    /// # Errors
+    /// The first invalid field.
+    pub fn validate(&self) -> Result<(), InvalidField> {
+        match self {
+            Self::Add(Entry::Freeze(it)) => validate_freeze(it),
+            Self::Add(Entry::Override(it)) => validate_override(it),
+            Self::Revoke(it) => {
+                validate_text("id", &it.id)?;
+                validate_text("asked_by", &it.asked_by)?;
+                validate_text("reason", &it.reason)
+            }
+        }
+    }
+}
--- a/crates/calendar/tests/gate.rs
+++ b/crates/calendar/tests/gate.rs
@@ -168,19 +168,19 @@
         Freeze { scope: zone("a"), ..it.clone() },
         Freeze { id: "b".into(), scope: zone("b"), ..it },
     ]);
-    let mut book = AvailableCapacity::default();
-    book.tell("h1", "a", 2.0);
-    book.tell("h2", "b", 2.0);
-    book.turn(&calendar, moment(utc(DURING)).unwrap());
-    book.tell("h1", "a", 0.0);
-    assert_eq!(book.room(&Change::of_host(ChangeKind::Join, "h3", "a"), 2.0), Some(2.0));
-    assert_eq!(book.room(&Change::of_host(ChangeKind::Join, "h3", "b"), 1.0), None);
-    assert_eq!(book.room(&Change::of_host(ChangeKind::Join, "h3", "c"), 1.0), None);
-    book.turn(&calendar, moment(utc(AFTER)).unwrap());
+    let mut capacity = AvailableCapacity::default();
+    capacity.set_weight("h1", "a", 2.0);
+    capacity.set_weight("h2", "b", 2.0);
+    capacity.update_freezes(&calendar, moment(utc(DURING)).unwrap());
+    capacity.set_weight("h1", "a", 0.0);
+    assert_eq!(capacity.replacement(&Change::of_host(ChangeKind::Join, "h3", "a"), 2.0), Some(2.0));
+    assert_eq!(capacity.replacement(&Change::of_host(ChangeKind::Join, "h3", "b"), 1.0), None);
+    assert_eq!(capacity.replacement(&Change::of_host(ChangeKind::Join, "h3", "c"), 1.0), None);
+    capacity.update_freezes(&calendar, moment(utc(AFTER)).unwrap());
     assert_eq!(
-        book.room(&Change::of_host(ChangeKind::Join, "h3", "a"), 1.0),
+        capacity.replacement(&Change::of_host(ChangeKind::Join, "h3", "a"), 1.0),
         None,
-        "the book is closed at the end"
+        "not tracked after the end"
     );
 }
 
@@ -248,7 +248,11 @@
     assert!(queue.hold("one more", one(0)).is_err());
     assert_eq!((queue.hold("0", one(0)), queue.hold("0", one(7))), (Ok(false), Ok(true)));
     assert_eq!(
-        queue.due(5, |subject, _| subject != "1").iter().map(|it| it.1.state).collect::<Vec<_>>(),
+        queue
+            .release_due(5, |subject, _| subject != "1")
+            .iter()
+            .map(|it| it.change.state)
+            .collect::<Vec<_>>(),
         [7, 2]
     );
 }
