--- a/crates/agreement/src/agreement.rs
+++ b/crates/agreement/src/agreement.rs
@@ -1,212 +1,237 @@
-//! The whole of it: what comes in goes to the part it concerns, and nothing goes out before what it says is durable.
+//! The public interface of the log: passes each input to the module concerned, and sends nothing before it is durable.
+mod apply;
+mod dispatch;
+mod propose;
+mod synchronize;
+mod voting;
+
 use crate::{
-    Action, Entry, MAX_ENTRY_BYTES, MAX_PENDING_PROPOSALS, MAX_SNAPSHOT_BYTES, Micros, NodeId, ProposeError,
-    Revision, Settings, Store, VotingBlock,
-    gate::{Gate, State},
-    journal::{Journal, Shared, encode},
-    learn::Learn,
-    log::Log,
-    message::{Leader, Said, What},
-    pieces::Pieces,
-    proposals::Proposals,
-    segment::{Exchange, Segment, Voter},
-    time::FleetClock,
-    voter::Replica,
+    action::{Action, ProposeError, VotingBlock},
+    catch_up::CatchUp,
+    codec::encode,
+    committed_log::CommittedLog,
+    fleet_clock::FleetClock,
+    fragment_transfer::FragmentTransfer,
+    journal::Journal,
+    limits::{MAX_ENTRY_BYTES, MAX_SNAPSHOT_BYTES},
+    message::{Command, LeaderHint},
+    pending_proposals::PendingProposals,
+    recovery::{RecoveredState, recover},
+    replica::Replica,
+    segment::{Segment, Voter, VoterChange},
+    settings::Settings,
+    shared_journal::SharedJournal,
+    store::{Store, StoreChange},
+    types::{Entry, Micros, NodeId, Revision},
+    voting_guard::{VotingGuard, VotingState},
 };
 use bytes::Bytes;
 use std::collections::VecDeque;
 
-/// A balancer's part in the agreement; see the crate's documentation.
+/// The generation of a voter to add until that of its store is known; any but 0, which marks a founding voter.
+const UNKNOWN_GENERATION: u64 = 1;
+
+/// A balancer's participation in the log; see the crate's documentation.
 pub struct Agreement<E: Entry, S: Store> {
-    pub(crate) settings: Settings,
-    pub(crate) store: S,
-    pub(crate) shared: Shared<E>,
-    pub(crate) log: Log<E>,
-    pub(crate) voter: Option<Replica<E>>,
-    pub(crate) gate: Gate,
-    pub(crate) learn: Learn,
-    pub(crate) proposals: Proposals<E>,
-    pub(crate) pieces: Pieces,
-    pub(crate) random: fastrand::Rng,
-    pub(crate) actions: VecDeque<Action<E>>,
-    pub(crate) session: u32,
-    /// What a leader stamps with, as of the last tick.
-    pub(crate) unix: u64,
-    pub(crate) fleet_clock: FleetClock,
-    leads: bool,
-    told_why: Option<VotingBlock>,
+    settings: Settings,
+    store: S,
+    journal: SharedJournal<E>,
+    log: CommittedLog<E>,
+    /// Present while this balancer votes.
+    replica: Option<Replica<E>>,
+    voting_guard: VotingGuard,
+    catch_up: CatchUp,
+    proposals: PendingProposals<E>,
+    fragments: FragmentTransfer,
+    random: fastrand::Rng,
+    actions: VecDeque<Action<E>>,
+    /// The highest link session used so far.
+    link_session: u32,
+    /// The timestamp of a leader's entries, as of the last tick.
+    unix: u64,
+    fleet_clock: FleetClock,
+    is_leader: bool,
+    reported_block: Option<VotingBlock>,
 }
 
 impl<E: Entry, S: Store> Agreement<E, S> {
-    /// Starts from what the store holds; what that is comes out as actions first.
+    /// Starts from the content of the store. The first actions restore the owner's state from it.
     pub fn new(settings: Settings, mut store: S, seed: u64, now: Micros) -> Self {
         let mut random = fastrand::Rng::with_seed(seed ^ settings.incarnation);
-        let members =
-            settings.voters.iter().map(|number| Voter { node_id: *number, generation: 0 }).collect();
-        let mut founding = Segment { id: 1, base: 0, members };
-        founding.members.sort_by_key(|member| member.node_id);
-        let (loaded, failed) = match crate::load::load(&mut store, &founding, &mut random) {
-            Ok(loaded) => (loaded, None),
-            Err(error) => (crate::load::Loaded::empty(&founding, &mut random), Some(error)),
+        let founding = founding_segment(&settings);
+        let (recovered, error) = match recover(&mut store, &founding, &mut random) {
+            Ok(recovered) => (recovered, None),
+            Err(error) => (RecoveredState::empty(&founding, &mut random), Some(error.to_string())),
         };
-        let learn = Learn::new(settings.node_id, &settings.nodes);
+        let RecoveredState { hard_state, accepted, snapshot, items } = recovered;
         let mut agreement = Agreement {
-            shared: Shared::new(Journal::new(loaded.head, loaded.accepted)),
-            log: Log::new(founding),
-            voter: None,
-            gate: Gate::new(),
-            learn,
-            proposals: Proposals::new(random.u64(..)),
-            pieces: Pieces::new(random.u64(..)),
+            journal: SharedJournal::new(Journal::new(hard_state, accepted)),
+            log: CommittedLog::new(founding),
+            replica: None,
+            voting_guard: VotingGuard::new(),
+            catch_up: CatchUp::new(settings.node_id, &settings.nodes),
+            proposals: PendingProposals::new(random.u64(..)),
+            fragments: FragmentTransfer::new(random.u64(..)),
             random,
             actions: VecDeque::new(),
-            session: 0,
+            link_session: 0,
             unix: 0,
             fleet_clock: FleetClock::default(),
-            leads: false,
-            told_why: None,
+            is_leader: false,
+            reported_block: None,
             settings,
             store,
         };
-        agreement.begin(now, loaded.image, loaded.items);
-        if let Some(error) = failed {
-            agreement.gate.fail(VotingBlock::StorageFailed(error));
+        agreement.apply_recovered(now, snapshot, items);
+        if let Some(error) = error {
+            agreement.voting_guard.block(VotingBlock::StorageFailed(error));
         }
-        agreement.settle(now);
+        agreement.drive(now);
         agreement
     }
 
-    /// Time goes on: to be called each [`crate::TICK_INTERVAL_US`], with the machine's Unix time in microseconds.
+    /// Advances time. The owner calls it every [`crate::TICK_INTERVAL_US`], with the machine's Unix time in microseconds.
     pub fn tick(&mut self, now: Micros, unix: u64) {
-        // Guards fleet time against standing still where the leader's clock is behind, or set back: it goes on from where it was.
-        self.fleet_clock.heard(now, self.log.last_at());
+        // Fleet time continues from where it was if the leader's clock is behind or was set back.
+        self.fleet_clock.observe(now, self.log.last_timestamp());
         self.unix = unix.max(self.fleet_clock.now(now));
-        if self.leads {
-            self.fleet_clock.heard(now, unix);
+        if self.is_leader {
+            self.fleet_clock.observe(now, unix);
         }
-        self.learn.tick();
-        self.pieces.tick(now);
-        if let Some(voter) = &mut self.voter {
-            voter.tick();
+        self.catch_up.tick();
+        self.fragments.tick(now);
+        if let Some(replica) = &mut self.replica {
+            replica.tick();
         }
-        self.ask_whether_may_vote(now);
+        self.request_voter_histories(now);
         self.end_long_segment();
         self.send_proposals(now);
-        self.ask(now);
-        self.settle(now);
+        self.request_missing_items(now);
+        self.drive(now);
     }
 
-    /// Proposes an entry; what becomes of it comes out as [`Action::ProposalFinished`].
+    /// Proposes an entry and returns the identifier of the proposal. Its outcome is reported by [`Action::ProposalFinished`].
+    ///
+    /// # Errors
+    /// If the entry is too long or too many proposals are pending.
     pub fn propose(&mut self, now: Micros, entry: E) -> Result<u64, ProposeError> {
         let bytes = encode(&entry).len();
         if bytes > MAX_ENTRY_BYTES {
             return Err(ProposeError::EntryTooLong(bytes));
         }
-        self.add_proposal(now, What::Entry(entry), None)
+        self.add_proposal(now, Command::Entry(entry), None)
     }
 
-    /// Proposes that one member leaves the council and another is taken in (one of them may be left out). Taking in one that
-    /// is a member already renews it under the store that it has now.
+    /// Proposes to remove one voter, to add one, or both. Adding a present voter renews it with the store that it has now.
+    ///
+    /// # Errors
+    /// If the change is invalid or too many proposals are pending.
     pub fn change_voters(
-        &mut self, now: Micros, out: Option<NodeId>, taken_in: Option<NodeId>,
+        &mut self, now: Micros, removed: Option<NodeId>, added: Option<NodeId>,
     ) -> Result<u64, ProposeError> {
-        let member = taken_in.map(|number| Voter { node_id: number, generation: 1 });
-        let mut exchange = Exchange { out, taken_in: member };
-        exchange.apply(&self.log.segment().members).ok_or(ProposeError::InvalidVoterChange)?;
-        let mut asks = taken_in;
-        if let Some(member) =
-            exchange.taken_in.as_mut().filter(|member| member.node_id == self.settings.node_id)
-        {
-            member.generation = self.shared.lock().head.generation;
-            asks = None;
+        let added_voter = added.map(|node_id| Voter { node_id, generation: UNKNOWN_GENERATION });
+        let mut change = VoterChange { removed, added: added_voter };
+        change.apply(&self.log.segment().voters).ok_or(ProposeError::InvalidVoterChange)?;
+        let mut awaits_generation_of = added;
+        if let Some(voter) = change.added.as_mut().filter(|voter| voter.node_id == self.settings.node_id) {
+            voter.generation = self.journal.lock().hard_state().generation;
+            awaits_generation_of = None;
         }
-        self.add_proposal(now, What::Exchange(exchange), asks)
+        self.add_proposal(now, Command::ChangeVoters(change), awaits_generation_of)
     }
 
-    fn add_proposal(
-        &mut self, now: Micros, what: What<E>, asks: Option<NodeId>,
-    ) -> Result<u64, ProposeError> {
-        if self.proposals.count() >= MAX_PENDING_PROPOSALS {
-            return Err(ProposeError::TooManyPending);
-        }
-        let id = self.proposals.add(now, self.log.applied(), what, asks);
-        self.send_proposals(now);
-        self.settle(now);
-        Ok(id)
-    }
-
-    /// What the owner has to do next.
+    /// The next action for the owner.
     pub fn poll(&mut self) -> Option<Action<E>> {
         self.actions.pop_front()
     }
 
-    /// Takes a snapshot of the owner's state with all up to `up_to` applied, at most [`MAX_SNAPSHOT_BYTES`]; what lies well before
-    /// it is trimmed.
-    pub fn snapshot(&mut self, now: Micros, up_to: Revision, bytes: Bytes) {
-        if bytes.len() <= MAX_SNAPSHOT_BYTES {
-            self.log.snapshot(up_to, bytes, &mut self.shared.lock());
-            self.settle(now);
+    /// Supplies a snapshot of the owner's state after the entry at `revision`, at most [`MAX_SNAPSHOT_BYTES`] long. Items well
+    /// before it are trimmed.
+    pub fn snapshot(&mut self, now: Micros, revision: Revision, state: Bytes) {
+        if state.len() > MAX_SNAPSHOT_BYTES {
+            return;
+        }
+        if let Some(compaction) = self.log.install_owner_snapshot(revision, state) {
+            let mut journal = self.journal.lock();
+            journal.record(StoreChange::Snapshot(encode(compaction.snapshot)));
+            if let Some(revision) = compaction.trimmed_to {
+                journal.record(StoreChange::Trim(revision));
+            }
         }
+        self.drive(now);
     }
 
-    /// The last revision that came out.
+    /// The commit index: the revision of the last item that was handed to the owner.
     pub fn applied(&self) -> Revision {
-        self.log.applied()
+        self.log.last_revision()
     }
 
-    /// The highest revision heard of, when it is above ours.
+    /// The highest advertised commit index, if it is above the own one.
     pub fn lag(&self) -> Option<Revision> {
-        Some(self.learn.best()).filter(|best| *best > self.log.applied())
+        Some(self.catch_up.highest_advertised()).filter(|highest| *highest > self.log.last_revision())
     }
 
-    /// Who leads the council, as far as is known.
+    /// The leader, as far as it is known.
     pub fn leader(&self) -> Option<NodeId> {
-        self.leader_known().map(|leader| leader.number)
+        self.leader_hint().map(|leader| leader.node_id)
     }
 
-    /// Who votes now.
+    /// The current voters.
     pub fn voters(&self) -> &[Voter] {
-        &self.log.segment().members
+        &self.log.segment().voters
     }
 
     /// Whether this balancer votes.
     pub fn is_voting(&self) -> bool {
-        self.voter.is_some()
+        self.replica.is_some()
     }
 
-    pub(crate) fn leader_known(&self) -> Option<Leader> {
-        let voter = self.voter.as_ref().and_then(Replica::leader);
+    fn leader_hint(&self) -> Option<LeaderHint> {
         let segment = self.log.segment().id;
-        let own = voter.map(|(number, round)| Leader { segment, round, number });
-        own.max(self.learn.leader)
+        let own = self.replica.as_ref().and_then(Replica::leader);
+        let own = own.map(|leader| LeaderHint { segment, ballot: leader.ballot, node_id: leader.node_id });
+        own.max(self.catch_up.leader)
     }
 
-    /// Brings all to rest: what is decided is taken, what is to be durable is written, and only then is spoken.
-    pub(crate) fn settle(&mut self, now: Micros) {
-        self.take_decided(now);
-        self.open(now);
-        let written = self.shared.lock().flush(&mut self.store);
-        if let Err(error) = written {
-            self.gate.fail(VotingBlock::StorageFailed(error));
+    /// Applies what is committed, makes changes durable, and only then sends messages.
+    fn drive(&mut self, now: Micros) {
+        self.apply_committed(now);
+        self.start_voting_if_allowed(now);
+        let flushed = self.journal.lock().flush(&mut self.store);
+        if let Err(error) = flushed {
+            self.voting_guard.block(VotingBlock::StorageFailed(error.to_string()));
         }
-        if let State::Shut(why) = &self.gate.state
-            && self.told_why.as_ref() != Some(why)
-        {
-            self.told_why = Some(why.clone());
-            self.actions.push_back(Action::VotingBlocked(why.clone()));
-        }
-        if self.gate.state != State::Open {
-            self.voter = None;
+        self.report_block();
+        if self.voting_guard.state != VotingState::Allowed {
+            self.replica = None;
         }
-        self.speak(now);
-        let leads = self.voter.as_ref().is_some_and(Replica::leads);
-        if leads != self.leads {
-            self.leads = leads;
-            self.actions.push_back(Action::LeadershipChanged(leads));
+        self.send_replication_frames(now);
+        self.report_leadership();
+        self.advertise(now);
+        self.send_fragments();
+    }
+
+    fn report_block(&mut self) {
+        if let VotingState::Blocked(reason) = &self.voting_guard.state
+            && self.reported_block.as_ref() != Some(reason)
+        {
+            self.reported_block = Some(reason.clone());
+            self.actions.push_back(Action::VotingBlocked(reason.clone()));
         }
-        self.tell(now);
-        for (to, piece) in self.pieces.take() {
-            self.actions.push_back(Action::Send { to, message: crate::Message(Said::Piece(piece)) });
+    }
+
+    fn report_leadership(&mut self) {
+        let is_leader = self.replica.as_ref().is_some_and(Replica::is_leader);
+        if is_leader != self.is_leader {
+            self.is_leader = is_leader;
+            self.actions.push_back(Action::LeadershipChanged(is_leader));
         }
     }
 }
+
+fn founding_segment(settings: &Settings) -> Segment {
+    let founding_voter = |node_id: &NodeId| Voter { node_id: *node_id, generation: 0 };
+    let mut voters: Vec<_> = settings.voters.iter().map(founding_voter).collect();
+    voters.sort_by_key(|voter| voter.node_id);
+    Segment { id: 1, base: 0, voters }
+}
--- /dev/null
+++ b/crates/agreement/src/committed_log.rs
@@ -0,0 +1,169 @@
+//! The committed part of the log that this balancer retains, after a snapshot of what came before.
+use crate::{
+    codec::encode,
+    message::LogSnapshot,
+    segment::{LogItem, Segment},
+    types::{Entry, ProposalKey, Revision},
+};
+use bytes::Bytes;
+use rustc_hash::FxHashSet;
+use std::collections::VecDeque;
+
+/// Items retained before the snapshot's revision: serve slightly lagging balancers and detect repeated proposals.
+const RETAINED_ITEMS: u64 = 2_048;
+/// Items at which the log is full: a leader then accepts no proposals until its owner supplies a snapshot.
+const MAX_ITEMS: u64 = 16_384;
+/// Bytes of items in one catch-up response.
+const MAX_RESPONSE_BYTES: usize = 64 * 1024;
+/// Items in one commit advertisement.
+const MAX_ADVERTISED_ITEMS: usize = 8;
+
+/// What [`CommittedLog::install_owner_snapshot`] changed.
+pub(crate) struct Compaction<'a> {
+    pub(crate) snapshot: &'a LogSnapshot,
+    /// Items up to this revision are trimmed.
+    pub(crate) trimmed_to: Option<Revision>,
+}
+
+/// Consecutive items of the log.
+pub(crate) struct ItemRange<E> {
+    pub(crate) first: Revision,
+    pub(crate) items: Vec<LogItem<E>>,
+}
+
+pub(crate) struct CommittedLog<E> {
+    first: Revision,
+    items: VecDeque<LogItem<E>>,
+    /// The segment of `first`.
+    first_segment: Segment,
+    /// The segment of the next item.
+    segment: Segment,
+    snapshot: Option<LogSnapshot>,
+    last_timestamp: u64,
+    proposals: FxHashSet<ProposalKey>,
+}
+
+impl<E: Entry> CommittedLog<E> {
+    pub(crate) fn new(founding: Segment) -> Self {
+        CommittedLog {
+            first: 1,
+            items: VecDeque::new(),
+            first_segment: founding.clone(),
+            segment: founding,
+            snapshot: None,
+            last_timestamp: 0,
+            proposals: FxHashSet::default(),
+        }
+    }
+
+    /// The commit index: the revision of the last item.
+    pub(crate) fn last_revision(&self) -> Revision {
+        self.first + self.items.len() as u64 - 1
+    }
+
+    pub(crate) fn segment(&self) -> &Segment {
+        &self.segment
+    }
+
+    pub(crate) fn last_timestamp(&self) -> u64 {
+        self.last_timestamp
+    }
+
+    pub(crate) fn is_full(&self) -> bool {
+        self.items.len() as u64 >= MAX_ITEMS
+    }
+
+    pub(crate) fn snapshot(&self) -> Option<&LogSnapshot> {
+        self.snapshot.as_ref()
+    }
+
+    /// Whether a proposal made at the commit index `proposed_after` is in the log; `None` if the items needed to tell are
+    /// trimmed.
+    pub(crate) fn contains(&self, key: ProposalKey, proposed_after: Revision) -> Option<bool> {
+        (proposed_after + 1 >= self.first).then(|| self.proposals.contains(&key))
+    }
+
+    /// Appends the next item.
+    pub(crate) fn push(&mut self, item: LogItem<E>) {
+        self.last_timestamp = item.timestamp();
+        self.proposals.insert(item.proposal_key());
+        self.items.push_back(item);
+        let revision = self.last_revision();
+        if let Some(LogItem::StopSign(stamped)) = self.items.back() {
+            self.segment = self.segment.next(revision, stamped.entry.clone());
+        }
+    }
+
+    /// The items from a revision on that fit one catch-up response; `None` if the first of them is trimmed.
+    pub(crate) fn items_from(&self, revision: Revision) -> Option<Vec<LogItem<E>>> {
+        let skipped = revision.checked_sub(self.first)? as usize;
+        let fits = fits_within(MAX_RESPONSE_BYTES);
+        Some(self.items.iter().skip(skipped).take_while(fits).cloned().collect())
+    }
+
+    /// The newest items that together are no longer than `max_bytes`.
+    pub(crate) fn newest_items(&self, max_bytes: usize) -> ItemRange<E> {
+        let newest = self.items.iter().rev().take(MAX_ADVERTISED_ITEMS);
+        let mut items: Vec<_> = newest.take_while(fits_within(max_bytes)).cloned().collect();
+        items.reverse();
+        ItemRange { first: self.last_revision() + 1 - items.len() as u64, items }
+    }
+
+    /// The segment that follows the item at `revision`.
+    fn segment_after(&self, revision: Revision) -> Segment {
+        let mut segment = self.first_segment.clone();
+        for (at, item) in (self.first..=revision).zip(&self.items) {
+            if let LogItem::StopSign(stamped) = item {
+                segment = segment.next(at, stamped.entry.clone());
+            }
+        }
+        segment
+    }
+
+    /// Stores a snapshot of the owner's state and trims the items well before it. Ignores one that is not newer than the
+    /// last, or that is not of a retained revision.
+    pub(crate) fn install_owner_snapshot(
+        &mut self, revision: Revision, state: Bytes,
+    ) -> Option<Compaction<'_>> {
+        let is_newer = self.snapshot.as_ref().is_none_or(|snapshot| snapshot.revision < revision);
+        if !is_newer || revision < self.first || revision > self.last_revision() {
+            return None;
+        }
+        let timestamp = self.items[(revision - self.first) as usize].timestamp();
+        let segment = self.segment_after(revision);
+        let trimmed_to = Some(revision.saturating_sub(RETAINED_ITEMS)).filter(|to| *to >= self.first);
+        if let Some(to) = trimmed_to {
+            self.trim(to);
+        }
+        let snapshot = self.snapshot.insert(LogSnapshot { revision, timestamp, segment, state });
+        Some(Compaction { snapshot, trimmed_to })
+    }
+
+    fn trim(&mut self, to: Revision) {
+        self.first_segment = self.segment_after(to);
+        for item in self.items.drain(..(to + 1 - self.first) as usize) {
+            self.proposals.remove(&item.proposal_key());
+        }
+        self.first = to + 1;
+    }
+
+    /// Restarts the log after a snapshot that another balancer sent, or that was stored.
+    pub(crate) fn restore(&mut self, snapshot: LogSnapshot) {
+        self.first = snapshot.revision + 1;
+        self.items.clear();
+        self.proposals.clear();
+        self.first_segment = snapshot.segment.clone();
+        self.segment = snapshot.segment.clone();
+        self.last_timestamp = snapshot.timestamp;
+        self.snapshot = Some(snapshot);
+    }
+}
+
+/// A predicate that holds while the items seen so far are together no longer than `max_bytes`.
+fn fits_within<E: Entry>(max_bytes: usize) -> impl FnMut(&&LogItem<E>) -> bool {
+    let mut bytes = 0;
+    move |item| {
+        bytes += encode(*item).len();
+        bytes <= max_bytes
+    }
+}
--- /dev/null
+++ b/crates/agreement/src/hard_state.rs
@@ -0,0 +1,77 @@
+//! The state of a voter that must survive a restart, apart from the accepted entries.
+use crate::segment::{Segment, Voter};
+use omnipaxos::{ballot_leader_election::Ballot, storage::StopSign};
+use serde::{Deserialize, Serialize};
+
+/// Writes observed of a voter's store.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+pub(crate) struct ObservedWrites {
+    pub(crate) voter: Voter,
+    pub(crate) writes: u64,
+}
+
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+pub(crate) struct HardState {
+    /// Identifies the store; drawn when it was created.
+    pub(crate) generation: u64,
+    /// How often a process was started with this store.
+    pub(crate) epoch: u64,
+    /// Batches written.
+    pub(crate) writes: u64,
+    /// Whether the founding voters let this voter vote without stored state.
+    pub(crate) founded: bool,
+    /// The segment that the ballots and indices below belong to.
+    pub(crate) segment: Segment,
+    pub(crate) promised: Ballot,
+    pub(crate) accepted_ballot: Ballot,
+    pub(crate) decided_index: u64,
+    pub(crate) stop_sign: Option<StopSign>,
+    /// The most writes observed of each voter's store.
+    pub(crate) observed_writes: Vec<ObservedWrites>,
+    /// Stores that had no state at the founding.
+    pub(crate) founders: Vec<Voter>,
+}
+
+impl HardState {
+    /// The state of a new store.
+    pub(crate) fn new(generation: u64, founding: Segment) -> Self {
+        HardState {
+            generation,
+            epoch: 1,
+            writes: 0,
+            founded: false,
+            segment: founding,
+            promised: Ballot::default(),
+            accepted_ballot: Ballot::default(),
+            decided_index: 0,
+            stop_sign: None,
+            observed_writes: Vec::new(),
+            founders: Vec::new(),
+        }
+    }
+
+    /// Starts a segment: resets what belongs to the previous one.
+    pub(crate) fn enter_segment(&mut self, segment: Segment) {
+        self.segment = segment;
+        self.promised = Ballot::default();
+        self.accepted_ballot = Ballot::default();
+        self.decided_index = 0;
+        self.stop_sign = None;
+    }
+
+    /// Records the writes that a voter's store counts, and forgets any earlier store of the same balancer.
+    pub(crate) fn observe_writes(&mut self, voter: Voter, writes: u64) {
+        match self.observed_writes.iter_mut().find(|observed| observed.voter == voter) {
+            Some(observed) => observed.writes = observed.writes.max(writes),
+            None => {
+                self.observed_writes.retain(|observed| observed.voter.node_id != voter.node_id);
+                self.observed_writes.push(ObservedWrites { voter, writes });
+            }
+        }
+    }
+
+    pub(crate) fn writes_of(&self, voter: Voter) -> u64 {
+        let observed = self.observed_writes.iter().find(|observed| observed.voter == voter);
+        observed.map_or(0, |observed| observed.writes)
+    }
+}
--- a/crates/agreement/src/link.rs
+++ b/crates/agreement/src/link.rs
@@ -1,93 +1,111 @@
-//! Datagrams made into what agreement needs between two members: in order, none twice, none missing, and a word when that fails.
+//! An ordered, reliable link between two voters over datagrams.
 //!
-//! `omnipaxos` forgets accepted entries when an old message arrives after a newer one, so nothing reaches it but through here.
-use crate::Micros;
+//! `omnipaxos` forgets accepted entries when an old message arrives after a newer one. The link therefore delivers messages in
+//! order, each once, and reports a [`LinkEvent::Reset`] whenever some may be missing.
+use crate::types::Micros;
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Bytes of a message in one part: with the frame's head it stays below [`crate::MESSAGE_BYTES`].
-pub(crate) const PART_BYTES: usize = 960;
-/// Parts under way at once: as many as an acknowledgement has bits.
-const WINDOW: u64 = 64;
-/// Parts waiting for a peer that does not answer; beyond them the link breaks and starts anew. Fits a whole segment.
-const QUEUE: usize = 4_096;
-/// A message put together from parts: a whole segment and its longest entry.
-const BUILT_BYTES: usize = QUEUE * PART_BYTES;
-/// When what is not acknowledged is sent again: above the time of a round trip.
-const RESEND_US: Micros = 100_000;
+/// Bytes of a message in one chunk: with the header of its frame it stays below [`crate::MAX_MESSAGE_BYTES`].
+const CHUNK_BYTES: usize = 960;
+/// Chunks in flight: the bits of an acknowledgement and the chunk before them.
+const WINDOW: usize = 64;
+/// Chunks queued for a peer that does not respond; beyond them the link is reset. A whole segment fits.
+const MAX_QUEUED_CHUNKS: usize = 4_096;
+/// Longest reassembled message: a whole segment and its longest entry.
+const MAX_REASSEMBLED_BYTES: usize = MAX_QUEUED_CHUNKS * CHUNK_BYTES;
+/// Retransmission interval: longer than a round trip.
+const RETRANSMIT_INTERVAL_US: Micros = 100_000;
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub(crate) struct Body {
-    /// How often the sender's store has been started with, and the receiver's as far as the sender knows.
+pub(crate) struct Packet {
+    /// How often a process was started with the sender's store.
     pub(crate) epoch: u64,
-    pub(crate) to_epoch: u64,
-    pub(crate) what: Carried,
+    /// The receiver's epoch as far as the sender knows, 0 if unknown.
+    pub(crate) receiver_epoch: u64,
+    pub(crate) payload: Payload,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub(crate) enum Carried {
-    /// Of the election; may come late or never.
-    Beat(Bytes),
-    Part {
-        session: u32,
-        seq: u64,
-        last: bool,
-        bytes: Bytes,
-    },
-    /// All before `next` has arrived, and of those behind it the set bits.
-    Got {
-        session: u32,
-        next: u64,
-        held: u64,
-    },
+pub(crate) enum Payload {
+    /// A heartbeat of the election; may be late or lost.
+    Heartbeat(Bytes),
+    Chunk(Chunk),
+    Ack(Ack),
 }
 
-/// What came in.
+/// A part of a message.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+pub(crate) struct Chunk {
+    session: u32,
+    sequence: u64,
+    is_last: bool,
+    bytes: Bytes,
+}
+
+/// Everything before `next` has arrived, and of the chunks after it those whose bits are set.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+pub(crate) struct Ack {
+    session: u32,
+    next: u64,
+    received: u64,
+}
+
+/// An event of the receiving side.
 #[derive(Debug, PartialEq)]
-pub(crate) enum Came {
+pub(crate) enum LinkEvent {
     Message(Vec<u8>),
-    Beat(Bytes),
+    Heartbeat(Bytes),
     /// Messages may be missing before the next one.
-    Broken,
+    Reset,
+}
+
+/// A chunk that is not acknowledged yet, or not together with all before it.
+struct QueuedChunk {
+    is_last: bool,
+    bytes: Bytes,
+    last_sent: Option<Micros>,
+    acknowledged: bool,
 }
 
-struct Waiting {
-    last: bool,
+/// A chunk that arrived before an earlier one.
+struct ReceivedChunk {
+    is_last: bool,
     bytes: Bytes,
-    sent: Option<Micros>,
-    got: bool,
 }
 
 pub(crate) struct Link {
     epoch: u64,
     peer_epoch: u64,
     session: u32,
-    first: u64,
-    queue: VecDeque<Waiting>,
-    broken: bool,
+    /// Sequence number of the first queued chunk.
+    first_sequence: u64,
+    queue: VecDeque<QueuedChunk>,
+    /// Whether messages were dropped since the peer was last heard of.
+    was_reset: bool,
     peer_session: u32,
-    expected: u64,
-    held: BTreeMap<u64, (bool, Bytes)>,
-    built: Vec<u8>,
-    ready: Vec<Carried>,
+    next_expected: u64,
+    received: BTreeMap<u64, ReceivedChunk>,
+    reassembled: Vec<u8>,
+    immediate: Vec<Payload>,
 }
 
 impl Link {
-    /// `session` must be above any that this epoch has used with the peer.
+    /// `session` must be greater than any that this epoch has used with the peer.
     pub(crate) fn new(epoch: u64, session: u32) -> Self {
         Link {
             epoch,
             peer_epoch: 0,
             session,
-            first: 0,
+            first_sequence: 0,
             queue: VecDeque::new(),
-            broken: false,
+            was_reset: false,
             peer_session: 0,
-            expected: 0,
-            held: BTreeMap::new(),
-            built: Vec::new(),
-            ready: Vec::new(),
+            next_expected: 0,
+            received: BTreeMap::new(),
+            reassembled: Vec::new(),
+            immediate: Vec::new(),
         }
     }
 
@@ -95,129 +113,150 @@
         self.session
     }
 
-    pub(crate) fn beat(&mut self, bytes: Vec<u8>) {
-        self.ready.push(Carried::Beat(bytes.into()));
+    pub(crate) fn send_heartbeat(&mut self, heartbeat: Bytes) {
+        self.immediate.push(Payload::Heartbeat(heartbeat));
     }
 
-    pub(crate) fn send(&mut self, message: Vec<u8>) {
-        let parts = message.len().div_ceil(PART_BYTES).max(1);
-        if self.broken || self.queue.len() + parts > QUEUE {
-            self.break_off();
+    /// Queues a message. Resets the link if the queue is full.
+    pub(crate) fn send_message(&mut self, message: &Bytes) {
+        let count = message.len().div_ceil(CHUNK_BYTES).max(1);
+        if self.was_reset || self.queue.len() + count > MAX_QUEUED_CHUNKS {
+            self.reset_queue();
             return;
         }
-        let message = Bytes::from(message);
-        for index in 0..parts {
-            let end = ((index + 1) * PART_BYTES).min(message.len());
-            let bytes = message.slice(index * PART_BYTES..end);
-            self.queue.push_back(Waiting { last: index + 1 == parts, bytes, sent: None, got: false });
+        for index in 0..count {
+            let end = ((index + 1) * CHUNK_BYTES).min(message.len());
+            let bytes = message.slice(index * CHUNK_BYTES..end);
+            let is_last = index + 1 == count;
+            self.queue.push_back(QueuedChunk { is_last, bytes, last_sent: None, acknowledged: false });
         }
     }
 
-    fn break_off(&mut self) {
-        if !self.broken {
-            self.broken = true;
+    fn reset_queue(&mut self) {
+        if !self.was_reset {
+            self.was_reset = true;
             self.session += 1;
         }
         self.queue.clear();
-        self.first = 0;
+        self.first_sequence = 0;
     }
 
-    /// What is due now.
-    pub(crate) fn due(&mut self, now: Micros) -> Vec<Body> {
-        let mut all: Vec<_> = std::mem::take(&mut self.ready);
+    /// The packets to send now.
+    pub(crate) fn poll_transmit(&mut self, now: Micros) -> Vec<Packet> {
+        let mut payloads = std::mem::take(&mut self.immediate);
         if self.peer_epoch != 0 {
-            for (index, waiting) in self.queue.iter_mut().take(WINDOW as usize).enumerate() {
-                if waiting.got || waiting.sent.is_some_and(|sent| now < sent + RESEND_US) {
-                    continue;
-                }
-                waiting.sent = Some(now);
-                let (session, seq) = (self.session, self.first + index as u64);
-                all.push(Carried::Part { session, seq, last: waiting.last, bytes: waiting.bytes.clone() });
+            self.transmit_chunks(now, &mut payloads);
+        }
+        let (epoch, receiver_epoch) = (self.epoch, self.peer_epoch);
+        payloads.into_iter().map(|payload| Packet { epoch, receiver_epoch, payload }).collect()
+    }
+
+    fn transmit_chunks(&mut self, now: Micros, payloads: &mut Vec<Payload>) {
+        let in_window = (self.first_sequence..).zip(self.queue.iter_mut()).take(WINDOW);
+        for (sequence, chunk) in in_window {
+            let was_sent = chunk.last_sent.is_some_and(|sent| now < sent + RETRANSMIT_INTERVAL_US);
+            if chunk.acknowledged || was_sent {
+                continue;
             }
+            chunk.last_sent = Some(now);
+            let (is_last, bytes) = (chunk.is_last, chunk.bytes.clone());
+            payloads.push(Payload::Chunk(Chunk { session: self.session, sequence, is_last, bytes }));
         }
-        let (epoch, to_epoch) = (self.epoch, self.peer_epoch);
-        all.into_iter().map(|what| Body { epoch, to_epoch, what }).collect()
     }
 
-    pub(crate) fn hear(&mut self, body: Body) -> Vec<Came> {
-        let mut came = Vec::new();
-        if body.epoch < self.peer_epoch || body.epoch == 0 {
-            return came;
+    pub(crate) fn handle_packet(&mut self, packet: Packet) -> Vec<LinkEvent> {
+        let mut events = Vec::new();
+        if packet.epoch < self.peer_epoch || packet.epoch == 0 {
+            return events;
         }
-        if body.epoch > self.peer_epoch {
-            self.restarted(body.epoch, &mut came);
+        if packet.epoch > self.peer_epoch {
+            self.handle_peer_restart(packet.epoch, &mut events);
         }
-        if body.to_epoch != self.epoch {
-            return came;
+        if packet.receiver_epoch != self.epoch {
+            return events;
         }
-        if self.broken {
-            self.broken = false;
-            came.push(Came::Broken);
+        if self.was_reset {
+            self.was_reset = false;
+            events.push(LinkEvent::Reset);
         }
-        match body.what {
-            Carried::Beat(bytes) => came.push(Came::Beat(bytes)),
-            Carried::Got { session, next, held } if session == self.session => self.got(next, held),
-            Carried::Got { .. } => {}
-            Carried::Part { session, seq, last, bytes } => self.part(session, seq, last, bytes, &mut came),
+        match packet.payload {
+            Payload::Heartbeat(heartbeat) => events.push(LinkEvent::Heartbeat(heartbeat)),
+            Payload::Ack(ack) => self.handle_ack(&ack),
+            Payload::Chunk(chunk) => self.handle_chunk(chunk, &mut events),
         }
-        came
+        events
     }
 
-    /// Guards against messages to the peer's last life being taken by this one, and the other way round.
-    fn restarted(&mut self, epoch: u64, came: &mut Vec<Came>) {
+    /// Drops what is queued, so that no message to the peer's previous process reaches the new one, and the reverse.
+    fn handle_peer_restart(&mut self, epoch: u64, events: &mut Vec<LinkEvent>) {
         if self.peer_epoch != 0 {
             self.session += 1;
-            self.first = 0;
+            self.first_sequence = 0;
             self.queue.clear();
-            came.push(Came::Broken);
+            events.push(LinkEvent::Reset);
         }
         self.peer_epoch = epoch;
-        self.peer_session = 0;
-        self.expected = 0;
-        self.held.clear();
-        self.built.clear();
+        self.start_peer_session(0);
+    }
+
+    fn start_peer_session(&mut self, session: u32) {
+        self.peer_session = session;
+        self.next_expected = 0;
+        self.received.clear();
+        self.reassembled.clear();
     }
 
-    fn got(&mut self, next: u64, held: u64) {
-        while self.first < next && !self.queue.is_empty() {
+    fn handle_ack(&mut self, ack: &Ack) {
+        if ack.session != self.session {
+            return;
+        }
+        while self.first_sequence < ack.next && !self.queue.is_empty() {
             self.queue.pop_front();
-            self.first += 1;
+            self.first_sequence += 1;
         }
-        if next == self.first {
-            for (bit, waiting) in self.queue.iter_mut().skip(1).take(63).enumerate() {
-                waiting.got |= held >> bit & 1 == 1;
+        if ack.next == self.first_sequence {
+            for (bit, chunk) in self.queue.iter_mut().skip(1).take(WINDOW - 1).enumerate() {
+                chunk.acknowledged |= ack.received >> bit & 1 == 1;
             }
         }
     }
 
-    fn part(&mut self, session: u32, seq: u64, last: bool, bytes: Bytes, came: &mut Vec<Came>) {
-        if session < self.peer_session {
+    fn handle_chunk(&mut self, chunk: Chunk, events: &mut Vec<LinkEvent>) {
+        if chunk.session < self.peer_session {
             return;
         }
-        if session > self.peer_session {
+        if chunk.session > self.peer_session {
             if self.peer_session != 0 {
-                came.push(Came::Broken);
+                events.push(LinkEvent::Reset);
             }
-            self.peer_session = session;
-            self.expected = 0;
-            self.held.clear();
-            self.built.clear();
-        }
-        if seq >= self.expected && seq - self.expected < WINDOW {
-            self.held.insert(seq, (last, bytes));
-        }
-        while let Some((last, bytes)) = self.held.remove(&self.expected) {
-            self.expected += 1;
-            if self.built.len() + bytes.len() > BUILT_BYTES {
-                self.built.clear();
+            self.start_peer_session(chunk.session);
+        }
+        let Chunk { session, sequence, is_last, bytes } = chunk;
+        if sequence >= self.next_expected && sequence - self.next_expected < WINDOW as u64 {
+            self.received.insert(sequence, ReceivedChunk { is_last, bytes });
+        }
+        self.reassemble(events);
+        self.queue_ack(session);
+    }
+
+    fn reassemble(&mut self, events: &mut Vec<LinkEvent>) {
+        while let Some(chunk) = self.received.remove(&self.next_expected) {
+            self.next_expected += 1;
+            if self.reassembled.len() + chunk.bytes.len() > MAX_REASSEMBLED_BYTES {
+                self.reassembled.clear();
             }
-            self.built.extend_from_slice(&bytes);
-            if last {
-                came.push(Came::Message(std::mem::take(&mut self.built)));
+            self.reassembled.extend_from_slice(&chunk.bytes);
+            if chunk.is_last {
+                events.push(LinkEvent::Message(std::mem::take(&mut self.reassembled)));
             }
         }
-        let held = self.held.keys().fold(0, |bits, seq| bits | 1 << (seq - self.expected - 1));
-        self.ready.retain(|ready| !matches!(ready, Carried::Got { .. }));
-        self.ready.push(Carried::Got { session, next: self.expected, held });
+    }
+
+    /// Replaces an acknowledgement that was not sent yet by the current one.
+    fn queue_ack(&mut self, session: u32) {
+        let next = self.next_expected;
+        let received = self.received.keys().fold(0, |bits, sequence| bits | 1 << (sequence - next - 1));
+        self.immediate.retain(|payload| !matches!(payload, Payload::Ack(_)));
+        self.immediate.push(Payload::Ack(Ack { session, next, received }));
     }
 }
--- a/crates/agreement/src/message.rs
+++ b/crates/agreement/src/message.rs
@@ -1,103 +1,119 @@
-//! What balancers say to one another about the log.
+//! The messages that balancers exchange about the log.
 use crate::{
-    NodeId, Revision,
-    segment::{Exchange, Item, Segment},
+    fragment::Fragment,
+    link::Packet,
+    segment::{LogItem, Segment, VoterChange},
+    types::{NodeId, ProposalKey, Revision},
 };
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 
 /// One message; opaque to the owner, at most [`crate::MAX_MESSAGE_BYTES`] in postcard.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Message<E>(pub(crate) Said<E>);
+pub struct Message<E>(pub(crate) MessageBody<E>);
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub(crate) enum Said<E> {
-    /// How far the sender is, who leads as far as it knows, and the newest items if they fit.
-    Rumour {
+pub(crate) enum MessageBody<E> {
+    /// The sender's commit index, the leader as far as it knows, and the newest items if they fit.
+    CommitAdvertisement {
         revision: Revision,
-        leader: Option<Leader>,
+        leader: Option<LeaderHint>,
         first: Revision,
-        items: Vec<Item<E>>,
+        items: Vec<LogItem<E>>,
     },
-    /// The sender has all up to here and asks for more.
-    Ask {
-        have: Revision,
+    /// The sender has applied everything up to `applied` and requests what follows.
+    CatchUpRequest {
+        applied: Revision,
     },
-    Items {
+    CatchUpItems {
         first: Revision,
-        items: Vec<Item<E>>,
+        items: Vec<LogItem<E>>,
     },
-    Snapshot(Image),
-    Propose {
-        name: u64,
-        from: NodeId,
-        after: Revision,
-        hops: u8,
-        what: What<E>,
-    },
-    /// Asks for the name of the receiver's store.
-    WhichStore,
-    StoreIs {
+    SnapshotTransfer(LogSnapshot),
+    Propose(ForwardedProposal<E>),
+    /// Requests the generation of the receiver's store.
+    StoreGenerationRequest,
+    StoreGeneration {
         generation: u64,
     },
-    /// A member asks whether it may vote.
-    MayI(Memory),
-    Memory {
-        mine: Memory,
-        of_you: OfYou,
+    /// A voter requests what the receiver knows of its history, to find out whether it may vote.
+    VoterHistoryRequest(VoterHistory),
+    VoterHistoryResponse {
+        sender: VoterHistory,
+        receiver: ObservedHistory,
     },
-    Vote(Frame),
-    Piece(crate::pieces::Piece),
+    Replication(ReplicationFrame),
+    Fragment(Fragment),
 }
 
+/// The leader that a balancer knows of. A greater hint is a newer one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub(crate) struct Leader {
+pub(crate) struct LeaderHint {
     pub(crate) segment: u32,
-    pub(crate) round: u32,
-    pub(crate) number: NodeId,
+    pub(crate) ballot: u32,
+    pub(crate) node_id: NodeId,
+}
+
+/// A proposal on its way to the leader.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+pub(crate) struct ForwardedProposal<E> {
+    pub(crate) proposal_id: u64,
+    pub(crate) proposer: NodeId,
+    /// The proposer's commit index when it made the proposal.
+    pub(crate) proposed_after: Revision,
+    /// How often the proposal was forwarded; bounds detours by old leader hints.
+    pub(crate) hops: u8,
+    pub(crate) command: Command<E>,
+}
+
+impl<E> ForwardedProposal<E> {
+    pub(crate) fn key(&self) -> ProposalKey {
+        ProposalKey { proposer: self.proposer, proposal_id: self.proposal_id }
+    }
 }
 
+/// The content of a proposal.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub(crate) enum What<E> {
+pub(crate) enum Command<E> {
     Entry(E),
-    Exchange(Exchange),
+    ChangeVoters(VoterChange),
 }
 
-/// A snapshot of the owner's state with what the log itself needs to go on from there.
+/// A snapshot of the owner's state with what the log needs to continue after it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub(crate) struct Image {
+pub(crate) struct LogSnapshot {
     pub(crate) revision: Revision,
-    pub(crate) at: u64,
+    pub(crate) timestamp: u64,
     pub(crate) segment: Segment,
-    pub(crate) bytes: Bytes,
+    pub(crate) state: Bytes,
 }
 
 /// What a balancer knows of its own past.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub(crate) struct Memory {
+pub(crate) struct VoterHistory {
     pub(crate) generation: u64,
-    /// Whether it may have voted, or knows of anything decided.
-    pub(crate) any: bool,
+    /// Whether it may have voted, or knows of any committed item.
+    pub(crate) has_state: bool,
     /// Durable writes of its store.
     pub(crate) writes: u64,
 }
 
-/// What a balancer knows of the past of whom it answers.
+/// What a balancer has observed of another one's past.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub(crate) struct OfYou {
-    /// The most writes heard of.
+pub(crate) struct ObservedHistory {
+    /// The highest count of writes observed.
     pub(crate) writes: u64,
-    /// The store that said at the founding that it had no memory.
-    pub(crate) founded: Option<u64>,
+    /// The generation of the store that had no state at the founding.
+    pub(crate) founding_generation: Option<u64>,
 }
 
-/// A part of what one voter says to another, in order.
+/// A packet of the ordered link between two voters.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub(crate) struct Frame {
+pub(crate) struct ReplicationFrame {
     pub(crate) segment: u32,
     pub(crate) writes: u64,
     pub(crate) generation: u64,
-    /// Fleet time as the sender knows it: the next leader goes on from there, whenever it learns of the last stamp.
+    /// The sender's fleet time. The next leader continues from it even if it has not learned of the last timestamp.
     pub(crate) fleet_time: u64,
-    pub(crate) body: crate::link::Body,
+    pub(crate) packet: Packet,
 }
--- a/crates/agreement/src/segment.rs
+++ b/crates/agreement/src/segment.rs
@@ -1,73 +1,89 @@
-//! A stretch of the log under one council: it ends with a stop sign, and the next one counts on.
-use crate::{NodeId, Revision, Stamped};
+//! A segment of the log: the entries that one set of voters commits. A stop sign ends it and names the voters of the next one.
+use crate::{
+    limits::{MAX_VOTERS, MIN_VOTERS},
+    types::{NodeId, ProposalKey, Revision, Stamped},
+};
 use serde::{Deserialize, Serialize};
 
-/// Entries after which the leader starts a new segment with the same council: bounds what a lagging member is sent.
-pub(crate) const SEGMENT: usize = 1_024;
+/// Entries after which the leader starts a new segment with the same voters. Bounds what a lagging voter is sent.
+pub(crate) const MAX_SEGMENT_ENTRIES: usize = 1_024;
 
-/// A member of the council.
+/// A member of the quorum group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Voter {
-    /// Which balancer.
+    /// The balancer.
     pub node_id: NodeId,
-    /// The name of the store it votes with: drawn when the store was made; 0 for one of the founding council.
+    /// Identifies the store that it votes with: drawn when the store was created, 0 for a founding voter.
     pub generation: u64,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Segment {
     pub(crate) id: u32,
-    /// The revision before its first entry.
+    /// The revision before the first entry.
     pub(crate) base: Revision,
-    pub(crate) members: Vec<Voter>,
+    pub(crate) voters: Vec<Voter>,
 }
 
 impl Segment {
-    pub(crate) fn member(&self, number: NodeId) -> Option<&Voter> {
-        self.members.iter().find(|member| member.node_id == number)
+    pub(crate) fn voter(&self, node_id: NodeId) -> Option<&Voter> {
+        self.voters.iter().find(|voter| voter.node_id == node_id)
     }
+
     pub(crate) fn quorum(&self) -> usize {
-        self.members.len() / 2 + 1
+        self.voters.len() / 2 + 1
+    }
+
+    /// The segment that follows a stop sign at `base`.
+    pub(crate) fn next(&self, base: Revision, voters: Vec<Voter>) -> Segment {
+        Segment { id: self.id + 1, base, voters }
     }
 }
 
-/// A change of the council, as proposed.
+/// A proposed change of the voters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct Exchange {
-    pub(crate) out: Option<NodeId>,
-    pub(crate) taken_in: Option<Voter>,
+pub(crate) struct VoterChange {
+    pub(crate) removed: Option<NodeId>,
+    pub(crate) added: Option<Voter>,
 }
 
-impl Exchange {
-    /// The members after the change, if it is one that may be made.
-    pub(crate) fn apply(&self, members: &[Voter]) -> Option<Vec<Voter>> {
-        let leaving = |number| Some(number) == self.out || self.taken_in.is_some_and(|m| m.node_id == number);
-        let mut after: Vec<_> = members.iter().copied().filter(|m| !leaving(m.node_id)).collect();
-        after.extend(self.taken_in);
-        after.sort_by_key(|m| m.node_id);
-        let known = self.out.is_none_or(|out| members.iter().any(|m| m.node_id == out));
-        (known && (3..=7).contains(&after.len()) && after != members).then_some(after)
+impl VoterChange {
+    /// The voters after the change; `None` if the change is invalid.
+    pub(crate) fn apply(&self, voters: &[Voter]) -> Option<Vec<Voter>> {
+        let is_replaced = |voter: &Voter| {
+            Some(voter.node_id) == self.removed
+                || self.added.is_some_and(|added| added.node_id == voter.node_id)
+        };
+        let mut changed: Vec<_> = voters.iter().copied().filter(|voter| !is_replaced(voter)).collect();
+        changed.extend(self.added);
+        changed.sort_by_key(|voter| voter.node_id);
+        let removes_voter =
+            self.removed.is_none_or(|removed| voters.iter().any(|voter| voter.node_id == removed));
+        let has_valid_size = (MIN_VOTERS..=MAX_VOTERS).contains(&changed.len());
+        (removes_voter && has_valid_size && changed != voters).then_some(changed)
     }
 }
 
-/// One place of the log.
+/// A committed item of the log.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub(crate) enum Item<E> {
+pub(crate) enum LogItem<E> {
     Entry(Stamped<E>),
-    Stop(Stamped<Vec<Voter>>),
+    /// Ends the segment; holds the voters of the next one.
+    StopSign(Stamped<Vec<Voter>>),
 }
 
-impl<E> Item<E> {
-    pub(crate) fn at(&self) -> u64 {
+impl<E> LogItem<E> {
+    pub(crate) fn timestamp(&self) -> u64 {
         match self {
-            Item::Entry(stamped) => stamped.timestamp,
-            Item::Stop(stamped) => stamped.timestamp,
+            LogItem::Entry(stamped) => stamped.timestamp,
+            LogItem::StopSign(stamped) => stamped.timestamp,
         }
     }
-    pub(crate) fn name(&self) -> (NodeId, u64) {
+
+    pub(crate) fn proposal_key(&self) -> ProposalKey {
         match self {
-            Item::Entry(stamped) => (stamped.proposer, stamped.proposal_id),
-            Item::Stop(stamped) => (stamped.proposer, stamped.proposal_id),
+            LogItem::Entry(stamped) => stamped.proposal_key(),
+            LogItem::StopSign(stamped) => stamped.proposal_key(),
         }
     }
 }
--- a/crates/agreement/src/store.rs
+++ b/crates/agreement/src/store.rs
@@ -1,85 +1,94 @@
-//! What a member of the council must have on disk before it speaks.
-use crate::Revision;
+//! The interface of a voter's durable storage, and an implementation in memory.
+use crate::types::Revision;
 use bytes::Bytes;
-use std::{convert::Infallible, fmt::Display};
+use std::{convert::Infallible, error::Error};
 
-/// One change to what is kept; a batch of them counts wholly or not at all.
+/// One change of the stored state. A batch of them is applied atomically.
 #[derive(Clone, Debug, PartialEq)]
 pub enum StoreChange {
-    /// Replaces the head: promises, counters, the segment.
+    /// Replaces the head: ballots, counters and the current segment.
     Head(Bytes),
-    /// Cuts what was accepted at `from` and appends.
+    /// Truncates the accepted entries at `from` and appends.
     Accepted {
-        /// First place that is replaced, counted from 0 in this segment.
+        /// Index of the first replaced entry, from 0 in the current segment.
         from: u64,
-        /// What stands there now.
+        /// The entries to append.
         entries: Vec<Bytes>,
     },
-    /// Writes decided items.
+    /// Appends committed items.
     Items {
-        /// Revision of the first.
+        /// Revision of the first item.
         from: Revision,
         /// The items.
         items: Vec<Bytes>,
     },
     /// Replaces the snapshot.
     Snapshot(Bytes),
-    /// Removes decided items up to and with this revision.
+    /// Removes the committed items up to and including this revision.
     Trim(Revision),
 }
 
-/// All that a store holds.
+/// The whole content of a store.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct StoredState {
-    /// The last head, none in a store never written.
+    /// The last head; `None` in a store that was never written.
     pub head: Option<Bytes>,
-    /// What this member has accepted in the current segment.
+    /// The entries accepted in the current segment.
     pub accepted: Vec<Bytes>,
     /// Revision of the first of `items`.
     pub first_revision: Revision,
-    /// Decided items without a gap.
+    /// Committed items, without a gap.
     pub items: Vec<Bytes>,
     /// The last snapshot.
     pub snapshot: Option<Bytes>,
 }
 
-/// Where a balancer keeps its memory.
+/// The durable storage of a voter.
 pub trait Store {
-    /// Says what failed, and in which file.
-    type Error: Display;
-    /// Reads all that is kept.
+    /// The error of the store; its text names what failed and in which file.
+    type Error: Error;
+
+    /// Reads the whole content.
+    ///
+    /// # Errors
+    /// If the content cannot be read. It must not be replaced by an empty one: that would forget a vote.
     fn load(&mut self) -> Result<StoredState, Self::Error>;
-    /// Makes all changes durable, or fails; after a failure nothing more is written.
+
+    /// Makes all changes durable, or none of them.
+    ///
+    /// # Errors
+    /// If the changes are not durable. Nothing more is written after a failure.
     fn write(&mut self, changes: &[StoreChange]) -> Result<(), Self::Error>;
 }
 
-/// A store that is lost with the process: for balancers outside the council, and for tests.
+/// A store that is lost with the process: for balancers that do not vote, and for tests.
 #[derive(Clone, Debug, Default)]
 pub struct MemoryStore(StoredState);
 
 impl MemoryStore {
     fn apply(&mut self, change: &StoreChange) {
-        let kept = &mut self.0;
+        let stored = &mut self.0;
         match change {
-            StoreChange::Head(head) => kept.head = Some(head.clone()),
+            StoreChange::Head(head) => stored.head = Some(head.clone()),
             StoreChange::Accepted { from, entries } => {
-                kept.accepted.truncate(*from as usize);
-                kept.accepted.extend(entries.iter().cloned());
+                stored.accepted.truncate(*from as usize);
+                stored.accepted.extend(entries.iter().cloned());
             }
             StoreChange::Items { from, items } => {
-                if *from != kept.first_revision + kept.items.len() as u64 {
-                    kept.items.clear();
+                if *from != stored.first_revision + stored.items.len() as u64 {
+                    stored.items.clear();
                 }
-                if kept.items.is_empty() {
-                    kept.first_revision = *from;
+                if stored.items.is_empty() {
+                    stored.first_revision = *from;
                 }
-                kept.items.extend(items.iter().cloned());
+                stored.items.extend(items.iter().cloned());
             }
-            StoreChange::Snapshot(snapshot) => kept.snapshot = Some(snapshot.clone()),
+            StoreChange::Snapshot(snapshot) => stored.snapshot = Some(snapshot.clone()),
             StoreChange::Trim(to) => {
-                let gone = (to + 1).saturating_sub(kept.first_revision).min(kept.items.len() as u64);
-                kept.items.drain(..gone as usize);
-                kept.first_revision += gone;
+                let count = stored.items.len() as u64;
+                let trimmed = (to + 1).saturating_sub(stored.first_revision).min(count);
+                stored.items.drain(..trimmed as usize);
+                stored.first_revision += trimmed;
             }
         }
     }
@@ -87,9 +96,11 @@
 
 impl Store for MemoryStore {
     type Error = Infallible;
+
     fn load(&mut self) -> Result<StoredState, Infallible> {
         Ok(self.0.clone())
     }
+
     fn write(&mut self, changes: &[StoreChange]) -> Result<(), Infallible> {
         changes.iter().for_each(|change| self.apply(change));
         Ok(())
--- a/crates/agreement/tests/common/mod.rs
+++ b/crates/agreement/tests/common/mod.rs
@@ -22,15 +22,20 @@
     }
 }
 
+/// The error of a disk that fails.
+#[derive(Debug, thiserror::Error)]
+#[error("disk is full")]
+pub struct DiskFull;
+
 impl Store for Disk {
-    type Error = String;
-    fn load(&mut self) -> Result<StoredState, String> {
+    type Error = DiskFull;
+    fn load(&mut self) -> Result<StoredState, DiskFull> {
         self.0.borrow_mut().0.load().map_err(|never: Infallible| match never {})
     }
-    fn write(&mut self, changes: &[StoreChange]) -> Result<(), String> {
+    fn write(&mut self, changes: &[StoreChange]) -> Result<(), DiskFull> {
         let mut disk = self.0.borrow_mut();
         if disk.1 {
-            return Err("disk is full".into());
+            return Err(DiskFull);
         }
         disk.0.write(changes).map_err(|never| match never {})
     }
--- a/crates/spindlebeam/src/fleet.rs
+++ b/crates/spindlebeam/src/fleet.rs
@@ -52,17 +52,17 @@
 }
 
 impl Store for Memory {
-    type Error = String;
-    fn load(&mut self) -> Result<StoredState, String> {
+    type Error = storage::Error;
+    fn load(&mut self) -> Result<StoredState, storage::Error> {
         match self {
-            Memory::Disk(keep) => keep.load().map_err(|error| error.to_string()),
-            Memory::None(store) => store.load().map_err(|error| error.to_string()),
+            Memory::Disk(keep) => keep.load(),
+            Memory::None(store) => store.load().map_err(|never| match never {}),
         }
     }
-    fn write(&mut self, changes: &[StoreChange]) -> Result<(), String> {
+    fn write(&mut self, changes: &[StoreChange]) -> Result<(), storage::Error> {
         match self {
-            Memory::Disk(keep) => keep.write(changes).map_err(|error| error.to_string()),
-            Memory::None(store) => store.write(changes).map_err(|error| error.to_string()),
+            Memory::Disk(keep) => keep.write(changes),
+            Memory::None(store) => store.write(changes).map_err(|never| match never {}),
         }
     }
 }
