--- a/crates/spindlebeam/src/fleet.rs
+++ b/crates/spindlebeam/src/fleet.rs
@@ -15,7 +15,7 @@
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 use std::time::Duration;
-use storage::Keep;
+use storage::DiskStore;
 use tokio::net::UdpSocket;
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{MissedTickBehavior, interval};
@@ -47,7 +47,7 @@
 
 /// Where a log is kept: on disk where there is one.
 enum Memory {
-    Disk(Keep),
+    Disk(DiskStore),
     None(MemoryStore),
 }
 
@@ -141,15 +141,15 @@
     }
 }
 
-fn open(folder: Option<&Path>, votes: bool) -> Result<(Memory, Option<Keep>)> {
+fn open(folder: Option<&Path>, votes: bool) -> Result<(Memory, Option<DiskStore>)> {
     let Some(folder) = folder else { return Ok((Memory::None(MemoryStore::default()), None)) };
     std::fs::create_dir_all(folder).with_context(|| format!("--keep {}", folder.display()))?;
     ensure!(folder.is_dir(), "--keep {}: no folder", folder.display());
     let store = match votes {
-        true => Memory::Disk(Keep::open(folder.join("council.redb"))?),
+        true => Memory::Disk(DiskStore::open(folder.join("council.redb"))?),
         false => Memory::None(MemoryStore::default()),
     };
-    Ok((store, Some(Keep::open(folder.join("ledger.redb"))?)))
+    Ok((store, Some(DiskStore::open(folder.join("ledger.redb"))?)))
 }
 
 /// This machine's Unix time. Only a leader's is looked at, for stamps.
@@ -168,7 +168,7 @@
 struct Thread {
     part: Fleet<Memory>,
     socket: UdpSocket,
-    ledger: Option<Keep>,
+    ledger: Option<DiskStore>,
     unix: Unix,
     agreed: mpsc::UnboundedSender<FleetUpdate>,
     timers: DelayQueue<membership::Timer>,
@@ -181,7 +181,7 @@
 
 impl Thread {
     fn new(
-        part: Fleet<Memory>, socket: std::net::UdpSocket, ledger: Option<Keep>, unix: Unix,
+        part: Fleet<Memory>, socket: std::net::UdpSocket, ledger: Option<DiskStore>, unix: Unix,
         agreed: mpsc::UnboundedSender<FleetUpdate>,
     ) -> Result<Self> {
         let socket = UdpSocket::from_std(socket)?;
@@ -189,10 +189,10 @@
         let mut it = Self { part, socket, ledger, unix, agreed, timers, asked, standing, joined };
         let mut from = 0;
         while let Some(keep) = &it.ledger {
-            let spans = keep.spans(from, SPANS_READ)?;
-            let Some((last, _)) = spans.last() else { break };
-            from = last + 1;
-            spans.iter().for_each(|(_, bytes)| it.part.restore_span(bytes));
+            let records = keep.records(from, SPANS_READ)?;
+            let Some(last) = records.last() else { break };
+            from = last.number + 1;
+            records.iter().for_each(|record| it.part.restore_span(&record.bytes));
         }
         Ok(it)
     }
@@ -313,7 +313,7 @@
     fn keep_spans(&mut self) {
         let spans: Vec<Bytes> = self.part.take_spans().into_iter().map(Bytes::from).collect();
         if let Some(keep) = self.ledger.as_mut().filter(|_| !spans.is_empty())
-            && let Err(error) = keep.append_spans(&spans)
+            && let Err(error) = keep.append_records(&spans)
         {
             log::error!("fleet: the ledger is not kept any more: {error}");
             self.ledger = None;
--- a/crates/storage/src/error.rs
+++ b/crates/storage/src/error.rs
@@ -1,42 +1,42 @@
-//! What can go wrong with the file, with its name.
+//! The errors of the file. Each names the file.
 use std::path::PathBuf;
 
-/// What went wrong, and with which file.
+/// An operation on the file failed.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// It cannot be opened: taken by another process, cut short, of another kind, or not to be read.
+    /// The file cannot be opened: it is in use, truncated, of another format, or not accessible.
     #[error("{}: cannot be opened: {source}", file.display())]
     Open {
         /// The file.
         file: PathBuf,
-        /// What `redb` says.
+        /// The error of `redb`.
         source: redb::Error,
     },
-    /// It was opened, and what it holds cannot be read.
+    /// The file is open, but its content cannot be read.
     #[error("{}: cannot be read: {source}", file.display())]
     Read {
         /// The file.
         file: PathBuf,
-        /// What `redb` says.
+        /// The error of `redb`.
         source: redb::Error,
     },
-    /// A write failed; nothing of the batch counts.
+    /// A write failed; no change of its batch is stored.
     #[error("{}: cannot be written: {source}", file.display())]
     Write {
         /// The file.
         file: PathBuf,
-        /// What `redb` says.
+        /// The error of `redb`.
         source: redb::Error,
     },
-    /// Its checksums do not fit what it holds.
+    /// The file is damaged: its checksums do not match its content, or `redb` panicked on it.
     #[error("{}: is damaged: {what}", file.display())]
     Damaged {
         /// The file.
         file: PathBuf,
-        /// What does not fit.
+        /// The damage.
         what: String,
     },
-    /// An earlier write failed, so that this one must not stand alone.
+    /// The write was rejected because an earlier one failed.
     #[error("{}: not written since an earlier write failed", file.display())]
     AfterFailure {
         /// The file.
--- a/crates/storage/src/lib.rs
+++ b/crates/storage/src/lib.rs
@@ -1,19 +1,20 @@
-//! The agreed log, its snapshot and the ledger's spans in one file that survives the process, on `redb`.
+//! Durable storage of the replicated log and of the ledger's records, in one `redb` file.
 //!
-//! [`Keep`] is the [`agreement::Store`] of a member of the council: each batch of changes is one transaction, durable before
-//! [`agreement::Store::write`] returns, and counts wholly or not at all. A file that is cut short, has flipped bytes or cannot
-//! be written gives an error that names it; then nothing more is written through the same [`Keep`], so that no later write can
-//! stand without an earlier one. An error on opening is never answered with an empty store: that would forget a vote.
+//! [`DiskStore`] implements [`agreement::Store`] for a voter: each batch of changes is one transaction, durable before
+//! [`agreement::Store::write`] returns, and applied atomically. A file that is truncated, damaged or not writable gives an error
+//! that names it. After a failed write nothing more is written through the same [`DiskStore`], so that no later write stands
+//! without an earlier one. An unreadable file is never treated as an empty store: that would forget a vote.
 //!
-//! The ledger's spans are opaque bytes under growing numbers, bounded by [`SPAN_BYTES`], the oldest removed first. The crate
-//! leaves to its owner which file, what to do about an error (a member does not vote), and on which thread to wait for a disk.
+//! The ledger's records are opaque bytes with increasing numbers, bounded by [`MAX_RECORDS_BYTES`] and [`MAX_RECORDS`]; the oldest
+//! are removed first. The crate leaves to its owner the path of the file, the reaction to errors, and the thread that waits for
+//! the disk.
 #![forbid(unsafe_code)]
 #![warn(unreachable_pub)]
 
+mod disk_store;
 mod error;
-mod spans;
-mod store;
+mod records;
 
+pub use disk_store::{CACHE_BYTES, DiskStore};
 pub use error::Error;
-pub use spans::{SPAN_BYTES, SPANS};
-pub use store::{CACHE_BYTES, Keep};
+pub use records::{MAX_RECORDS, MAX_RECORDS_BYTES, Record};
--- a/crates/storage/tests/keep.rs
+++ b/crates/storage/tests/disk_store.rs
@@ -1,4 +1,4 @@
-//! What the file promises: nothing forgotten, and an error with its name when it cannot be kept.
+//! The guarantees of the file: no durable write is lost, and an error names the file if it cannot be read or written.
 use agreement::{MemoryStore, Store, StoreChange};
 use bytes::Bytes;
 use redb::{StorageBackend, backends::FileBackend};
@@ -11,7 +11,7 @@
         atomic::{AtomicBool, Ordering},
     },
 };
-use storage::{Error, Keep};
+use storage::{DiskStore, Error, Record};
 
 fn changes() -> Vec<Vec<StoreChange>> {
     let bytes = |n: u64| Bytes::from(vec![n as u8; 100 + n as usize]);
@@ -34,35 +34,35 @@
     all
 }
 
-fn written(file: &Path) -> Keep {
-    let mut keep = Keep::open(file).expect("opens");
-    changes().iter().for_each(|batch| keep.write(batch).expect("is written"));
-    keep
+fn written(file: &Path) -> DiskStore {
+    let mut store = DiskStore::open(file).expect("opens");
+    changes().iter().for_each(|batch| store.write(batch).expect("is written"));
+    store
 }
 
 #[test]
-fn what_was_written_is_there_after_opening_again_and_equals_a_store_in_memory() {
+fn reopened_file_holds_what_was_written_and_equals_a_memory_store() {
     let directory = tempfile::tempdir().expect("a directory");
     let file = directory.path().join("log.redb");
     let mut memory = MemoryStore::default();
-    let mut keep = Keep::open(&file).expect("opens");
-    assert_eq!(keep.load().expect("loads"), memory.load().expect("loads"));
+    let mut store = DiskStore::open(&file).expect("opens");
+    assert_eq!(store.load().expect("loads"), memory.load().expect("loads"));
     for batch in changes() {
-        keep.write(&batch).expect("is written");
+        store.write(&batch).expect("is written");
         let Ok(()) = memory.write(&batch);
         // A copy of the open file is what a killed process leaves behind.
         let killed = directory.path().join("killed.redb");
         std::fs::copy(&file, &killed).expect("is copied");
-        let mut left = Keep::open(&killed).expect("opens");
+        let mut left = DiskStore::open(&killed).expect("opens");
         assert_eq!(left.load().expect("loads"), memory.load().expect("loads"));
-        drop(keep);
-        keep = Keep::open(&file).expect("opens");
-        assert_eq!(keep.load().expect("loads"), memory.load().expect("loads"));
+        drop(store);
+        store = DiskStore::open(&file).expect("opens");
+        assert_eq!(store.load().expect("loads"), memory.load().expect("loads"));
     }
 }
 
 #[test]
-fn a_file_cut_short_is_an_error_that_names_it_and_never_an_empty_store() {
+fn truncated_file_is_an_error_that_names_it_and_never_an_empty_store() {
     let directory = tempfile::tempdir().expect("a directory");
     let file = directory.path().join("log.redb");
     let whole = written(&file).load().expect("loads");
@@ -70,8 +70,8 @@
     for part in 1..20 {
         let cut = directory.path().join(format!("cut-{part}.redb"));
         std::fs::write(&cut, &bytes[..bytes.len() * part / 20]).expect("is written");
-        match Keep::open(&cut).and_then(|mut keep| keep.load()) {
-            Ok(kept) => assert_eq!(kept, whole, "all of it, cut to {part} of 20"),
+        match DiskStore::open(&cut).and_then(|mut store| store.load()) {
+            Ok(stored) => assert_eq!(stored, whole, "all of it, cut to {part} of 20"),
             Err(error) => assert!(error.to_string().contains(&format!("cut-{part}.redb")), "{error}"),
         }
     }
@@ -89,8 +89,8 @@
         let mut damaged = bytes.clone();
         damaged[place] ^= 0xff;
         std::fs::write(&flipped, &damaged).expect("is written");
-        match Keep::open(&flipped).and_then(|mut keep| keep.load()) {
-            Ok(kept) => assert_eq!(kept, whole, "byte {place}"),
+        match DiskStore::open(&flipped).and_then(|mut store| store.load()) {
+            Ok(stored) => assert_eq!(stored, whole, "byte {place}"),
             Err(error) => {
                 assert!(error.to_string().contains("flipped.redb"), "{error}");
                 found += 1;
@@ -101,9 +101,9 @@
 }
 
 #[derive(Debug)]
-struct Full(FileBackend, Arc<AtomicBool>);
+struct FullDisk(FileBackend, Arc<AtomicBool>);
 
-impl StorageBackend for Full {
+impl StorageBackend for FullDisk {
     fn len(&self) -> io::Result<u64> {
         self.0.len()
     }
@@ -111,21 +111,21 @@
         self.0.read(offset, out)
     }
     fn set_len(&self, length: u64) -> io::Result<()> {
-        self.room()?;
+        self.check_capacity()?;
         self.0.set_len(length)
     }
     fn sync_data(&self) -> io::Result<()> {
-        self.room()?;
+        self.check_capacity()?;
         self.0.sync_data()
     }
     fn write(&self, offset: u64, data: &[u8]) -> io::Result<()> {
-        self.room()?;
+        self.check_capacity()?;
         self.0.write(offset, data)
     }
 }
 
-impl Full {
-    fn room(&self) -> io::Result<()> {
+impl FullDisk {
+    fn check_capacity(&self) -> io::Result<()> {
         match self.1.load(Ordering::Relaxed) {
             true => Err(io::ErrorKind::StorageFull.into()),
             false => Ok(()),
@@ -134,33 +134,34 @@
 }
 
 #[test]
-fn a_full_disk_is_an_error_nothing_is_written_after_it_and_what_was_before_it_is_kept() {
+fn full_disk_is_an_error_after_which_nothing_is_written_and_earlier_writes_stay() {
     let directory = tempfile::tempdir().expect("a directory");
     let file = directory.path().join("log.redb");
     let whole = written(&file).load().expect("loads");
     let full = Arc::new(AtomicBool::new(false));
     let opened = OpenOptions::new().read(true).write(true).open(&file).expect("opens");
-    let backend = Full(FileBackend::new(opened).expect("opens"), full.clone());
-    let mut keep = Keep::with_backend(&file, backend).expect("opens");
+    let backend = FullDisk(FileBackend::new(opened).expect("opens"), full.clone());
+    let mut store = DiskStore::with_backend(&file, backend).expect("opens");
     full.store(true, Ordering::Relaxed);
     let promise = [StoreChange::Head(Bytes::from_static(b"a promise"))];
-    let error = keep.write(&promise).expect_err("is full");
+    let error = store.write(&promise).expect_err("is full");
     assert!(matches!(error, Error::Write { .. }) && error.to_string().contains("log.redb"), "{error}");
     full.store(false, Ordering::Relaxed);
-    let error = keep.write(&promise).expect_err("not after a failure");
+    let error = store.write(&promise).expect_err("not after a failure");
     assert!(matches!(error, Error::AfterFailure { .. }), "{error}");
-    drop(keep);
-    assert_eq!(Keep::open(&file).expect("opens").load().expect("loads"), whole);
+    drop(store);
+    assert_eq!(DiskStore::open(&file).expect("opens").load().expect("loads"), whole);
 }
 
 #[test]
-fn spans_beyond_the_bound_go_the_oldest_first() {
+fn records_beyond_the_bound_are_removed_oldest_first() {
     let directory = tempfile::tempdir().expect("a directory");
-    let mut keep = Keep::open(directory.path().join("log.redb")).expect("opens");
+    let mut store = DiskStore::open(directory.path().join("log.redb")).expect("opens");
     for n in 0..10_u8 {
-        keep.append_spans_within(&[Bytes::from(vec![n; 100])], 450).expect("is written");
+        store.append_records_within(&[Bytes::from(vec![n; 100])], 450).expect("is written");
     }
-    let spans = keep.spans(0, 100).expect("reads");
-    assert_eq!(spans.iter().map(|span| span.0).collect::<Vec<_>>(), [6, 7, 8, 9]);
-    assert_eq!(keep.spans(8, 1).expect("reads"), [(8, Bytes::from(vec![8; 100]))]);
+    let records = store.records(0, 100).expect("reads");
+    assert_eq!(records.iter().map(|record| record.number).collect::<Vec<_>>(), [6, 7, 8, 9]);
+    let expected = Record { number: 8, bytes: Bytes::from(vec![8; 100]) };
+    assert_eq!(store.records(8, 1).expect("reads"), [expected]);
 }
--- a/crates/storage/tests/golden.rs
+++ b/crates/storage/tests/golden.rs
@@ -6,27 +6,29 @@
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition, TableHandle};
 use std::fmt::Write;
 use std::path::Path;
-use storage::Keep;
+use storage::DiskStore;
 
 fn bytes(value: u8) -> Bytes {
     Bytes::from(vec![value; usize::from(value)])
 }
 
 fn write(file: &Path) {
-    let mut keep = Keep::open(file).unwrap();
-    keep.write(&[
-        StoreChange::Head(bytes(1)),
-        StoreChange::Accepted { from: 0, entries: vec![bytes(2), bytes(3), bytes(4)] },
-        StoreChange::Items { from: 1, items: vec![bytes(5), bytes(6), bytes(7)] },
-    ])
-    .unwrap();
-    keep.write(&[
-        StoreChange::Snapshot(bytes(8)),
-        StoreChange::Trim(1),
-        StoreChange::Accepted { from: 2, entries: vec![bytes(9)] },
-    ])
-    .unwrap();
-    keep.append_spans(&[bytes(10), bytes(11)]).unwrap();
+    let mut store = DiskStore::open(file).unwrap();
+    store
+        .write(&[
+            StoreChange::Head(bytes(1)),
+            StoreChange::Accepted { from: 0, entries: vec![bytes(2), bytes(3), bytes(4)] },
+            StoreChange::Items { from: 1, items: vec![bytes(5), bytes(6), bytes(7)] },
+        ])
+        .unwrap();
+    store
+        .write(&[
+            StoreChange::Snapshot(bytes(8)),
+            StoreChange::Trim(1),
+            StoreChange::Accepted { from: 2, entries: vec![bytes(9)] },
+        ])
+        .unwrap();
+    store.append_records(&[bytes(10), bytes(11)]).unwrap();
 }
 
 /// Every table, key and value of the file, as redb itself finds them.
@@ -72,14 +74,14 @@
     let file = folder.path().join("old.redb");
     std::fs::copy(golden, &file).unwrap();
     assert_eq!(dump(&file), include_str!("golden/tables.txt"));
-    let mut keep = Keep::open(&file).unwrap();
-    let kept = keep.load().unwrap();
-    assert_eq!(kept.head, Some(bytes(1)));
-    assert_eq!(kept.accepted, [bytes(2), bytes(3), bytes(9)]);
-    assert_eq!((kept.first_revision, kept.items), (2, vec![bytes(6), bytes(7)]));
-    assert_eq!(kept.snapshot, Some(bytes(8)));
-    let spans: Vec<_> = keep.spans(0, 9).unwrap().into_iter().map(|(_, value)| value).collect();
-    assert_eq!(spans, [bytes(10), bytes(11)]);
-    keep.write(&[StoreChange::Items { from: 4, items: vec![bytes(12)] }]).unwrap();
-    assert_eq!(keep.load().unwrap().items, [bytes(6), bytes(7), bytes(12)]);
+    let mut store = DiskStore::open(&file).unwrap();
+    let stored = store.load().unwrap();
+    assert_eq!(stored.head, Some(bytes(1)));
+    assert_eq!(stored.accepted, [bytes(2), bytes(3), bytes(9)]);
+    assert_eq!((stored.first_revision, stored.items), (2, vec![bytes(6), bytes(7)]));
+    assert_eq!(stored.snapshot, Some(bytes(8)));
+    let records: Vec<_> = store.records(0, 9).unwrap().into_iter().map(|record| record.bytes).collect();
+    assert_eq!(records, [bytes(10), bytes(11)]);
+    store.write(&[StoreChange::Items { from: 4, items: vec![bytes(12)] }]).unwrap();
+    assert_eq!(store.load().unwrap().items, [bytes(6), bytes(7), bytes(12)]);
 }
