--- /dev/null
+++ b/crates/discovery/src/dialer.rs
@@ -0,0 +1,102 @@
+//! Connects to the agent, also when the process has run out of file descriptors.
+
+use std::cell::RefCell;
+use std::fs::File;
+use std::io;
+use std::net::SocketAddr;
+use std::pin::Pin;
+use std::rc::Rc;
+use std::task::{self, Poll};
+use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
+use tokio::net::TcpStream;
+
+/// Error number of the system for "too many open files".
+const EMFILE: i32 = 24;
+
+/// Connects to the agent, with one file descriptor in reserve.
+///
+/// Guards against a descriptor limit that is lower than configured. Clients and endpoints then use up all descriptors, and do not
+/// release them soon, since they may wait for the very changes that discovery would deliver.
+#[derive(Debug, Clone)]
+pub struct Dialler(Rc<RefCell<Option<File>>>);
+
+impl Dialler {
+    /// A dialler that reserves a descriptor if one is available.
+    #[must_use]
+    pub fn new() -> Self {
+        let dialler = Self(Rc::default());
+        dialler.reserve_descriptor();
+        dialler
+    }
+
+    fn reserve_descriptor(&self) {
+        let mut reserved = self.0.borrow_mut();
+        if reserved.is_none() {
+            *reserved = File::open("/dev/null").ok();
+        }
+    }
+
+    /// Connects to the agent at this address.
+    ///
+    /// # Errors
+    /// When the connection cannot be established.
+    pub async fn connect(self, addr: SocketAddr) -> io::Result<Connection> {
+        self.reserve_descriptor();
+        let (stream, loan) = match TcpStream::connect(addr).await {
+            Err(error) if error.raw_os_error() == Some(EMFILE) && self.0.take().is_some() => {
+                // The descriptor cannot be taken by another task: the new socket is opened without an await in between.
+                let loan = DescriptorLoan(self);
+                (TcpStream::connect(addr).await?, Some(loan))
+            }
+            stream => (stream?, None),
+        };
+        stream.set_nodelay(true)?;
+        Ok(Connection { stream, _loan: loan })
+    }
+}
+
+impl Default for Dialler {
+    fn default() -> Self {
+        Self::new()
+    }
+}
+
+/// The reserved descriptor is in use; it is reserved again when this is dropped.
+#[derive(Debug)]
+struct DescriptorLoan(Dialler);
+
+impl Drop for DescriptorLoan {
+    fn drop(&mut self) {
+        self.0.reserve_descriptor();
+    }
+}
+
+/// A connection to the agent.
+#[derive(Debug)]
+pub struct Connection {
+    stream: TcpStream,
+    /// Declared after the stream, so that the stream is closed first.
+    _loan: Option<DescriptorLoan>,
+}
+
+impl AsyncRead for Connection {
+    fn poll_read(
+        mut self: Pin<&mut Self>, cx: &mut task::Context<'_>, buffer: &mut ReadBuf<'_>,
+    ) -> Poll<io::Result<()>> {
+        Pin::new(&mut self.stream).poll_read(cx, buffer)
+    }
+}
+
+impl AsyncWrite for Connection {
+    fn poll_write(
+        mut self: Pin<&mut Self>, cx: &mut task::Context<'_>, bytes: &[u8],
+    ) -> Poll<io::Result<usize>> {
+        Pin::new(&mut self.stream).poll_write(cx, bytes)
+    }
+    fn poll_flush(mut self: Pin<&mut Self>, cx: &mut task::Context<'_>) -> Poll<io::Result<()>> {
+        Pin::new(&mut self.stream).poll_flush(cx)
+    }
+    fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut task::Context<'_>) -> Poll<io::Result<()>> {
+        Pin::new(&mut self.stream).poll_shutdown(cx)
+    }
+}
--- /dev/null
+++ b/crates/discovery/src/follow.rs
@@ -0,0 +1,75 @@
+//! Follows the endpoint list at the configured address, also when the configuration moves discovery to another one.
+
+use crate::agent::Agent;
+use crate::endpoint_history::EndpointHistory;
+use crate::pace::{RetrySchedule, Way};
+use futures_util::future::{LocalBoxFuture, OptionFuture};
+use proto::discovery::{EndpointList, WatchEvent};
+use std::io;
+use std::net::SocketAddr;
+use tokio::io::{AsyncRead, AsyncWrite};
+use tokio::sync::watch;
+use tokio::time::Instant;
+
+/// Opens connections to the agent.
+pub trait Dial: Clone + 'static {
+    /// A connection.
+    type Stream: AsyncRead + AsyncWrite + Unpin + 'static;
+    /// Connects to this address.
+    fn dial(&self, addr: SocketAddr) -> LocalBoxFuture<'static, io::Result<Self::Stream>>;
+}
+
+impl<S: AsyncRead + AsyncWrite + Unpin + 'static, F> Dial for F
+where
+    F: Fn(SocketAddr) -> LocalBoxFuture<'static, io::Result<S>> + Clone + 'static,
+{
+    type Stream = S;
+    fn dial(&self, addr: SocketAddr) -> LocalBoxFuture<'static, io::Result<S>> {
+        self(addr)
+    }
+}
+
+/// Follows discovery at the latest address until the returned future is dropped, and publishes each event as it arrives.
+///
+/// A list known from an earlier run is updated by a watch alone: one request instead of two when a hundred balancers start at
+/// once. After the address has changed, the previous agent is followed until the new one has sent its list, since changes that
+/// the previous agent sends still apply. What it sent also takes precedence over a new agent with an older revision
+/// ([`EndpointHistory`]).
+pub async fn follow<D: Dial>(
+    mut address: watch::Receiver<SocketAddr>, known: Option<EndpointList>, way: Way, balancers: u32, dial: D,
+    publish: impl Fn(WatchEvent),
+) {
+    let new_agent =
+        |addr, revision| Agent::new(addr, revision, RetrySchedule::new(way, balancers), dial.clone());
+    let revision = known.as_ref().map(|list| list.revision);
+    let mut current = new_agent(*address.borrow_and_update(), revision);
+    let mut previous: Option<Agent<D>> = None;
+    let mut history = EndpointHistory::new(known);
+    loop {
+        let previous_event = OptionFuture::from(previous.as_mut().map(Agent::next_event));
+        tokio::select! {
+            biased; // an event of the previous agent that has arrived precedes the list that ends it
+            Some(event) = previous_event => publish(match event {
+                WatchEvent::List(list) => WatchEvent::List(history.apply_previous(list)),
+                other => other,
+            }),
+            event = current.next_event() => publish(match event {
+                WatchEvent::List(list) => {
+                    previous = None;
+                    WatchEvent::List(history.apply_current(list, Instant::now()))
+                }
+                other => other,
+            }),
+            Ok(()) = address.changed() => {
+                let addr = *address.borrow_and_update();
+                if addr == current.addr() {
+                    continue; // changed and changed back in between: the open connections are still valid
+                }
+                let replaced = std::mem::replace(&mut current, new_agent(addr, None));
+                // After two changes in a row, the agent that has sent a list is the one to keep following.
+                previous = previous.or(Some(replaced)).map(Agent::retire);
+                history.change_agent();
+            }
+        }
+    }
+}
--- a/crates/discovery/src/lib.rs
+++ b/crates/discovery/src/lib.rs
@@ -1,23 +1,29 @@
-//! Follows discovery: keeps one watch open, and asks anew as soon as it may have missed something.
+//! Client of the discovery service: keeps one watch of the endpoint list open and reconnects before a change can be missed.
 //!
-//! What discovery has to tell counts as told at a set time, whether or not it has been heard ([`pace`] has the clock). So a
-//! watch is given up on when it has been silent for longer than its pause allows, and *before* that a second one is asked
-//! for beside it: the first to speak is kept. Where changes are pushed to an agent on this machine, which answers at once
-//! and at no cost, a silent agent is asked again all the time, so that what it gets at the end of an outage is heard within
-//! the 250 ms that the rule on drains leaves; where each call costs a service that all balancers share, one call is out at
-//! a time, and is given the time that it may have to wait in turn.
+//! A change must be applied within a fixed time, whether or not it was received ([`pace`] has the timings). A watch is
+//! therefore considered broken when it has been silent for longer than its keep-alive interval allows. *Before* that deadline
+//! a second watch is requested in parallel, and the first of the two to send a line is kept.
 //!
-//! [`follow`] knows no socket: it is handed a way to dial ([`Dialler`]), so that tests play on a paused clock. It leaves the list
-//! itself to its owner, who is told of each change as it comes.
+//! Two ways of delivery are supported ([`Way`]). Where changes are pushed to an agent on this machine, requests are free, and a
+//! silent agent is polled continuously: what it receives at the end of an outage must be known within the 250 ms that the
+//! rules on draining endpoints allow. Where each request costs a service that all balancers share, at most one request is in
+//! flight, and it is given the time that it may spend in the service's queue.
+//!
+//! [`follow`] opens no socket itself: it is given a [`Dial`] implementation ([`Dialler`] in production), so that tests run on a
+//! paused clock. It does not store the endpoint list: the caller receives each change as it arrives.
 #![forbid(unsafe_code)]
 #![warn(unreachable_pub)]
 
-mod call;
-mod following;
-mod held;
+mod agent;
+mod dialer;
+mod endpoint_history;
+mod error;
+mod follow;
 pub mod pace;
-mod spare;
+mod request;
+mod transfer;
+mod watch;
 
-pub use following::{Dial, follow};
+pub use dialer::{Connection, Dialler};
+pub use follow::{Dial, follow};
 pub use pace::Way;
-pub use spare::{Connection, Dialler};
--- a/crates/discovery/src/pace.rs
+++ b/crates/discovery/src/pace.rs
@@ -1,173 +1,192 @@
-//! When a silence counts, and how often the agent is asked: the clock of the list in one place.
+//! Timings of the endpoint list: when a silent watch counts as broken, and how often the agent is contacted.
 //!
-//! One term goes before all others: a change counts as told 6 s after discovery had it and could be reached, whatever was
-//! allowed after a call that failed, was refused or was given up. `docs/design/crossings-list.md` adds it up for each path.
+//! One deadline comes first: a change must be applied within 6 s after discovery had it and could be reached, whatever pauses
+//! followed earlier failures. `docs/design/crossings-list.md` adds up the times of each path.
 //!
-//! | what happened | counts as told | so that |
+//! | event | deadline for applying the change | how it is met |
 //! | --- | --- | --- |
-//! | a line came | as it came | it is handed on at once |
-//! | pushed: the agent has something | at once, watch or not, also after an outage and at a start | a silent agent is asked again each [`AGAIN`] |
-//! | a watch fell silent | 6 s after | a second one is asked for after [`Pace::silence`], with time for one call that is lost |
-//! | a call that may wait in turn | 2 s after that wait | it is given [`Pace::answer`], and asked again soon after it failed |
-//! | discovery turned a call away | 6 s after it could have been told | [`REJECTED_MOST`] bounds the pause, whatever the number of balancers |
-//! | SIGHUP moved discovery | 4 s after | the new agent is asked at once; the old one is heard until the new one has told its list |
+//! | a line arrived | at once | it is published at once |
+//! | push: the agent has a change | at once, also after an outage and at a start | a silent agent is contacted every [`AGAIN`] |
+//! | a watch fell silent | 6 s | another is requested after [`RetrySchedule::silence_timeout`], which leaves time for one lost request |
+//! | a request may be queued by the service | 2 s after the queueing | it is given [`RetrySchedule::response_timeout`], and retried soon after a failure |
+//! | discovery rejected a request | 6 s after the change could be delivered | [`REJECTED_BACKOFF_MAX`] bounds the pause, whatever the number of balancers |
+//! | SIGHUP moved discovery | 4 s | the new agent is contacted at once; the previous one is followed until the new one has sent its list |
 
 use std::time::Duration;
 
-/// A watch sends a line every 2 s. Silence by this much longer means that it is broken, where asking costs nothing.
-const SILENCE_PUSHED: Duration = Duration::from_millis(2_250);
-/// The same where a call costs the service: between these, drawn each time, so that watches that fell silent together are
-/// not begun anew together. With one call that is lost and one that is answered within 1 s the longest stays under 6 s.
-const SILENCE_ASKED: (Duration, Duration) = (Duration::from_millis(2_350), Duration::from_millis(2_600));
-/// How often an agent on this machine that says nothing is asked again. Guards the end of an outage: what the agent has got by
-/// then counts at once, and nothing new may go to a host that drains 250 ms later.
+/// Silence after which a watch is broken, where requests are free. A watch sends a line every 2 s.
+const PUSH_SILENCE_TIMEOUT: Duration = Duration::from_millis(2_250);
+/// The shortest silence after which a watch is broken, where requests cost the service. The timeout is drawn between this and
+/// [`POLL_SILENCE_TIMEOUT_MAX`], so that watches that fell silent together are not all requested again at the same time.
+const POLL_SILENCE_TIMEOUT_MIN: Duration = Duration::from_millis(2_350);
+/// The longest such silence. With one lost request and one that is answered within 1 s it stays below 6 s.
+const POLL_SILENCE_TIMEOUT_MAX: Duration = Duration::from_millis(2_600);
+/// How often a silent agent on this machine is contacted. Guards the end of an outage: what the agent has received by then
+/// applies at once, and no request may go to an endpoint that started draining 250 ms earlier.
 pub const AGAIN: Duration = Duration::from_millis(150);
-/// How long a call to such an agent is waited for: it answers at once or is silent.
-const ANSWER_PUSHED: Duration = Duration::from_millis(1_200);
-/// How long a call is waited for that may stand in turn: the service answers or turns it away after about 2 s.
-const ANSWER_ASKED: Duration = Duration::from_millis(2_200);
-/// How long its connection may take to come up, which is before it stands in turn. A dial that is lost is known sooner, at no
-/// cost to the service.
-const DIAL_ASKED: Duration = Duration::from_millis(1_200);
-/// Calls that are out at a time where they are free: one each [`AGAIN`] for as long as one is waited for. Bounds descriptors.
-pub const MOST_CALLS: usize = 8;
-/// Watches that are open at a time: the one that spoke last, and one that was asked for since and has not spoken.
-pub const MOST_WATCHES: usize = 2;
-/// Lines that are taken off a watch before it is closed for another. Bounds what one that writes without end can hold up.
-pub const MOST_LINES: usize = 64;
-/// How long behind its first list an agent that discovery moved to may be behind the one before: whatever discovery has to tell
-/// counts as told 6 s later. One whose revisions are lower after that counts its own.
-pub const BEHIND: Duration = Duration::from_secs(6);
-/// Hosts whose drain or end is remembered. Bounds memory on days on which new hosts take the place of old ones all the time.
-pub const MOST_HELD: usize = 4_096;
-/// Connections that are open at a time: to the agent, and after a move to the one before. The configuration keeps their
-/// descriptors back from clients and peers.
-pub const MOST_CONNECTIONS: usize = 2 * (MOST_CALLS + MOST_WATCHES);
-/// How long after a move the agent before is still asked anew where its watch breaks: from then on, what the new one has
-/// counts.
-pub const MOVED: Duration = Duration::from_secs(4);
-/// Waits between calls that failed: the first, and the longest. They double, and each is drawn from half to one and a half of
-/// that. Guards discovery, which may be one small service for a hundred balancers, against being kept down by those that ask.
-const BACKOFF: (Duration, Duration) = (Duration::from_millis(50), Duration::from_millis(500));
-/// The longest where the agent is on this machine: with a half more it stays under what the rule on drains leaves.
-const BACKOFF_PUSHED: Duration = Duration::from_millis(100);
-/// From one call to the next where a service that is asked answers and turns us away: it is up, and has too much to do. The
-/// first is so much for each balancer that may be asking, and [`REJECTED_LEAST`] at least; it doubles up to
-/// [`REJECTED_MOST`]. Each is drawn from half to one and a half of that.
-const REJECTED_EACH: Duration = Duration::from_millis(25);
-/// The shortest of the first. Behind a call that was turned away only after it had waited in turn it may be half of that.
-const REJECTED_LEAST: Duration = Duration::from_millis(200);
-/// The longest: with a half more, and a call that waits in turn, it stays under the 6 s; and under the 4 s of a move.
-pub const REJECTED_MOST: Duration = Duration::from_millis(1_600);
-
-/// How changes reach the agent, as the settings say.
+/// Timeout of a request to such an agent, which answers at once or not at all.
+const PUSH_RESPONSE_TIMEOUT: Duration = Duration::from_millis(1_200);
+/// Timeout of a request that may be queued: the service answers or rejects it after about 2 s.
+const POLL_RESPONSE_TIMEOUT: Duration = Duration::from_millis(2_200);
+/// Timeout of its connection, which is established before the request is queued. A lost connection attempt is detected earlier,
+/// at no cost to the service.
+const POLL_CONNECT_TIMEOUT: Duration = Duration::from_millis(1_200);
+/// Requests in flight where they are free: one every [`AGAIN`] for as long as one may take. Bounds file descriptors.
+pub const MAX_REQUESTS_IN_FLIGHT: usize = 8;
+/// Open watches: the one that sent the last line, and one that was requested since and has sent no line.
+pub const MAX_WATCHES: usize = 2;
+/// Lines that are read from a watch before it is closed in favor of another. Bounds the delay that an agent which sends lines
+/// without end can cause.
+pub const MAX_DRAINED_LINES: usize = 64;
+/// How long after its first list a new agent may lag behind the previous one: every change reaches it within 6 s. An agent whose
+/// revisions are still lower after that counts its own.
+pub const MAX_REVISION_LAG: Duration = Duration::from_secs(6);
+/// Endpoints whose drain or removal is remembered. Bounds memory when endpoints are replaced by new ones all day.
+pub const MAX_REMEMBERED_ENDPOINTS: usize = 4_096;
+/// Connections that are open at a time: to the agent, and after a move to the previous agent. The configuration reserves their
+/// descriptors, so that clients and endpoints cannot use them.
+pub const MOST_CONNECTIONS: usize = 2 * (MAX_REQUESTS_IN_FLIGHT + MAX_WATCHES);
+/// How long after a move a broken watch of the previous agent is requested again. After that the new agent's list applies.
+pub const PREVIOUS_AGENT_RETRY_PERIOD: Duration = Duration::from_secs(4);
+/// The first pause after a failed request. Pauses double up to a maximum, and each is drawn from 0.5 to 1.5 times its value.
+/// Guards discovery, which may be one small service for a hundred balancers, against being kept down by retries.
+const BACKOFF_MIN: Duration = Duration::from_millis(50);
+/// The longest such pause where requests cost the service, before jitter.
+const POLL_BACKOFF_MAX: Duration = Duration::from_millis(500);
+/// The longest such pause where the agent is on this machine. With jitter it stays below what the rules on draining allow.
+const PUSH_BACKOFF_MAX: Duration = Duration::from_millis(100);
+/// The first interval between requests after a rejection, for each balancer that may be sending requests: the service is up,
+/// and overloaded. The interval doubles up to [`REJECTED_BACKOFF_MAX`], and each is drawn from 0.5 to 1.5 times its value.
+const REJECTED_BACKOFF_PER_BALANCER: Duration = Duration::from_millis(25);
+/// The shortest first interval. After a request that was rejected only after it had been queued, the pause may be half of that.
+const REJECTED_BACKOFF_MIN: Duration = Duration::from_millis(200);
+/// The longest interval before jitter. With jitter and a queued request it stays below 6 s, and below the 4 s after a move.
+pub const REJECTED_BACKOFF_MAX: Duration = Duration::from_millis(1_600);
+
+/// How changes reach the agent, as configured.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Way {
-    /// They are pushed to it: it has them, and answers at once and at no cost.
+    /// They are pushed to the agent, which answers at once and at no cost.
     Pushed,
-    /// They are asked for: each call costs a service that all balancers share, and may wait in turn there.
+    /// They are polled: each request costs a service that all balancers share, and may be queued there.
     Asked,
 }
 
-/// How a call, or a watch, has failed.
+/// How a request or a watch failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Failure {
-    /// No whole answer came.
-    NoAnswer,
-    /// Discovery is up, and turned it away.
+    /// No complete response arrived.
+    NoResponse,
+    /// Discovery is up, and rejected the request.
     Rejected,
-    /// An answer came that is no list. It may come again, and costs its reading each time.
-    Unusable,
+    /// The response is not a valid list. The same response may follow, and is expensive to read each time.
+    InvalidList,
 }
 
-/// The times that hold for one way, and the pauses between calls that failed.
+/// Timeouts of one way of delivery, and the backoff after failed requests.
 #[derive(Debug)]
-pub struct Pace {
+pub struct RetrySchedule {
     way: Way,
     balancers: u32,
     backoff: Duration,
-    rejected: Duration,
+    rejected_backoff: Duration,
 }
 
-impl Pace {
-    /// As at a start, for one of so many balancers.
+impl RetrySchedule {
+    /// The schedule at a start, for one of `balancers` balancers.
     #[must_use]
     pub fn new(way: Way, balancers: u32) -> Self {
-        let rejected = REJECTED_EACH.saturating_mul(balancers).clamp(REJECTED_LEAST, REJECTED_MOST);
-        Self { way, balancers, backoff: BACKOFF.0, rejected }
+        let rejected_backoff = REJECTED_BACKOFF_PER_BALANCER
+            .saturating_mul(balancers)
+            .clamp(REJECTED_BACKOFF_MIN, REJECTED_BACKOFF_MAX);
+        Self { way, balancers, backoff: BACKOFF_MIN, rejected_backoff }
     }
 
-    /// How long a watch may say nothing before a second one is asked for; `jitter` is drawn evenly from 0 to 1.
+    /// How long a watch may be silent before another is requested; `jitter` is drawn uniformly from 0 to 1.
     #[must_use]
-    pub fn silence(&self, jitter: f64) -> Duration {
+    pub fn silence_timeout(&self, jitter: f64) -> Duration {
         match self.way {
-            Way::Pushed => SILENCE_PUSHED,
-            Way::Asked => SILENCE_ASKED.0 + (SILENCE_ASKED.1 - SILENCE_ASKED.0).mul_f64(jitter),
+            Way::Pushed => PUSH_SILENCE_TIMEOUT,
+            Way::Asked => {
+                let spread = POLL_SILENCE_TIMEOUT_MAX - POLL_SILENCE_TIMEOUT_MIN;
+                POLL_SILENCE_TIMEOUT_MIN + spread.mul_f64(jitter)
+            }
         }
     }
 
-    /// How long the connection of a call may take to come up.
+    /// How long a watch that was requested beside a silent one may be silent after its head. Where requests are free, the agent
+    /// has answered, and the watch is one like any other. Where they cost, the retry interval continues: `None`.
+    #[must_use]
+    pub fn second_watch_silence_timeout(&self) -> Option<Duration> {
+        (self.way == Way::Pushed).then_some(PUSH_SILENCE_TIMEOUT)
+    }
+
+    /// Timeout of a connection.
     #[must_use]
-    pub fn dial(&self) -> Duration {
+    pub fn connect_timeout(&self) -> Duration {
         match self.way {
-            Way::Pushed => ANSWER_PUSHED,
-            Way::Asked => DIAL_ASKED,
+            Way::Pushed => PUSH_RESPONSE_TIMEOUT,
+            Way::Asked => POLL_CONNECT_TIMEOUT,
         }
     }
 
-    /// How long a call is waited for, its dial included.
+    /// Timeout of a request, its connection included.
     #[must_use]
-    pub fn answer(&self) -> Duration {
+    pub fn response_timeout(&self) -> Duration {
         match self.way {
-            Way::Pushed => ANSWER_PUSHED,
-            Way::Asked => ANSWER_ASKED,
+            Way::Pushed => PUSH_RESPONSE_TIMEOUT,
+            Way::Asked => POLL_RESPONSE_TIMEOUT,
         }
     }
 
-    /// When the next call is due behind one that has brought no line, be it unanswered or answered with a head alone.
+    /// The interval from a request that has brought no line to the next, be it unanswered or answered with a head alone.
     #[must_use]
-    pub fn again(&self) -> Duration {
+    pub fn retry_interval(&self) -> Duration {
         match self.way {
             Way::Pushed => AGAIN,
-            Way::Asked => ANSWER_ASKED,
+            Way::Asked => POLL_RESPONSE_TIMEOUT,
         }
     }
 
-    /// How many calls may be out at a time; one where they cost.
+    /// How many requests may be in flight; one where they cost.
     #[must_use]
-    pub fn most_calls(&self) -> usize {
+    pub fn max_requests_in_flight(&self) -> usize {
         match self.way {
-            Way::Pushed => MOST_CALLS,
+            Way::Pushed => MAX_REQUESTS_IN_FLIGHT,
             Way::Asked => 1,
         }
     }
 
-    /// How long a watch that was asked for beside a silent one may say nothing behind its head. Where calls cost, it has what
-    /// is left of [`Pace::again`]: none. Where they are free, the agent has answered: it is a watch like any other.
-    #[must_use]
-    pub fn unspoken(&self) -> Option<Duration> {
-        (self.way == Way::Pushed).then_some(SILENCE_PUSHED)
-    }
-
-    /// A line or a list has come: what failed before is over.
-    pub fn sound(&mut self) {
+    /// Forgets earlier failures: a complete line or list has arrived.
+    pub fn reset(&mut self) {
         *self = Self::new(self.way, self.balancers);
     }
 
-    /// The pause after a call that failed in this way; it was made so long ago. `jitter` is drawn evenly from 0 to 1.
-    pub fn backoff(&mut self, failure: Failure, made: Duration, jitter: f64) -> Duration {
-        let drawn = |span: Duration| span.mul_f64(jitter + 0.5);
-        let at_length = failure == Failure::Rejected && self.way == Way::Asked;
-        if at_length || failure == Failure::Unusable {
-            // Those that waited together are turned away together: their waits have spread nothing.
-            let waited = self.rejected.mul_f64(jitter).max(REJECTED_LEAST / 2);
-            let pause = drawn(self.rejected).saturating_sub(made).max(waited);
-            self.rejected = (self.rejected * 2).min(REJECTED_MOST);
-            return pause;
+    /// The pause after a failed request that was sent `since_request` ago; `jitter` is drawn uniformly from 0 to 1.
+    pub fn next_backoff(&mut self, failure: Failure, since_request: Duration, jitter: f64) -> Duration {
+        match (failure, self.way) {
+            (Failure::InvalidList, _) | (Failure::Rejected, Way::Asked) => {
+                self.next_rejected_backoff(since_request, jitter)
+            }
+            (Failure::NoResponse, _) | (Failure::Rejected, Way::Pushed) => self.next_failed_backoff(jitter),
         }
-        let most = if self.way == Way::Pushed { BACKOFF_PUSHED } else { BACKOFF.1 };
-        let pause = drawn(self.backoff);
-        self.backoff = (self.backoff * 2).min(most);
+    }
+
+    fn next_failed_backoff(&mut self, jitter: f64) -> Duration {
+        let longest = match self.way {
+            Way::Pushed => PUSH_BACKOFF_MAX,
+            Way::Asked => POLL_BACKOFF_MAX,
+        };
+        let pause = self.backoff.mul_f64(jitter + 0.5);
+        self.backoff = (self.backoff * 2).min(longest);
         pause
     }
+
+    fn next_rejected_backoff(&mut self, since_request: Duration, jitter: f64) -> Duration {
+        let interval = self.rejected_backoff.mul_f64(jitter + 0.5);
+        // Requests that were queued together are rejected together: time in the queue has not spread them.
+        let shortest = self.rejected_backoff.mul_f64(jitter).max(REJECTED_BACKOFF_MIN / 2);
+        self.rejected_backoff = (self.rejected_backoff * 2).min(REJECTED_BACKOFF_MAX);
+        interval.saturating_sub(since_request).max(shortest)
+    }
 }
--- /dev/null
+++ b/crates/discovery/tests/retry_schedule.rs
@@ -0,0 +1,94 @@
+//! The backoff between requests by itself: how soon, how often, and how far apart.
+
+use discovery::Way;
+use discovery::pace::{AGAIN, Failure, REJECTED_BACKOFF_MAX, RetrySchedule};
+use rstest::rstest;
+use std::time::Duration;
+
+/// A change must be applied by then, and a request that discovery answers may take [`RESPONSE_TIME`].
+const DEADLINE: Duration = Duration::from_secs(6);
+const RESPONSE_TIME: Duration = Duration::from_secs(1);
+/// How long a request may be queued.
+const QUEUEING_TIME: Duration = Duration::from_secs(2);
+
+/// When each balancer sends requests while all of them are rejected, each after this wait.
+fn requests(balancers: u32, wait: Duration) -> Vec<Vec<Duration>> {
+    let mut rng = fastrand::Rng::with_seed(1);
+    let one = |_| {
+        let (mut schedule, mut at, mut requests) =
+            (RetrySchedule::new(Way::Asked, balancers), Duration::ZERO, Vec::new());
+        while at < Duration::from_secs(60) {
+            requests.push(at);
+            at += wait + schedule.next_backoff(Failure::Rejected, wait, rng.f64());
+        }
+        requests
+    };
+    (0..balancers).map(one).collect()
+}
+
+/// Guards against a regression: pauses once grew with the number of balancers, to 45 s for 300, so that changes were received
+/// too late. Each balancer retries within 6 s, and no two seconds see more than their share of the requests.
+#[rstest]
+#[case::ten_at_once(10, Duration::ZERO)]
+#[case::ten_in_turn(10, QUEUEING_TIME)]
+#[case::hundreds_at_once(300, Duration::ZERO)]
+#[case::hundreds_in_turn(300, QUEUEING_TIME)]
+fn rejected_balancers_retry_in_time_and_spread_out(#[case] balancers: u32, #[case] wait: Duration) {
+    let requests = requests(balancers, wait);
+    for one in &requests {
+        let apart = one.windows(2).map(|pair| pair[1] - pair[0]);
+        // Discovery may be back just after a request was sent, and may queue the next one as well.
+        assert!(
+            apart.clone().max().unwrap() + QUEUEING_TIME.max(RESPONSE_TIME) < DEADLINE,
+            "{:?}",
+            apart.max()
+        );
+        // One in 1.6 s in the long run, which no pause that fits into 6 s can reduce much, and a few quick ones at first.
+        assert!(one.len() <= 60 * 10 / 16 + 8, "{} requests in a minute", one.len());
+    }
+    // All began at once: from the second request on they are spread out.
+    let mut all: Vec<_> =
+        requests.iter().flat_map(|one| one.iter().skip(if balancers < 100 { 4 } else { 1 })).collect();
+    all.sort();
+    let most = all.iter().map(|from| all.iter().filter(|at| **at >= *from && ***at < **from + AGAIN).count());
+    let even = f64::from(balancers) * AGAIN.as_secs_f64() / wait.max(REJECTED_BACKOFF_MAX / 2).as_secs_f64();
+    assert!((most.max().unwrap() as f64) < 2.5 * even + 5.0, "{balancers} balancers, {even} a tenth evenly");
+}
+
+/// All times where requests cost: a watch fell silent as the change arrived, the first request is lost, the next is answered.
+#[test]
+fn silence_and_lost_request_fit_six_seconds() {
+    let mut schedule = RetrySchedule::new(Way::Asked, 300);
+    let lost = schedule.response_timeout()
+        + schedule.next_backoff(Failure::NoResponse, schedule.response_timeout(), 1.0);
+    assert!(schedule.silence_timeout(1.0) + lost + RESPONSE_TIME < DEADLINE);
+    // A response head alone costs no more time than a lost request.
+    assert!(schedule.retry_interval() <= lost && schedule.second_watch_silence_timeout().is_none());
+    // A lost connection attempt is detected before a queued request times out.
+    assert!(schedule.connect_timeout() < schedule.response_timeout());
+}
+
+#[rstest]
+#[case::asked(Way::Asked, Duration::from_millis(750))]
+#[case::pushed(Way::Pushed, AGAIN)]
+fn failed_request_is_retried_soon_and_success_resets_backoff(#[case] way: Way, #[case] most: Duration) {
+    let mut schedule = RetrySchedule::new(way, 100);
+    let first = schedule.next_backoff(Failure::NoResponse, Duration::ZERO, 0.5);
+    assert!((0..50).all(|_| schedule.next_backoff(Failure::NoResponse, Duration::ZERO, 1.0) <= most));
+    schedule.reset();
+    assert_eq!(schedule.next_backoff(Failure::NoResponse, Duration::ZERO, 0.5), first);
+    // An agent on this machine is not overloaded by retries: a rejection backs off as any other failure does.
+    let rejected: Vec<_> =
+        (0..50).map(|_| schedule.next_backoff(Failure::Rejected, Duration::ZERO, 1.0)).collect();
+    let longest = if way == Way::Pushed { AGAIN } else { REJECTED_BACKOFF_MAX.mul_f64(1.5) };
+    assert!(rejected.iter().all(|pause| *pause <= longest) && rejected[0] > first);
+}
+
+#[rstest]
+fn invalid_list_is_retried_with_growing_backoff(#[values(Way::Pushed, Way::Asked)] way: Way) {
+    let mut schedule = RetrySchedule::new(way, 1);
+    let pauses: Vec<_> = (0..6)
+        .map(|_| schedule.next_backoff(Failure::InvalidList, Duration::ZERO, 0.5).as_millis())
+        .collect();
+    assert_eq!(pauses, [200, 400, 800, 1_600, 1_600, 1_600]);
+}
--- a/crates/spindlebeam/tests/serve.rs
+++ b/crates/spindlebeam/tests/serve.rs
@@ -206,7 +206,7 @@
     assert_eq!(paths(2), ["/v1/endpoints", "/v1/endpoints?watch=1&from=1"]);
     push(&mut p.watch, &list(5, false, &[]).to_string());
     push(&mut p.watch, "{\"revision\": tomorrow}");
-    p.balancer.logged("the list stays as it is");
+    p.balancer.logged("keeping the last endpoint list");
     assert_eq!(paths(1), ["/v1/endpoints?watch=1&from=5"]);
     let mut client = p.balancer.client();
     client.get("leer", "1");
@@ -256,7 +256,7 @@
     let silent = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     p.balancer.reload(&config(silent.local_addr().unwrap(), 1024, Value::Null).to_string());
     drop(silent.accept().unwrap()); // it is asked, and ends that without a word
-    p.balancer.logged("the list stays as it is");
+    p.balancer.logged("keeping the last endpoint list");
     let _asked_again = silent.accept().unwrap();
     let mut client = p.balancer.client();
     client.get("leer", "1");
