--- a/crates/membership/src/counters.rs
+++ b/crates/membership/src/counters.rs
@@ -1,70 +1,71 @@
-//! What a member did and heard, in numbers that only grow.
+//! Counters of a member's datagrams and suspicions.
 
-/// Why a datagram was dropped unread, or a part of one passed over.
+/// Why a datagram was dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DatagramError {
-    /// Longer than a datagram may be.
+    /// Longer than [`MAX_DATAGRAM`](crate::MAX_DATAGRAM).
     TooLong,
-    /// Not a datagram of this family.
+    /// Malformed.
     Garbled,
-    /// From, or about, a number that is not on the roster.
-    Unknown,
-    /// From a life that a later one of the same number has replaced.
-    OldLife,
-    /// For another member, or for another life of ours.
+    /// The sender, or a member that the header names, is not on the roster.
+    UnknownMember,
+    /// From an incarnation that a later one has replaced.
+    StaleIncarnation,
+    /// For another member, or for another incarnation of this member.
     NotForUs,
-    /// It bears our own number as its sender's.
-    OurOwn,
+    /// The sender has this member's own number.
+    OwnNumber,
 }
 
-/// What a member did and heard since it was made.
+/// Counters since the member was created.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
     /// Datagrams sent.
     pub sent: u64,
-    /// Bytes in them.
+    /// Bytes sent.
     pub sent_bytes: u64,
-    /// Datagrams heard, dropped ones among them.
-    pub heard: u64,
-    /// Bytes in them.
-    pub heard_bytes: u64,
-    /// Dropped: longer than a datagram may be.
+    /// Datagrams received, including dropped ones.
+    pub received: u64,
+    /// Bytes received.
+    pub received_bytes: u64,
+    /// Datagrams dropped as [`DatagramError::TooLong`].
     pub too_long: u64,
-    /// Dropped: not a datagram of this family.
+    /// Datagrams dropped as [`DatagramError::Garbled`].
     pub garbled: u64,
-    /// Dropped: from a number that is not on the roster.
-    pub unknown: u64,
-    /// Passed over within datagrams: what was said of numbers that are not on the roster.
-    pub unknown_told: u64,
-    /// Dropped: from a life that a later one has replaced.
+    /// Datagrams dropped as [`DatagramError::UnknownMember`].
+    pub unknown_member: u64,
+    /// Updates about numbers that are not on the roster, ignored within datagrams.
+    pub unknown_updates: u64,
+    /// Datagrams dropped as [`DatagramError::StaleIncarnation`].
     pub stale_incarnation: u64,
-    /// Dropped: for another member, or for another life of ours.
+    /// Datagrams dropped as [`DatagramError::NotForUs`].
     pub not_for_us: u64,
-    /// Dropped: with our own number as its sender's.
-    pub our_own: u64,
-    /// Members that did not answer this one's probe and were accused by it.
+    /// Datagrams dropped as [`DatagramError::OwnNumber`].
+    pub own_number: u64,
+    /// Suspicions that this member raised.
     pub suspicions: u64,
-    /// Times this one found itself suspected and said that it lives.
+    /// Suspicions of this member that it refuted.
     pub refutations: u64,
-    /// Times this one found itself declared down and came back under a new life.
+    /// Times this member was declared down and came back under a new incarnation.
     pub renewals: u64,
-    /// Timers that came so late that this one holds itself for slow.
+    /// Probe timers that fired so late that this member counts as slow.
     pub late_timers: u64,
-    /// Stalls, told by the owner or seen from a timer.
+    /// Stalls of the process, reported by the owner or detected by a timer.
     pub stalls: u64,
-    /// Datagrams not sent since the owner left too many waiting.
+    /// Datagrams not sent, since too many actions waited for the owner.
     pub unsent: u64,
 }
 
 impl Counters {
-    pub(crate) fn bad(&mut self, why: DatagramError) {
-        *match why {
+    pub(crate) fn record_dropped(&mut self, error: DatagramError) {
+        let counter = match error {
             DatagramError::TooLong => &mut self.too_long,
             DatagramError::Garbled => &mut self.garbled,
-            DatagramError::Unknown => &mut self.unknown,
-            DatagramError::OldLife => &mut self.stale_incarnation,
+            DatagramError::UnknownMember => &mut self.unknown_member,
+            DatagramError::StaleIncarnation => &mut self.stale_incarnation,
             DatagramError::NotForUs => &mut self.not_for_us,
-            DatagramError::OurOwn => &mut self.our_own,
-        } += 1;
+            DatagramError::OwnNumber => &mut self.own_number,
+        };
+        *counter += 1;
     }
 }
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -1,343 +1,262 @@
-//! One member's part: datagrams, timers and orders in; datagrams, timers, and who came and went out.
+//! One member of the fleet: datagrams, timers and calls in; datagrams, timers and changes of the member list out.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
-use std::time::Duration;
 
 use bytes::Bytes;
 use foca::{
-    AccumulatingRuntime, Foca, Header, Incarnation, Message, NoCustomBroadcast, OwnedNotification,
-    PostcardCodec, State,
+    AccumulatingRuntime, Foca, Header, Incarnation, Message, NoCustomBroadcast, PostcardCodec, State,
 };
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
 use crate::Micros;
-use crate::accusations::Accusations;
-use crate::counters::{Counters, DatagramError};
-use crate::edge::{Action, DownReason, Timer, What};
+use crate::action::{Action, DownReason, Timer, TimerKind};
+use crate::counters::Counters;
 use crate::health::Health;
+use crate::identity::{LEAVING, MemberId};
 use crate::roster::{Member, Roster};
 use crate::settings::Settings;
-use crate::wire::{self, Heard, Id};
+use crate::suspicions::Suspicions;
+use crate::wire;
 
+mod foca_output;
 mod probing;
-mod seeking;
-mod settle;
+mod receive;
+mod rejoin;
 
-/// Actions that wait for the owner at most; datagrams beyond are dropped, as a full socket would. An input yields some tens.
-const MOST_WAITING: usize = 8_192;
+/// Upper bound on the actions that wait for the owner. Datagrams beyond it are dropped, as by a full socket. An input yields
+/// some tens of actions.
+const MAX_PENDING_ACTIONS: usize = 8_192;
 
-/// Times a member goes beyond a ghost of its number: two processes that bear one number must not outbid one another for good.
-const MOST_OVERTAKES: u32 = 3;
-
-/// How many hear from one that leaves: it says so once, and some of it may be lost.
-const TOLD_OF_LEAVING: usize = 8;
-
-/// Marks the news of a member that left by itself; no other member comes to this incarnation alive.
-const LEAVING: Incarnation = Incarnation::MAX;
+/// Members that are notified of a leave. It is sent once, and some of the datagrams may be lost.
+const LEAVE_FANOUT: usize = 8;
 
 /// One member of the fleet.
 pub struct Membership {
-    me: Member,
+    local: Member,
     roster: Roster,
     settings: Settings,
-    foca: Foca<Id, PostcardCodec, SmallRng, NoCustomBroadcast>,
-    out: AccumulatingRuntime<Id>,
+    foca: Foca<MemberId, PostcardCodec, SmallRng, NoCustomBroadcast>,
+    foca_output: AccumulatingRuntime<MemberId>,
     random: fastrand::Rng,
     actions: VecDeque<Action>,
-    /// Who is in, this one included.
-    view: BTreeMap<u16, Member>,
-    /// The highest life heard of, of each number of the roster.
+    /// The members that are up, this one included.
+    up: BTreeMap<u16, Member>,
+    /// The highest known incarnation of each other number.
     incarnations: BTreeMap<u16, u64>,
-    accusations: Accusations,
+    suspicions: Suspicions,
     health: Health,
-    counts: Counters,
+    counters: Counters,
     swim_incarnation: Incarnation,
-    /// Somebody who is in knows this life.
+    /// Whether a member that is up knows this incarnation.
     connected: bool,
-    /// It left, or was replaced: nothing is heard or sent any more.
+    /// Whether it left or was replaced, after which it ignores all inputs.
     silent: bool,
-    first_heard: Option<Micros>,
+    first_received_at: Option<Micros>,
     overtakes: u32,
-    hurry_until: Micros,
-    round: u64,
-    /// The probe that is under way: the datagram to send again, and the timer that asks others.
-    ping: Option<(Id, Bytes)>,
-    asking: Option<foca::Timer<Id>>,
+    fast_rejoin_until: Micros,
+    rejoin_round: u64,
+    /// The ping of the current probe, to be sent again.
+    last_ping: Option<(MemberId, Bytes)>,
+    /// The timer that starts the indirect probes of the current probe.
+    indirect_probe: Option<foca::Timer<MemberId>>,
 }
 
 impl Membership {
-    /// A member that knows of nobody yet. `local_member` is to be on the roster; the same seed and inputs yield the same actions.
-    pub fn new(me: Member, roster: Roster, settings: Settings, seed: u64) -> Self {
-        let id = Id { number: me.number, incarnation: me.incarnation };
+    /// Creates a member that knows no other yet. `local` must be on the roster. The same seed and inputs yield the same
+    /// actions.
+    pub fn new(local: Member, roster: Roster, settings: Settings, seed: u64) -> Self {
+        let id = MemberId { number: local.number, incarnation: local.incarnation };
         let random = SmallRng::seed_from_u64(seed);
         Self {
-            me,
-            foca: Foca::new(id, settings.for_foca(), random, PostcardCodec),
+            local,
+            foca: Foca::new(id, settings.to_foca(), random, PostcardCodec),
             roster,
             settings,
-            out: AccumulatingRuntime::new(),
+            foca_output: AccumulatingRuntime::new(),
             random: fastrand::Rng::with_seed(seed),
             actions: VecDeque::new(),
-            view: BTreeMap::from([(me.number, me)]),
+            up: BTreeMap::from([(local.number, local)]),
             incarnations: BTreeMap::new(),
-            accusations: Accusations::default(),
+            suspicions: Suspicions::default(),
             health: Health::default(),
-            counts: Counters::default(),
+            counters: Counters::default(),
             swim_incarnation: 0,
             connected: false,
             silent: false,
-            first_heard: None,
+            first_received_at: None,
             overtakes: 0,
-            hurry_until: 0,
-            round: 0,
-            ping: None,
-            asking: None,
+            fast_rejoin_until: 0,
+            rejoin_round: 0,
+            last_ping: None,
+            indirect_probe: None,
         }
     }
 
-    /// This member, under the life that it has now.
+    /// This member, in its current incarnation.
     pub fn local_member(&self) -> &Member {
-        &self.me
+        &self.local
     }
 
-    /// Who is in, this one included, by number.
+    /// The members that are up, this one included, by number.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
-        self.view.values()
+        self.up.values()
     }
 
-    /// How many are in, this one included.
+    /// The number of members that are up, this one included.
     pub fn len(&self) -> usize {
-        self.view.len()
+        self.up.len()
     }
 
-    /// Never: this one is always in its own view.
+    /// Always false, since this member counts as up.
     pub fn is_empty(&self) -> bool {
-        self.view.is_empty()
+        self.up.is_empty()
     }
 
-    /// What it did and heard.
+    /// The counters of this member.
     pub fn counters(&self) -> Counters {
-        self.counts
+        self.counters
     }
 
-    /// The next thing to do; none once all is done that follows from the inputs.
+    /// The next action; `None` once everything that follows from the inputs is done.
     pub fn poll(&mut self) -> Option<Action> {
         self.actions.pop_front()
     }
 
-    /// Comes in through whoever of the roster is at these addresses, and asks for all others from now on.
-    pub fn join(&mut self, now: Micros, at: &[SocketAddr]) {
+    /// Joins through the members of the roster at these addresses, and starts rejoin rounds for all others.
+    pub fn join(&mut self, now: Micros, addresses: &[SocketAddr]) {
         if self.silent {
             return;
         }
-        let asked: Vec<u16> = at.iter().filter_map(|&address| self.roster.at(address)).collect();
-        for number in asked {
+        let numbers = addresses.iter().filter_map(|&address| self.roster.number_at(address));
+        let numbers: Vec<u16> = numbers.collect();
+        for number in numbers {
             self.announce(number);
         }
-        self.seek_anew(now);
-        self.settle(now, DownReason::Gossip);
+        self.start_fast_rejoin(now);
+        self.process_foca_output(now, DownReason::Gossip);
     }
 
-    /// Says to some that it leaves, and falls silent.
+    /// Notifies some members that this one leaves, and ignores all further inputs.
     pub fn leave(&mut self, now: Micros) {
         if self.silent {
             return;
         }
-        let gone = foca::Member::new(*self.foca.identity(), LEAVING, State::Down);
-        for number in self.some_of(TOLD_OF_LEAVING, |it, number| it.view.contains_key(&number)) {
-            let to = Id { number, incarnation: self.view[&number].incarnation };
-            self.tell(to, gone.clone());
+        let left = foca::Member::new(*self.foca.identity(), LEAVING, State::Down);
+        for number in self.sample_members(LEAVE_FANOUT, |it, number| it.up.contains_key(&number)) {
+            let to = MemberId { number, incarnation: self.up[&number].incarnation };
+            self.send_update(to, left.clone());
         }
-        self.settle(now, DownReason::Gossip);
+        self.process_foca_output(now, DownReason::Gossip);
         self.silent = true;
     }
 
-    /// The owner saw that the process stood still for `gap`: answers may lie unread, and timers are overdue because of it.
+    /// Handles a stall of the process for `gap`, after which answers may be queued unread and timers are overdue.
     pub fn handle_stall(&mut self, now: Micros, gap: Micros) {
-        if self.silent || gap < self.settings.probe_wait {
+        if self.silent || gap < self.settings.probe_timeout {
             return;
         }
-        self.counts.stalls += 1;
-        self.health.stalled(now.saturating_add(2 * self.settings.probe_period));
-        // Whoever was being probed gets another chance: its answer may have come and gone.
-        if let Some(asking) = self.asking.take() {
-            let _stale = self.foca.handle_timer(asking, &mut self.out);
-            self.ping_again();
+        self.counters.stalls += 1;
+        self.health.record_stall(now.saturating_add(2 * self.settings.probe_interval));
+        // The probed member gets another chance, since its answer may be lost.
+        if let Some(timer) = self.indirect_probe.take() {
+            // An error says that foca has ended that probe.
+            let _stale = self.foca.handle_timer(timer, &mut self.foca_output);
+            self.repeat_ping();
         }
-        // And it may have been declared down meanwhile: those asked say so.
-        if self.round > 0 {
-            for number in self.some_of(self.settings.seek, |it, number| it.view.contains_key(&number)) {
+        // This member may have been declared down meanwhile, which an announcement finds out.
+        if self.rejoin_round > 0 {
+            let fanout = self.settings.rejoin_fanout;
+            for number in self.sample_members(fanout, |it, number| it.up.contains_key(&number)) {
                 self.announce(number);
             }
-            self.seek_anew(now);
+            self.start_fast_rejoin(now);
         }
-        self.settle(now, DownReason::Gossip);
+        self.process_foca_output(now, DownReason::Gossip);
     }
 
-    /// A timer of this membership is due.
+    /// Handles a timer of [`Action::Timer`] that is due.
     pub fn handle_timer(&mut self, now: Micros, timer: Timer) {
         if self.silent {
             return;
         }
         let late = now.saturating_sub(timer.due);
-        if late > self.settings.probe_period && self.health.quiet(now).is_none() {
+        if late > self.settings.probe_interval && self.health.quiet_for(now).is_none() {
             self.handle_stall(now, late);
         }
-        let why = match timer.what {
-            What::Seek(round) => {
-                if round == self.round {
-                    self.seek(now);
+        let reason = match timer.kind {
+            TimerKind::Rejoin { round } => {
+                if round == self.rejoin_round {
+                    self.run_rejoin_round(now);
                 }
                 DownReason::Gossip
             }
-            What::Accused { id, swim_incarnation, reminders, verdict } => {
-                self.accused(now, id, swim_incarnation, reminders, verdict);
+            TimerKind::Suspicion(step) => {
+                self.advance_suspicion(now, step);
                 DownReason::Unresponsive
             }
-            What::Foca(timer) => {
-                self.foca_due(now, late, timer);
+            TimerKind::Foca(timer) => {
+                self.handle_foca_timer(now, late, timer);
                 DownReason::Gossip
             }
         };
-        self.settle(now, why);
+        self.process_foca_output(now, reason);
     }
 
-    /// A datagram came in.
+    /// Takes in a datagram.
     pub fn handle_datagram(&mut self, now: Micros, datagram: &[u8]) {
         if self.silent {
             return;
         }
-        self.counts.heard += 1;
-        self.counts.heard_bytes += datagram.len() as u64;
-        let mut heard = match wire::read(datagram).and_then(|heard| self.admit(heard)) {
-            Ok(heard) => heard,
-            Err(why) => {
-                self.counts.bad(why);
-                return self.settle(now, DownReason::Gossip);
-            }
-        };
-        self.first_heard.get_or_insert(now);
-        let (ours, said) = (*self.foca.identity(), heard.news.len());
-        let later = heard
-            .news
-            .iter()
-            .map(|it| *it.id())
-            .filter(|id| id.number == ours.number)
-            .map(|id| id.incarnation);
-        let later = later.max().filter(|&incarnation| incarnation > ours.incarnation);
-        self.counts.unknown_told +=
-            heard.news.iter().filter(|it| !self.roster.has(it.id().number)).count() as u64;
-        // What is told of other lives of ours is never held as a member: it is our own ghost, or our replacement.
-        let roster = &self.roster;
-        heard
-            .news
-            .retain(|it| roster.has(it.id().number) && (it.id().number != ours.number || *it.id() == ours));
-        for id in heard.news.iter().map(|it| *it.id()).chain([heard.header.src]) {
-            self.knows_life(id);
-        }
-        let whole = said == heard.news.len();
-        let kept = if whole { None } else { Some(wire::write(&heard.header, &heard.news)) };
-        let before = self.counts.refutations;
-        if self.foca.handle_data(kept.as_deref().unwrap_or(datagram), &mut self.out).is_err() {
-            self.counts.bad(DatagramError::Garbled);
-        }
-        let left = heard.news.iter().any(|it| it.state() == State::Down && it.incarnation() == LEAVING);
-        self.settle_news(now, if left { &heard.news } else { &[] }, DownReason::Gossip);
-        if self.counts.refutations > before {
-            // Whoever passed the suspicion on hears at once that it is wrong, before chance brings the news there.
-            self.announce(heard.header.src.number);
-        }
-        if let Some(incarnation) = later {
-            self.meet_later_life(now, incarnation);
-        }
-        self.settle(now, DownReason::Gossip);
-    }
-
-    /// Lets through what is for this life, from a member of the roster that no later life has replaced.
-    fn admit(&mut self, heard: Heard) -> Result<Heard, DatagramError> {
-        let (from, to, ours) = (heard.header.src, heard.header.dst, *self.foca.identity());
-        if from.number == ours.number {
-            return Err(DatagramError::OurOwn);
-        }
-        if !wire::rostered(&heard.header, &self.roster) {
-            return Err(DatagramError::Unknown);
-        }
-        let any_life = heard.header.message == Message::Announce;
-        if to.number != ours.number || (to != ours && !any_life) {
-            return Err(DatagramError::NotForUs);
-        }
-        match self.incarnations.get(&from.number) {
-            Some(&incarnation) if incarnation > from.incarnation => {
-                // A late datagram, or one who started without memory and a clock gone back: the latter learns what to exceed.
-                self.tell(from, foca::Member::alive(Id { number: from.number, incarnation }));
-                Err(DatagramError::OldLife)
-            }
-            _ => Ok(heard),
-        }
-    }
-
-    fn knows_life(&mut self, id: Id) {
-        if id.number != self.me.number {
-            let known = self.incarnations.entry(id.number).or_default();
-            *known = id.incarnation.max(*known);
-        }
-    }
-
-    /// A higher life of our number: soon after the start the ghost of an earlier process, later our replacement.
-    fn meet_later_life(&mut self, now: Micros, incarnation: u64) {
-        let young = self.first_heard.is_none_or(|at| now.saturating_sub(at) < self.settings.ghosts);
-        let beyond = incarnation.checked_add(1).filter(|_| young && self.overtakes < MOST_OVERTAKES);
-        match beyond {
-            Some(beyond) => {
-                self.overtakes += 1;
-                let id = Id { number: self.me.number, incarnation: beyond };
-                if self.foca.change_identity(id, &mut self.out).is_ok() {
-                    self.renewed(now);
-                }
-            }
-            None => self.replaced(incarnation),
+        self.counters.received += 1;
+        self.counters.received_bytes += datagram.len() as u64;
+        match wire::decode(datagram).and_then(|decoded| self.admit(decoded)) {
+            Ok(decoded) => self.receive(now, decoded, datagram),
+            Err(error) => self.counters.record_dropped(error),
         }
+        self.process_foca_output(now, DownReason::Gossip);
     }
 
-    fn replaced(&mut self, incarnation: u64) {
+    /// Falls silent for a later incarnation of this number.
+    fn handle_replacement(&mut self, incarnation: u64) {
         self.silent = true;
         self.actions.push_back(Action::Replaced(incarnation));
     }
 
-    fn renewed(&mut self, now: Micros) {
-        self.me.incarnation = self.foca.identity().incarnation;
+    /// Continues under the new incarnation that foca has adopted.
+    fn handle_renewal(&mut self, now: Micros) {
+        self.local.incarnation = self.foca.identity().incarnation;
         self.swim_incarnation = 0;
         self.connected = false;
-        self.counts.renewals += 1;
-        self.view.insert(self.me.number, self.me);
-        self.actions.push_back(Action::Renewed(self.me));
-        self.seek_anew(now);
+        self.counters.renewals += 1;
+        self.up.insert(self.local.number, self.local);
+        self.actions.push_back(Action::Renewed(self.local));
+        self.start_fast_rejoin(now);
     }
 
-    fn tell(&mut self, to: Id, news: foca::Member<Id>) {
+    fn send_update(&mut self, to: MemberId, update: foca::Member<MemberId>) {
         let header = self.header(to, Message::Gossip);
-        self.send(to, wire::write(&header, &[news]));
+        self.send(to, wire::encode(&header, &[update]));
     }
 
-    fn header(&self, dst: Id, message: Message<Id>) -> Header<Id> {
+    fn header(&self, dst: MemberId, message: Message<MemberId>) -> Header<MemberId> {
         Header { src: *self.foca.identity(), src_incarnation: self.swim_incarnation, dst, message }
     }
 
-    fn send(&mut self, to: Id, datagram: Bytes) {
+    fn send(&mut self, to: MemberId, datagram: Bytes) {
         let Some(to) = self.roster.member(to) else { return };
-        if self.actions.len() >= MOST_WAITING {
-            self.counts.unsent += 1;
+        if self.actions.len() >= MAX_PENDING_ACTIONS {
+            self.counters.unsent += 1;
             return;
         }
-        self.counts.sent += 1;
-        self.counts.sent_bytes += datagram.len() as u64;
+        self.counters.sent += 1;
+        self.counters.sent_bytes += datagram.len() as u64;
         self.actions.push_back(Action::Send { to: to.address, datagram });
     }
 
-    fn schedule(&mut self, now: Micros, after: Micros, what: What) {
-        let timer = Timer { due: now.saturating_add(after), what };
+    fn schedule(&mut self, now: Micros, after: Micros, kind: TimerKind) {
+        let timer = Timer { due: now.saturating_add(after), kind };
         self.actions.push_back(Action::Timer { after, timer });
     }
 }
--- a/crates/membership/src/membership/probing.rs
+++ b/crates/membership/src/membership/probing.rs
@@ -1,77 +1,88 @@
-//! Probes and accusations: second tries, what the accused is told, and when it is declared down.
+//! Probes and suspicions: repeated probes, reminders to the suspect, and when it is declared down.
 
 use foca::{Incarnation, State};
 
-use super::{Id, Membership, Micros, What};
+use super::Membership;
+use crate::Micros;
+use crate::action::{SuspicionStep, TimerKind};
+use crate::identity::MemberId;
 
 impl Membership {
-    pub(super) fn foca_due(&mut self, now: Micros, late: Micros, timer: foca::Timer<Id>) {
+    pub(super) fn handle_foca_timer(&mut self, now: Micros, late: Micros, timer: foca::Timer<MemberId>) {
         if matches!(timer, foca::Timer::ProbeRandomMember(_)) {
-            if let Some(left) = self.health.quiet(now) {
-                return self.schedule(now, left, What::Foca(timer));
+            if let Some(left) = self.health.quiet_for(now) {
+                return self.schedule(now, left, TimerKind::Foca(timer));
             }
-            if self.health.timer(late, self.settings.probe_wait / 2) {
-                self.counts.late_timers += 1;
+            if self.health.record_timer(late, self.settings.probe_timeout / 2) {
+                self.counters.late_timers += 1;
             }
         }
-        let asks_others = matches!(timer, foca::Timer::SendIndirectProbe { .. });
-        let sent = self.counts.sent + self.out.backlog() as u64;
-        // An error says that a probe was cut short: foca drops that probe and goes on with the next.
-        let _cut_short = self.foca.handle_timer(timer, &mut self.out);
-        if asks_others && self.counts.sent + self.out.backlog() as u64 > sent {
-            self.ping_again();
+        let is_indirect = matches!(timer, foca::Timer::SendIndirectProbe { .. });
+        let sent = self.counters.sent + self.foca_output.backlog() as u64;
+        // An error says that a probe was cut short: foca drops that probe and continues with the next.
+        let _cut_short = self.foca.handle_timer(timer, &mut self.foca_output);
+        if is_indirect && self.counters.sent + self.foca_output.backlog() as u64 > sent {
+            self.repeat_ping();
         }
     }
 
-    /// With loss, a second try tells more than four ways round through others.
-    pub(super) fn ping_again(&mut self) {
-        if let Some((to, datagram)) = self.ping.take() {
+    /// Sends the ping again. With packet loss, a second ping succeeds more often than four paths through other members.
+    pub(super) fn repeat_ping(&mut self) {
+        if let Some((to, datagram)) = self.last_ping.take() {
             self.send(to, datagram);
         }
     }
 
-    pub(super) fn accused(
-        &mut self, now: Micros, id: Id, swim_incarnation: Incarnation, reminders: u8,
-        verdict: Option<foca::Timer<Id>>,
-    ) {
-        if self.suspected(id) != Some(swim_incarnation) {
-            return self.accusations.closed(id.number);
+    /// Takes the next step of a suspicion that this member raised.
+    pub(super) fn advance_suspicion(&mut self, now: Micros, step: SuspicionStep) {
+        let SuspicionStep { id, swim_incarnation, reminders, verdict } = step;
+        if self.suspected_at(id) != Some(swim_incarnation) {
+            return self.suspicions.withdraw(id.number);
         }
-        let step = self.settings.suspicion / Micros::from(self.settings.reminders.max(1));
-        if let Some(left) = self.health.quiet(now) {
-            let what = What::Accused { id, swim_incarnation, reminders: reminders.max(1), verdict };
-            return self.schedule(now, left, what);
+        let interval = self.settings.suspicion_timeout / Micros::from(self.settings.reminders.max(1));
+        if let Some(left) = self.health.quiet_for(now) {
+            let step = SuspicionStep { id, swim_incarnation, reminders: reminders.max(1), verdict };
+            return self.schedule(now, left, TimerKind::Suspicion(step));
         }
         if reminders == 0 {
-            self.accusations.closed(id.number);
-            let gone = foca::Member::new(id, swim_incarnation, State::Down);
-            let _void = match verdict {
-                Some(verdict) => self.foca.handle_timer(verdict, &mut self.out),
-                None => self.foca.apply_many(std::iter::once(gone), true, &mut self.out),
-            };
-            return;
+            return self.declare_down(id, swim_incarnation, verdict);
         }
-        self.tell(id, foca::Member::new(id, swim_incarnation, State::Suspect));
-        self.schedule(now, step, What::Accused { id, swim_incarnation, reminders: reminders - 1, verdict });
+        self.send_update(id, foca::Member::new(id, swim_incarnation, State::Suspect));
+        let step = SuspicionStep { id, swim_incarnation, reminders: reminders - 1, verdict };
+        self.schedule(now, interval, TimerKind::Suspicion(step));
+    }
+
+    fn declare_down(
+        &mut self, id: MemberId, swim_incarnation: Incarnation, verdict: Option<foca::Timer<MemberId>>,
+    ) {
+        self.suspicions.withdraw(id.number);
+        let down = foca::Member::new(id, swim_incarnation, State::Down);
+        // An error says that the suspect was already declared down or replaced.
+        let _outdated = match verdict {
+            Some(verdict) => self.foca.handle_timer(verdict, &mut self.foca_output),
+            None => self.foca.apply_many(std::iter::once(down), true, &mut self.foca_output),
+        };
     }
 
-    /// The incarnation at which it is suspected, if it is.
-    pub(super) fn suspected(&self, id: Id) -> Option<Incarnation> {
-        let it = self.foca.iter_members().find(|it| *it.id() == id)?;
-        (it.state() == State::Suspect).then(|| it.incarnation())
+    /// The SWIM incarnation at which a member is suspected, if it is.
+    pub(super) fn suspected_at(&self, id: MemberId) -> Option<Incarnation> {
+        let member = self.foca.iter_members().find(|it| *it.id() == id)?;
+        (member.state() == State::Suspect).then(|| member.incarnation())
     }
 
-    /// Takes over the accusation of whoever stays suspected for longer than an accuser's time: the accuser may have crashed, or
-    /// the news of its verdict gone astray among many that crashed with it.
-    pub(super) fn take_over(&mut self, now: Micros) {
+    /// Takes over suspicions that last longer than the timeout: the member that raised one may have crashed, or the update
+    /// with its verdict was lost among many that crashed with it.
+    pub(super) fn take_over_suspicions(&mut self, now: Micros) {
         let suspects = self.foca.iter_members().filter(|it| it.state() == State::Suspect);
-        let suspects: Vec<(Id, Incarnation)> = suspects.map(|it| (*it.id(), it.incarnation())).collect();
+        let suspects: Vec<(MemberId, Incarnation)> =
+            suspects.map(|it| (*it.id(), it.incarnation())).collect();
+        let timeout = self.settings.suspicion_timeout;
         for (id, swim_incarnation) in suspects {
-            let running =
-                self.accusations.pass_over(now, id.number, swim_incarnation, self.settings.suspicion);
-            if !running && self.accusations.open(id.number, None) {
-                self.counts.suspicions += 1;
-                self.accused(now, id, swim_incarnation, self.settings.reminders.div_ceil(2), None);
+            let running = self.suspicions.skips_probe(now, id.number, swim_incarnation, timeout);
+            if !running && self.suspicions.raise(id.number, None) {
+                self.counters.suspicions += 1;
+                let reminders = self.settings.reminders.div_ceil(2);
+                self.advance_suspicion(now, SuspicionStep { id, swim_incarnation, reminders, verdict: None });
             }
         }
     }
--- a/crates/membership/src/roster.rs
+++ b/crates/membership/src/roster.rs
@@ -1,64 +1,76 @@
-//! Who may be a member: the numbers of the fleet file, where each is reached, and lives of them.
+//! The roster: which numbers may be members, and at which addresses.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use crate::wire::Id;
+use foca::{Header, Message};
 
-/// One life of a number of the roster.
+use crate::identity::MemberId;
+
+/// A member in one incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Member {
-    /// Its number on the roster.
+    /// The member's number on the roster.
     pub number: u16,
-    /// Which life of this number it is; a higher one replaces it.
+    /// The member's incarnation. A higher one replaces a lower one.
     pub incarnation: u64,
-    /// Where its datagrams go.
+    /// The address for datagrams.
     pub address: SocketAddr,
-    /// The zone it stands in.
+    /// The member's zone.
     pub zone: u16,
 }
 
-/// A place on the roster.
+/// A slot of the roster.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MemberSlot {
-    /// Where whoever has this number is reached.
+    /// The address of the process with this number.
     pub address: SocketAddr,
-    /// The zone it stands in.
+    /// The zone of that process.
     pub zone: u16,
 }
 
-/// All who may be members, by number.
+/// All possible members by number.
 #[derive(Clone, Debug, Default)]
 pub struct Roster {
-    seats: BTreeMap<u16, MemberSlot>,
+    slots: BTreeMap<u16, MemberSlot>,
 }
 
 impl Roster {
-    pub(crate) fn has(&self, number: u16) -> bool {
-        self.seats.contains_key(&number)
+    pub(crate) fn contains(&self, number: u16) -> bool {
+        self.slots.contains_key(&number)
+    }
+
+    /// Whether every member that a datagram's header names is on the roster.
+    pub(crate) fn contains_all(&self, header: &Header<MemberId>) -> bool {
+        let third = match &header.message {
+            Message::PingReq { target, .. } | Message::IndirectAck { target, .. } => Some(target),
+            Message::IndirectPing { origin, .. } | Message::ForwardedAck { origin, .. } => Some(origin),
+            _ => None,
+        };
+        self.contains(header.src.number) && third.is_none_or(|id| self.contains(id.number))
     }
 
-    pub(crate) fn member(&self, id: Id) -> Option<Member> {
-        let seat = self.seats.get(&id.number)?;
+    pub(crate) fn member(&self, id: MemberId) -> Option<Member> {
+        let slot = self.slots.get(&id.number)?;
         Some(Member {
             number: id.number,
             incarnation: id.incarnation,
-            address: seat.address,
-            zone: seat.zone,
+            address: slot.address,
+            zone: slot.zone,
         })
     }
 
-    pub(crate) fn at(&self, address: SocketAddr) -> Option<u16> {
-        self.seats.iter().find(|(_, seat)| seat.address == address).map(|(&number, _)| number)
+    pub(crate) fn number_at(&self, address: SocketAddr) -> Option<u16> {
+        self.slots.iter().find(|(_, slot)| slot.address == address).map(|(&number, _)| number)
     }
 
     pub(crate) fn numbers(&self) -> impl Iterator<Item = u16> {
-        self.seats.keys().copied()
+        self.slots.keys().copied()
     }
 }
 
 impl FromIterator<(u16, MemberSlot)> for Roster {
-    fn from_iter<I: IntoIterator<Item = (u16, MemberSlot)>>(seats: I) -> Self {
-        Self { seats: seats.into_iter().collect() }
+    fn from_iter<I: IntoIterator<Item = (u16, MemberSlot)>>(slots: I) -> Self {
+        Self { slots: slots.into_iter().collect() }
     }
 }
--- /dev/null
+++ b/crates/membership/tests/health.rs
@@ -0,0 +1,18 @@
+//! Local health stretches timeouts while a member's own timers fire late.
+
+use membership::health::{Health, MAX_SCORE};
+
+#[test]
+fn late_timers_stretch_times_up_to_a_bound_and_punctual_ones_bring_them_back() {
+    let mut health = Health::default();
+    assert!(!health.record_timer(49, 50));
+    assert_eq!(health.stretch(100), 100);
+    assert!(health.record_timer(50, 50));
+    assert_eq!(health.stretch(100), 200);
+    assert!(health.record_timer(1_000_000, 50));
+    assert_eq!(health.stretch(100), 500);
+    for _ in 0..MAX_SCORE {
+        health.record_timer(0, 50);
+    }
+    assert_eq!(health.stretch(100), 100);
+}
--- a/crates/membership/tests/noise.rs
+++ b/crates/membership/tests/noise.rs
@@ -25,7 +25,9 @@
     assert!(fleet.wrong().is_empty());
     let counts = fleet.counts();
     assert!(
-        counts.iter().all(|it| it.unknown > 0 && it.unknown_told > 0 && it.garbled + it.suspicions == 0),
+        counts
+            .iter()
+            .all(|it| it.unknown_member > 0 && it.unknown_updates > 0 && it.garbled + it.suspicions == 0),
         "{counts:?}"
     );
 }
@@ -44,7 +46,7 @@
     });
     let counts = fleet.member(0).counters();
     assert_eq!((counts.too_long, counts.garbled), (1, 1));
-    assert_eq!(counts.not_for_us + counts.our_own, 1);
+    assert_eq!(counts.not_for_us + counts.own_number, 1);
 }
 
 /// Real datagrams of a lively fleet, all to number 0.
