--- /dev/null
+++ b/crates/maintenance/src/overridden_list.rs
@@ -0,0 +1,118 @@
+//! The endpoint list with the operator overrides laid over it.
+
+use crate::{Millis, OperatorOverrides, OverrideCommand, OverrideError};
+use hashlink::LruCache;
+use proto::discovery::{EndpointList, EndpointRecord, Phase};
+use rustc_hash::{FxBuildHasher, FxHashMap};
+use std::fmt;
+
+/// Upper bound on the remembered ids of endpoints that were listed once, which may be disabled while they are not listed. It
+/// bounds memory on days on which endpoints are replaced all the time.
+const MAX_KNOWN_IDS: usize = 4_096;
+
+/// Discovery's last list, and the overrides that are laid over it.
+pub struct OverriddenList {
+    /// The flavor of the origin, which no override applies to.
+    origin_flavor: Option<String>,
+    listed: FxHashMap<String, EndpointRecord>,
+    known_ids: LruCache<String, (), FxBuildHasher>,
+    overrides: OperatorOverrides,
+}
+
+impl OverriddenList {
+    /// Creates an empty list with the overrides of the previous process.
+    #[must_use]
+    pub fn new(origin_flavor: Option<String>, overrides: OperatorOverrides) -> Self {
+        let known_ids = LruCache::with_hasher(MAX_KNOWN_IDS, FxBuildHasher);
+        Self { origin_flavor, listed: FxHashMap::default(), known_ids, overrides }
+    }
+
+    /// The overrides in force.
+    #[must_use]
+    pub fn overrides(&self) -> &OperatorOverrides {
+        &self.overrides
+    }
+
+    /// Takes in a list of discovery, and returns it with the overrides laid over.
+    #[must_use]
+    pub fn apply_list(&mut self, list: &EndpointList) -> EndpointList {
+        if list.complete {
+            self.listed.clear();
+        }
+        for member in &list.members {
+            if self.origin_flavor.as_ref() == Some(&member.flavor) {
+                continue;
+            }
+            self.known_ids.insert(member.id.clone(), ());
+            match member.phase {
+                Phase::Gone => self.listed.remove(&member.id),
+                Phase::Ready | Phase::Draining => self.listed.insert(member.id.clone(), member.clone()),
+            };
+            self.overrides.record_start(&member.id, member.up_since_ms);
+        }
+        let members = list.members.iter().map(|member| self.with_overrides(member)).collect();
+        EndpointList { members, ..*list }
+    }
+
+    /// Applies a command. Returns the endpoints whose entries have changed, for [`OverriddenList::current_entries`]. A command
+    /// that is in force already changes nothing.
+    ///
+    /// # Errors
+    /// When no cache endpoint has the id.
+    pub fn apply_command(
+        &mut self, now: Millis, command: &OverrideCommand,
+    ) -> Result<Vec<String>, OverrideError> {
+        if let OverrideCommand::Disable(id) | OverrideCommand::Enable(id) = command
+            && !self.known_ids.contains_key(id)
+            && !self.overrides.is_out(id)
+        {
+            return Err(OverrideError::Unknown(id.clone()));
+        }
+        let changed = self.overrides.apply(now, command);
+        for member in changed.iter().filter_map(|id| self.listed.get(id)) {
+            self.overrides.record_start(&member.id, member.up_since_ms);
+        }
+        Ok(changed.into_iter().collect())
+    }
+
+    /// Replaces the overrides in force. Returns the endpoints whose entries have changed.
+    pub fn replace_overrides(&mut self, overrides: OperatorOverrides) -> Vec<String> {
+        let old = std::mem::replace(&mut self.overrides, overrides);
+        old.differences(&self.overrides)
+    }
+
+    /// The endpoints whose entries have changed since these overrides were in force.
+    #[must_use]
+    pub(crate) fn changed_since(&self, overrides: &OperatorOverrides) -> Vec<String> {
+        overrides.differences(&self.overrides)
+    }
+
+    /// A list of changes with the current entries of these endpoints. Endpoints that are not listed are left out.
+    #[must_use]
+    pub fn current_entries(&self, hosts: &[String]) -> EndpointList {
+        let listed = hosts.iter().filter_map(|id| self.listed.get(id));
+        EndpointList {
+            revision: 0,
+            complete: false,
+            members: listed.map(|member| self.with_overrides(member)).collect(),
+        }
+    }
+
+    fn with_overrides(&self, member: &EndpointRecord) -> EndpointRecord {
+        let mut entry = member.clone();
+        if self.overrides.is_out(&member.id) && member.phase == Phase::Ready {
+            entry.phase = Phase::Draining;
+        }
+        if let Some(enabled_at) = self.overrides.enabled_at(&member.id) {
+            // Discovery reports starts seconds late. Until it does, the endpoint counts as started when it was enabled.
+            entry.up_since_ms = entry.up_since_ms.max(enabled_at);
+        }
+        entry
+    }
+}
+
+impl fmt::Debug for OverriddenList {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "{} hosts listed, {:?}", self.listed.len(), self.overrides)
+    }
+}
--- /dev/null
+++ b/crates/maintenance/src/overrides.rs
@@ -0,0 +1,168 @@
+//! The operator overrides in force, and their stored form.
+
+use crate::Millis;
+use serde::{Deserialize, Serialize};
+use std::collections::{BTreeMap, BTreeSet};
+use thiserror::Error;
+
+/// Version of the format of [`OperatorOverrides::to_text`]. Files of other versions are not read.
+const FORMAT_VERSION: u32 = 1;
+/// Upper bound on the enabled endpoints whose new start is not known. Beyond it, the one enabled first is taken as listed.
+const MAX_AWAITING_START: usize = 256;
+
+/// An operator's command.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub enum OverrideCommand {
+    /// Forward nothing more to this cache endpoint.
+    Disable(String),
+    /// Use it again.
+    Enable(String),
+    /// Drain the balancer: it admits no new clients.
+    Drain,
+    /// Admit clients again.
+    Undrain,
+}
+
+/// Why a command is rejected.
+#[derive(Debug, Clone, PartialEq, Eq, Error)]
+pub enum OverrideError {
+    /// No cache endpoint has this id.
+    #[error("no cache host has the id {0:?}")]
+    Unknown(String),
+}
+
+/// Why stored overrides cannot be used.
+#[derive(Debug, Error)]
+pub enum UnreadableOverrides {
+    /// Not JSON of the known form.
+    #[error("not in the form of orders: {0}")]
+    Malformed(#[from] serde_json::Error),
+    /// Written in another version of the format.
+    #[error("of version {0}, not {FORMAT_VERSION}")]
+    Version(u32),
+}
+
+/// An endpoint that was enabled again, and has not started since it was disabled as far as is known.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(expecting = "struct Back")]
+struct Reenabled {
+    #[serde(rename = "out")]
+    disabled_at: Millis,
+    #[serde(rename = "back")]
+    enabled_at: Millis,
+}
+
+/// The overrides in force.
+#[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
+pub struct OperatorOverrides {
+    version: u32,
+    /// Disabled endpoints, and when they were disabled.
+    #[serde(rename = "out")]
+    disabled: BTreeMap<String, Millis>,
+    #[serde(rename = "back")]
+    awaiting_start: BTreeMap<String, Reenabled>,
+    draining: bool,
+}
+
+impl Default for OperatorOverrides {
+    fn default() -> Self {
+        Self {
+            version: FORMAT_VERSION,
+            disabled: BTreeMap::new(),
+            awaiting_start: BTreeMap::new(),
+            draining: false,
+        }
+    }
+}
+
+impl OperatorOverrides {
+    /// Whether this endpoint is disabled.
+    #[must_use]
+    pub fn is_out(&self, id: &str) -> bool {
+        self.disabled.contains_key(id)
+    }
+
+    /// Whether the balancer drains.
+    #[must_use]
+    pub fn draining(&self) -> bool {
+        self.draining
+    }
+
+    /// When this endpoint was enabled, if no start of it since it was disabled is known.
+    pub(crate) fn enabled_at(&self, id: &str) -> Option<Millis> {
+        self.awaiting_start.get(id).map(|it| it.enabled_at)
+    }
+
+    /// Records a start that discovery lists.
+    pub(crate) fn record_start(&mut self, id: &str, start: Millis) {
+        if self.awaiting_start.get(id).is_some_and(|it| start >= it.disabled_at) {
+            self.awaiting_start.remove(id);
+        }
+    }
+
+    /// Applies a command. Returns the endpoint whose state has changed.
+    pub(crate) fn apply(&mut self, now: Millis, command: &OverrideCommand) -> Option<String> {
+        match command {
+            OverrideCommand::Disable(id) if !self.is_out(id) => {
+                self.awaiting_start.remove(id);
+                self.disabled.insert(id.clone(), now);
+                Some(id.clone())
+            }
+            OverrideCommand::Enable(id) => {
+                let disabled_at = self.disabled.remove(id)?;
+                if self.awaiting_start.len() >= MAX_AWAITING_START {
+                    self.evict_first_enabled();
+                }
+                self.awaiting_start.insert(id.clone(), Reenabled { disabled_at, enabled_at: now });
+                Some(id.clone())
+            }
+            OverrideCommand::Disable(_) => None,
+            OverrideCommand::Drain | OverrideCommand::Undrain => {
+                self.draining = *command == OverrideCommand::Drain;
+                None
+            }
+        }
+    }
+
+    fn evict_first_enabled(&mut self) {
+        let first = self.awaiting_start.iter().min_by_key(|(_, it)| it.enabled_at);
+        if let Some(id) = first.map(|(id, _)| id.clone()) {
+            self.awaiting_start.remove(&id);
+        }
+    }
+
+    /// The endpoints whose state differs between these overrides and others.
+    pub(crate) fn differences(&self, other: &Self) -> Vec<String> {
+        let all: BTreeSet<&String> = [&self.disabled, &other.disabled]
+            .into_iter()
+            .flat_map(BTreeMap::keys)
+            .chain(self.awaiting_start.keys())
+            .chain(other.awaiting_start.keys())
+            .collect();
+        let differs =
+            |id: &str| self.is_out(id) != other.is_out(id) || self.enabled_at(id) != other.enabled_at(id);
+        all.into_iter().filter(|id| differs(id)).cloned().collect()
+    }
+
+    /// Encodes the overrides for the next process.
+    #[must_use]
+    pub fn to_text(&self) -> String {
+        serde_json::to_string(self).expect("maps with text keys always encode")
+    }
+
+    /// Decodes the text of [`OperatorOverrides::to_text`].
+    ///
+    /// # Errors
+    /// When the text is malformed, or of another version.
+    pub fn from_text(text: &str) -> Result<Self, UnreadableOverrides> {
+        #[derive(Deserialize)]
+        struct Versioned {
+            version: u32,
+        }
+        let Versioned { version } = serde_json::from_str(text)?;
+        if version != FORMAT_VERSION {
+            return Err(UnreadableOverrides::Version(version));
+        }
+        Ok(serde_json::from_str(text)?)
+    }
+}
--- /dev/null
+++ b/crates/maintenance/src/store.rs
@@ -0,0 +1,285 @@
+//! The store of operator overrides: when a command comes into force, when it is written for the next process, and when its
+//! caller is answered, on a disk that may stall at any time.
+
+use crate::{
+    CommandOutcome, Millis, OperatorOverrides, OverriddenList, OverrideChange, OverrideCommand, StoreAction,
+    WriteError,
+};
+use std::collections::VecDeque;
+
+/// How long a command waits for a read of the commands that the other process of this balancer took, so that it does not
+/// overwrite them. A command must be in force within a second.
+const READ_TIMEOUT: Millis = 200;
+/// How long a caller waits for the write. A call must be answered within a second.
+const ANSWER_TIMEOUT: Millis = 600;
+/// Time from a failed write to its retry.
+const RETRY_INTERVAL: Millis = 1_000;
+/// Upper bound on the commands remembered until they are written. During a longer stall of the disk more are applied all the
+/// same, but the first are not applied again over the commands of another process.
+const MAX_UNWRITTEN: usize = 256;
+
+/// The operation on the file that is in progress.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+enum Operation {
+    Idle,
+    /// A read, which these first pending commands came before.
+    Read {
+        commands: usize,
+    },
+    /// A write for these first waiting callers, which covers these first unwritten commands.
+    Write {
+        callers: usize,
+        commands: usize,
+    },
+}
+
+/// A command that waits for a read of the file.
+#[derive(Debug)]
+struct PendingCommand<T> {
+    since: Millis,
+    command: OverrideCommand,
+    caller: T,
+}
+
+/// A command that is in force and not written.
+#[derive(Debug)]
+struct UnwrittenCommand {
+    number: u64,
+    at: Millis,
+    command: OverrideCommand,
+}
+
+/// A caller that waits until all commands up to a number are written.
+#[derive(Debug)]
+struct WaitingCaller<T> {
+    number: u64,
+    since: Millis,
+    caller: T,
+}
+
+/// Moves commands between callers, the balancer and the file. At most one operation on the file is in progress.
+///
+/// The owner bounds the number of callers.
+#[derive(Debug)]
+pub struct OverrideStore<T> {
+    /// Whether there is a file. Without one every command counts as written.
+    has_file: bool,
+    operation: Operation,
+    pending: VecDeque<PendingCommand<T>>,
+    waiting: VecDeque<WaitingCaller<T>>,
+    /// Applied again over what the other process has written.
+    unwritten: VecDeque<UnwrittenCommand>,
+    /// The number of the last unwritten command.
+    last_number: u64,
+    /// Whether the overrides in force differ from those that were last handed out to be written.
+    dirty: bool,
+    /// Commands up to this number were acknowledged as applied before they were written, and are never rolled back.
+    acknowledged: u64,
+    /// What the file contains.
+    persisted: OperatorOverrides,
+    /// What is being written to the file.
+    writing: OperatorOverrides,
+    /// No write before this time.
+    retry_at: Millis,
+    actions: VecDeque<StoreAction<T>>,
+}
+
+impl<T> OverrideStore<T> {
+    /// Creates an idle store. `has_file` says whether there is a file, which counts as empty until it is read.
+    #[must_use]
+    pub fn new(has_file: bool) -> Self {
+        Self {
+            has_file,
+            operation: Operation::Idle,
+            pending: VecDeque::new(),
+            waiting: VecDeque::new(),
+            unwritten: VecDeque::new(),
+            last_number: 0,
+            dirty: false,
+            acknowledged: 0,
+            persisted: OperatorOverrides::default(),
+            writing: OperatorOverrides::default(),
+            retry_at: 0,
+            actions: VecDeque::new(),
+        }
+    }
+
+    /// The next action for the owner.
+    pub fn poll(&mut self) -> Option<StoreAction<T>> {
+        self.actions.pop_front()
+    }
+
+    /// Takes in an operator's command.
+    pub fn handle_command(
+        &mut self, now: Millis, list: &mut OverriddenList, command: OverrideCommand, caller: T,
+    ) {
+        self.pending.push_back(PendingCommand { since: now, command, caller });
+        self.start_operation(now, list);
+    }
+
+    /// Takes in the result of a read: the contents of the file, if they are new.
+    pub fn handle_read(&mut self, now: Millis, list: &mut OverriddenList, loaded: Option<OperatorOverrides>) {
+        let Operation::Read { commands } = self.operation else { return };
+        self.operation = Operation::Idle;
+        if let Some(loaded) = loaded {
+            self.persisted = loaded;
+            self.rebuild(list, OverrideChange::Loaded);
+        }
+        for _ in 0..commands {
+            self.apply_next_command(now, list);
+        }
+        self.start_operation(now, list);
+    }
+
+    /// Takes in the result of a write.
+    pub fn handle_write(&mut self, now: Millis, list: &mut OverriddenList, written: Result<(), WriteError>) {
+        let Operation::Write { callers, commands } = self.operation else { return };
+        self.operation = Operation::Idle;
+        match written {
+            Ok(()) => {
+                self.persisted = std::mem::take(&mut self.writing);
+                self.unwritten.drain(..commands.min(self.unwritten.len()));
+                let answered = if self.dirty { callers } else { self.waiting.len() };
+                self.answer_first(answered, &CommandOutcome::Persisted);
+            }
+            Err(WriteError::Changed(loaded)) => {
+                self.persisted = loaded;
+                self.rebuild(list, OverrideChange::Loaded);
+                self.dirty = true;
+            }
+            Err(WriteError::Failed(reason)) => self.roll_back(now, list, &reason),
+        }
+        self.start_operation(now, list);
+    }
+
+    /// Rolls back the commands that were not acknowledged. The others are written later.
+    fn roll_back(&mut self, now: Millis, list: &mut OverriddenList, reason: &str) {
+        let before = self.unwritten.len();
+        self.unwritten.retain(|unwritten| unwritten.number <= self.acknowledged);
+        if self.unwritten.len() < before {
+            self.rebuild(list, OverrideChange::RolledBack);
+        }
+        self.dirty = !self.unwritten.is_empty();
+        self.retry_at = now + RETRY_INTERVAL;
+        for waiting in std::mem::take(&mut self.waiting) {
+            let outcome = if waiting.number <= self.acknowledged {
+                CommandOutcome::Applied
+            } else {
+                CommandOutcome::NotPersisted(reason.to_owned())
+            };
+            self.actions.push_back(StoreAction::Answer(waiting.caller, outcome));
+        }
+    }
+
+    /// Puts in force what the file contains, with the unwritten commands applied over it.
+    fn rebuild(&mut self, list: &mut OverriddenList, change: OverrideChange) {
+        let before = list.overrides().clone();
+        list.replace_overrides(self.persisted.clone());
+        for unwritten in &self.unwritten {
+            // It was valid when it was taken. If it fails now, its endpoint has left since.
+            let _ = list.apply_command(unwritten.at, &unwritten.command);
+        }
+        let hosts = list.changed_since(&before);
+        self.actions.push_back(StoreAction::Changed(change, hosts));
+    }
+
+    /// Handles timeouts, and reads the file when nothing else is to be done. Call this about ten times a second.
+    pub fn tick(&mut self, now: Millis, list: &mut OverriddenList) {
+        while self.pending.front().is_some_and(|pending| now >= pending.since + READ_TIMEOUT) {
+            self.apply_next_command(now, list);
+            if let Operation::Read { commands } = &mut self.operation {
+                *commands = commands.saturating_sub(1);
+            }
+        }
+        self.acknowledge_late_callers(now);
+        self.start_operation(now, list);
+        if self.has_file && self.operation == Operation::Idle {
+            self.start_read();
+        }
+    }
+
+    /// Answers the callers that have waited for a write for too long.
+    fn acknowledge_late_callers(&mut self, now: Millis) {
+        let is_late = |waiting: &&WaitingCaller<T>| now >= waiting.since + ANSWER_TIMEOUT;
+        let late = self.waiting.iter().take_while(is_late).count();
+        let Some(last) = late.checked_sub(1).and_then(|index| self.waiting.get(index)) else { return };
+        self.acknowledged = last.number;
+        self.answer_first(late, &CommandOutcome::Applied);
+        if let Operation::Write { callers, .. } = &mut self.operation {
+            *callers = callers.saturating_sub(late);
+        }
+    }
+
+    fn start_read(&mut self) {
+        self.operation = Operation::Read { commands: self.pending.len() };
+        self.actions.push_back(StoreAction::Read);
+    }
+
+    /// Starts the next operation on the file, if none is in progress. Without a file, applies all pending commands.
+    fn start_operation(&mut self, now: Millis, list: &mut OverriddenList) {
+        if !self.has_file {
+            return self.apply_without_file(now, list);
+        }
+        if self.operation != Operation::Idle {
+            return;
+        }
+        if self.dirty && now >= self.retry_at {
+            self.dirty = false;
+            self.writing = list.overrides().clone();
+            self.operation = Operation::Write { callers: self.waiting.len(), commands: self.unwritten.len() };
+            self.actions.push_back(StoreAction::Write(self.writing.clone()));
+        } else if !self.pending.is_empty() {
+            self.start_read();
+        }
+    }
+
+    fn apply_without_file(&mut self, now: Millis, list: &mut OverriddenList) {
+        while !self.pending.is_empty() {
+            self.apply_next_command(now, list);
+        }
+        self.dirty = false;
+        self.unwritten.clear();
+        self.answer_first(self.waiting.len(), &CommandOutcome::Persisted);
+    }
+
+    /// Applies the first pending command, or answers why it is rejected.
+    fn apply_next_command(&mut self, now: Millis, list: &mut OverriddenList) {
+        let Some(PendingCommand { since, command, caller }) = self.pending.pop_front() else { return };
+        let before = list.overrides().clone();
+        let hosts = match list.apply_command(now, &command) {
+            Ok(hosts) => hosts,
+            Err(error) => {
+                let outcome = CommandOutcome::Rejected(error);
+                return self.actions.push_back(StoreAction::Answer(caller, outcome));
+            }
+        };
+        if *list.overrides() != before {
+            self.remember(now, command.clone());
+        }
+        self.actions.push_back(StoreAction::Changed(OverrideChange::Command(command), hosts));
+        // A command without effect is persisted already, unless the one that it repeats is still to be written.
+        if self.dirty || matches!(self.operation, Operation::Write { .. }) {
+            self.waiting.push_back(WaitingCaller { number: self.last_number, since, caller });
+        } else {
+            self.actions.push_back(StoreAction::Answer(caller, CommandOutcome::Persisted));
+        }
+    }
+
+    /// Remembers a command that is in force until it is written.
+    fn remember(&mut self, at: Millis, command: OverrideCommand) {
+        self.dirty = true;
+        self.last_number += 1;
+        self.unwritten.push_back(UnwrittenCommand { number: self.last_number, at, command });
+        if self.unwritten.len() > MAX_UNWRITTEN {
+            self.unwritten.pop_front();
+            if let Operation::Write { commands, .. } = &mut self.operation {
+                *commands = commands.saturating_sub(1);
+            }
+        }
+    }
+
+    fn answer_first(&mut self, count: usize, outcome: &CommandOutcome) {
+        let answered = self.waiting.drain(..count.min(self.waiting.len()));
+        self.actions.extend(answered.map(|it| StoreAction::Answer(it.caller, outcome.clone())));
+    }
+}
