--- a/crates/fleet/examples/measure_fleet/faults.rs
+++ b/crates/fleet/examples/measure_fleet/faults.rs
@@ -191,7 +191,7 @@
             // One memory of the council may be lost at a time: of more, a majority may have forgotten what it agreed.
             let all_vote = (0..COUNCIL)
                 .filter(|it| *it != n)
-                .all(|it| site.parts[it].as_ref().is_some_and(|it| it.votes()));
+                .all(|it| site.parts[it].as_ref().is_some_and(|it| it.is_voting()));
             let forgets = n >= COUNCIL || (all_vote && self.random.bool());
             self.tell(site, format!("start {n}, without memory: {forgets}"));
             if forgets {
@@ -213,12 +213,12 @@
     /// Staff have a member of the council that lost its memory taken in anew.
     pub fn renew(&mut self, site: &mut Site) {
         for n in site.voteless.clone() {
-            if site.parts[n].as_ref().is_none_or(|it| it.votes()) {
+            if site.parts[n].as_ref().is_none_or(|it| it.is_voting()) {
                 site.voteless.remove(&n);
             } else if let Some(by) = self.somebody(site) {
                 let now = site.local(by);
                 if let Some(part) = &mut site.parts[by] {
-                    _ = part.change_council(now, None, Some(n as u16));
+                    _ = part.change_voters(now, None, Some(n as u16));
                 }
                 self.tell(site, format!("{n} is to be taken in anew, by {by}"));
             }
--- a/crates/fleet/src/file.rs
+++ b/crates/fleet/src/file.rs
@@ -1,41 +1,45 @@
 //! The file that names the balancers of a fleet; the same for all of them.
 
+use agreement::NodeId;
 use audit::lease::Settings;
 use jiff::SignedDuration;
+use membership::{MemberSlot, Roster};
 use serde::Deserialize;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// Balancers of a fleet at most: every map of the fleet's parts is bounded by it.
-const MOST: usize = 1_024;
-/// The shortest lease: several asks, each with a round of the council and a grant that waits up to half a second, must fit.
-const SHORTEST_LEASE: SignedDuration = SignedDuration::from_secs(2);
-/// The longest: a freeze comes into force no sooner.
-const LONGEST_LEASE: SignedDuration = SignedDuration::from_mins(10);
+/// Most balancers of a fleet; bounds every map that is keyed by them.
+const MAX_BALANCERS: usize = 1_024;
+/// Shortest lease: several requests must fit, each with a commit and a grant that is delayed by up to half a second.
+const MIN_LEASE: SignedDuration = SignedDuration::from_secs(2);
+/// Longest lease: a freeze takes effect no sooner.
+const MAX_LEASE: SignedDuration = SignedDuration::from_mins(10);
+/// Requests for a lease during one, so that one message in five may be lost.
+const REQUESTS_PER_LEASE: u64 = 8;
 
 /// Why a fleet file cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum FileError {
-    /// It cannot be read.
+    /// The file cannot be read.
     #[error("{file}: {error}")]
-    Unread {
+    Unreadable {
         /// The file.
         file: String,
-        /// Why.
+        /// The cause.
         error: std::io::Error,
     },
-    /// It is not in the form of one; the text names line, column and field.
+    /// The file is not in the format; the text names line, column and field.
     #[error("{file}: {error}")]
-    Form {
+    Malformed {
         /// The file.
         file: String,
-        /// Where and why.
+        /// Place and cause.
         error: toml::de::Error,
     },
-    /// A field has a value that it may not have.
+    /// A field has an invalid value.
     #[error("{file}: {field}: {why}")]
-    Value {
+    InvalidValue {
         /// The file.
         file: String,
         /// The field.
@@ -45,134 +49,182 @@
     },
 }
 
-/// A balancer that the file names.
+/// A balancer in the fleet file.
+// The `expecting` texts here and below are part of the errors that operators read.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct Listed {
-    /// Its number: its place in the file, from 0.
-    pub number: u16,
-    /// Its name, as its own configuration gives it.
+#[serde(deny_unknown_fields, expecting = "struct Listed")]
+pub struct BalancerEntry {
+    /// Its index in the file, from 0.
+    #[serde(rename = "number")]
+    pub node_id: NodeId,
+    /// Its name, as in its own configuration.
+    #[serde(rename = "name")]
     pub name: String,
-    /// Where the others reach it.
+    /// The address at which the others reach it.
+    #[serde(rename = "address")]
     pub address: SocketAddr,
     /// Its zone.
-    #[serde(default)]
+    #[serde(rename = "zone", default)]
     pub zone: String,
-    /// Whether it founds the council.
-    #[serde(default)]
-    pub council: bool,
+    /// Whether it is a founding voter.
+    #[serde(rename = "council", default)]
+    pub is_founding_voter: bool,
 }
 
 #[derive(Debug, Deserialize)]
-#[serde(deny_unknown_fields)]
-struct Head {
+#[serde(deny_unknown_fields, expecting = "struct Head")]
+struct FleetSection {
     name: String,
     lease: SignedDuration,
 }
 
 #[derive(Debug, Deserialize)]
-#[serde(deny_unknown_fields)]
-struct Form {
-    fleet: Head,
-    balancer: Vec<Listed>,
+#[serde(deny_unknown_fields, expecting = "struct Form")]
+struct Document {
+    #[serde(rename = "fleet")]
+    fleet: FleetSection,
+    #[serde(rename = "balancer")]
+    balancers: Vec<BalancerEntry>,
 }
 
-/// A fleet file that holds only valid values.
+/// A valid fleet file.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct FleetFile {
-    /// The fleet's name; datagrams of another are not heard.
+    /// The fleet's name; datagrams of another fleet are dropped.
     pub name: String,
     /// How long a lease lasts.
     pub lease: SignedDuration,
-    /// The balancers, each at the place that is its number.
-    pub balancers: Vec<Listed>,
-    /// Hash of the text, told with each balancer's version.
+    /// The balancers; the index of each is its node id.
+    pub balancers: Vec<BalancerEntry>,
+    /// Hash of the text; part of each balancer's version.
     pub hash: u64,
 }
 
+/// An invalid value, before the file's name is added.
+struct InvalidValue {
+    field: String,
+    why: String,
+}
+
 impl FleetFile {
     /// Reads and checks a file.
     ///
     /// # Errors
-    /// When it cannot be used; the error names file, line and field.
-    pub fn read(file: &Path) -> Result<Self, FileError> {
-        let named = file.display().to_string();
-        let text = std::fs::read_to_string(file)
-            .map_err(|error| FileError::Unread { file: named.clone(), error })?;
-        Self::parse(&named, &text)
+    /// If the file cannot be used; the error names file, line and field.
+    pub fn read(path: &Path) -> Result<Self, FileError> {
+        let file = path.display().to_string();
+        match std::fs::read_to_string(path) {
+            Ok(text) => Self::parse(&file, &text),
+            Err(error) => Err(FileError::Unreadable { file, error }),
+        }
     }
 
     /// Checks the text of a file with this name.
     ///
     /// # Errors
-    /// As of [`FleetFile::read`].
+    /// As [`FleetFile::read`].
     pub fn parse(file: &str, text: &str) -> Result<Self, FileError> {
-        let form: Form =
-            toml::from_str(text).map_err(|error| FileError::Form { file: file.to_owned(), error })?;
-        let no = |field: String, why: String| Err(FileError::Value { file: file.to_owned(), field, why });
-        let Head { name, lease } = form.fleet;
-        if !(SHORTEST_LEASE..=LONGEST_LEASE).contains(&lease) {
-            return no(
-                "fleet.lease".into(),
-                format!("{lease:#} is not from {SHORTEST_LEASE:#} to {LONGEST_LEASE:#}"),
-            );
-        }
-        let count = form.balancer.len();
-        if count > MOST {
-            return no("balancer".into(), format!("{count} balancers are more than {MOST}"));
-        }
-        let (mut names, mut addresses) = (BTreeSet::new(), BTreeSet::new());
-        for (place, it) in form.balancer.iter().enumerate() {
-            let field = |name: &str| format!("balancer[{place}].{name}");
-            if usize::from(it.number) != place {
-                return no(field("number"), format!("{} is not its place in the file, {place}", it.number));
-            }
-            if it.name.is_empty() || !names.insert(&it.name) {
-                return no(field("name"), format!("{:?} is empty or another's", it.name));
-            }
-            if !addresses.insert(it.address) {
-                return no(field("address"), format!("{} is another's", it.address));
-            }
-        }
-        let council = form.balancer.iter().filter(|it| it.council).count();
-        if !matches!(council, 3 | 5 | 7) {
-            return no("balancer.council".into(), format!("a council of {council}; it must be of 3, 5 or 7"));
-        }
-        let hash = xxhash_rust::xxh3::xxh3_64(text.as_bytes());
-        Ok(Self { name, lease, balancers: form.balancer, hash })
+        let document: Document =
+            toml::from_str(text).map_err(|error| FileError::Malformed { file: file.to_owned(), error })?;
+        validate(&document).map_err(|InvalidValue { field, why }| FileError::InvalidValue {
+            file: file.to_owned(),
+            field,
+            why,
+        })?;
+        let Document { fleet: FleetSection { name, lease }, balancers } = document;
+        Ok(Self { name, lease, balancers, hash: xxhash_rust::xxh3::xxh3_64(text.as_bytes()) })
     }
 
     /// The balancer with this name.
     #[must_use]
-    pub fn find(&self, name: &str) -> Option<&Listed> {
-        self.balancers.iter().find(|it| it.name == name)
+    pub fn find(&self, name: &str) -> Option<&BalancerEntry> {
+        self.balancers.iter().find(|balancer| balancer.name == name)
+    }
+
+    /// The founding voters.
+    pub(crate) fn founding_voters(&self) -> Vec<NodeId> {
+        let voters = self.balancers.iter().filter(|balancer| balancer.is_founding_voter);
+        voters.map(|balancer| balancer.node_id).collect()
     }
 
-    /// Zones by number, in the order of their first mention.
+    /// The number of balancers.
+    pub(crate) fn balancer_count(&self) -> u16 {
+        u16::try_from(self.balancers.len()).unwrap_or(u16::MAX)
+    }
+
+    /// The zone of each balancer as a number, in the order of first mention.
     pub(crate) fn zones(&self) -> Vec<u16> {
         let mut known: Vec<&str> = Vec::new();
-        let zone = |it: &Listed, known: &mut Vec<_>| known.iter().position(|zone| *zone == it.zone);
-        let mut numbers = Vec::with_capacity(self.balancers.len());
-        for it in &self.balancers {
-            let number = zone(it, &mut known).unwrap_or_else(|| {
-                known.push(&it.zone);
+        let mut zones = Vec::with_capacity(self.balancers.len());
+        for balancer in &self.balancers {
+            let position = known.iter().position(|zone| *zone == balancer.zone).unwrap_or_else(|| {
+                known.push(&balancer.zone);
                 known.len() - 1
             });
-            numbers.push(u16::try_from(number).unwrap_or(u16::MAX));
+            zones.push(u16::try_from(position).unwrap_or(u16::MAX));
         }
-        numbers
+        zones
+    }
+
+    /// All balancers as possible members.
+    pub(crate) fn roster(&self) -> Roster {
+        let slots = self.balancers.iter().zip(self.zones());
+        let slots =
+            slots.map(|(balancer, zone)| (balancer.node_id, MemberSlot { address: balancer.address, zone }));
+        slots.collect()
     }
 
-    /// The settings of leases. It is asked for eight times a lease, so that one message in five may be lost; what is heard of
-    /// others counts for two fifths of a lease, in which each hears some thirty words.
-    pub(crate) fn leases(&self) -> Settings {
+    /// The settings of leases. A report of another balancer is valid for two fifths of a lease; each receives about thirty
+    /// in that time.
+    pub(crate) fn lease_settings(&self) -> Settings {
         let lease = u64::try_from(self.lease.as_micros()).unwrap_or(u64::MAX);
-        let roster = u16::try_from(self.balancers.len()).unwrap_or(u16::MAX);
-        Settings { ask_every: lease / 8, ..Settings::new(lease, lease * 2 / 5, roster) }
+        let settings = Settings::new(lease, lease * 2 / 5, self.balancer_count());
+        Settings { ask_every: lease / REQUESTS_PER_LEASE, ..settings }
     }
 
-    /// A stable hash of the fleet's name.
-    pub(crate) fn tag(&self) -> u32 {
+    /// A stable hash of the fleet's name, carried by each datagram.
+    pub(crate) fn fleet_id(&self) -> u32 {
         xxhash_rust::xxh3::xxh3_64(self.name.as_bytes()) as u32
     }
 }
+
+fn validate(document: &Document) -> Result<(), InvalidValue> {
+    let lease = document.fleet.lease;
+    if !(MIN_LEASE..=MAX_LEASE).contains(&lease) {
+        let why = format!("{lease:#} is not from {MIN_LEASE:#} to {MAX_LEASE:#}");
+        return Err(InvalidValue { field: "fleet.lease".into(), why });
+    }
+    let count = document.balancers.len();
+    if count > MAX_BALANCERS {
+        let why = format!("{count} balancers are more than {MAX_BALANCERS}");
+        return Err(InvalidValue { field: "balancer".into(), why });
+    }
+    validate_balancers(&document.balancers)?;
+    let voters = document.balancers.iter().filter(|balancer| balancer.is_founding_voter).count();
+    if !matches!(voters, 3 | 5 | 7) {
+        let why = format!("a council of {voters}; it must be of 3, 5 or 7");
+        return Err(InvalidValue { field: "balancer.council".into(), why });
+    }
+    Ok(())
+}
+
+/// Checks that indices match and that names and addresses are unique.
+fn validate_balancers(balancers: &[BalancerEntry]) -> Result<(), InvalidValue> {
+    let mut names = BTreeSet::new();
+    let mut addresses = BTreeSet::new();
+    for (index, balancer) in balancers.iter().enumerate() {
+        let invalid =
+            |name: &str, why: String| Err(InvalidValue { field: format!("balancer[{index}].{name}"), why });
+        let BalancerEntry { node_id, name, address, .. } = balancer;
+        if usize::from(*node_id) != index {
+            return invalid("number", format!("{node_id} is not its place in the file, {index}"));
+        }
+        if name.is_empty() || !names.insert(name) {
+            return invalid("name", format!("{name:?} is empty or another's"));
+        }
+        if !addresses.insert(address) {
+            return invalid("address", format!("{address} is another's"));
+        }
+    }
+    Ok(())
+}
--- /dev/null
+++ b/crates/fleet/src/member/view.rs
@@ -0,0 +1,69 @@
+//! The fleet as this balancer sees it, as the JSON answer of `GET /fleet`.
+
+use super::FleetMember;
+use agreement::{Micros, Store};
+use audit::lease::LeaseState;
+use audit::ledger::{CurrentActivity, PastActivity};
+use serde_json::{Value, json};
+
+/// Revisions of lag from which a balancer is listed as lagging.
+const LAGGING_REVISIONS: u64 = 64;
+/// Time without a report from which a balancer is listed as lagging.
+const LAGGING_TIME: Micros = 10_000_000;
+
+impl<S: Store> FleetMember<S> {
+    /// The state of the fleet for operators, as JSON.
+    #[must_use]
+    pub fn view(&self, now: Micros) -> Value {
+        let name = |number: u16| self.balancer_name(number);
+        let holders: Vec<_> =
+            self.state.holders.current(now).filter_map(|(number, _)| name(number)).collect();
+        let voters: Vec<_> = self.voters().into_iter().filter_map(name).collect();
+        let members: Vec<_> = self.membership.members().filter_map(|member| name(member.number)).collect();
+        let fleet_time = self.lease.fleet_time(now);
+        let lagging =
+            fleet_time.map(|time| self.ledger.lagging_nodes(time.latest, LAGGING_REVISIONS, LAGGING_TIME));
+        let current = self.ledger.current_activity();
+        let past: Vec<_> = current.iter().filter_map(|activity| self.past_activity(activity)).collect();
+        let calendar = &self.state.calendar;
+        json!({
+            "me": name(self.node_id),
+            "standing": lease_state_word(self.lease.state(now).0),
+            "fleet_time_us": fleet_time.map(|time| [time.earliest, time.latest]),
+            "revision": self.agreement.applied(),
+            "behind": self.agreement.lag(),
+            "council": voters,
+            "leader": self.agreement.leader().and_then(name),
+            "votes": self.agreement.is_voting(),
+            "members": members,
+            "holding": holders,
+            "calendar": {
+                "revision": calendar.revision(),
+                "entries": calendar.entries().collect::<Vec<_>>(),
+            },
+            "acts": current,
+            "did": past,
+            "stragglers": lagging,
+            "datagrams": self.counters,
+        })
+    }
+
+    fn balancer_name(&self, number: u16) -> Option<&str> {
+        self.file.balancers.get(usize::from(number)).map(|balancer| balancer.name.as_str())
+    }
+
+    /// What a balancer did under the version that it was last known to act on. The ledger has the other versions.
+    fn past_activity(&self, current: &CurrentActivity) -> Option<PastActivity> {
+        let past = self.ledger.activity_under(&current.version, 0, u64::MAX);
+        past.into_iter().find(|past| past.number == current.number && past.incarnation == current.incarnation)
+    }
+}
+
+/// The word of `GET /fleet` for the state of a lease.
+fn lease_state_word(state: LeaseState) -> &'static str {
+    match state {
+        LeaseState::Held => "held",
+        LeaseState::Fenced => "fenced",
+        LeaseState::Orphaned => "orphaned",
+    }
+}
--- a/crates/fleet/src/wire.rs
+++ b/crates/fleet/src/wire.rs
@@ -1,70 +1,73 @@
-//! The second family of datagrams between balancers: a version, the fleet, who speaks in which life, and what is said.
+//! The datagrams that balancers exchange: a version byte, then an [`Envelope`] in postcard.
 
-use crate::Entry;
-use agreement::Message;
-use audit::lease::LeaseRequest;
-use audit::ledger::ActivityReport;
+use crate::entry::Entry;
+use agreement::{Message, NodeId};
+use audit::lease;
+use audit::ledger;
 use serde::{Deserialize, Serialize};
 
 /// Longest datagram.
 pub const MAX_BYTES: usize = 1_200;
-/// The version of this family, its first byte.
+/// The version of the format, the first byte of a datagram.
 pub const VERSION: u8 = 1;
 
-/// What is said.
+/// The message of a datagram.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Body {
-    /// Of who is in.
+    /// A datagram of the membership protocol.
     Membership(Vec<u8>),
-    /// Of the log.
+    /// A message of the replicated log.
     Agreement(Box<Message<Entry>>),
-    /// An ask for a lease, to the council.
-    Ask(LeaseRequest),
-    /// That the sender is there, and fleet time of the last grant to it that it has applied.
-    Word(Option<u64>),
-    /// What it decided on which version.
-    Report(ActivityReport),
+    /// A request for a lease, to the voters.
+    LeaseRequest(lease::LeaseRequest),
+    /// The sender is up; carries the fleet time of the last grant to it that it has applied.
+    Heartbeat(Option<u64>),
+    /// What the sender decided under which version.
+    ActivityReport(ledger::ActivityReport),
 }
 
-/// A datagram.
+/// A datagram without its version byte.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Envelope {
     /// Hash of the fleet's name.
     pub fleet: u32,
-    /// The sender's number.
-    pub from: u16,
-    /// And its life.
+    /// The sender.
+    pub from: NodeId,
+    /// The sender's incarnation.
     pub incarnation: u64,
-    /// What it says.
+    /// The message.
     pub body: Body,
 }
 
-/// Why a datagram is not heard.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Unheard {
-    /// Of another version of the family.
-    Version,
-    /// Not in its form, or longer than [`MAX_BYTES`].
-    Form,
+/// Why a datagram cannot be decoded.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
+pub enum DecodeError {
+    /// The datagram is of another version of the format.
+    #[error("datagram of another version")]
+    OtherVersion,
+    /// The datagram is not in the format, or longer than [`MAX_BYTES`].
+    #[error("malformed datagram")]
+    Malformed,
 }
 
 impl Envelope {
-    /// The datagram; none for what does not fit one.
+    /// Encodes the datagram; `None` if it is longer than [`MAX_BYTES`].
     #[must_use]
-    pub fn write(&self) -> Option<Vec<u8>> {
-        postcard::to_extend(self, vec![VERSION]).ok().filter(|bytes| bytes.len() <= MAX_BYTES)
+    pub fn encode(&self) -> Option<Vec<u8>> {
+        let encoded = postcard::to_extend(self, vec![VERSION]).ok();
+        encoded.filter(|datagram| datagram.len() <= MAX_BYTES)
     }
 
-    /// Reads a datagram.
+    /// Decodes a datagram.
     ///
     /// # Errors
-    /// When it is none of this family.
-    pub fn read(datagram: &[u8]) -> Result<Self, Unheard> {
+    /// If the datagram is of another version or malformed.
+    pub fn decode(datagram: &[u8]) -> Result<Self, DecodeError> {
         match datagram {
-            _ if datagram.len() > MAX_BYTES => Err(Unheard::Form),
-            [VERSION, rest @ ..] => postcard::from_bytes(rest).map_err(|_| Unheard::Form),
-            [_, ..] => Err(Unheard::Version),
-            [] => Err(Unheard::Form),
+            _ if datagram.len() > MAX_BYTES => Err(DecodeError::Malformed),
+            [VERSION, rest @ ..] => postcard::from_bytes(rest).map_err(|_| DecodeError::Malformed),
+            [_, ..] => Err(DecodeError::OtherVersion),
+            [] => Err(DecodeError::Malformed),
         }
     }
 }
--- a/crates/fleet/tests/common/mod.rs
+++ b/crates/fleet/tests/common/mod.rs
@@ -6,7 +6,7 @@
 use calendar::{
     Calendar, Change, ChangeKind, Entry, Freeze, Proposal, Scope, ScopeTarget, TimeInterval, Verdict,
 };
-use fleet::{Fleet, FleetFile, Micros, Output, Start};
+use fleet::{FleetFile, FleetMember, MemberConfig, Micros, Output};
 use std::cell::RefCell;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
@@ -62,7 +62,7 @@
 
 pub struct Site {
     pub now: Micros,
-    pub parts: Vec<Option<Fleet<Disk>>>,
+    pub parts: Vec<Option<FleetMember<Disk>>>,
     /// Microseconds in a million that each monotonic clock runs fast.
     pub rates: Vec<i64>,
     /// Microseconds that each wall clock is off.
@@ -160,13 +160,13 @@
     pub fn begin_again(&mut self, n: usize) {
         self.voteless.remove(&n);
         self.incarnations[n] += 1;
-        let begin = Start {
-            me: n as u16,
+        let config = MemberConfig {
+            node_id: n as u16,
             incarnation: self.unix(n),
             store: self.disks[n].clone(),
             seed: self.random.u64(..),
         };
-        self.parts[n] = Some(Fleet::new(self.file.clone(), begin, self.local(n)));
+        self.parts[n] = Some(FleetMember::new(self.file.clone(), config, self.local(n)));
         let after = self.random.u64(0..agreement::TICK_INTERVAL_US);
         self.push(after, Event::Tick(n, self.incarnations[n]));
         self.carry_out(n);
@@ -197,9 +197,9 @@
     }
 
     fn carry_out(&mut self, n: usize) {
-        while let Some(output) = self.parts[n].as_mut().and_then(Fleet::poll) {
+        while let Some(output) = self.parts[n].as_mut().and_then(FleetMember::poll) {
             match output {
-                Output::Send(to, bytes) => {
+                Output::Send { to, datagram: bytes } => {
                     self.sent += 1;
                     self.bytes += bytes.len() as u64;
                     if self.recorded.len() < RECORDED {
@@ -211,9 +211,11 @@
                         self.push(after, Event::Datagram { from: n, to, bytes });
                     }
                 }
-                Output::Timer(after, timer) => self.push(after, Event::Timer(n, self.incarnations[n], timer)),
-                Output::Calendar(calendar) => self.note(n, *calendar),
-                Output::CannotVote(_) => _ = self.voteless.insert(n),
+                Output::SetTimer { after, timer } => {
+                    self.push(after, Event::Timer(n, self.incarnations[n], timer))
+                }
+                Output::CalendarChanged(calendar) => self.note(n, *calendar),
+                Output::VotingBlocked(_) => _ = self.voteless.insert(n),
                 _ => {}
             }
         }
@@ -250,7 +252,7 @@
                 Event::Datagram { from, to, bytes } => {
                     let local = self.local(to);
                     if let Some(part) = &mut self.parts[to] {
-                        part.hear(local, address(from), &bytes);
+                        part.handle_datagram(local, address(from), &bytes);
                         self.carry_out(to);
                     }
                 }
@@ -258,7 +260,7 @@
                     let local = self.local(n);
                     if let Some(part) = self.parts[n].as_mut().filter(|_| self.incarnations[n] == incarnation)
                     {
-                        part.fell_due(local, timer);
+                        part.handle_timer(local, timer);
                         self.carry_out(n);
                     }
                 }
--- a/crates/fleet/tests/fleet.rs
+++ b/crates/fleet/tests/fleet.rs
@@ -4,7 +4,7 @@
 
 use audit::lease::LeaseState;
 use common::{SECOND, Site, freeze, takes_a_join, text};
-use fleet::wire::{Body, Envelope, MAX_BYTES, Unheard};
+use fleet::wire::{Body, DecodeError, Envelope, MAX_BYTES};
 use fleet::{FleetFile, Micros};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -188,6 +188,14 @@
         let error = FleetFile::parse("f", &good.replacen(from, to, 1)).unwrap_err().to_string();
         assert!(error.contains(wanted), "{to}: {error}");
     }
+    for (text, wanted) in [
+        ("fleet = 1", "expected struct Head"),
+        ("[fleet]\nname = \"n\"\nlease = \"10s\"\n[[balancer]]\nnumber = 0", "missing field `name`"),
+        ("balancer = [1]", "expected struct Listed"),
+    ] {
+        let error = FleetFile::parse("f", text).unwrap_err().to_string();
+        assert!(error.contains(wanted), "{text}: {error}");
+    }
 }
 
 #[test]
@@ -195,17 +203,17 @@
     let mut site = settled(3, 3, 8, 0.0);
     let now = site.now;
     let part = site.parts[0].as_mut().unwrap();
-    let before = part.counts();
-    let word = Envelope { fleet: 7, from: 1, incarnation: 1, body: Body::Word(None) };
-    let mut datagram = word.write().unwrap();
-    part.hear(now, ([10, 0, 0, 2], 7100).into(), &datagram);
-    part.hear(now, ([10, 0, 0, 9], 7100).into(), &datagram);
+    let before = part.counters();
+    let word = Envelope { fleet: 7, from: 1, incarnation: 1, body: Body::Heartbeat(None) };
+    let mut datagram = word.encode().unwrap();
+    part.handle_datagram(now, ([10, 0, 0, 2], 7100).into(), &datagram);
+    part.handle_datagram(now, ([10, 0, 0, 9], 7100).into(), &datagram);
     datagram[0] = 2;
-    part.hear(now, ([10, 0, 0, 2], 7100).into(), &datagram);
-    part.hear(now, ([10, 0, 0, 2], 7100).into(), &[1; MAX_BYTES + 1]);
-    let after = part.counts();
-    let more = (after.strangers - before.strangers, after.other_version - before.other_version);
-    assert_eq!((more, after.unreadable - before.unreadable, after.heard), ((2, 1), 1, before.heard));
+    part.handle_datagram(now, ([10, 0, 0, 2], 7100).into(), &datagram);
+    part.handle_datagram(now, ([10, 0, 0, 2], 7100).into(), &[1; MAX_BYTES + 1]);
+    let after = part.counters();
+    let more = (after.unknown_sender - before.unknown_sender, after.other_version - before.other_version);
+    assert_eq!((more, after.malformed - before.malformed, after.received), ((2, 1), 1, before.received));
 }
 
 proptest! {
@@ -218,13 +226,13 @@
         let part = site.parts[0].as_mut().unwrap();
         let mut datagram = vec![fleet::wire::VERSION];
         datagram.extend(&bytes);
-        part.hear(now, ([10, 0, 0, 2], 7100).into(), &datagram);
-        part.hear(now, ([10, 0, 0, 2], 7100).into(), &bytes);
+        part.handle_datagram(now, ([10, 0, 0, 2], 7100).into(), &datagram);
+        part.handle_datagram(now, ([10, 0, 0, 2], 7100).into(), &bytes);
         let said = Envelope { fleet: 1, from: 2, incarnation: 3, body: Body::Membership(bytes.clone()) };
-        match said.write() {
-            Some(written) => prop_assert_eq!(Envelope::read(&written), Ok(said)),
+        match said.encode() {
+            Some(written) => prop_assert_eq!(Envelope::decode(&written), Ok(said)),
             None => prop_assert!(bytes.len() > 1_150),
         }
-        prop_assert_eq!(Envelope::read(&[]), Err(Unheard::Form));
+        prop_assert_eq!(Envelope::decode(&[]), Err(DecodeError::Malformed));
     }
 }
--- a/crates/fleet/tests/golden.rs
+++ b/crates/fleet/tests/golden.rs
@@ -42,7 +42,7 @@
     site.run(5 * SECOND);
     let now = site.now;
     site.parts[4].as_mut().unwrap().propose(now, freeze("deadline").into()).unwrap();
-    site.parts[0].as_mut().unwrap().report(now, report());
+    site.parts[0].as_mut().unwrap().publish_report(now, report());
     site.run(3 * SECOND);
     let revoke = calendar::Revoke { id: "deadline".into(), asked_by: "ada".into(), reason: "over".into() };
     let now = site.now;
@@ -57,15 +57,15 @@
     let site = played();
     let mut kinds: BTreeMap<&str, Vec<&Vec<u8>>> = BTreeMap::new();
     for datagram in &site.recorded {
-        let envelope = Envelope::read(datagram).unwrap();
-        assert_eq!(envelope.write().as_ref(), Some(datagram));
+        let envelope = Envelope::decode(datagram).unwrap();
+        assert_eq!(envelope.encode().as_ref(), Some(datagram));
         let kind = match envelope.body {
             Body::Membership(_) => "membership",
             Body::Agreement(_) => "agreement",
-            Body::Ask(_) => "ask",
-            Body::Word(None) => "word without a grant",
-            Body::Word(Some(_)) => "word",
-            Body::Report(_) => "report",
+            Body::LeaseRequest(_) => "ask",
+            Body::Heartbeat(None) => "word without a grant",
+            Body::Heartbeat(Some(_)) => "word",
+            Body::ActivityReport(_) => "report",
         };
         let seen = kinds.entry(kind).or_default();
         if seen.len() < PER_KIND && !seen.contains(&datagram) {
--- a/crates/spindlebeam/src/fleet.rs
+++ b/crates/spindlebeam/src/fleet.rs
@@ -7,7 +7,7 @@
 use anyhow::{Context, Result, ensure};
 use audit::lease::LeaseState;
 use bytes::Bytes;
-use fleet::{Fleet, FleetFile, Output, Start};
+use fleet::{FleetFile, FleetMember, MemberConfig, Output, ProposalOutcome};
 use gateway::fleet_link::{AuditEvent, Clock, FleetCall, FleetLink, FleetUpdate};
 use serde_json::json;
 use std::collections::HashMap;
@@ -75,7 +75,7 @@
     let Some(path) = &options.file else { return Ok(None) };
     let file = FleetFile::read(path)?;
     let me = file.find(name).with_context(|| format!("{}: no balancer is named {name:?}", path.display()))?;
-    let (number, address, votes) = (me.number, options.listen.unwrap_or(me.address), me.council);
+    let (number, address, votes) = (me.node_id, options.listen.unwrap_or(me.address), me.is_founding_voter);
     let socket = std::net::UdpSocket::bind(address)
         .and_then(|socket| socket.set_nonblocking(true).map(|()| socket))
         .with_context(|| format!("fleet: listening on {address}"))?;
@@ -90,10 +90,10 @@
     let incarnation = unix.now(); // grows from start to start, but for clocks that go back: membership sees to these
     let program = xxhash_rust::xxh3::xxh3_64(PROGRAM.as_bytes());
     let configuration = file.hash;
-    let begin = Start { me: number, incarnation, store, seed: seed ^ incarnation };
+    let begin = MemberConfig { node_id: number, incarnation, store, seed: seed ^ incarnation };
     let thread = std::thread::Builder::new().name("fleet".into()).spawn(move || {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-        let part = Fleet::new(file, begin, clock.now());
+        let part = FleetMember::new(file, begin, clock.now());
         let ended = runtime.map_err(anyhow::Error::from).and_then(|runtime| {
             // All of it inside: a socket is registered with the runtime that it is made in.
             runtime.block_on(async {
@@ -123,11 +123,11 @@
     let fleet = FleetFile::read(file)?;
     let me =
         fleet.find(name).with_context(|| format!("{}: no balancer is named {name:?}", file.display()))?;
-    let votes = if me.council { "one of the council" } else { "not of the council" };
+    let votes = if me.is_founding_voter { "one of the council" } else { "not of the council" };
     let (count, lease) = (fleet.balancers.len(), fleet.lease);
     Ok(format!(
         "fleet {}: {name} is number {} of {count}, {votes}; leases of {lease:#}",
-        fleet.name, me.number
+        fleet.name, me.node_id
     ))
 }
 
@@ -166,7 +166,7 @@
 }
 
 struct Thread {
-    part: Fleet<Memory>,
+    part: FleetMember<Memory>,
     socket: UdpSocket,
     ledger: Option<DiskStore>,
     unix: Unix,
@@ -181,7 +181,7 @@
 
 impl Thread {
     fn new(
-        part: Fleet<Memory>, socket: std::net::UdpSocket, ledger: Option<DiskStore>, unix: Unix,
+        part: FleetMember<Memory>, socket: std::net::UdpSocket, ledger: Option<DiskStore>, unix: Unix,
         agreed: mpsc::UnboundedSender<FleetUpdate>,
     ) -> Result<Self> {
         let socket = UdpSocket::from_std(socket)?;
@@ -192,7 +192,7 @@
             let records = keep.records(from, SPANS_READ)?;
             let Some(last) = records.last() else { break };
             from = last.number + 1;
-            records.iter().for_each(|record| it.part.restore_span(&record.bytes));
+            records.iter().for_each(|record| it.part.restore_entry(&record.bytes));
         }
         Ok(it)
     }
@@ -207,7 +207,7 @@
             let clock = self.unix.clock;
             tokio::select! {
                 received = self.socket.recv_from(&mut buffer) => match received {
-                    Ok((n, from)) => self.part.hear(clock.now(), from, &buffer[..n]),
+                    Ok((n, from)) => self.part.handle_datagram(clock.now(), from, &buffer[..n]),
                     Err(_) => continue, // an answer of the system to what was sent: as lost as other datagrams
                 },
                 _ = tick.tick() => {
@@ -215,17 +215,17 @@
                     self.look();
                 }
                 Some(due) = std::future::poll_fn(|cx| self.timers.poll_expired(cx)), if !self.timers.is_empty() => {
-                    self.part.fell_due(clock.now(), due.into_inner());
+                    self.part.handle_timer(clock.now(), due.into_inner());
                 }
                 Some((call, answer)) = calls.recv() => self.called(call, answer),
                 told = acted.recv() => match told {
-                    Some(AuditEvent::Report(told)) => self.part.report(clock.now(), told),
-                    Some(AuditEvent::Entry(span)) => self.part.take_span(span),
+                    Some(AuditEvent::Report(told)) => self.part.publish_report(clock.now(), told),
+                    Some(AuditEvent::Entry(span)) => self.part.record_own_entry(span),
                     Some(AuditEvent::Record(_)) => {} // the core has logged it, and its digest is in the report
                     None => return Ok(()), // the core is gone, and the program with it
                 },
                 _ = spans.tick() => self.keep_spans(),
-                _ = report.tick() => log::info!("fleet: datagrams so far: {:?}", self.part.counts()),
+                _ = report.tick() => log::info!("fleet: datagrams: {}", self.part.counters()),
             }
             self.carry_out();
         }
@@ -234,42 +234,44 @@
     fn carry_out(&mut self) {
         while let Some(output) = self.part.poll() {
             match output {
-                Output::Send(to, datagram) => {
+                Output::Send { to, datagram } => {
                     let _ = self.socket.try_send_to(&datagram, to); // one that does not go out is lost, as others are
                 }
-                Output::Timer(after, timer) => {
+                Output::SetTimer { after, timer } => {
                     self.timers.insert(timer, Duration::from_micros(after));
                 }
-                Output::Lease(lease) => {
+                Output::LeaseChanged(lease) => {
                     let _ = self.agreed.send(FleetUpdate::Lease(lease));
                 }
-                Output::Calendar(calendar) => {
+                Output::CalendarChanged(calendar) => {
                     let _ = self.agreed.send(FleetUpdate::Calendar(Arc::new(*calendar)));
                 }
-                Output::Members(count) => {
+                Output::MembersChanged(count) => {
                     if count > 1 && !std::mem::replace(&mut self.joined, true) {
                         log::info!("fleet: joined");
                     }
                     log::info!("fleet: {count} balancers are in");
                 }
                 Output::CaughtUp(revision) => log::info!("fleet: caught up to revision {revision}"),
-                Output::Leads(leads) => {
+                Output::LeadershipChanged(leads) => {
                     log::info!(
                         "fleet: {}",
                         if leads { "leads the council" } else { "leads the council no more" }
                     );
                 }
-                Output::Council(numbers) => log::info!("fleet: the council is {numbers:?}"),
-                Output::CannotVote(why) => log::error!("fleet: does not vote: {}", worded(&why)),
-                Output::Proposed(id, came_to) => {
+                Output::VotersChanged(numbers) => log::info!("fleet: the council is {numbers:?}"),
+                Output::VotingBlocked(why) => log::error!("fleet: does not vote: {}", worded(&why)),
+                Output::ProposalFinished { id, outcome } => {
                     let Some(answer) = self.asked.remove(&id) else { continue };
-                    let _ = answer.send(match came_to {
-                        Ok((revision, applied)) => {
+                    let _ = answer.send(match outcome {
+                        ProposalOutcome::Committed { revision, applied } => {
                             let refused = matches!(applied, Some(calendar::Applied::Refused(_)));
                             let body = json!({"revision": revision, "came_to": format!("{applied:?}")});
                             (if refused { 409 } else { 200 }, body.to_string())
                         }
-                        Err(_) => (504, json!({"error": "not agreed in time; it may still be"}).to_string()),
+                        ProposalOutcome::TimedOut => {
+                            (504, json!({"error": "not agreed in time; it may still be"}).to_string())
+                        }
                     });
                 }
             }
@@ -311,7 +313,7 @@
     }
 
     fn keep_spans(&mut self) {
-        let spans: Vec<Bytes> = self.part.take_spans().into_iter().map(Bytes::from).collect();
+        let spans: Vec<Bytes> = self.part.take_unsaved_entries().into_iter().map(Bytes::from).collect();
         if let Some(keep) = self.ledger.as_mut().filter(|_| !spans.is_empty())
             && let Err(error) = keep.append_records(&spans)
         {
