--- a/crates/spindlebeam/src/lib.rs
+++ b/crates/spindlebeam/src/lib.rs
@@ -2,6 +2,6 @@
 #![forbid(unsafe_code)]
 
 pub mod config;
-pub mod fleet;
+pub mod fleet_thread;
 pub mod reload;
 pub mod serve;
--- a/crates/spindlebeam/src/main.rs
+++ b/crates/spindlebeam/src/main.rs
@@ -3,7 +3,7 @@
 use anyhow::{Context, Result, bail};
 use pico_args::Arguments;
 use spindlebeam::config;
-use spindlebeam::fleet;
+use spindlebeam::fleet_thread;
 use spindlebeam::serve;
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -43,7 +43,7 @@
     let help = args.contains(["-h", "--help"]);
     let command = args.subcommand()?;
     let file: Option<PathBuf> = args.opt_value_from_str("--config")?;
-    let fleet = fleet::Options {
+    let fleet = fleet_thread::Options {
         file: args.opt_value_from_str("--fleet")?,
         listen: args.opt_value_from_str("--fleet-listen")?,
         keep: args.opt_value_from_str("--keep")?,
@@ -69,7 +69,7 @@
                 None => println!("operators: nowhere"),
             }
             if let Some(file) = &fleet.file {
-                println!("{}", fleet::checked(file, &config.name)?);
+                println!("{}", fleet_thread::describe(file, &config.name)?);
             }
         }
         Some(other) => bail!("unknown command {other:?}; try `spindlebeam help`"),
--- a/crates/spindlebeam/src/serve.rs
+++ b/crates/spindlebeam/src/serve.rs
@@ -1,7 +1,7 @@
 //! The balancer's life: start, serve, wind down.
 
 use crate::config;
-use crate::fleet;
+use crate::fleet_thread;
 use crate::reload;
 use anyhow::{Context, Result, bail};
 use decide::api::Discovery;
@@ -45,7 +45,7 @@
 ///
 /// # Errors
 /// When the file cannot be used, or the program cannot listen.
-pub fn serve(file: &Path, fleet: &fleet::Options) -> Result<()> {
+pub fn serve(file: &Path, fleet: &fleet_thread::Options) -> Result<()> {
     let config = config::read(file)?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let ended = LocalSet::new().block_on(&runtime, run(config, file, fleet));
@@ -91,7 +91,7 @@
     }
 }
 
-async fn run(config: Config, file: &Path, fleet: &fleet::Options) -> Result<()> {
+async fn run(config: Config, file: &Path, fleet: &fleet_thread::Options) -> Result<()> {
     // First of all, since its default would end the program.
     let hangup = signal(SignalKind::hangup())?;
     let mut terminate = signal(SignalKind::terminate())?;
@@ -115,7 +115,7 @@
     }
 
     let (mut engine, handle) = Engine::new(&config);
-    if let Some(port) = fleet::start(fleet, &config.name, config.seed, engine.clock())? {
+    if let Some(port) = fleet_thread::start(fleet, &config.name, config.seed, engine.clock())? {
         engine.join_fleet(port);
     }
     if let Some(siblings) = config.gossip.clone() {
