--- a/crates/calendar/src/validate.rs
+++ b/crates/calendar/src/validate.rs
@@ -5,7 +5,6 @@
 use crate::limits::{MAX_LENGTH_DAYS, MAX_NAMES, MAX_PER_ENTRY, MAX_TEXT};
 use crate::occurrences;
 use jiff::civil::DateTime;
-use std::fmt;
 use thiserror::Error;
 
 /// What is wrong with a field.
@@ -38,7 +37,7 @@
 }
 
 /// An invalid field of a proposal.
-#[derive(Clone, Copy, PartialEq, Eq, Error)]
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 #[error("`{field}` {problem}")]
 pub struct InvalidField {
     /// The field.
@@ -47,13 +46,6 @@
     pub problem: FieldProblem,
 }
 
-/// Fixed words: the answer to an operator's proposal contains this form.
-impl fmt::Debug for InvalidField {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.debug_struct("Invalid").field("field", &self.field).field("what", &self.problem).finish()
-    }
-}
-
 fn invalid<T>(field: &'static str, problem: FieldProblem) -> Result<T, InvalidField> {
     Err(InvalidField { field, problem })
 }
--- a/crates/spindlebeam/src/lib.rs
+++ b/crates/spindlebeam/src/lib.rs
@@ -5,6 +5,6 @@
 #![warn(unreachable_pub)]
 
 pub mod config;
-pub mod fleet;
+pub mod fleet_thread;
 pub mod reload;
 pub mod serve;
--- a/crates/spindlebeam/src/main.rs
+++ b/crates/spindlebeam/src/main.rs
@@ -4,7 +4,7 @@
 use gateway::setup::Bounds;
 use pico_args::Arguments;
 use spindlebeam::config;
-use spindlebeam::fleet;
+use spindlebeam::fleet_thread;
 use spindlebeam::serve;
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -44,7 +44,7 @@
     /// `--config`.
     config: Option<PathBuf>,
     /// `--fleet`, `--fleet-listen` and `--keep`.
-    fleet: fleet::Options,
+    fleet: fleet_thread::Options,
 }
 
 fn run() -> Result<()> {
@@ -69,7 +69,7 @@
 
 fn parse_options(args: &mut Arguments) -> Result<Options> {
     let config = args.opt_value_from_str("--config")?;
-    let fleet = fleet::Options {
+    let fleet = fleet_thread::Options {
         file: args.opt_value_from_str("--fleet")?,
         listen: args.opt_value_from_str("--fleet-listen")?,
         keep: args.opt_value_from_str("--keep")?,
@@ -91,7 +91,7 @@
         None => println!("operators: nowhere"),
     }
     if let Some(file) = &options.fleet.file {
-        println!("{}", fleet::checked(file, &config.name)?);
+        println!("{}", fleet_thread::describe(file, &config.name)?);
     }
     Ok(())
 }
--- a/crates/spindlebeam/src/serve.rs
+++ b/crates/spindlebeam/src/serve.rs
@@ -8,7 +8,7 @@
 mod sockets;
 
 use crate::config;
-use crate::fleet;
+use crate::fleet_thread;
 use anyhow::Result;
 use gateway::setup::Config;
 use parts::Parts;
@@ -21,7 +21,7 @@
 ///
 /// # Errors
 /// When the file cannot be used, a socket cannot be opened, or a part of the program has stopped.
-pub fn serve(file: &Path, fleet: &fleet::Options) -> Result<()> {
+pub fn serve(file: &Path, fleet: &fleet_thread::Options) -> Result<()> {
     let config = config::read(file)?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let result = LocalSet::new().block_on(&runtime, run(config, file, fleet));
@@ -30,7 +30,7 @@
     result
 }
 
-async fn run(config: Config, file: &Path, fleet: &fleet::Options) -> Result<()> {
+async fn run(config: Config, file: &Path, fleet: &fleet_thread::Options) -> Result<()> {
     // Before anything else: the default action of these signals would end the process.
     let Signals { hangup, mut stop } = Signals::install()?;
     let sockets = Sockets::open(&config)?;
--- a/crates/spindlebeam/src/serve/parts.rs
+++ b/crates/spindlebeam/src/serve/parts.rs
@@ -3,7 +3,7 @@
 use super::gossip;
 use super::serving_file::ServingFile;
 use super::sockets::Sockets;
-use crate::fleet;
+use crate::fleet_thread;
 use crate::reload;
 use anyhow::{Result, anyhow};
 use decide::api::Discovery;
@@ -48,10 +48,10 @@
     /// # Errors
     /// When the fleet file cannot be used, or the fleet's or the gossip socket cannot be opened.
     pub(super) async fn start(
-        config: Config, file: &Path, fleet: &fleet::Options, sockets: Sockets, hangup: Signal,
+        config: Config, file: &Path, fleet: &fleet_thread::Options, sockets: Sockets, hangup: Signal,
     ) -> Result<Self> {
         let (mut engine, handle) = Engine::new(&config);
-        if let Some(link) = fleet::start(fleet, &config.name, config.seed, engine.clock())? {
+        if let Some(link) = fleet_thread::start(fleet, &config.name, config.seed, engine.clock())? {
             engine.join_fleet(link);
         }
         gossip::start(&config, &handle).await?;
