--- a/crates/gateway/src/engine/fleet.rs
+++ b/crates/gateway/src/engine/fleet.rs
@@ -1,12 +1,16 @@
-//! The core in a fleet: the fence before new requests, the gate before new hosts, and the count of what was done under which version.
+//! This balancer as a member of the fleet: its lease, the gate that topology changes pass, and the audit of its activity.
 
-use super::Engine;
-use crate::fleet_link::{AuditEvent, FleetLink, FleetUpdate};
-use audit::counting::{ActivityCounter, CountKind as Counted, VersionId};
+mod activity;
+
+pub use activity::AuditedVersion;
+
+use crate::fleet_link::{AuditEvent, ChangeCheckError, FleetLink, FleetUpdate};
+use crate::topology_text::{change_kind_name, outcome_text};
+use activity::ActivityAudit;
 use audit::lease::{self, Lease};
 use audit::version::Version;
 use calendar::{
-    Calendar, Change, ChangeKind, ChangeOutcome as Became, ChangeRecord, GateResult, HoldReason, LeaseState,
+    Calendar, Change, ChangeKind, ChangeOutcome, ChangeRecord, GateContext, GateResult, LeaseState,
     ReleasePace, TopologyGate, Verdict,
 };
 use decide::api::{Micros, Outcome};
@@ -14,287 +18,223 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How often it is looked whether the lease has ended and whether hosts that waited may be taken. Requests do not wait for it.
-pub(super) const LOOKED: Duration = Duration::from_millis(50);
-/// How often the fleet's thread is told what was counted.
-const REPORTED: Micros = 1_000_000;
-/// How what waited for the end of a freeze is taken: no host that is cold pays for all of them.
-const STEPS: ReleasePace = ReleasePace { hosts: 8, pause: 1_000 };
+/// How often it is checked whether the lease has ended and whether pending endpoints may be applied. Requests check the lease
+/// themselves.
+pub(super) const POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// How pending changes are applied after a freeze: in steps, so that the cold endpoints of one step are few.
+const RELEASE_PACE: ReleasePace = ReleasePace { hosts: 8, pause: 1_000 };
+/// Stands for the host in the record of a change that concerns the whole fleet.
+const WHOLE_FLEET: &str = "*";
+
+/// Whether more pending changes may pass than at the last poll.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+enum GateState {
+    Unchanged,
+    Changed,
+}
 
-/// What a try is counted under: the version that it began with, and whether it writes.
-pub(super) type Under = Option<(VersionId, bool)>;
+/// What a poll of the fleet state found.
+pub(super) struct FleetPoll {
+    /// Until when requests are accepted.
+    pub(super) serve_until: Micros,
+    /// Pending changes that are applied now.
+    pub(super) released: Option<EndpointList>,
+}
 
-/// What the core holds of the fleet.
-pub(super) struct Fleet {
-    port: FleetLink,
+/// The state of this balancer in its fleet.
+pub(super) struct FleetMember {
+    link: FleetLink,
     lease: Option<Lease>,
     calendar: Arc<Calendar>,
     gate: TopologyGate,
-    /// From the first known fleet time on: spans without one could not be laid beside those of others.
-    counting: Option<ActivityCounter>,
-    /// The revision of the list last heard.
-    list: u64,
-    standing: LeaseState,
-    /// Whether requests were taken at the last look.
-    serves: bool,
-    next_report: Micros,
-    /// What could not be told, as the fleet's thread stood still.
-    lost: u64,
+    audit: ActivityAudit,
+    /// The revision of the last list received.
+    list_revision: u64,
+    /// The lease state at the last poll that was not caused by a new calendar.
+    last_lease_state: LeaseState,
+    /// Whether requests were accepted at the last poll.
+    was_serving: bool,
 }
 
-impl Fleet {
-    /// What the fleet's thread says next; none once it is gone.
-    pub(super) async fn agreed(&mut self) -> Option<FleetUpdate> {
-        self.port.updates.recv().await
-    }
-
-    fn serve_until(&self, now: Micros) -> Micros {
-        self.lease.as_ref().map_or(0, |lease| lease.serve_until(now))
+impl FleetMember {
+    /// A member without a lease, which knows these endpoints from an earlier run.
+    pub(super) fn new(link: FleetLink, known: Option<Vec<EndpointRecord>>) -> Self {
+        Self {
+            lease: None,
+            calendar: Arc::new(Calendar::new(0)),
+            gate: TopologyGate::new(known, RELEASE_PACE),
+            audit: ActivityAudit::new(link.audit_events.clone(), link.number, link.incarnation),
+            list_revision: 0,
+            last_lease_state: LeaseState::Fenced,
+            was_serving: false,
+            link,
+        }
     }
 
-    /// How things stand now: looked at for each change, so that a process that was stopped finds its lease past.
-    fn moment(&self, now: Micros) -> calendar::GateContext {
-        let standing = match self.lease.as_ref().map(|lease| lease.state(now).0) {
-            Some(lease::LeaseState::Held) => LeaseState::Held,
-            Some(lease::LeaseState::Orphaned) => LeaseState::Orphaned,
-            Some(lease::LeaseState::Fenced) | None => LeaseState::Fenced,
-        };
-        let fleet_time = self.lease.as_ref().and_then(|lease| lease.fleet_time(now)).map(in_millis);
-        calendar::GateContext { now: now / 1_000, fleet_time, lease: standing }
+    /// The next update of the fleet thread; `None` once that is gone.
+    pub(super) async fn next_update(&mut self) -> Option<FleetUpdate> {
+        self.link.updates.recv().await
     }
 
-    fn tell(&mut self, acted: AuditEvent) {
-        // Guards the core: it waits for nobody.
-        self.lost += u64::from(self.port.audit_events.try_send(acted).is_err());
+    /// Until when requests are accepted.
+    pub(super) fn serve_until(&self, now: Micros) -> Micros {
+        self.lease.as_ref().map_or(0, |lease| lease.serve_until(now))
     }
 
-    fn version(&self) -> Version {
-        Version {
-            program: self.port.program,
-            configuration: self.port.configuration,
-            list_revision: self.list,
-            calendar: self.calendar.revision(),
-            ..Version::default()
+    /// Applies an agreed update, and polls.
+    pub(super) fn apply_update(&mut self, now: Micros, update: FleetUpdate) -> FleetPoll {
+        match update {
+            FleetUpdate::Lease(lease) => {
+                self.lease = Some(*lease);
+                self.poll_with(now, GateState::Unchanged)
+            }
+            FleetUpdate::Calendar(calendar) => {
+                self.calendar = calendar;
+                self.poll_with(now, GateState::Changed)
+            }
         }
     }
 
-    /// Counts on under the version that is in force now.
-    fn turn(&mut self, now: Micros) {
-        let Some(span) = self.lease.as_ref().and_then(|lease| lease.fleet_time(now)) else { return };
-        let version = self.version();
-        let port = &self.port;
-        let counting = self
-            .counting
-            .get_or_insert_with(|| ActivityCounter::new(port.number, port.incarnation, version, span));
-        if let Some(entry) = counting.switch_version(version, span) {
-            self.tell(AuditEvent::Entry(entry));
-        }
+    /// Checks the lease, releases pending changes that may pass, and reports the activity.
+    pub(super) fn poll(&mut self, now: Micros) -> FleetPoll {
+        self.poll_with(now, GateState::Unchanged)
     }
 
-    fn report(&mut self, now: Micros) {
-        let span = self.lease.as_ref().and_then(|lease| lease.fleet_time(now));
-        let (Some(span), true) = (span, now >= self.next_report) else { return };
-        self.next_report = now + REPORTED;
-        if let Some(report) = self.counting.as_mut().map(|counting| counting.report(span)) {
-            self.tell(AuditEvent::Report(report));
-        }
-        match std::mem::take(&mut self.lost) {
-            0 => {}
-            lost => log::warn!("the fleet's thread stands still: {lost} records or reports are lost"),
-        }
+    fn poll_with(&mut self, now: Micros, gate_state: GateState) -> FleetPoll {
+        let serve_until = self.serve_until(now);
+        self.log_serving(now < serve_until);
+        let lease_state = self.gate_context(now).lease;
+        let gate_state = match gate_state {
+            GateState::Changed => GateState::Changed,
+            GateState::Unchanged => self.record_lease_state(lease_state),
+        };
+        self.audit_current_version(now);
+        let fleet_time = self.fleet_time(now);
+        self.audit.report_if_due(now, fleet_time);
+        FleetPoll { serve_until, released: self.release_pending(now, gate_state) }
     }
 
-    fn note(&mut self, record: ChangeRecord) {
-        let (host, kind, revision) = (&record.host, record.kind, record.revision);
-        match &record.outcome {
-            Became::InitialList => {
-                log::debug!("topology: {host} {kind:?} first (calendar revision {revision})")
-            }
-            outcome => {
-                log::info!("topology: {host} {kind:?} {} (calendar revision {revision})", worded(outcome))
-            }
+    fn record_lease_state(&mut self, state: LeaseState) -> GateState {
+        match std::mem::replace(&mut self.last_lease_state, state) == state {
+            true => GateState::Unchanged,
+            false => GateState::Changed,
         }
-        let accepted = !matches!(record.outcome, Became::Held { .. } | Became::QueueFull);
-        if let Some(counting) = &mut self.counting {
-            counting
-                .record_topology_change(format!("{host}\n{kind:?}\n{}", record.list).as_bytes(), accepted);
-        }
-        self.tell(AuditEvent::Record(record));
     }
 
-    fn noted(&mut self, heard: GateResult) -> EndpointList {
-        let first = heard.records.iter().filter(|it| it.outcome == Became::InitialList).count();
-        if first > 0 {
-            log::info!("topology: {first} hosts of the first list are taken as they are");
+    fn log_serving(&mut self, serving: bool) {
+        if std::mem::replace(&mut self.was_serving, serving) == serving {
+            return;
+        }
+        if serving {
+            log::info!("engine: the lease is held; accepting requests");
+        } else {
+            log::warn!("engine: fenced; rejecting new requests");
         }
-        heard.records.into_iter().for_each(|record| self.note(record));
-        heard.list
-    }
-
-    /// What passes of a list.
-    fn hear(&mut self, now: Micros, list: &EndpointList) -> EndpointList {
-        self.list = list.revision;
-        self.turn(now);
-        let heard = self.gate.apply_list(&self.moment(now), &self.calendar, list);
-        self.noted(heard)
     }
 
-    /// What waited and passes now. Looked at when its step is due, or when `news` may let more pass.
-    fn release(&mut self, now: Micros, news: bool) -> Option<EndpointList> {
-        let due = self.gate.next_release_at().is_some_and(|wake| news || wake <= now / 1_000);
-        let heard = due.then(|| self.gate.release(&self.moment(now), &self.calendar)).flatten()?;
-        Some(self.noted(heard))
+    /// Passes a list through the gate, and returns what may be applied of it.
+    pub(super) fn filter_list(&mut self, now: Micros, list: &EndpointList) -> EndpointList {
+        self.list_revision = list.revision;
+        self.audit_current_version(now);
+        let result = self.gate.apply_list(&self.gate_context(now), &self.calendar, list);
+        self.record_result(result)
     }
 
-    fn may_change(&mut self, now: Micros, kind: ChangeKind) -> Result<(), String> {
-        let moment = self.moment(now);
-        match self.calendar.check(moment.fleet_time, moment.lease, &Change::of_fleet(kind)) {
-            Verdict::Hold { reason, until } => Err(worded(&Became::Held { reason, until })),
-            Verdict::Allow { revision, override_id: under } => {
-                let outcome = under.map_or(Became::Applied, Became::Override);
-                self.note(ChangeRecord { host: "*".into(), kind, list: self.list, outcome, revision });
+    /// Checks whether a change that concerns the whole fleet may be made now, and records it if so.
+    pub(super) fn check_change(&mut self, now: Micros, kind: ChangeKind) -> Result<(), ChangeCheckError> {
+        let context = self.gate_context(now);
+        match self.calendar.check(context.fleet_time, context.lease, &Change::of_fleet(kind)) {
+            Verdict::Hold { reason, until } => Err(ChangeCheckError::Held { reason, until }),
+            Verdict::Allow { revision, override_id } => {
+                let outcome = override_id.map_or(ChangeOutcome::Applied, ChangeOutcome::Override);
+                let list = self.list_revision;
+                self.record(ChangeRecord { host: WHOLE_FLEET.into(), kind, list, outcome, revision });
                 Ok(())
             }
         }
     }
-}
-
-/// Fleet time in milliseconds, no narrower than it is in microseconds.
-fn in_millis(span: lease::TimeInterval) -> calendar::TimeInterval {
-    calendar::TimeInterval { earliest: span.earliest / 1_000, latest: span.latest.div_ceil(1_000) }
-}
 
-fn worded(outcome: &Became) -> String {
-    match outcome {
-        Became::Applied | Became::InitialList => "taken".into(),
-        Became::Override(id) => format!("taken under override {id}"),
-        Became::Replacement => "taken in place of what was lost".into(),
-        Became::QueueFull => "neither taken nor kept: too many wait".into(),
-        Became::Held { reason, until } => {
-            let until = until.map_or_else(String::new, |ms| format!(" until {ms}"));
-            let why = match reason {
-                HoldReason::Freeze { id, reason } => format!("of freeze {id}: {reason}"),
-                HoldReason::NoLease => "no lease is held, or fleet time is not known".into(),
-                HoldReason::Queued => "others waited before it".into(),
-            };
-            format!("held{until} because {why}")
-        }
+    /// Counts a rejected request.
+    pub(super) fn count_rejected(&mut self) {
+        self.audit.count_rejected();
     }
-}
 
-/// What a try is counted as; one that was never sent, or ended by ourselves, is not.
-fn counted(outcome: Outcome, at_origin: bool, write: bool) -> Option<Counted> {
-    use Counted::*;
-    let [ok, error, full, timeout, unreachable] = match (write, at_origin) {
-        (true, _) => [WriteOk, WriteError, WriteFull, WriteTimeout, WriteUnreachable],
-        (false, true) => [FetchOk, FetchError, FetchFull, FetchTimeout, FetchUnreachable],
-        (false, false) => [ReadOk, ReadError, ReadFull, ReadTimeout, ReadUnreachable],
-    };
-    match outcome {
-        Outcome::Ok | Outcome::Miss => Some(ok),
-        Outcome::Error | Outcome::Reset => Some(error),
-        Outcome::Rejected => Some(full),
-        Outcome::Timeout => Some(timeout),
-        Outcome::ConnectFailed => Some(unreachable),
-        Outcome::Cancelled | Outcome::NotSent => None,
+    /// The version under which an attempt that starts now is to be counted.
+    pub(super) fn audited_version(&self, is_write: bool) -> Option<AuditedVersion> {
+        self.audit.current_version(is_write)
     }
-}
 
-impl Engine {
-    /// From now on requests are taken under the fleet's lease, and hosts by its calendar; fenced until a lease comes. To be called
-    /// before [`Engine::run`].
-    pub fn join_fleet(&mut self, port: FleetLink) {
-        let known: Option<Vec<EndpointRecord>> = self.known.take().map(|list| list.members);
-        self.clock = port.clock;
-        self.handle.join(port.clock, port.calls.clone());
-        self.fleet = Some(Box::new(Fleet {
-            port,
-            lease: None,
-            calendar: Arc::new(Calendar::new(0)),
-            gate: TopologyGate::new(known, STEPS),
-            counting: None,
-            list: 0,
-            standing: LeaseState::Fenced,
-            serves: false,
-            next_report: 0,
-            lost: 0,
-        }));
+    /// Counts an attempt that has ended.
+    pub(super) fn count_attempt(&mut self, version: AuditedVersion, at_origin: bool, outcome: Outcome) {
+        self.audit.count_attempt(version, at_origin, outcome);
     }
 
-    /// Whether nothing new may be taken. Looked at for each request: nothing need have run since the lease ended.
-    pub(super) fn fenced(&self) -> bool {
-        self.fleet.as_ref().is_some_and(|fleet| {
-            let now = self.clock.now();
-            now >= fleet.serve_until(now)
-        })
+    fn fleet_time(&self, now: Micros) -> Option<lease::TimeInterval> {
+        self.lease.as_ref().and_then(|lease| lease.fleet_time(now))
     }
 
-    pub(super) fn agreed(&mut self, agreed: FleetUpdate) {
-        let Some(fleet) = &mut self.fleet else { return };
-        let news = match agreed {
-            FleetUpdate::Lease(lease) => {
-                fleet.lease = Some(*lease);
-                false
-            }
-            FleetUpdate::Calendar(calendar) => {
-                fleet.calendar = calendar;
-                true
-            }
+    /// The state that the gate judges by. Read for each change: a process that was suspended finds its lease expired.
+    fn gate_context(&self, now: Micros) -> GateContext {
+        let lease = match self.lease.as_ref().map(|lease| lease.state(now).0) {
+            Some(lease::LeaseState::Held) => LeaseState::Held,
+            Some(lease::LeaseState::Orphaned) => LeaseState::Orphaned,
+            Some(lease::LeaseState::Fenced) | None => LeaseState::Fenced,
         };
-        self.look_at_fleet(news);
-    }
-
-    /// Notes whether the lease is held still, lets in what waited and may come, and reports.
-    pub(super) fn look_at_fleet(&mut self, news: bool) {
-        let now = self.clock.now();
-        let Some(fleet) = &mut self.fleet else { return };
-        let until = fleet.serve_until(now);
-        self.handle.fence_at(until);
-        let serves = now < until;
-        if std::mem::replace(&mut fleet.serves, serves) != serves {
-            match serves {
-                true => log::info!("the lease is held again"),
-                false => log::warn!("fenced: nothing new is taken"),
-            }
-        }
-        let standing = fleet.moment(now).lease;
-        let news = news || std::mem::replace(&mut fleet.standing, standing) != standing;
-        fleet.turn(now);
-        fleet.report(now);
-        if let Some(list) = fleet.release(now, news) {
-            self.let_in(&list, false);
-            self.dial_listed(&list);
-        }
-    }
-
-    /// What passes of discovery's list; nothing is held without a fleet.
-    pub(super) fn gated(&mut self, list: &EndpointList) -> Option<EndpointList> {
-        let now = self.clock.now();
-        self.fleet.as_mut().map(|fleet| fleet.hear(now, list))
+        let fleet_time = self.fleet_time(now).map(in_millis);
+        GateContext { now: now / 1_000, fleet_time, lease }
     }
 
-    pub(super) fn may_change(&mut self, kind: ChangeKind) -> Result<(), String> {
-        let now = self.clock.now();
-        self.fleet.as_mut().map_or(Ok(()), |fleet| fleet.may_change(now, kind))
+    /// Counts under the version that is in force now.
+    fn audit_current_version(&mut self, now: Micros) {
+        let Some(fleet_time) = self.fleet_time(now) else { return };
+        let version = Version {
+            program: self.link.program,
+            configuration: self.link.configuration,
+            list_revision: self.list_revision,
+            calendar: self.calendar.revision(),
+            ..Version::default()
+        };
+        self.audit.switch_version(version, fleet_time);
     }
 
-    pub(super) fn count_refused(&mut self) {
-        if let Some(counting) = self.fleet.as_mut().and_then(|fleet| fleet.counting.as_mut()) {
-            counting.count(Counted::Refused);
+    /// Pending changes that pass now. Looked for when the next step is due, or when the gate's state has changed.
+    fn release_pending(&mut self, now: Micros, gate_state: GateState) -> Option<EndpointList> {
+        let release_at = self.gate.next_release_at()?;
+        if gate_state == GateState::Unchanged && release_at > now / 1_000 {
+            return None;
         }
+        let result = self.gate.release(&self.gate_context(now), &self.calendar)?;
+        Some(self.record_result(result))
     }
 
-    /// What a try that begins now is to be counted under.
-    pub(super) fn under(&self, write: bool) -> Under {
-        let counting = self.fleet.as_ref()?.counting.as_ref()?;
-        Some((counting.version(), write))
+    fn record_result(&mut self, result: GateResult) -> EndpointList {
+        let is_initial = |record: &&ChangeRecord| record.outcome == ChangeOutcome::InitialList;
+        let initial = result.records.iter().filter(is_initial).count();
+        if initial > 0 {
+            log::info!("topology: {initial} endpoints of the first list are applied unchecked");
+        }
+        for record in result.records {
+            self.record(record);
+        }
+        result.list
     }
 
-    pub(super) fn count_try(&mut self, under: Under, at_origin: bool, outcome: Outcome) {
-        let Some((version, write)) = under else { return };
-        let counting = self.fleet.as_mut().and_then(|fleet| fleet.counting.as_mut());
-        if let (Some(counting), Some(kind)) = (counting, counted(outcome, at_origin, write)) {
-            counting.count_under(version, kind);
+    fn record(&mut self, record: ChangeRecord) {
+        let kind = change_kind_name(record.kind);
+        let ChangeRecord { host, list, outcome, revision, .. } = &record;
+        if *outcome == ChangeOutcome::InitialList {
+            log::debug!("topology: {host} {kind} applied from the first list (calendar revision {revision})");
+        } else {
+            log::info!("topology: {host} {kind} {} (calendar revision {revision})", outcome_text(outcome));
         }
+        let accepted = !matches!(outcome, ChangeOutcome::Held { .. } | ChangeOutcome::QueueFull);
+        let digest_input = format!("{host}\n{kind}\n{list}");
+        self.audit.record_topology_change(digest_input.as_bytes(), accepted);
+        self.audit.send(AuditEvent::Record(record));
     }
 }
+
+/// Fleet time in milliseconds, at least as wide as in microseconds.
+fn in_millis(time: lease::TimeInterval) -> calendar::TimeInterval {
+    calendar::TimeInterval { earliest: time.earliest / 1_000, latest: time.latest.div_ceil(1_000) }
+}
--- /dev/null
+++ b/crates/gateway/src/engine/phases/attempts.rs
@@ -0,0 +1,162 @@
+//! The attempts of a request: each is started, may begin to stream a large answer, and ends.
+
+use crate::engine::Engine;
+use crate::engine::input::{InFlightAttempt, Input};
+use crate::engine::requests::{CancellableAttempt, SentAttempt};
+use decide::api::{Effect, EndpointId, Event, Micros, Outcome, RequestId};
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::sync::oneshot;
+use tokio::task::spawn_local;
+use tokio::time::Instant;
+use upstream::call::Answer;
+use upstream::connection::{Attempt, AttemptResult, Permit, StreamedValue};
+use upstream::endpoints::Endpoint;
+
+impl Engine {
+    /// Sends a request to an endpoint.
+    pub(in crate::engine) fn start_attempt(&mut self, id: RequestId, server: EndpointId, timeout_us: Micros) {
+        let Some(context) = self.requests.get_mut(&id) else { return };
+        let number = context.attempts;
+        context.attempts += 1;
+        let sent_at = Instant::now();
+        let awaited = context.awaited.get();
+        let endpoint = self.endpoints.endpoint(server).filter(|endpoint| endpoint.ready() && awaited);
+        let Some(endpoint) = endpoint.cloned() else {
+            return self.events.push_back(unsent_attempt(id, number, awaited));
+        };
+        let (cancel, cancelled) = oneshot::channel();
+        context.in_flight.push(CancellableAttempt { number, cancel });
+        let attempt = self.prepare_attempt(id, &endpoint, sent_at, timeout_us);
+        let Some(attempt) = attempt else { return };
+        let audited_version = self.audited_version(attempt.call.value.is_some());
+        let in_flight = InFlightAttempt { request: id, number, endpoint, sent_at, audited_version };
+        let inputs = self.handle.inputs.clone();
+        spawn_local(async move {
+            let on_streaming = |value| {
+                let _ = inputs.send(Input::AttemptStreaming(in_flight.clone(), value));
+            };
+            let result = attempt.run(cancelled, on_streaming).await;
+            let _ = inputs.send(Input::AttemptEnded(in_flight, result));
+        });
+    }
+
+    fn prepare_attempt(
+        &mut self, id: RequestId, endpoint: &Rc<Endpoint>, sent_at: Instant, timeout_us: Micros,
+    ) -> Option<Attempt> {
+        let context = self.requests.get_mut(&id)?;
+        let until = match timeout_us {
+            0 => context.deadline,
+            us => context.deadline.min(sent_at + Duration::from_micros(us)),
+        };
+        let permit = Permit { owed: context.awaited.clone(), by: context.deduplication_ends(self.tick) };
+        let number = context.attempts - 1;
+        context.maybe_executed.push(SentAttempt { number, sent_at });
+        let call = context.call.clone();
+        // A retry must not meet a stale connection again, and a write must not meet one at all.
+        let needs_new_connection =
+            context.met_stale_connection || (call.value.is_some() && self.pools.stale_lately(endpoint));
+        let line = if needs_new_connection { self.pools.dial(endpoint) } else { self.pools.line(endpoint) };
+        Some(Attempt {
+            peer: endpoint.clone(),
+            call,
+            line,
+            dial: self.bounds.dial,
+            until,
+            permit,
+            fragile: context.effect == Effect::NonIdempotent,
+            lines: self.throttles.clone(),
+            budget: self.handle.budget.clone(),
+            written: self.handle.counters.borrow().attempts.clone(),
+        })
+    }
+
+    /// A large answer has begun: it belongs to the client now, and the decision module counts the attempt as served. What happens
+    /// to it later is not retried, and a slow client does not count as a request in flight.
+    pub(in crate::engine) fn handle_streaming(
+        &mut self, attempt: &InFlightAttempt, value: Box<StreamedValue>,
+    ) {
+        let id = attempt.request;
+        let Some(context) = self.requests.get_mut(&id) else { return };
+        context.is_streaming = true;
+        self.handle.open_requests.record_answer_size(value.window());
+        self.send_answer(id, Answer::Streamed(value));
+        self.events.push_back(Event::Outcome {
+            id,
+            attempt: attempt.number,
+            outcome: Outcome::Ok,
+            latency_us: attempt.sent_at.elapsed().as_micros() as Micros,
+            finished: true,
+            fetch_pending: false,
+            stale: false,
+        });
+    }
+
+    /// An attempt has ended. A cancelled one outlives its request; the decision module counts it as in flight until now.
+    pub(in crate::engine) fn handle_attempt_ended(
+        &mut self, attempt: &InFlightAttempt, result: AttemptResult,
+    ) {
+        let InFlightAttempt { request: id, number, ref endpoint, sent_at, audited_version } = *attempt;
+        self.audit_attempt(audited_version, endpoint.origin, result.outcome);
+        self.handle.counters.borrow_mut().count_attempt(endpoint.origin, &result);
+        self.pools.put(endpoint, result.connection);
+        if result.stale {
+            self.pools.found_stale(endpoint);
+        }
+        if matches!(result.outcome, Outcome::Timeout | Outcome::Cancelled) {
+            self.preconnect(endpoint);
+        }
+        if self.finish_in_flight(id, number, result.outcome, result.stale) {
+            return self.remove_if_finished(id);
+        }
+        let latency_us = sent_at.elapsed().as_micros() as Micros;
+        let (name, outcome) = (&endpoint.name, result.outcome);
+        log::debug!("request {}: attempt {number} at {name}: {outcome:?} in {latency_us} us", id.0);
+        if outcome == Outcome::Ok {
+            self.handle.open_requests.record_answer_size(result.value.len());
+            let answer = result.large.map_or(Answer::Served(result.value), Answer::Streamed);
+            self.send_answer(id, answer);
+        }
+        let finished = self.requests.get(&id).is_none_or(|context| context.answer.is_none());
+        self.events.push_back(Event::Outcome {
+            id,
+            attempt: number,
+            outcome,
+            latency_us,
+            finished,
+            fetch_pending: result.pending,
+            stale: result.stale,
+        });
+        self.remove_if_finished(id);
+    }
+
+    /// Removes an attempt from its request. Returns whether its answer was streamed: the decision module has counted it already,
+    /// and only now it is known whether it was complete.
+    fn finish_in_flight(&mut self, id: RequestId, number: u16, outcome: Outcome, stale: bool) -> bool {
+        let Some(context) = self.requests.get_mut(&id) else { return false };
+        context.in_flight.retain(|attempt| attempt.number != number);
+        if outcome.proves_never_ran() {
+            context.exclude_executed(number);
+        }
+        context.met_stale_connection |= stale;
+        if context.is_streaming {
+            let complete = outcome == Outcome::Ok;
+            self.handle.counters.borrow_mut().count_streamed(context.class, complete);
+        }
+        context.is_streaming
+    }
+}
+
+/// The outcome of an attempt that was not sent. Either the endpoint is not ready any more, and the request may go elsewhere; or the
+/// client has left, and the decision module does not know of it yet.
+fn unsent_attempt(id: RequestId, attempt: u16, awaited: bool) -> Event {
+    Event::Outcome {
+        id,
+        attempt,
+        outcome: if awaited { Outcome::Rejected } else { Outcome::NotSent },
+        latency_us: 0,
+        finished: !awaited,
+        fetch_pending: false,
+        stale: false,
+    }
+}
--- /dev/null
+++ b/crates/gateway/src/engine/phases/endpoint_lists.rs
@@ -0,0 +1,94 @@
+//! Endpoint lists: from discovery through the fleet's gate and the operator overrides to the decision module.
+
+use crate::engine::Engine;
+use crate::engine::input::Input;
+use decide::api::Event;
+use proto::discovery::EndpointList;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::task::spawn_local;
+use tokio::time::Instant;
+use upstream::connection;
+use upstream::endpoints::{Endpoint, endpoint_id};
+
+/// The delay from which on applying a list is logged as a warning: a part of the time that a drain allows.
+const SLOW_LIST: Duration = Duration::from_millis(50);
+/// The largest number of endpoints that are connected to as they are listed: the two hundred of a usual fleet, with a margin.
+const MAX_PRECONNECTED_ENDPOINTS: usize = 256;
+
+impl Engine {
+    /// Applies a list of discovery, or changes to it. The decision module knows of them before any endpoint is connected to.
+    pub(in crate::engine) fn handle_discovery_list(&mut self, list: &EndpointList, published_at: Instant) {
+        self.apply_list(list);
+        self.dispatch_events();
+        log_applied(list, published_at.elapsed());
+        self.startup.release_list();
+        self.preconnect_listed(list);
+    }
+
+    /// Applies a list through the fleet's gate, if there is one.
+    pub(in crate::engine) fn apply_list(&mut self, list: &EndpointList) {
+        match self.filter_list(list) {
+            Some(allowed) => self.apply_allowed_list(&allowed),
+            None => self.apply_allowed_list(list),
+        }
+    }
+
+    /// Applies a list known from before the start.
+    pub(in crate::engine) fn apply_known_list(&mut self, list: &EndpointList) {
+        let overridden = self.overrides.apply_list(list);
+        self.update_endpoints(&overridden, true);
+    }
+
+    /// Applies a list that has passed the fleet's gate. Overrides come after the gate, which does not hold them.
+    pub(in crate::engine) fn apply_allowed_list(&mut self, list: &EndpointList) {
+        let overridden = self.overrides.apply_list(list);
+        self.update_endpoints(&overridden, false);
+    }
+
+    /// Applies the current entries of endpoints whose overrides have changed.
+    pub(in crate::engine) fn apply_overridden_entries(&mut self, endpoints: &[String]) {
+        let list = self.overrides.entries(endpoints);
+        if !list.members.is_empty() {
+            self.update_endpoints(&list, false);
+            self.preconnect_listed(&list);
+        }
+    }
+
+    fn update_endpoints(&mut self, list: &EndpointList, is_cached: bool) {
+        let (kind, entries, stale) = self.endpoints.apply(list, is_cached);
+        stale.into_iter().for_each(|id| self.pools.close_idle(id));
+        self.events.push_back(Event::EndpointList(kind, entries));
+    }
+
+    /// Connects to listed endpoints, so that their first attempt need not wait for a handshake. Not in a large fleet, where most
+    /// of these connections would be closed unused.
+    pub(in crate::engine) fn preconnect_listed(&mut self, list: &EndpointList) {
+        if self.endpoints.size() > MAX_PRECONNECTED_ENDPOINTS {
+            return;
+        }
+        for member in &list.members {
+            if let Some(endpoint) = self.endpoints.endpoint(endpoint_id(&member.id)).cloned() {
+                self.preconnect(&endpoint);
+            }
+        }
+    }
+
+    /// Connects to an endpoint ahead of its next attempt, if it has no idle connection.
+    pub(in crate::engine) fn preconnect(&mut self, endpoint: &Rc<Endpoint>) {
+        let Some(permit) = self.pools.ahead(endpoint) else { return };
+        let (endpoint, timeout) = (endpoint.clone(), self.bounds.dial);
+        let inputs = self.handle.inputs.clone();
+        spawn_local(async move {
+            let connection = connection::dial(permit, &endpoint, timeout).await;
+            let _ = inputs.send(Input::Preconnected(endpoint, connection));
+        });
+    }
+}
+
+/// Logs how long a list took from its publication until it was in force.
+fn log_applied(list: &EndpointList, delay: Duration) {
+    let level = if delay >= SLOW_LIST { log::Level::Warn } else { log::Level::Debug };
+    let (revision, endpoints) = (list.revision, list.members.len());
+    log::log!(level, "discovery: applied revision {revision}, {endpoints} endpoints, after {delay:?}");
+}
--- /dev/null
+++ b/crates/gateway/src/engine/phases/requests.rs
@@ -0,0 +1,216 @@
+//! The life of a request: it is accepted, the decision module decides on it whenever something happens, it gets its one final
+//! answer, and it is removed once none of its attempts is in flight.
+
+use crate::engine::Engine;
+use crate::engine::input::{AnswerSlot, IncomingRequest};
+use crate::engine::requests::RequestContext;
+use crate::engine::timers::TimerEvent;
+use decide::api::{Action, Effect, Event, Micros, Reason, Request, RequestId};
+use std::time::Duration;
+use tokio::time::Instant;
+use tokio_util::time::delay_queue;
+use upstream::call::Answer;
+
+/// How long after its deadline a request that the decision module left unanswered is failed.
+const OVERDUE_DELAY: Duration = Duration::from_millis(10);
+/// An answer this long after its deadline is logged with its client's id: the rules allow no more.
+const LATE_ANSWER: Duration = Duration::from_millis(50);
+
+impl Engine {
+    /// Accepts a request, or rejects it before the decision module hears of it.
+    pub(in crate::engine) fn accept_request(
+        &mut self, id: RequestId, mut incoming: IncomingRequest, slot: AnswerSlot,
+    ) {
+        let accepted_at = Instant::now();
+        if !slot.awaited.get() {
+            self.handle.counters.borrow_mut().left += 1; // its client left while it was queued
+            return;
+        }
+        // Guards the limit on open requests: no client may occupy one for minutes.
+        let deadline = incoming.received + incoming.time_limit.min(self.bounds.longest);
+        let time_left = deadline.saturating_duration_since(accepted_at);
+        if let Err(reason) = self.check_admission(&mut incoming, time_left) {
+            return self.reject_unseen(&incoming, slot, reason);
+        }
+        let request = Request {
+            id,
+            class: incoming.class,
+            tenant: incoming.tenant,
+            key: incoming.key,
+            write: incoming.call.value.is_some(),
+            remaining_us: time_left.as_micros() as Micros,
+        };
+        let client_id = String::from_utf8_lossy(&incoming.call.id);
+        log::debug!("request {}: {client_id}, class {}, {time_left:?} left", id.0, incoming.class.0);
+        let overdue_timer = self.timers.schedule(TimerEvent::RequestOverdue(id), time_left + OVERDUE_DELAY);
+        let context = RequestContext {
+            call: incoming.call,
+            _memory: incoming.memory,
+            class: incoming.class,
+            effect: self.effects.get(usize::from(incoming.class.0)).copied().unwrap_or(Effect::NonIdempotent),
+            accepted_at,
+            deadline,
+            answer: Some(slot.sender),
+            awaited: slot.awaited,
+            attempts: 0,
+            met_stale_connection: false,
+            maybe_executed: Vec::new(),
+            in_flight: Vec::new(),
+            is_streaming: false,
+            overdue_extended: false,
+            timers: vec![overdue_timer],
+        };
+        self.requests.insert(id, context);
+        self.events.push_back(Event::Request(request));
+    }
+
+    /// Checks whether a request can be accepted, and reserves the memory of its value.
+    fn check_admission(&self, incoming: &mut IncomingRequest, time_left: Duration) -> Result<(), Reason> {
+        if self.is_fenced() {
+            return Err(Reason::Fenced);
+        }
+        if time_left.is_zero() && !incoming.time_limit.is_zero() {
+            return Err(Reason::Deadline);
+        }
+        let unreserved_value = incoming.call.value.as_ref().filter(|_| incoming.memory.is_none());
+        if let Some(value) = unreserved_value {
+            let memory = self.handle.budget.hold(value.len());
+            incoming.memory = Some(memory.ok_or(Reason::NoCapacity)?);
+        }
+        Ok(())
+    }
+
+    fn reject_unseen(&mut self, incoming: &IncomingRequest, slot: AnswerSlot, reason: Reason) {
+        self.audit_rejected();
+        self.handle.counters.borrow_mut().count_rejected_unseen(incoming.class, reason);
+        let _ = slot.sender.send(Answer::Refused(0)); // the client may just have left
+    }
+
+    /// Passes events to the decision module and executes its actions, until no event is left.
+    pub(in crate::engine) fn dispatch_events(&mut self) {
+        let mut actions = Vec::new();
+        while let Some(event) = self.events.pop_front() {
+            self.router.handle(self.now(), event, &mut actions);
+            for action in actions.drain(..) {
+                self.execute_action(action);
+            }
+        }
+    }
+
+    fn execute_action(&mut self, action: Action) {
+        match action {
+            Action::Forward { id, endpoint, timeout_us } => self.start_attempt(id, endpoint, timeout_us),
+            Action::Reject { id, retry_after_us, reason } => self.reject_request(id, retry_after_us, reason),
+            Action::Fail { id, reason } => {
+                self.handle.counters.borrow_mut().count_failed(reason);
+                log::debug!("request {}: failed ({})", id.0, reason.label());
+                self.send_answer(id, Answer::Failed);
+                self.remove_if_finished(id);
+            }
+            Action::Cancel { id, attempt } => {
+                let context = self.requests.get_mut(&id);
+                if let Some(in_flight) = context.and_then(|context| context.take_in_flight(attempt)) {
+                    let _ = in_flight.cancel.send(()); // the attempt closes its connection, then reports
+                }
+            }
+            Action::Timer { delay_us, token } => {
+                let delay = Duration::from_micros(delay_us);
+                let key = self.timers.schedule(TimerEvent::Decision(token), delay);
+                if let Some(context) = self.requests.get_mut(&RequestId(token.0)) {
+                    context.timers.push(key);
+                }
+            }
+            Action::CloseIdle(endpoint) => self.pools.close_idle(endpoint),
+            Action::Watch => {} // the watch is always open
+            Action::PublishLoad(reports) => {
+                let now = self.now();
+                self.events.extend(self.gossip.publish(now, &reports));
+            }
+        }
+    }
+
+    fn reject_request(&mut self, id: RequestId, retry_after_us: Micros, reason: Reason) {
+        self.handle.counters.borrow_mut().count_rejected(reason);
+        self.audit_rejected();
+        log::debug!("request {}: rejected ({}), retry after {retry_after_us} us", id.0, reason.label());
+        self.send_answer(id, Answer::Refused(retry_after_us.div_ceil(1_000)));
+        self.remove_if_finished(id);
+    }
+
+    /// Gives the final answer, if the client still waits for it.
+    pub(in crate::engine) fn send_answer(&mut self, id: RequestId, answer: Answer) {
+        let Some(context) = self.requests.get_mut(&id) else { return };
+        let Some(sender) = context.answer.take() else { return };
+        context.awaited.set(false); // an attempt that is still connecting or writing goes no further
+        let (class, us) = (context.class, context.accepted_at.elapsed().as_micros());
+        log::debug!("request {}: class {} {} after {us} us", id.0, class.0, answer.word());
+        let late = context.deadline.elapsed();
+        if late >= LATE_ANSWER
+            && let Some(more) = self.throttles.late.line()
+        {
+            let client_id = String::from_utf8_lossy(&context.call.id);
+            log::warn!("request {client_id}: {} {late:?} after its deadline{more}", answer.word());
+        }
+        self.handle.counters.borrow_mut().count_answer(class, &answer);
+        let _ = sender.send(answer); // the ticket of a client that has just left drops it
+    }
+
+    /// The client has left: nobody waits for an answer.
+    pub(in crate::engine) fn handle_client_left(&mut self, id: RequestId) {
+        if self.requests.get_mut(&id).is_some_and(|context| context.answer.take().is_some()) {
+            self.handle.counters.borrow_mut().left += 1;
+            self.events.push_back(Event::ClientLeft(id));
+            self.remove_if_finished(id);
+        }
+    }
+
+    /// The front has failed the request: the answer is counted, and nothing more is done for it.
+    pub(in crate::engine) fn handle_abandoned(&mut self, id: RequestId) {
+        if self.requests.get(&id).is_some_and(|context| context.answer.is_some()) {
+            self.fail_request(id, Reason::ShuttingDown);
+        }
+    }
+
+    /// Guards the rule that every request is answered against one that the decision module lost. None is known so far.
+    pub(in crate::engine) fn handle_overdue(&mut self, id: RequestId) {
+        let Some(context) = self.requests.get_mut(&id).filter(|context| context.answer.is_some()) else {
+            return;
+        };
+        // After a stall, the timers of the decision module and of attempts are as late as this one. They are handled first.
+        let was_stalled = context.deadline.elapsed() >= 2 * OVERDUE_DELAY;
+        if was_stalled && !std::mem::replace(&mut context.overdue_extended, true) {
+            let timer = self.timers.schedule(TimerEvent::RequestOverdue(id), OVERDUE_DELAY);
+            return context.timers.push(timer);
+        }
+        let client_id = String::from_utf8_lossy(&context.call.id);
+        log::error!("request {} ({client_id}): no answer at its deadline", id.0);
+        self.fail_request(id, Reason::Forgotten);
+    }
+
+    /// Fails an open request without the decision module.
+    fn fail_request(&mut self, id: RequestId, reason: Reason) {
+        self.handle.counters.borrow_mut().count_failed(reason);
+        self.send_answer(id, Answer::Failed);
+        self.events.push_back(Event::ClientLeft(id));
+        self.remove_if_finished(id);
+    }
+
+    /// Forgets an expired timer. Guards other timers: its key may be reused from now on.
+    pub(in crate::engine) fn forget_timer(&mut self, id: RequestId, key: delay_queue::Key) {
+        if let Some(context) = self.requests.get_mut(&id) {
+            context.timers.retain(|kept| *kept != key);
+        }
+    }
+
+    /// Removes a request that is answered and has no attempt in flight.
+    pub(in crate::engine) fn remove_if_finished(&mut self, id: RequestId) {
+        if !self.requests.get(&id).is_some_and(RequestContext::is_finished) {
+            return;
+        }
+        if let Some(context) = self.requests.remove(&id) {
+            for key in &context.timers {
+                self.timers.cancel(key);
+            }
+        }
+    }
+}
--- a/crates/gateway/src/fleet_link.rs
+++ b/crates/gateway/src/fleet_link.rs
@@ -1,18 +1,20 @@
-//! What the core and the fleet's thread tell one another: the core takes requests under a lease and changes of topology by a
-//! calendar, both agreed elsewhere.
+//! Messages between the engine and the fleet thread. The engine accepts requests under a lease and topology changes by a calendar;
+//! both are agreed elsewhere.
 
+use crate::topology_text::hold_text;
 use audit::lease::Lease;
 use audit::ledger;
-use calendar::Calendar;
+use calendar::{Calendar, HoldReason};
 use decide::api::Micros;
 use std::sync::Arc;
 use std::time::Instant;
+use thiserror::Error;
 use tokio::sync::{mpsc, oneshot};
 
-// What the front and the reload of the configuration name of the calendar.
+// Types of the calendar that the front and the reload of the configuration name.
 pub use calendar::{ChangeKind, ChangeRecord, Proposal};
 
-/// The one clock that the core and the fleet's thread count on: Unix time once, then what only advances.
+/// The clock that the engine and the fleet thread share: Unix time is read once, and then only advances.
 #[derive(Debug, Clone, Copy)]
 pub struct Clock {
     /// Unix time at `base`.
@@ -28,39 +30,39 @@
         Self { unix, base: tokio::time::Instant::now().into_std() }
     }
 
-    /// Microseconds: never back, whatever becomes of the machine's date.
+    /// Unix time in microseconds. Never goes back, whatever happens to the system's date.
     #[must_use]
     pub fn now(&self) -> Micros {
-        // Tokio's reading is the machine's, but for tests that stop it.
+        // Tokio's clock is the system's, except in tests that pause it.
         let elapsed = tokio::time::Instant::now().into_std().saturating_duration_since(self.base);
         self.unix + elapsed.as_micros() as Micros
     }
 }
 
-/// What the fleet's thread tells the core.
+/// What the fleet thread sends to the engine.
 #[derive(Debug)]
 pub enum FleetUpdate {
     /// The lease, after each change of it.
     Lease(Box<Lease>),
-    /// The calendar, settled: the core must not wait for it to be laid out.
+    /// The calendar with its index built, which the engine must not wait for.
     Calendar(Arc<Calendar>),
 }
 
-/// What the core tells the fleet's thread, for the ledger.
+/// What the engine sends to the fleet thread, for the ledger.
 #[derive(Debug)]
 pub enum AuditEvent {
-    /// A change of topology was taken or is held.
+    /// A topology change was applied or held.
     Record(ChangeRecord),
-    /// What was counted, each second.
+    /// The activity counted, every second.
     Report(ledger::ActivityReport),
-    /// A span whose place is needed, for the own ledger.
+    /// An activity period that must make room, for this balancer's own ledger.
     Entry(ledger::LedgerEntry),
 }
 
-/// A call that comes through the door; answered with a status and a JSON body.
+/// A call of the admin endpoint, answered with a status and a JSON body.
 #[derive(Debug)]
 pub enum FleetCall {
-    /// How the fleet stands.
+    /// The state of the fleet.
     View,
     /// A proposal for the calendar.
     Propose(Box<Proposal>),
@@ -69,20 +71,36 @@
 /// A call, and where its answer goes.
 pub type FleetRequest = (FleetCall, oneshot::Sender<(u16, String)>);
 
-/// The core's end of the fleet's thread.
+/// Why a change that concerns the whole fleet may not be made now.
+#[derive(Debug, Clone, PartialEq, Eq, Error)]
+pub enum ChangeCheckError {
+    /// The calendar holds it.
+    #[error("{}", hold_text(reason, *until))]
+    Held {
+        /// Why.
+        reason: HoldReason,
+        /// Until when, as Unix time in milliseconds, if that is known.
+        until: Option<u64>,
+    },
+    /// The engine is gone.
+    #[error("the core has stopped")]
+    Stopped,
+}
+
+/// The engine's end of the connection to the fleet thread.
 #[derive(Debug)]
 pub struct FleetLink {
-    /// What is agreed. Closed, it leaves the core with the lease that it has, and fenced at its end.
+    /// Agreed updates. If closed, the engine keeps its lease, and is fenced when that ends.
     pub updates: mpsc::UnboundedReceiver<FleetUpdate>,
     /// Where calls go.
     pub calls: mpsc::Sender<FleetRequest>,
-    /// Where records and reports go; what finds it full is lost, and counted.
+    /// Where audit events go; events that find it full are lost, and counted.
     pub audit_events: mpsc::Sender<AuditEvent>,
-    /// The clock of the lease's copies: that of [`Engine::clock`](crate::engine::Engine::clock), which is the core's from now on.
+    /// The clock of the lease: that of [`Engine::clock`](crate::engine::Engine::clock), which the engine uses from now on.
     pub clock: Clock,
-    /// This balancer's place in the fleet file.
+    /// This balancer's number in the fleet file.
     pub number: u16,
-    /// Drawn at its start.
+    /// Its incarnation, drawn at its start.
     pub incarnation: u64,
     /// Hash of the program's name and build.
     pub program: u64,
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,7 +1,7 @@
-//! The core on real sockets.
+//! The engine on real sockets.
 //!
-//! A front submits requests to the core ([`engine`]), which asks the decision module and sends tries to peers
-//! ([`upstream::endpoint`]) that its list names. A front knows no upstream, an upstream no front.
+//! A front submits requests to the engine ([`engine`]), which asks the decision module and sends attempts to the listed endpoints
+//! ([`upstream::endpoints`]). A front knows no upstream, and an upstream no front.
 #![forbid(unsafe_code)]
 #![warn(unreachable_pub)]
 
@@ -11,8 +11,9 @@
 pub mod override_file;
 pub mod setup;
 pub mod stall_monitor;
+mod topology_text;
 
-// What fronts meet of a request's meaning and of its large values; no front names the crate that faces the peers.
+// What fronts see of a request and of large values, so that no front depends on the crate that faces the endpoints.
 pub use upstream::call::{Answer, Call};
 pub use upstream::connection::StreamedValue;
 pub use upstream::memory::MemoryPermit;
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -1,4 +1,4 @@
-//! The figures of this process: counted once, where the event happens, and read by the door, the log and tests alike.
+//! Metrics of this process: counted once, where the event happens, and read by the admin endpoint, the log and tests.
 
 use decide::api::{ClassId, Outcome, Reason};
 use decide::endpoint_counts::EndpointCounts;
@@ -9,7 +9,7 @@
 use upstream::call::Answer;
 use upstream::connection::AttemptResult;
 
-/// What stands before each name.
+/// The prefix of each metric name.
 const PREFIX: &str = "balancer";
 
 /// Final answers given to requests of one class.
@@ -17,111 +17,137 @@
 pub struct AnswerCounters {
     /// Served.
     pub served: u64,
-    /// Refused.
+    /// Rejected.
     pub refused: u64,
     /// Failed.
     pub failed: u64,
 }
 
-/// Counts since the start.
+/// Counters since the start.
 #[derive(Debug, Default)]
 pub struct RequestCounters {
     /// Final answers by class, in the order of the settings.
     pub classes: Vec<AnswerCounters>,
-    /// Tries whose last byte was written, the origin's among them: discovery lists it with the cache hosts, and the figure is
-    /// held against what all of them saw.
+    /// Attempts whose last byte was written, those at the origin included: discovery lists it with the cache nodes, and the
+    /// metric is compared with what all of them received.
     pub attempts: Rc<Cell<u64>>,
-    /// New configurations taken over, and those that could not be used.
-    pub reloads: (u64, u64),
-    refused: BTreeMap<Reason, u64>,
-    failed: BTreeMap<Reason, u64>,
+    /// Configurations that were reloaded and applied.
+    pub reloads_ok: u64,
+    /// Configurations that could not be used.
+    pub reloads_failed: u64,
     /// Requests whose clients left before their answer.
     pub left: u64,
-    tries: BTreeMap<(bool, &'static str), u64>,
+    rejected: BTreeMap<Reason, u64>,
+    failed: BTreeMap<Reason, u64>,
+    attempt_results: BTreeMap<AttemptTarget, BTreeMap<&'static str, u64>>,
+}
+
+/// Where an attempt is sent.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+enum AttemptTarget {
+    CacheNode,
+    Origin,
 }
 
 impl RequestCounters {
-    /// Nothing counted, for so many classes.
+    /// Zero counters, for this number of classes.
     #[must_use]
     pub fn new(classes: usize) -> Self {
         Self { classes: vec![AnswerCounters::default(); classes], ..Self::default() }
     }
 
     /// Counts a final answer as it is given.
-    pub fn answered(&mut self, class: ClassId, answer: &Answer) {
+    pub fn count_answer(&mut self, class: ClassId, answer: &Answer) {
         let Some(answers) = self.classes.get_mut(usize::from(class.0)) else { return };
         *match answer {
             Answer::Served(_) => &mut answers.served,
             Answer::Streamed(streamed) if streamed.whole() => &mut answers.served,
-            Answer::Streamed(_) => return, // it has only begun
+            Answer::Streamed(_) => return, // counted by `count_streamed` at its end
             Answer::Refused(_) => &mut answers.refused,
             Answer::Failed => &mut answers.failed,
         } += 1;
     }
 
-    /// Counts a large answer as it has been passed on, whole or broken off.
-    pub fn passed_on(&mut self, class: ClassId, whole: bool) {
-        if let Some(answers) = self.classes.get_mut(usize::from(class.0)) {
-            *if whole { &mut answers.served } else { &mut answers.failed } += 1;
+    /// Counts a large answer that has been forwarded, completely or in part.
+    pub fn count_streamed(&mut self, class: ClassId, complete: bool) {
+        let Some(answers) = self.classes.get_mut(usize::from(class.0)) else { return };
+        if complete {
+            answers.served += 1;
+        } else {
+            answers.failed += 1;
         }
     }
 
-    /// Counts the end of a try.
-    pub fn tried(&mut self, at_origin: bool, ended: &AttemptResult) {
-        let word = match ended.outcome {
+    /// Counts the end of an attempt.
+    pub fn count_attempt(&mut self, at_origin: bool, result: &AttemptResult) {
+        let target = if at_origin { AttemptTarget::Origin } else { AttemptTarget::CacheNode };
+        let word = match result.outcome {
             Outcome::Ok => "served",
             Outcome::Miss => "missed",
             Outcome::Error => "error",
-            Outcome::Rejected => "turned away",
+            Outcome::Rejected => "rejected",
             Outcome::Timeout => "timed out",
             Outcome::ConnectFailed => "could not connect",
-            Outcome::Reset if ended.stale => "stale",
+            Outcome::Reset if result.stale => "stale",
             Outcome::Reset => "reset",
             Outcome::Cancelled => "cancelled",
             Outcome::NotSent => "not sent",
         };
-        *self.tries.entry((at_origin, word)).or_default() += 1;
+        *self.attempt_results.entry(target).or_default().entry(word).or_default() += 1;
     }
 
-    /// Counts why a request is refused.
-    pub fn refuse(&mut self, why: Reason) {
-        *self.refused.entry(why).or_default() += 1;
+    /// Counts why a request is rejected.
+    pub fn count_rejected(&mut self, reason: Reason) {
+        *self.rejected.entry(reason).or_default() += 1;
+    }
+
+    /// Counts a request that is rejected before the decision module has heard of it, and its answer.
+    pub fn count_rejected_unseen(&mut self, class: ClassId, reason: Reason) {
+        self.count_rejected(reason);
+        self.count_answer(class, &Answer::Refused(0));
     }
 
     /// Counts why a request is failed.
-    pub fn fail(&mut self, why: Reason) {
-        *self.failed.entry(why).or_default() += 1;
+    pub fn count_failed(&mut self, reason: Reason) {
+        *self.failed.entry(reason).or_default() += 1;
     }
 }
 
+/// Writes how many requests ended in this way, and for which reasons.
+fn write_reasons(f: &mut fmt::Formatter<'_>, ending: &str, reasons: &BTreeMap<Reason, u64>) -> fmt::Result {
+    write!(f, ", {} {ending}", reasons.values().sum::<u64>())?;
+    if reasons.is_empty() {
+        return Ok(());
+    }
+    let words: Vec<String> =
+        reasons.iter().map(|(reason, count)| format!("{} {count}", reason.label())).collect();
+    write!(f, " ({})", words.join(", "))
+}
+
 impl fmt::Display for RequestCounters {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{} served", self.classes.iter().map(|it| it.served).sum::<u64>())?;
-        for (how, reasons) in [("refused", &self.refused), ("failed", &self.failed)] {
-            write!(f, ", {} {how}", reasons.values().sum::<u64>())?;
-            let words: Vec<String> = reasons.iter().map(|(why, n)| format!("{} {n}", why.label())).collect();
-            if !words.is_empty() {
-                write!(f, " ({})", words.join(", "))?;
-            }
-        }
+        write_reasons(f, "rejected", &self.rejected)?;
+        write_reasons(f, "failed", &self.failed)?;
         write!(f, ", {} left by their clients", self.left)?;
-        for (at_origin, whose) in [(false, "cache nodes"), (true, "the origin")] {
-            let of = self.tries.iter().filter(|((origin, _), _)| *origin == at_origin);
-            let words: Vec<String> = of.map(|((_, word), n)| format!("{word} {n}")).collect();
-            write!(f, "; tries at {whose}: {}", words.join(", "))?;
+        let targets = [(AttemptTarget::CacheNode, "cache nodes"), (AttemptTarget::Origin, "the origin")];
+        for (target, name) in targets {
+            let results = self.attempt_results.get(&target).into_iter().flatten();
+            let words: Vec<String> = results.map(|(word, count)| format!("{word} {count}")).collect();
+            write!(f, "; attempts at {name}: {}", words.join(", "))?;
         }
         Ok(())
     }
 }
 
-/// The figures as staff fetch them, one `NAME:VALUE|KIND` a line: `c` counts since the start, `g` is the state now.
+/// The metrics as operators fetch them, one `NAME:VALUE|KIND` per line: `c` counts since the start, `g` is the current value.
 #[must_use]
 pub fn render(
     counters: &RequestCounters, class_names: &[String], in_flight: usize, endpoint_counts: EndpointCounts,
 ) -> String {
     let mut out = String::with_capacity(1024);
     let mut line = |name: &str, class: &str, value: u64, kind: char| {
-        let _ = writeln!(out, "{PREFIX}.{name}{class}:{value}|{kind}"); // a String takes all
+        let _ = writeln!(out, "{PREFIX}.{name}{class}:{value}|{kind}"); // writing to a String cannot fail
     };
     for (name, answers) in class_names.iter().zip(&counters.classes) {
         let class = format!(".{name}");
@@ -130,8 +156,8 @@
         line("failed", &class, answers.failed, 'c');
     }
     line("attempts", "", counters.attempts.get(), 'c');
-    line("reloads_ok", "", counters.reloads.0, 'c');
-    line("reloads_failed", "", counters.reloads.1, 'c');
+    line("reloads_ok", "", counters.reloads_ok, 'c');
+    line("reloads_failed", "", counters.reloads_failed, 'c');
     line("in_flight", "", in_flight as u64, 'g');
     line("cache_hosts_known", "", endpoint_counts.known, 'g');
     line("cache_hosts_excluded", "", endpoint_counts.excluded, 'g');
--- a/crates/gateway/src/override_file.rs
+++ b/crates/gateway/src/override_file.rs
@@ -1,82 +1,82 @@
-//! The file in which the orders in force outlive a process, and by which two processes of one balancer share them.
+//! The file in which operator overrides outlive a process, and by which two processes of one balancer share them.
 
-use maintenance::{OperatorOverrides, WriteError};
+use maintenance::{OperatorOverrides, UnreadableOverrides, WriteError};
 use std::fs::{self, File};
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// The file, and what it was last seen to hold.
+/// The file, and its last known content.
 #[derive(Debug)]
 pub struct OverrideFile {
     path: PathBuf,
-    seen: Option<String>,
+    last_content: Option<String>,
 }
 
 impl OverrideFile {
-    /// The file at this place, which need not exist.
+    /// The file at this path, which need not exist.
     #[must_use]
     pub fn new(path: PathBuf) -> Self {
-        Self { path, seen: None }
+        Self { path, last_content: None }
     }
 
-    /// Where it is.
+    /// Its path.
     #[must_use]
     pub fn path(&self) -> &Path {
         &self.path
     }
 
-    /// What the file holds, if that is new to us. What is not in the form of orders is logged, put aside, and stops nothing.
+    /// The overrides in the file, if they have changed. An invalid file is logged and moved aside; the current overrides stay.
     ///
     /// # Errors
-    /// When it cannot be read now; it is left where it is.
+    /// When it cannot be read now; it stays where it is.
     pub fn poll(&mut self) -> io::Result<Option<OperatorOverrides>> {
         match fs::read(&self.path) {
-            Ok(bytes) => Ok(self.take(&bytes)),
+            Ok(bytes) => Ok(self.parse_changed(&bytes)),
             Err(error) if error.kind() == io::ErrorKind::NotFound => Ok(None),
             Err(error) => Err(error),
         }
     }
 
-    fn take(&mut self, bytes: &[u8]) -> Option<OperatorOverrides> {
+    fn parse_changed(&mut self, bytes: &[u8]) -> Option<OperatorOverrides> {
         let text = String::from_utf8_lossy(bytes);
-        if self.seen.as_deref() == Some(&*text) {
+        if self.last_content.as_deref() == Some(&*text) {
             return None;
         }
         match OperatorOverrides::from_text(&text) {
-            Ok(orders) => {
-                self.seen = Some(text.into_owned());
-                Some(orders)
+            Ok(overrides) => {
+                self.last_content = Some(text.into_owned());
+                Some(overrides)
             }
             Err(error) => {
-                self.put_aside(&error.to_string());
+                self.move_aside(&error);
                 None
             }
         }
     }
 
-    fn put_aside(&self, why: &str) {
+    fn move_aside(&self, reason: &UnreadableOverrides) {
         let aside = self.path.with_extension("unreadable");
-        let kept = match fs::rename(&self.path, &aside) {
-            Ok(()) => format!("kept as {}", aside.display()),
-            Err(error) => format!("and cannot be put aside: {error}"),
+        let moved = match fs::rename(&self.path, &aside) {
+            Ok(()) => format!("moved to {}", aside.display()),
+            Err(error) => format!("cannot be moved aside: {error}"),
         };
-        log::error!("orders in {}: {why}; {kept}; those held go on", self.path.display());
+        log::error!("overrides: {}: {reason}; {moved}; keeping the current overrides", self.path.display());
     }
 
-    /// Writes orders, whole or not at all, unless another process has written others since the last look. The lock is between
-    /// the processes of this balancer, and ends with the process that holds it.
+    /// Writes overrides atomically, unless another process has written others since the last poll. The lock is between the
+    /// processes of this balancer, and is released when its process ends.
     ///
     /// # Errors
-    /// When they were not written; the file then holds what it held.
-    pub fn save(&mut self, orders: &OperatorOverrides) -> Result<(), WriteError> {
+    /// When they were not written; the file is then unchanged.
+    pub fn save(&mut self, overrides: &OperatorOverrides) -> Result<(), WriteError> {
         let lock = File::create(self.path.with_extension("lock"))?;
         lock.lock()?;
         if let Some(others) = self.poll()? {
             return Err(WriteError::Changed(others));
         }
-        let text = orders.to_text();
+        let text = overrides.to_text();
         self.replace(&text)?;
-        self.seen = Some(text);
+        self.last_content = Some(text);
         Ok(())
     }
 
@@ -84,7 +84,7 @@
         let new = self.path.with_extension(format!("{}.new", std::process::id()));
         let written = fs::write(&new, text).and_then(|()| fs::rename(&new, &self.path));
         if written.is_err() {
-            let _ = fs::remove_file(&new); // a part of it may stand there
+            let _ = fs::remove_file(&new); // it may be incomplete
         }
         written
     }
--- a/crates/gateway/src/setup.rs
+++ b/crates/gateway/src/setup.rs
@@ -1,4 +1,4 @@
-//! What the program is set up with: addresses, names, limits, the settings of the decision module.
+//! The configuration of the program: addresses, names, limits, and the settings of the decision module.
 
 use decide::api::Settings;
 use gossip_transport::GossipAddresses;
@@ -7,31 +7,31 @@
 use std::path::PathBuf;
 pub use upstream::setup::{Bounds, Names};
 
-/// What the program is told at its start.
+/// The configuration of the program.
 #[derive(Debug)]
 pub struct Config {
     /// The balancer's name.
     pub name: String,
-    /// Where clients connect.
+    /// The address that clients connect to.
     pub listen: SocketAddr,
-    /// The number of a descriptor under which the listening socket for clients was inherited; bound by itself if none.
+    /// The descriptor number of an inherited listening socket for clients; if `None`, the program binds its own.
     pub inherited_descriptor: Option<i32>,
-    /// Where operators call; nowhere if none.
+    /// The address of the admin endpoint, if there is one.
     pub operator: Option<SocketAddr>,
-    /// The folder that the next process of this balancer finds as this one left it, if there is such.
+    /// A folder that persists between processes of this balancer, if there is one.
     pub folder: Option<PathBuf>,
-    /// Discovery's agent.
+    /// The address of the discovery agent.
     pub discovery: SocketAddr,
-    /// Seed of the module's random numbers.
+    /// Seed of the decision module's random numbers.
     pub seed: u64,
-    /// The list as held before the start; it may be old.
+    /// The endpoint list known before the start; it may be old.
     pub known: Option<EndpointList>,
-    /// The module's settings.
+    /// Settings of the decision module.
     pub settings: Settings,
-    /// Names that the settings give to numbers.
+    /// Names of the numbers in the settings.
     pub names: Names,
-    /// Limits and times of connections.
+    /// Limits and timeouts of connections.
     pub bounds: Bounds,
-    /// The other balancers, where messages between them are allowed.
+    /// Addresses of the other balancers, where messages between them are allowed.
     pub gossip: Option<GossipAddresses>,
 }
--- a/crates/gateway/src/stall_monitor.rs
+++ b/crates/gateway/src/stall_monitor.rs
@@ -1,10 +1,11 @@
-//! The heartbeat of the thread: how late it comes to what it waits for.
+//! Monitors how late the event loop runs.
 //!
-//! The program is one thread, and a process may be held up: by the system, or by a long piece of its own work. Nothing is
-//! read meanwhile. A timer that falls due every [`CHECK_INTERVAL`] shows for how long: it runs that much late. [`StallMonitor`] keeps the
-//! figures, and knows no timer; [`run_stall_monitor`] is the driver.
+//! The program is one thread, and may stall: because of the system, or because of a long task of its own. Nothing is read meanwhile.
+//! A timer that is due every [`CHECK_INTERVAL`] shows for how long: it runs that much late. [`StallMonitor`] keeps the measurements
+//! and knows no timer; [`run_stall_monitor`] is the driver.
 //!
-//! What is read now may have come so long ago ([`StallMonitor::overdue`]): the time that a request gives counts from when it came.
+//! What is read now may have arrived as long ago as [`StallMonitor::overdue`] says. The time limit of a request starts when it
+//! arrived.
 
 use log_throttle::LogThrottle;
 use std::cell::Cell;
@@ -13,45 +14,49 @@
 use tokio::task::yield_now;
 use tokio::time::{Instant, sleep_until};
 
-/// How often the timer falls due. What it costs is some 40 wake-ups a second; what is known of a hold-up is exact to this.
+/// How often the timer is due: the resolution of a stall, at the cost of 40 wake-ups a second.
 pub const CHECK_INTERVAL: Duration = Duration::from_millis(25);
-/// Timers are exact to a millisecond, and a wake-up takes a part of one.
-const TICK: Duration = Duration::from_millis(2);
-/// A delay of the timer from which on a hold-up is logged: a tenth of the grace that drains leave.
-const LOGGED: Duration = Duration::from_millis(25);
+/// The resolution of timers, with the time of a wake-up.
+const TIMER_RESOLUTION: Duration = Duration::from_millis(2);
+/// The delay from which on a stall is logged: a tenth of the time that a drain allows.
+const LOGGED_STALL: Duration = Duration::from_millis(25);
 
-/// How late the thread runs.
+/// How late the event loop runs.
 #[derive(Debug)]
 pub struct StallMonitor {
-    /// When the timer falls due next.
+    /// When the timer is due next.
     due: Cell<Instant>,
-    /// The longest delay since the last report.
+    /// The longest delay since it was last taken.
     longest: Cell<Duration>,
-    lines: LogThrottle,
+    log_throttle: LogThrottle,
 }
 
 impl StallMonitor {
-    /// A heartbeat that begins now.
+    /// A monitor that starts now.
     #[must_use]
     pub fn new(now: Instant) -> Self {
-        Self { due: Cell::new(now + CHECK_INTERVAL), longest: Cell::default(), lines: LogThrottle::default() }
+        Self {
+            due: Cell::new(now + CHECK_INTERVAL),
+            longest: Cell::default(),
+            log_throttle: LogThrottle::default(),
+        }
     }
 
-    /// When the timer falls due next.
+    /// When the timer is due next.
     #[must_use]
     pub fn next_run_at(&self) -> Instant {
         self.due.get()
     }
 
-    /// How long the timer has been overdue: what is read now came no earlier than that ago, but for a beat. None in a thread
-    /// that keeps up, whose timer is off by a tick of the clock at most.
+    /// How long the timer has been overdue: what is read now arrived no earlier than that, give or take an interval. Zero in an
+    /// event loop that keeps up, whose timer is late by its resolution at most.
     #[must_use]
     pub fn overdue(&self, now: Instant) -> Duration {
         let late = now.saturating_duration_since(self.due.get());
-        if late >= TICK { late } else { Duration::ZERO }
+        if late >= TIMER_RESOLUTION { late } else { Duration::ZERO }
     }
 
-    /// Takes in that the timer has run: yields how late it was, and is due again a beat later.
+    /// Records a run of the timer, and returns how late it was. It is due again after an interval.
     pub fn record_run(&self, now: Instant) -> Duration {
         let late = now.saturating_duration_since(self.due.get());
         self.longest.set(self.longest.get().max(late));
@@ -65,17 +70,17 @@
     }
 }
 
-/// Runs the timer for as long as the program does.
-pub async fn run_stall_monitor(heartbeat: Rc<StallMonitor>) {
+/// Runs the timer until it is dropped.
+pub async fn run_stall_monitor(monitor: Rc<StallMonitor>) {
     loop {
-        sleep_until(heartbeat.next_run_at()).await;
-        // What the same wake-up has brought is read first: it may have come during the hold-up.
+        sleep_until(monitor.next_run_at()).await;
+        // Tasks of the same wake-up run first: they read what arrived during the stall, and need its length.
         yield_now().await;
-        let late = heartbeat.record_run(Instant::now());
-        if late >= LOGGED
-            && let Some(more) = heartbeat.lines.line()
+        let late = monitor.record_run(Instant::now());
+        if late >= LOGGED_STALL
+            && let Some(more) = monitor.log_throttle.line()
         {
-            log::info!("the thread was held up for {late:?}{more}");
+            log::info!("stall monitor: the event loop stalled for {late:?}{more}");
         }
     }
 }
--- /dev/null
+++ b/crates/gateway/src/topology_text.rs
@@ -0,0 +1,49 @@
+//! Names of topology changes and of their outcomes, for log lines and for the digest that balancers compare.
+//!
+//! The names are spelled out here, and do not follow Rust identifiers: balancers of other versions must show the same digest for
+//! the same changes.
+
+use calendar::{ChangeKind, ChangeOutcome, HoldReason};
+
+/// The name of a kind of change.
+pub(crate) fn change_kind_name(kind: ChangeKind) -> &'static str {
+    match kind {
+        ChangeKind::Drain => "Drain",
+        ChangeKind::Gone => "Gone",
+        ChangeKind::Fall => "Fall",
+        ChangeKind::Cold => "Cold",
+        ChangeKind::Out => "Out",
+        ChangeKind::Back => "Back",
+        ChangeKind::Less => "Less",
+        ChangeKind::Join => "Join",
+        ChangeKind::More => "More",
+        ChangeKind::Zone => "Zone",
+        ChangeKind::Discovery => "Discovery",
+        ChangeKind::Configuration => "Configuration",
+        ChangeKind::Restart => "Restart",
+        ChangeKind::Growth => "Growth",
+        ChangeKind::Council => "Council",
+    }
+}
+
+/// What became of a change.
+pub(crate) fn outcome_text(outcome: &ChangeOutcome) -> String {
+    match outcome {
+        ChangeOutcome::Applied | ChangeOutcome::InitialList => "applied".into(),
+        ChangeOutcome::Override(id) => format!("applied under override {id}"),
+        ChangeOutcome::Replacement => "applied as a replacement".into(),
+        ChangeOutcome::QueueFull => "dropped: too many changes are pending".into(),
+        ChangeOutcome::Held { reason, until } => hold_text(reason, *until),
+    }
+}
+
+/// Why a change is held, and until when (Unix time in milliseconds) if that is known.
+pub(crate) fn hold_text(reason: &HoldReason, until: Option<u64>) -> String {
+    let until = until.map_or_else(String::new, |ms| format!(" until {ms}"));
+    let reason = match reason {
+        HoldReason::Freeze { id, reason } => format!("freeze {id}: {reason}"),
+        HoldReason::NoLease => "no lease is held, or fleet time is unknown".into(),
+        HoldReason::Queued => "queued behind earlier changes".into(),
+    };
+    format!("held{until}: {reason}")
+}
--- /dev/null
+++ b/crates/gateway/tests/queued_requests.rs
@@ -0,0 +1,89 @@
+//! What happens while a request is queued for the engine: its client leaves, its endpoint drains, or its time ends.
+
+mod support;
+
+use bytes::BytesMut;
+use gateway::Answer;
+use gateway::engine::{Engine, Handle, Ticket};
+use proto::discovery::{EndpointList, EndpointRecord, Phase, WatchEvent};
+use std::io::Read;
+use std::net::TcpListener;
+use support::{MINUTE, config};
+use tokio::task::{LocalSet, spawn_blocking};
+use tokio::time::Instant;
+
+/// A list with one ready endpoint at this address.
+fn list(host: &TcpListener) -> EndpointList {
+    let member = EndpointRecord {
+        id: "s-1".into(),
+        host_port: host.local_addr().unwrap(),
+        locality: String::new(),
+        flavor: String::new(),
+        cell: 0,
+        phase: Phase::Ready,
+        size: 1.0,
+        up_since_ms: 0,
+    };
+    EndpointList { revision: 1, complete: true, members: vec![member] }
+}
+
+fn submit(handle: &Handle, word: &str) -> Ticket {
+    support::submit(handle, 1, word, Instant::now())
+}
+
+/// The first word of the first command that the endpoint receives.
+fn first_command(host: &TcpListener) -> bytes::Bytes {
+    let mut stream = host.accept().unwrap().0;
+    stream.set_read_timeout(Some(MINUTE)).unwrap();
+    let mut buffer = BytesMut::new();
+    loop {
+        if let Some(command) = proto::resp::decode_command(&mut buffer).unwrap() {
+            return command.0[0].clone();
+        }
+        let mut chunk = [0; 512];
+        let n = stream.read(&mut chunk).unwrap();
+        assert!(n > 0, "an open connection is used");
+        buffer.extend_from_slice(&chunk[..n]);
+    }
+}
+
+#[tokio::test]
+async fn request_whose_client_left_while_queued_is_not_sent() {
+    let host = TcpListener::bind("127.0.0.1:0").unwrap();
+    let (engine, handle) = Engine::new(&config(Some(list(&host))));
+    let (left, _stays) = (submit(&handle, "left"), submit(&handle, "stays"));
+    drop(left);
+    let received = spawn_blocking(move || first_command(&host));
+    let tasks = LocalSet::new();
+    tasks.spawn_local(engine.run());
+    assert_eq!(tasks.run_until(received).await.unwrap(), "stays", "the first command that is sent");
+}
+
+#[tokio::test]
+async fn drain_overtakes_queued_requests() {
+    let host = TcpListener::bind("127.0.0.1:0").unwrap();
+    host.set_nonblocking(true).unwrap();
+    let (engine, handle) = Engine::new(&config(Some(list(&host))));
+    let queued: Vec<_> = ["1", "2", "3"].map(|word| submit(&handle, word)).into();
+    let mut draining = list(&host);
+    draining.members[0].phase = Phase::Draining;
+    handle.handle_watch_event(WatchEvent::List(draining));
+    let tasks = LocalSet::new();
+    tasks.spawn_local(engine.run());
+    for ticket in queued {
+        tasks.run_until(ticket).await;
+    }
+    assert!(host.accept().is_err(), "the endpoint is not connected to");
+}
+
+#[tokio::test]
+async fn request_whose_time_ended_while_queued_is_rejected_unsent() {
+    let host = TcpListener::bind("127.0.0.1:0").unwrap();
+    host.set_nonblocking(true).unwrap();
+    let (engine, handle) = Engine::new(&config(Some(list(&host))));
+    let expired = support::submit(&handle, 1, "expired", Instant::now() - MINUTE);
+    let tasks = LocalSet::new();
+    tasks.spawn_local(engine.run());
+    assert!(matches!(tasks.run_until(expired).await, Answer::Refused(0)));
+    assert!(host.accept().is_err(), "the endpoint is not connected to");
+}
--- a/crates/gateway/tests/stall_monitor.rs
+++ b/crates/gateway/tests/stall_monitor.rs
@@ -1,4 +1,4 @@
-//! The heartbeat of the thread on a paused clock: a thread that keeps up ages nothing, one that was held up tells for how long.
+//! The stall monitor on a paused clock: an event loop that keeps up is never overdue, and a stall shows how long it was.
 
 use gateway::stall_monitor::{CHECK_INTERVAL, StallMonitor, run_stall_monitor};
 use std::rc::Rc;
@@ -6,41 +6,41 @@
 use tokio::task::{LocalSet, spawn_local, yield_now};
 use tokio::time::{Instant, advance, sleep};
 
-const HELD_UP: Duration = Duration::from_millis(150);
+const STALL: Duration = Duration::from_millis(150);
 
-async fn beating() -> Rc<StallMonitor> {
-    let heartbeat = Rc::new(StallMonitor::new(Instant::now()));
-    spawn_local(run_stall_monitor(heartbeat.clone()));
+async fn start_monitor() -> Rc<StallMonitor> {
+    let monitor = Rc::new(StallMonitor::new(Instant::now()));
+    spawn_local(run_stall_monitor(monitor.clone()));
     yield_now().await;
-    heartbeat
+    monitor
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_thread_that_keeps_up_is_never_overdue() {
+async fn event_loop_that_keeps_up_is_never_overdue() {
     LocalSet::new()
         .run_until(async {
-            let heartbeat = beating().await;
+            let monitor = start_monitor().await;
             for _ in 0..1_000 {
                 sleep(Duration::from_millis(1)).await;
-                assert_eq!(heartbeat.overdue(Instant::now()), Duration::ZERO);
+                assert_eq!(monitor.overdue(Instant::now()), Duration::ZERO);
             }
-            assert!(heartbeat.take_longest_stall() <= Duration::from_millis(2));
+            assert!(monitor.take_longest_stall() <= Duration::from_millis(2));
         })
         .await;
 }
 
 #[tokio::test(start_paused = true)]
-async fn what_is_read_as_a_hold_up_ends_is_as_old_as_that_but_for_a_beat() {
+async fn overdue_time_after_stall_is_its_length_give_or_take_an_interval() {
     LocalSet::new()
         .run_until(async {
-            let heartbeat = beating().await;
-            advance(HELD_UP).await; // nothing runs meanwhile
-            let age = heartbeat.overdue(Instant::now());
-            assert!(age >= HELD_UP - CHECK_INTERVAL && age <= HELD_UP, "{age:?}");
+            let monitor = start_monitor().await;
+            advance(STALL).await; // nothing runs meanwhile
+            let age = monitor.overdue(Instant::now());
+            assert!(age >= STALL - CHECK_INTERVAL && age <= STALL, "{age:?}");
             sleep(2 * CHECK_INTERVAL).await;
-            assert_eq!(heartbeat.overdue(Instant::now()), Duration::ZERO, "it is over");
-            assert!(heartbeat.take_longest_stall() >= HELD_UP - CHECK_INTERVAL);
-            assert_eq!(heartbeat.take_longest_stall(), Duration::ZERO, "told once");
+            assert_eq!(monitor.overdue(Instant::now()), Duration::ZERO, "it is over");
+            assert!(monitor.take_longest_stall() >= STALL - CHECK_INTERVAL);
+            assert_eq!(monitor.take_longest_stall(), Duration::ZERO, "taken once");
         })
         .await;
 }
--- a/crates/spindlebeam/tests/fleet_freeze.rs
+++ b/crates/spindlebeam/tests/fleet_freeze.rs
@@ -24,7 +24,7 @@
     all(balancers).for_each(|it| drop(fleet.balancer(it).process.said("fleet: lease held")));
     for host in spare {
         fleet.change(*host, Phase::Gone);
-        all(balancers).for_each(|it| topology(&fleet, it, *host, "Gone taken"));
+        all(balancers).for_each(|it| topology(&fleet, it, *host, "Gone applied"));
     }
     fleet
 }
@@ -174,7 +174,7 @@
     fleet.clients().ask(fleet.load(&["read"], 120.0, 1_080));
     let agreed = agree(&fleet, 1, &[0, 1, 2], &freeze("sales"));
     fleet.change(3, Phase::Ready);
-    all(3).for_each(|it| topology(&fleet, it, 3, "Join taken (calendar"));
+    all(3).for_each(|it| topology(&fleet, it, 3, "Join applied (calendar"));
     in_force(&fleet, &[0, 1, 2], agreed);
     let bound = Instant::now();
     fleet.change(4, Phase::Ready);
@@ -183,7 +183,7 @@
     let drained = Instant::now();
     fleet.change(0, Phase::Draining);
     let told: Vec<_> = all(3).map(|it| fleet.told_of(it, 0, Phase::Draining)).collect();
-    all(3).for_each(|it| topology(&fleet, it, 4, "Join taken in place of what was lost"));
+    all(3).for_each(|it| topology(&fleet, it, 4, "Join applied as a replacement"));
     fleet.change(5, Phase::Ready);
     all(3).for_each(|it| topology(&fleet, it, 5, "Join held"));
     all(3).for_each(|it| reached(&fleet, it, 1, told[it] + TOLD_WITHIN * 3));
@@ -196,7 +196,7 @@
         assert!(sent(&fleet, balancer, 3, bound, revoked) > 0, "seed 31: s-3 came before the freeze");
     }
     agree(&fleet, 2, &[0, 1, 2], &revoke("sales"));
-    all(3).for_each(|it| topology(&fleet, it, 5, "Join taken (calendar"));
+    all(3).for_each(|it| topology(&fleet, it, 5, "Join applied (calendar"));
     all(3).for_each(|it| reached(&fleet, it, 5, revoked));
     fleet.clients().answered(1_080);
 }
@@ -208,7 +208,7 @@
     let told = Instant::now();
     fleet.between().cut(&[3], &[0, 1, 2]);
     fleet.balancer(3).agent.change(fleet.host(3).name(), Phase::Ready);
-    topology(&fleet, 3, 3, "Join taken (calendar");
+    topology(&fleet, 3, 3, "Join applied (calendar");
     let agreed = agree(&fleet, 0, &[0, 1, 2], &freeze("sales"));
     let binds = Instant::now() + BINDING;
     in_force(&fleet, &[0, 1, 2], agreed);
@@ -244,7 +244,7 @@
     fleet.change(4, Phase::Ready);
     fleet.change(3, Phase::Ready);
     for balancer in all(3) {
-        topology(&fleet, balancer, 3, "Join taken under override spare");
+        topology(&fleet, balancer, 3, "Join applied under override spare");
         topology(&fleet, balancer, 4, "Join held");
         let entries = view(&fleet, balancer)["calendar"]["entries"].clone();
         let overrides: Vec<_> =
@@ -277,7 +277,7 @@
     it.process.reload(&config).unwrap();
     it.process.said("SIGHUP: discovery is held: held");
     it.agent.change(fleet.host(0).name(), Phase::Draining);
-    topology(&fleet, 0, 0, "Drain taken");
+    topology(&fleet, 0, 0, "Drain applied");
     assert_eq!(moved.asked().count(), 0, "seed 34: the new one is not asked");
     assert!(!has_said(&fleet, 0, "discovery is now at"), "seed 34");
     agree(&fleet, 1, &[0, 1, 2], &revoke("sales"));
@@ -291,9 +291,9 @@
     let agreed = agree(&fleet, 2, &[0, 1, 2], &freeze("sales"));
     in_force(&fleet, &[0, 1, 2], agreed);
     fleet.change(0, Phase::Gone);
-    all(3).for_each(|it| topology(&fleet, it, 0, "Gone taken"));
+    all(3).for_each(|it| topology(&fleet, it, 0, "Gone applied"));
     fleet.change(3, Phase::Ready);
-    all(3).for_each(|it| topology(&fleet, it, 3, "Join taken in place of what was lost"));
+    all(3).for_each(|it| topology(&fleet, it, 3, "Join applied as a replacement"));
     fleet.change(4, Phase::Ready);
     all(3).for_each(|it| topology(&fleet, it, 4, "Join held"));
 }
@@ -312,8 +312,8 @@
     fleet.change(3, Phase::Ready);
     fleet.change(0, Phase::Draining);
     for balancer in 2..5 {
-        topology(&fleet, balancer, 3, "Join held because no lease is held");
-        topology(&fleet, balancer, 0, "Drain taken");
+        topology(&fleet, balancer, 3, "Join held: no lease is held");
+        topology(&fleet, balancer, 0, "Drain applied");
         reached(&fleet, balancer, 1, lost);
     }
     fleet.clients().answered(300);
@@ -344,10 +344,10 @@
     others.iter().for_each(|it| topology(&fleet, *it, 4, "Join held"));
     // A stamp behind the first leader's would have the next freeze in force at once.
     agree(&fleet, 3, &others, &revoke("sales"));
-    others.iter().for_each(|it| topology(&fleet, *it, 4, "Join taken (calendar"));
+    others.iter().for_each(|it| topology(&fleet, *it, 4, "Join applied (calendar"));
     agree(&fleet, 3, &others, &freeze("later"));
     fleet.change(5, Phase::Ready);
-    others.iter().for_each(|it| topology(&fleet, *it, 5, "Join taken (calendar"));
+    others.iter().for_each(|it| topology(&fleet, *it, 5, "Join applied (calendar"));
 }
 
 #[test]
--- a/crates/spindlebeam/tests/operators.rs
+++ b/crates/spindlebeam/tests/operators.rs
@@ -284,7 +284,7 @@
     let (status, why) = call(new.door.unwrap(), "GET", "/ready", "");
     assert!(status == 503 && why.contains("draining"), "{status} {why}");
     old.order("/undrain", "");
-    new.logged("the drain has ended");
+    new.logged("drain ended");
     assert_eq!(call(new.door.unwrap(), "GET", "/ready", "").0, 200);
     let mut client = home.client();
     client.send(&["PING"]);
@@ -360,7 +360,7 @@
     let (status, why) = call(balancer.door.unwrap(), "GET", "/ready", "");
     assert!(status == 503 && why.contains("what was ordered before"), "{status} {why}");
     std::fs::write(disk, r#"{"version":1,"out":{"s-0":7},"back":{},"draining":false}"#).unwrap();
-    balancer.logged("orders of the process before");
+    balancer.logged("loaded from the previous process");
     balancer.logged("accepting from the inherited socket");
     let mut client = home.client();
     for n in 0..20 {
