--- a/crates/spindlebeam/src/reload.rs
+++ b/crates/spindlebeam/src/reload.rs
@@ -3,7 +3,7 @@
 use crate::config;
 use anyhow::Result;
 use gateway::engine::Handle;
-use gateway::fleet_link::ChangeKind;
+use gateway::fleet_link::{ChangeCheckError, ChangeKind};
 use gateway::setup::Config;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -70,7 +70,7 @@
         self.handle.count_reload(true);
     }
 
-    async fn check_move(&self, new: &Config) -> Result<(), String> {
+    async fn check_move(&self, new: &Config) -> Result<(), ChangeCheckError> {
         let moves = new.discovery != *self.discovery.borrow();
         if moves { self.handle.check_change(ChangeKind::Discovery).await } else { Ok(()) }
     }
--- a/crates/spindlebeam/src/serve/gossip.rs
+++ b/crates/spindlebeam/src/serve/gossip.rs
@@ -23,7 +23,7 @@
             log::info!("gossip: {error:#}; retrying until the address is free");
             tokio::task::spawn_local(open_later(addresses, config.seed, handle.clone()));
         }
-        Err(error) => return Err(error),
+        Err(error) => return Err(error.into()),
     }
     Ok(())
 }
