--- a/crates/reservation/benches/cost.rs
+++ b/crates/reservation/benches/cost.rs
@@ -6,31 +6,41 @@
 use reservation::*;
 
 const HOUR: Micros = 3_600_000_000;
-const ME: Holder = Holder { number: 0, incarnation: 1 };
+const ME: Holder = Holder { node_id: 0, incarnation: 1 };
 
-fn book() -> Book {
-    let mut book = Book::default();
-    let everyday = vec![Two::both(1_000); 168];
-    let whole = Two::both(4_000_000_000);
-    book.apply(1, 0, &Proposal::Capacity(Capacity { from: 0, whole, everyday }));
-    book.apply(2, 0, &Proposal::Fleet(300));
+fn book() -> ReservationBook {
+    let mut book = ReservationBook::default();
+    let baseline = vec![PerKind::uniform(1_000); 168];
+    let total = PerKind::uniform(4_000_000_000);
+    book.apply(1, 0, &Proposal::SetCapacity(Capacity { from: 0, total, baseline }));
+    book.apply(2, 0, &Proposal::SetFleetSize(300));
     for id in 0..1_000_u64 {
         let windows =
             (0..20).map(|day| Span { from: day * 24 * HOUR + id, to: (day * 24 + 8) * HOUR + id }).collect();
         let tenant = Tenant(id as u32 / 4);
-        let rate = Two::both(2_000_000);
-        let request = Request { id: BookingId(id), tenant, classes: Classes(2), rate, windows };
+        let rate = PerKind::uniform(2_000_000);
+        let request = BookingRequest { id: BookingId(id), tenant, classes: RequestClasses(2), rate, windows };
         let answer = book.apply(3 + id, 0, &Proposal::Book(request));
-        assert!(matches!(answer, Answer::Granted { .. }));
+        assert!(matches!(answer, Outcome::Granted { .. }));
     }
-    let renewals =
-        (0..300).map(|number| Renewal { holder: Holder { number, ..ME }, asked: 0, applied: 0 }).collect();
-    book.apply(2_000, HOUR, &Proposal::Slices(Slices { renewals, ..Slices::default() }));
+    let renewals = (0..300)
+        .map(|number| LeaseRenewal { holder: Holder { node_id: number, ..ME }, requested_at: 0, applied: 0 })
+        .collect();
+    book.apply(
+        2_000,
+        HOUR,
+        &Proposal::AllocateSlices(SliceAllocation { renewals, ..SliceAllocation::default() }),
+    );
     for number in 0..300 {
-        let parts = Two::both(LENDABLE / 300);
-        let cut = |id| Cut { booking: BookingId(id), holder: Holder { number, ..ME }, parts };
-        let cuts = (0..1_000).map(cut).collect();
-        book.apply(2_001 + u64::from(number), HOUR, &Proposal::Slices(Slices { cuts, ..Slices::default() }));
+        let parts = PerKind::uniform(DYNAMIC_PARTS / 300);
+        let cut =
+            |id| SliceChange { booking: BookingId(id), holder: Holder { node_id: number, ..ME }, parts };
+        let changes = (0..1_000).map(cut).collect();
+        book.apply(
+            2_001 + u64::from(number),
+            HOUR,
+            &Proposal::AllocateSlices(SliceAllocation { changes, ..SliceAllocation::default() }),
+        );
     }
     book
 }
@@ -38,7 +48,7 @@
 fn cost(criterion: &mut Criterion) {
     let mut book = book();
     println!("snapshot of 1,000 bookings with 300 slices each: {} bytes", book.snapshot().len());
-    let time = FleetTime { earliest: HOUR, latest: HOUR + 5_000 };
+    let time = TimeInterval { earliest: HOUR, latest: HOUR + 5_000 };
     let mut admission = Admission::new(ME);
     admission.refresh(1, time, &book);
     let (mut now, mut tenant) = (1, 0);
@@ -46,7 +56,7 @@
         b.iter(|| {
             now = now % 1_000_000 + 1;
             tenant = (tenant + 7) % 250;
-            black_box(admission.admit(now, Tenant(tenant), 1, Kind::Read))
+            black_box(admission.admit(now, Tenant(tenant), 1, RequestKind::Read))
         });
     });
     criterion.bench_function("rate_at, 1,000 bookings", |b| {
@@ -58,7 +68,7 @@
     criterion.bench_function("promised_at, 40,000 steps", |b| {
         b.iter(|| {
             tenant = (tenant + 7) % 400;
-            black_box(book.promised_at(HOUR * u64::from(tenant)))
+            black_box(book.granted_at(HOUR * u64::from(tenant)))
         });
     });
     criterion.bench_function("refresh, 1,000 bookings", |b| b.iter(|| admission.refresh(1, time, &book)));
@@ -67,8 +77,9 @@
         b.iter(|| {
             revision += 1;
             let windows = vec![Span { from: 30 * HOUR, to: 38 * HOUR }];
-            let (tenant, rate) = (Tenant(revision as u32), Two::both(2_500_000_000));
-            let request = Request { id: BookingId(revision), tenant, classes: Classes(1), rate, windows };
+            let (tenant, rate) = (Tenant(revision as u32), PerKind::uniform(2_500_000_000));
+            let request =
+                BookingRequest { id: BookingId(revision), tenant, classes: RequestClasses(1), rate, windows };
             black_box(book.apply(revision, HOUR, &Proposal::Book(request)))
         });
     });
--- a/crates/reservation/src/admission.rs
+++ b/crates/reservation/src/admission.rs
@@ -1,302 +1,209 @@
-//! One balancer's part: token buckets over its own slices, and what it asks of the leader.
+//! Admits requests by booking: token buckets over this balancer's slices, and its requests to the leader.
 
-use rustc_hash::FxHashMap;
-use serde::{Deserialize, Serialize};
-
-use crate::{
-    ASK_SOON_US, ASK_US, BURST_US, Book, BookingId, COUNT_US, Classes, Holder, Kind, LENDABLE, MAX_WANTS,
-    Micros, PARTS, Parts, RATE_ERROR, Rate, Revision, Tenant, Two,
+use crate::book::ReservationBook;
+use crate::booking::{BookingId, Tenant};
+use crate::limits::{
+    DYNAMIC_PARTS, MAX_DEMANDS, MEASURE_US, REQUEST_INTERVAL_US, URGENT_REQUEST_INTERVAL_US,
 };
+use crate::rate::{Rate, RequestKind};
+use crate::slice::Holder;
+use crate::slice_request::{Demand, SliceRequest};
+use crate::span::{Micros, Revision};
+use crate::state::Booking;
+use crate::token_bucket::{MAX_RETRY_AFTER_MS, SliceTerms, TokenBucket};
+use rustc_hash::FxHashMap;
+use std::cmp::Reverse;
 
-/// One request in what a bucket counts in: thousandths a second over microseconds.
-const REQUEST: u64 = 1_000_000_000;
-/// The wait to tell, milliseconds: no shorter than a turn of the fleet's thread, no longer than a re-lending takes.
-const LEAST_WAIT_MS: u64 = 5;
-const RELENDING_MS: u64 = 500;
-/// Demand below this, thousandths a second, is left to the standing slices.
-const LEAST_WANT: u64 = 500;
-
-/// What fleet time is known to be: between these.
+/// The bounds of the present fleet time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct FleetTime {
-    /// The earliest.
+pub struct TimeInterval {
+    /// The earliest possible time.
     pub earliest: Micros,
-    /// The latest.
+    /// The latest possible time.
     pub latest: Micros,
 }
 
-/// In what order requests are let in.
+/// The priority of a request, highest first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Rank {
+pub enum Priority {
     /// Writes.
     Write,
-    /// Everyday reads within their share.
+    /// Unbooked reads within the tenant's quota.
     WithinShare,
-    /// What a booking admits.
+    /// Requests that a booking admits.
     Booked,
-    /// Traffic over its share.
+    /// Requests over the tenant's quota.
     OverShare,
 }
 
-/// Whether a request is part of a booking.
+/// Whether a request is admitted by a booking.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Admitted {
-    /// Taken out of this booking's slice.
+pub enum AdmissionDecision {
+    /// Admitted by the slice of this booking.
     Booked {
-        /// Which.
+        /// The booking.
         booking: BookingId,
-        /// Before whom.
-        rank: Rank,
+        /// The priority of the request.
+        priority: Priority,
     },
-    /// There is a booking, and the slice of it is spent (`booking-spent`): as any other traffic from here on.
-    Spent {
-        /// Which.
+    /// A booking applies, but its slice is exhausted. The request is treated as any other traffic.
+    Exhausted {
+        /// The booking.
         booking: BookingId,
-        /// When it is worth coming back, milliseconds.
-        wait_ms: u64,
+        /// When to retry, in milliseconds.
+        retry_after_ms: u64,
     },
-    /// No booking in force is for it.
+    /// No booking in force applies.
     NotBooked,
 }
 
-/// How much a holder could use of a booking.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Want {
-    /// Which.
-    pub booking: BookingId,
-    /// What came in lately, served or not.
-    pub rate: Rate,
-}
-
-/// What a holder sends to the leader.
-#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Ask {
-    /// Who.
-    pub holder: Holder,
-    /// When, on its own clock.
-    pub asked: Micros,
-    /// What it has applied.
-    pub applied: Revision,
-    /// What it could use; bookings that are not named have no demand here.
-    pub wants: Vec<Want>,
-}
-
-#[derive(Clone, Debug)]
-struct Entry {
-    booking: BookingId,
-    classes: Classes,
-    /// In force on the own clock from here to there.
-    from: Micros,
-    until: Micros,
-    rate: Rate,
-    /// The own part of what nobody holds.
-    unlent: Rate,
-    parts: Parts,
-    tokens: Rate,
-    filled: Micros,
-    came: Rate,
-    used: Rate,
-    want: Rate,
-    spare: Rate,
-    kept: bool,
-}
-
-impl Entry {
-    /// Nothing gathers outside of the span in force, or while no lease counts: there, the same part may be another's.
-    fn fill(&mut self, now: Micros, lease_end: Micros) {
-        let since = self.filled.max(self.from);
-        let span = now.min(self.until).min(lease_end).saturating_sub(since).min(BURST_US);
-        self.filled = now.max(self.filled);
-        let most =
-            self.rate.with(self.rate, |rate, _| if rate == 0 { 0 } else { (rate * BURST_US).max(REQUEST) });
-        self.tokens = self.tokens.with(self.rate, |tokens, rate| tokens + rate * span).with(most, u64::min);
-    }
-
-    fn take(&mut self, now: Micros, kind: Kind) -> bool {
-        self.fill(now, now);
-        let (came, used, tokens) = match kind {
-            Kind::Read => (&mut self.came.reads, &mut self.used.reads, &mut self.tokens.reads),
-            Kind::Fetch => (&mut self.came.fetches, &mut self.used.fetches, &mut self.tokens.fetches),
-        };
-        *came += 1;
-        let enough = *tokens >= REQUEST;
-        if enough {
-            *tokens -= REQUEST;
-            *used += 1;
-        }
-        enough
-    }
-
-    fn wait_ms(&self, kind: Kind) -> u64 {
-        let rate = self.rate.of(kind);
-        let missing = REQUEST.saturating_sub(self.tokens.of(kind));
-        let wait = if rate == 0 { RELENDING_MS } else { missing.div_ceil(rate).div_ceil(1_000) };
-        wait.clamp(LEAST_WAIT_MS, RELENDING_MS)
-    }
-
-    /// Ends a count of `span` microseconds.
-    fn count(&mut self, span: Micros) {
-        let a_second = |count: u64| count.saturating_mul(REQUEST) / span.max(1);
-        let came = self.came.with(self.came, |count, _| a_second(count));
-        let used = self.used.with(self.used, |count, _| a_second(count));
-        let eased = self.want.with(came, |before, now| now.max(before / 2));
-        self.want = eased.with(eased, |want, _| if want < LEAST_WANT { 0 } else { want });
-        self.spare = self.rate.with(used, u64::saturating_sub);
-        (self.came, self.used) = (Rate::default(), Rate::default());
-    }
-}
-
-/// What a balancer admits by booking.
+/// Admits requests under this balancer's slices.
 #[derive(Clone, Debug)]
 pub struct Admission {
-    me: Holder,
-    tenants: FxHashMap<Tenant, Vec<Entry>>,
+    holder: Holder,
+    buckets: FxHashMap<Tenant, Vec<TokenBucket>>,
     lease_end: Micros,
-    counted: Micros,
-    asked: Option<Micros>,
-    soon: bool,
+    measured_at: Micros,
+    requested_at: Option<Micros>,
+    /// Whether demand or slices have changed, so that the next request is sent soon.
+    is_urgent: bool,
 }
 
 impl Admission {
-    /// Of the balancer `me`, in this life of it.
-    pub fn new(me: Holder) -> Self {
-        Self { me, tenants: FxHashMap::default(), lease_end: 0, counted: 0, asked: None, soon: true }
+    /// Creates the admission of this incarnation of a balancer, without slices.
+    pub fn new(holder: Holder) -> Self {
+        Self {
+            holder,
+            buckets: FxHashMap::default(),
+            lease_end: 0,
+            measured_at: 0,
+            requested_at: None,
+            is_urgent: true,
+        }
     }
 
-    /// Takes over what the book says of the own slices. After each applied entry, and at least each [`COUNT_US`].
-    pub fn refresh(&mut self, now: Micros, time: FleetTime, book: &Book) {
-        let seat = book.seat(self.me).filter(|seat| seat.asked <= now);
-        let before = self.lease_end;
-        self.lease_end = seat.and_then(|_| book.lease_end(self.me)).unwrap_or(0);
+    /// Adopts what the book says of the own slices. To be called after each applied entry, and at least every [`MEASURE_US`].
+    pub fn refresh(&mut self, now: Micros, time: TimeInterval, book: &ReservationBook) {
+        let previous_lease_end = self.lease_end;
+        let lease = book.state.lease_of(self.holder).filter(|lease| lease.requested_at <= now);
+        self.lease_end = lease.and_then(|_| book.lease_end(self.holder)).unwrap_or(0);
         for (id, booking) in &book.state.bookings {
-            let soon = booking
-                .rate_at(time.latest)
-                .or_else(|| booking.rate_at(time.latest.saturating_add(COUNT_US)));
-            let Some((whole, span)) = soon else { continue };
-            let entries = self.tenants.entry(booking.request.tenant).or_default();
-            let at = entries.iter().position(|entry| entry.booking == *id).unwrap_or_else(|| {
-                entries.push(Entry::new(*id, booking.request.classes, now));
-                entries.len() - 1
+            let Some(terms) = self.slice_terms(time.latest, book, *id, booking) else { continue };
+            let buckets = self.buckets.entry(booking.request.tenant).or_default();
+            let index = buckets.iter().position(|bucket| bucket.booking == *id).unwrap_or_else(|| {
+                buckets.push(TokenBucket::new(*id, booking.request.classes, now));
+                buckets.len() - 1
             });
-            let entry = &mut entries[at];
-            entry.fill(now, before);
-            let parts = book.parts(self.me, *id);
-            let free = booking
-                .lent
-                .with(booking.lent, |lent, _| LENDABLE.saturating_sub(lent) / u32::from(booking.seats));
-            self.soon |= parts.reads < entry.parts.reads || parts.fetches < entry.parts.fetches;
-            (entry.parts, entry.rate, entry.unlent) = (parts, whole.part(parts), whole.part(free));
-            let ahead = span.from.saturating_sub(time.earliest);
-            entry.from = now.saturating_add(ahead).saturating_add(ahead.div_ceil(RATE_ERROR));
-            let left = span.to.saturating_sub(time.latest);
-            entry.until = now.saturating_add(left - left / RATE_ERROR);
-            entry.kept = true;
-            entry.fill(now, now);
+            let bucket = &mut buckets[index];
+            bucket.fill(now, previous_lease_end);
+            // The leader can allocate what this balancer gave up only after the next request confirms it.
+            self.is_urgent |= bucket.exceeds(terms.parts);
+            bucket.update(now, &terms, time.earliest, time.latest);
         }
-        self.tenants.retain(|_, entries| {
-            entries.retain_mut(|entry| std::mem::take(&mut entry.kept));
-            !entries.is_empty()
+        self.remove_stale_buckets();
+    }
+
+    /// The terms of a booking in force or about to be; `None` for any other.
+    fn slice_terms(
+        &self, fleet_time: Micros, book: &ReservationBook, id: BookingId, booking: &Booking,
+    ) -> Option<SliceTerms> {
+        let soon = fleet_time.saturating_add(MEASURE_US);
+        let current = booking.rate_at(fleet_time).or_else(|| booking.rate_at(soon))?;
+        let shares = u32::from(booking.static_shares);
+        Some(SliceTerms {
+            rate: current.rate,
+            span: current.span,
+            parts: book.parts(self.holder, id),
+            unallocated: booking.allocated.map(|allocated| DYNAMIC_PARTS.saturating_sub(allocated) / shares),
+        })
+    }
+
+    fn remove_stale_buckets(&mut self) {
+        self.buckets.retain(|_, buckets| {
+            buckets.retain_mut(|bucket| std::mem::take(&mut bucket.is_refreshed));
+            !buckets.is_empty()
         });
     }
 
-    /// Whether a request is booked. The first booking with something left admits it.
-    pub fn admit(&mut self, now: Micros, tenant: Tenant, class: u8, kind: Kind) -> Admitted {
-        let mut spent = Admitted::NotBooked;
-        let leased = now < self.lease_end;
-        let Some(entries) = self.tenants.get_mut(&tenant) else { return spent };
-        for entry in entries.iter_mut().filter(|e| e.classes.hold(class) && e.from <= now && now < e.until) {
-            if leased && entry.take(now, kind) {
-                return Admitted::Booked { booking: entry.booking, rank: Rank::Booked };
+    /// Decides whether a request is admitted by a booking. The first booking with enough tokens admits it.
+    pub fn admit(&mut self, now: Micros, tenant: Tenant, class: u8, kind: RequestKind) -> AdmissionDecision {
+        let has_lease = now < self.lease_end;
+        let mut decision = AdmissionDecision::NotBooked;
+        let Some(buckets) = self.buckets.get_mut(&tenant) else { return decision };
+        let applies = |bucket: &&mut TokenBucket| bucket.classes.contains(class) && bucket.is_valid_at(now);
+        for bucket in buckets.iter_mut().filter(applies) {
+            let booking = bucket.booking;
+            if has_lease && bucket.take(now, kind) {
+                return AdmissionDecision::Booked { booking, priority: Priority::Booked };
             }
-            if !leased {
-                entry.came = entry.came.with(one(kind), |came, one| came + one);
+            if !has_lease {
+                bucket.count_arrival(kind);
             }
-            if spent == Admitted::NotBooked {
-                let wait_ms = if leased { entry.wait_ms(kind) } else { RELENDING_MS };
-                spent = Admitted::Spent { booking: entry.booking, wait_ms };
+            if decision == AdmissionDecision::NotBooked {
+                let retry_after_ms = if has_lease { bucket.retry_after_ms(kind) } else { MAX_RETRY_AFTER_MS };
+                decision = AdmissionDecision::Exhausted { booking, retry_after_ms };
             }
-            self.soon = true;
+            self.is_urgent = true;
         }
-        spent
+        decision
     }
 
-    /// What bookings have and nobody used here over the last [`COUNT_US`], with the own part of what is lent to no balancer: for
-    /// everybody's traffic, until it is wanted.
-    pub fn spare(&self, now: Micros) -> Rate {
-        let in_force = self.tenants.values().flatten().filter(|entry| entry.from <= now && now < entry.until);
-        in_force.fold(Rate::default(), |sum, entry| {
-            let slice = if now < self.lease_end { entry.spare } else { Rate::default() };
-            sum.with(slice, u64::saturating_add).with(entry.unlent, u64::saturating_add)
+    /// The rate that bookings did not use here over the last [`MEASURE_US`], with the own share of what no balancer holds. All
+    /// traffic may use it until it is in demand.
+    pub fn unused_rate(&self, now: Micros) -> Rate {
+        let has_lease = now < self.lease_end;
+        let buckets = self.buckets.values().flatten().filter(|bucket| bucket.is_valid_at(now));
+        buckets.fold(Rate::default(), |sum, bucket| {
+            let slice = if has_lease { bucket.unused } else { Rate::default() };
+            sum.zip_with(slice, u64::saturating_add).zip_with(bucket.unallocated, u64::saturating_add)
         })
     }
 
-    /// The rate that this balancer may use of a booking right now, by its own reading.
-    pub fn usable(&self, now: Micros, booking: BookingId) -> Rate {
-        let mut entries = self.tenants.values().flatten();
-        let entry = entries.find(|e| e.booking == booking && e.from <= now && now < e.until);
-        entry.filter(|_| now < self.lease_end).map_or(Rate::default(), |entry| entry.rate)
+    /// The rate that this balancer may use of a booking now.
+    pub fn usable_rate(&self, now: Micros, booking: BookingId) -> Rate {
+        let mut buckets = self.buckets.values().flatten();
+        let bucket = buckets.find(|bucket| bucket.booking == booking && bucket.is_valid_at(now));
+        bucket.filter(|_| now < self.lease_end).map_or(Rate::default(), |bucket| bucket.rate)
     }
 
-    /// What to send to the leader, when it is time. `applied` is the last revision that [`Admission::refresh`] was shown.
-    pub fn poll_ask(&mut self, now: Micros, applied: Revision) -> Option<Ask> {
-        let span = now.saturating_sub(self.counted);
-        let counts = span >= COUNT_US || (self.soon && span >= ASK_SOON_US);
-        if counts {
-            self.counted = now;
-            self.tenants.values_mut().flatten().for_each(|entry| entry.count(span));
-        }
-        let wait = if self.soon { ASK_SOON_US } else { ASK_US };
-        if self.asked.is_some_and(|asked| now < asked.saturating_add(wait)) {
+    /// The request to send to the leader, if one is due. `applied` is the revision of the last [`Admission::refresh`].
+    pub fn poll_request(&mut self, now: Micros, applied: Revision) -> Option<SliceRequest> {
+        self.measure_if_due(now);
+        let interval = if self.is_urgent { URGENT_REQUEST_INTERVAL_US } else { REQUEST_INTERVAL_US };
+        if self.requested_at.is_some_and(|requested_at| now < requested_at.saturating_add(interval)) {
             return None;
         }
-        self.asked = Some(now);
-        self.soon = false;
-        let wanted = self.tenants.values().flatten().filter(|entry| entry.want != Rate::default());
-        let mut wants: Vec<_> =
-            wanted.map(|entry| Want { booking: entry.booking, rate: entry.want }).collect();
-        wants.sort_by_key(|want| (std::cmp::Reverse(want.rate.reads.max(want.rate.fetches)), want.booking));
-        wants.truncate(MAX_WANTS);
-        Some(Ask { holder: self.me, asked: now, applied, wants })
+        self.requested_at = Some(now);
+        self.is_urgent = false;
+        Some(SliceRequest { holder: self.holder, requested_at: now, applied, demands: self.demands() })
     }
 
-    /// What is held in memory, entries: for bounds and figures.
-    pub fn entries(&self) -> usize {
-        self.tenants.values().map(Vec::len).sum()
+    fn measure_if_due(&mut self, now: Micros) {
+        let elapsed = now.saturating_sub(self.measured_at);
+        let is_due = elapsed >= MEASURE_US || (self.is_urgent && elapsed >= URGENT_REQUEST_INTERVAL_US);
+        if is_due {
+            self.measured_at = now;
+            for bucket in self.buckets.values_mut().flatten() {
+                bucket.measure(elapsed);
+            }
+        }
     }
-}
 
-impl Entry {
-    fn new(booking: BookingId, classes: Classes, now: Micros) -> Self {
-        let none = Rate::default();
-        let (from, until, filled, kept) = (Micros::MAX, 0, now, false);
-        let (rate, unlent, tokens, came, used, want, spare) = (none, none, none, none, none, none, none);
-        let parts = Two::both(0);
-        Self {
-            booking,
-            classes,
-            from,
-            until,
-            rate,
-            unlent,
-            parts,
-            tokens,
-            filled,
-            came,
-            used,
-            want,
-            spare,
-            kept,
-        }
+    /// The demands, the largest first.
+    fn demands(&self) -> Vec<Demand> {
+        let in_demand = self.buckets.values().flatten().filter(|bucket| bucket.demand != Rate::default());
+        let demands = in_demand.map(|bucket| Demand { booking: bucket.booking, rate: bucket.demand });
+        let mut demands: Vec<_> = demands.collect();
+        demands.sort_by_key(|demand| {
+            let Demand { booking, rate } = *demand;
+            (Reverse(rate.reads.max(rate.fetches)), booking)
+        });
+        demands.truncate(MAX_DEMANDS);
+        demands
     }
-}
 
-fn one(kind: Kind) -> Rate {
-    match kind {
-        Kind::Read => Two { reads: 1, fetches: 0 },
-        Kind::Fetch => Two { reads: 0, fetches: 1 },
+    /// The number of token buckets, for bounds and metrics.
+    pub fn bucket_count(&self) -> usize {
+        self.buckets.values().map(Vec::len).sum()
     }
 }
-
-const _: () =
-    assert!(crate::MAX_RATE as u128 * BURST_US as u128 + (crate::MAX_RATE as u128) < u64::MAX as u128 / 2);
-const _: () = assert!(PARTS > LENDABLE);
--- a/crates/reservation/src/book.rs
+++ b/crates/reservation/src/book.rs
@@ -1,361 +1,255 @@
-//! The book: what the log has agreed on, the same on every balancer.
+//! The book: the state that the log makes, the same on every balancer.
 
-use std::collections::{BTreeMap, BTreeSet, VecDeque};
+mod allocation;
+mod expiry;
+mod placement;
+mod reduction;
+mod snapshot;
 
-use serde::{Deserialize, Serialize};
+pub use snapshot::RestoreError;
 
-use crate::slices::{Seat, Slice};
-use crate::steps::Steps;
-use crate::supply::Supply;
-use crate::{
-    Answer, BookingId, Capacity, Frozen, HORIZON_US, MAX_ANSWERS, MAX_ANSWERS_PER_TENANT, MAX_BOOKINGS,
-    MAX_HOLDERS, MAX_NOTICES, MAX_PER_TENANT, Micros, NO_SHOW_US, Notice, Parts, Proposal, Rate, Request,
-    Revision, Span, Tenant, Terms, Two, Why,
+use crate::booking::{BookingId, BookingRequest, Tenant};
+use crate::capacity::{Capacity, Freeze, FreezePolicy};
+use crate::limits::{
+    HORIZON_US, MAX_BOOKINGS, MAX_BOOKINGS_PER_TENANT, MAX_EVENTS, MAX_HOLDERS, MAX_OUTCOMES,
+    MAX_OUTCOMES_PER_TENANT, NO_SHOW_US, SECOND,
 };
+use crate::outcome::{BookingEvent, Outcome, RejectReason};
+use crate::proposal::Proposal;
+use crate::rate::{PerKind, Rate};
+use crate::rate_timeline::RateTimeline;
+use crate::slice::UnconfirmedSlice;
+use crate::span::{Micros, Revision, Span};
+use crate::state::{Booking, RecordedOutcome, State, Window};
+use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// How long an answer is kept behind its last window, microseconds: from then on a duplicate is past, and gets none.
-const KEEP_US: Micros = 86_400 * crate::SECOND;
+/// How long an outcome is recorded after its last window, in microseconds. A later duplicate is past and gets no outcome.
+const OUTCOME_RETENTION_US: Micros = 86_400 * SECOND;
 
-/// A change that is thought of, to be looked at before it is agreed.
+/// A change that is planned, to be checked before it is proposed.
 #[derive(Clone, Debug)]
-pub enum Change {
-    /// One more frozen span.
-    Freeze(Frozen),
-    /// Capacity from a time on: a host's planned removal.
+pub enum PlannedChange {
+    /// One more freeze.
+    Freeze(Freeze),
+    /// A capacity from a time on, such as after the planned removal of a node.
     Capacity(Capacity),
 }
 
-/// One window of a booking.
-#[derive(Clone, Debug, Serialize, Deserialize)]
-pub(crate) struct Window {
-    pub(crate) span: Span,
-    pub(crate) shown: bool,
-    /// Given up at this revision: nothing new is taken of it, but its rate is free only once a lease has gone by.
-    pub(crate) over: Option<Revision>,
-}
-
-/// A part of a window with less than was granted.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct Piece {
-    pub(crate) span: Span,
-    pub(crate) to: Rate,
-}
-
-#[derive(Clone, Debug, Serialize, Deserialize)]
-pub(crate) struct Booking {
-    pub(crate) request: Request,
-    pub(crate) agreed: Revision,
-    /// Among how many the standing parts are divided; fixed, or two readings of it would sum up to more than all.
-    pub(crate) seats: u16,
-    pub(crate) windows: Vec<Window>,
-    pub(crate) low: Vec<Piece>,
-    pub(crate) slices: BTreeMap<u16, Slice>,
-    pub(crate) lent: Parts,
-}
-
-impl Booking {
-    /// The rate at `time`, and the span around it in which it is that; none outside of its windows.
-    pub(crate) fn rate_at(&self, time: Micros) -> Option<(Rate, Span)> {
-        let behind = self.windows.partition_point(|window| window.span.from <= time);
-        let window = self.windows[..behind]
-            .last()
-            .filter(|window| window.over.is_none() && window.span.holds(time))?;
-        let mut span = window.span;
-        for piece in self.low.iter().filter(|piece| piece.span.crosses(window.span)) {
-            if piece.span.holds(time) {
-                return Some((piece.to, piece.span));
-            }
-            match piece.span.to <= time {
-                true => span.from = span.from.max(piece.span.to),
-                false => span.to = span.to.min(piece.span.from),
-            }
-        }
-        Some((self.request.rate, span))
-    }
-}
-
-#[derive(Clone, Debug, Serialize, Deserialize)]
-pub(crate) struct Kept {
-    pub(crate) answer: Answer,
-    pub(crate) tenant: Tenant,
-    pub(crate) until: Micros,
-}
-
-/// What a snapshot holds; the rest is built out of it.
-#[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub(crate) struct State {
-    pub(crate) revision: Revision,
-    pub(crate) at: Micros,
-    pub(crate) fleet: u16,
-    pub(crate) supply: Supply,
-    pub(crate) bookings: BTreeMap<BookingId, Booking>,
-    pub(crate) answers: BTreeMap<BookingId, Kept>,
-    pub(crate) seats: BTreeMap<u16, Seat>,
-    pub(crate) ending: BTreeSet<(Revision, BookingId)>,
-    pub(crate) lapsed: Revision,
-    pub(crate) turn: (u64, u64),
-    /// When next to look for what is past.
-    pub(crate) sweep: Micros,
-}
-
-/// Bookings, capacity, freezes and slices, as the log has them.
+/// Bookings, capacity, freezes and slices at a revision of the log.
 #[derive(Clone, Debug, Default)]
-pub struct Book {
+pub struct ReservationBook {
     pub(crate) state: State,
-    /// What is promised, shrunk or not: nothing new is granted into what a shrunk booking waits for.
-    pub(crate) promised: Steps,
-    /// Slices whose smaller value may not be known to their holder.
-    pub(crate) unsettled: BTreeSet<(u16, Revision, BookingId)>,
-    notices: VecDeque<Notice>,
+    /// The sum of all granted rates, without reductions: nothing new is granted that a reduced booking waits for.
+    granted: RateTimeline,
+    /// Slices whose previous parts their holder may still use.
+    pub(crate) unconfirmed: BTreeSet<UnconfirmedSlice>,
+    events: VecDeque<BookingEvent>,
 }
 
-impl Book {
-    /// Takes entry `revision` of the log, stamped `at`; one proposal a revision, in order.
-    pub fn apply(&mut self, revision: Revision, at: Micros, proposal: &Proposal) -> Answer {
+impl ReservationBook {
+    /// Applies an entry of the log with its timestamp. Entries come in order, one proposal each.
+    pub fn apply(&mut self, revision: Revision, timestamp: Micros, proposal: &Proposal) -> Outcome {
         if revision <= self.state.revision {
             return match proposal {
-                Proposal::Book(request) => self.answer(request.id).cloned().unwrap_or(Answer::Unheard),
-                _ => Answer::Unheard,
+                Proposal::Book(request) => self.outcome(request.id).cloned().unwrap_or(Outcome::NotRecorded),
+                _ => Outcome::NotRecorded,
             };
         }
         self.state.revision = revision;
-        self.state.at = self.state.at.max(at);
-        self.forget();
-        if !proposal.well_formed() {
-            return Answer::NotTaken;
+        self.state.time = self.state.time.max(timestamp);
+        self.discard_past();
+        if !proposal.is_valid() {
+            return Outcome::Invalid;
         }
         match proposal {
             Proposal::Book(request) => self.book(request),
-            Proposal::Cancel(id) => self.give_up(*id, None),
-            Proposal::Capacity(capacity) => match self.state.supply.put(self.state.at, capacity) {
-                true => {
-                    self.shrink();
-                    Answer::Done
-                }
-                false => Answer::NotTaken,
-            },
-            Proposal::Freezes(all) => {
-                self.state.supply.freezes.clone_from(all);
-                Answer::Done
+            Proposal::Cancel(id) => self.release(*id, |_| true),
+            Proposal::SetCapacity(capacity) => self.set_capacity(capacity),
+            Proposal::SetFreezes(freezes) => {
+                self.state.capacity.freezes.clone_from(freezes);
+                Outcome::Accepted
             }
-            Proposal::Fleet(balancers) => {
-                self.state.fleet = (*balancers).min(MAX_HOLDERS);
-                Answer::Done
+            Proposal::SetFleetSize(balancers) => {
+                self.state.fleet_size = (*balancers).min(MAX_HOLDERS);
+                Outcome::Accepted
             }
-            Proposal::Slices(slices) => self.lend(slices),
-            Proposal::NoShow { booking, from } => self.no_show(*booking, *from),
+            Proposal::AllocateSlices(allocation) => self.allocate(allocation),
+            Proposal::NoShow { booking, from } => self.release_unused(*booking, *from),
         }
     }
 
-    fn book(&mut self, request: &Request) -> Answer {
-        if let Some(answer) = self.answer(request.id) {
-            return answer.clone();
+    fn set_capacity(&mut self, capacity: &Capacity) -> Outcome {
+        if !self.state.capacity.insert(self.state.time, capacity) {
+            return Outcome::Invalid;
         }
-        let at = self.state.at;
-        let horizon = at.saturating_add(HORIZON_US);
-        if !request.well_formed() || request.windows.iter().any(|window| window.to > horizon) {
-            return Answer::NotTaken;
+        self.update_reductions();
+        Outcome::Accepted
+    }
+
+    fn book(&mut self, request: &BookingRequest) -> Outcome {
+        if let Some(outcome) = self.outcome(request.id) {
+            return outcome.clone();
         }
-        let open = request.windows.iter().filter(|window| window.to > at);
-        let windows: Vec<Span> =
-            open.map(|window| Span { from: window.from.max(at), to: window.to }).collect();
-        if windows.is_empty() || self.is_full_for(request.tenant) {
-            return Answer::Unheard;
+        let now = self.state.time;
+        let horizon = now.saturating_add(HORIZON_US);
+        if !request.is_valid() || request.windows.iter().any(|window| window.to > horizon) {
+            return Outcome::Invalid;
         }
-        let answer = self.decide(request, &windows);
-        let mut until = windows[windows.len() - 1].to;
-        if let Answer::Granted { windows, .. } = &answer {
-            until = until.max(windows[windows.len() - 1].to);
-            self.enter(request, windows);
+        let open = request.windows.iter().filter(|window| window.to > now);
+        let windows: Vec<Span> =
+            open.map(|window| Span { from: window.from.max(now), to: window.to }).collect();
+        let Some(last) = windows.last().filter(|_| !self.is_full_for(request.tenant)) else {
+            return Outcome::NotRecorded;
+        };
+        let outcome = self.decide(request, &windows);
+        let mut end = last.to;
+        if let Outcome::Granted { windows, .. } = &outcome {
+            end = windows.last().map_or(end, |last| end.max(last.to));
+            self.insert_booking(request, windows);
         }
-        let kept =
-            Kept { answer: answer.clone(), tenant: request.tenant, until: until.saturating_add(KEEP_US) };
-        self.state.sweep = self.state.sweep.min(kept.until);
-        self.state.answers.insert(request.id, kept);
-        answer
+        self.record_outcome(request, &outcome, end);
+        outcome
+    }
+
+    fn record_outcome(&mut self, request: &BookingRequest, outcome: &Outcome, end: Micros) {
+        let until = end.saturating_add(OUTCOME_RETENTION_US);
+        let recorded = RecordedOutcome { outcome: outcome.clone(), tenant: request.tenant, until };
+        self.state.next_expiry = self.state.next_expiry.min(until);
+        self.state.outcomes.insert(request.id, recorded);
     }
 
-    fn decide(&self, request: &Request, windows: &[Span]) -> Answer {
-        let refused = |why, largest| {
-            let next = self.place(windows, request.rate).map(|shift| windows[0].later(shift));
-            Answer::Refused { why, largest, next }
+    fn decide(&self, request: &BookingRequest, windows: &[Span]) -> Outcome {
+        let overlaps = |freeze: &&Freeze| windows.iter().any(|window| window.overlaps(freeze.span));
+        let first_with = |policy: FreezePolicy| {
+            let mut freezes = self.state.capacity.freezes.iter().filter(overlaps);
+            freezes.find(|freeze| freeze.policy == policy).map(|freeze| freeze.id)
         };
-        let frozen =
-            self.state.supply.freezes.iter().filter(|f| windows.iter().any(|window| window.crosses(f.span)));
-        let (mut refusing, mut moving) = (None, None);
-        for frozen in frozen {
-            match frozen.terms {
-                Terms::Grant => {}
-                Terms::Refuse => refusing = refusing.or(Some(frozen.freeze)),
-                Terms::Move => moving = moving.or(Some(frozen.freeze)),
-            }
-        }
-        if let Some(freeze) = refusing {
-            return refused(Why::Freeze(freeze), Rate::default());
+        if let Some(freeze) = first_with(FreezePolicy::Reject) {
+            return self.reject(request, windows, RejectReason::Freeze(freeze), Rate::default());
         }
-        if let Some(freeze) = moving {
-            return match self.place(windows, request.rate) {
-                Some(shift) => {
-                    let windows = windows.iter().map(|window| window.later(shift)).collect();
-                    Answer::Granted { windows, moved: Some(freeze) }
-                }
-                None => refused(Why::Freeze(freeze), Rate::default()),
+        if let Some(freeze) = first_with(FreezePolicy::Move) {
+            return match self.find_shift(windows, request.rate) {
+                Some(shift) => Outcome::Granted {
+                    windows: windows.iter().map(|window| window.shifted(shift)).collect(),
+                    moved_by: Some(freeze),
+                },
+                None => self.reject(request, windows, RejectReason::Freeze(freeze), Rate::default()),
             };
         }
-        let largest = self.largest(windows);
-        match request.rate.fits(largest) {
-            true => Answer::Granted { windows: windows.to_vec(), moved: None },
-            false => refused(Why::Capacity, largest),
+        let largest = self.largest_rate(windows);
+        if request.rate.fits(largest) {
+            Outcome::Granted { windows: windows.to_vec(), moved_by: None }
+        } else {
+            self.reject(request, windows, RejectReason::Capacity, largest)
         }
     }
 
-    fn enter(&mut self, request: &Request, windows: &[Span]) {
+    fn reject(
+        &self, request: &BookingRequest, windows: &[Span], reason: RejectReason, largest: Rate,
+    ) -> Outcome {
+        let next = self.find_shift(windows, request.rate).map(|shift| windows[0].shifted(shift));
+        Outcome::Rejected { reason, largest, next }
+    }
+
+    fn insert_booking(&mut self, request: &BookingRequest, windows: &[Span]) {
         for window in windows {
-            self.promised.add(*window, request.rate);
+            self.granted.add(*window, request.rate);
+            self.state.next_expiry = self.state.next_expiry.min(window.to);
         }
-        self.state.sweep = self.state.sweep.min(windows[0].to);
         let booking = Booking {
             request: request.clone(),
-            agreed: self.state.revision,
-            seats: self.state.fleet.max(1),
-            windows: windows.iter().map(|&span| Window { span, shown: false, over: None }).collect(),
-            low: Vec::new(),
+            granted_at: self.state.revision,
+            static_shares: self.state.fleet_size.max(1),
+            windows: windows.iter().map(|&span| Window { span, used: false, released_at: None }).collect(),
+            reductions: Vec::new(),
             slices: BTreeMap::new(),
-            lent: Two::both(0),
+            allocated: PerKind::uniform(0),
         };
         self.state.bookings.insert(request.id, booking);
     }
 
     fn is_full_for(&self, tenant: Tenant) -> bool {
-        let bookings =
-            self.state.bookings.values().filter(|booking| booking.request.tenant == tenant).count();
-        let answers = self.state.answers.values().filter(|kept| kept.tenant == tenant).count();
-        self.state.bookings.len() >= MAX_BOOKINGS
-            || self.state.answers.len() >= MAX_ANSWERS
-            || bookings >= MAX_PER_TENANT
-            || answers >= MAX_ANSWERS_PER_TENANT
+        let State { bookings, outcomes, .. } = &self.state;
+        let bookings_of_tenant = bookings.values().filter(|booking| booking.request.tenant == tenant).count();
+        let outcomes_of_tenant = outcomes.values().filter(|recorded| recorded.tenant == tenant).count();
+        bookings.len() >= MAX_BOOKINGS
+            || outcomes.len() >= MAX_OUTCOMES
+            || bookings_of_tenant >= MAX_BOOKINGS_PER_TENANT
+            || outcomes_of_tenant >= MAX_OUTCOMES_PER_TENANT
     }
 
-    fn give_up(&mut self, id: BookingId, only: Option<Micros>) -> Answer {
+    /// Releases the selected windows of a booking.
+    fn release(&mut self, id: BookingId, is_selected: impl Fn(&Window) -> bool) -> Outcome {
         let revision = self.state.revision;
-        let Some(booking) = self.state.bookings.get_mut(&id) else { return Answer::NotTaken };
-        let open = booking.windows.iter_mut().filter(|window| window.over.is_none());
-        let mut any = false;
-        for window in open.filter(|window| only.is_none_or(|from| window.span.from == from)) {
-            window.over = Some(revision);
-            any = true;
-        }
-        if !any {
-            return Answer::NotTaken;
-        }
-        self.state.ending.insert((revision, id));
-        Answer::Done
-    }
-
-    fn no_show(&mut self, id: BookingId, from: Micros) -> Answer {
-        let at = self.state.at;
-        let window =
-            self.state.bookings.get(&id).and_then(|b| b.windows.iter().find(|window| window.span.holds(at)));
-        match window {
-            Some(w) if w.span.from == from && !w.shown && at >= from.saturating_add(NO_SHOW_US) => {
-                self.give_up(id, Some(from))
-            }
-            _ => Answer::NotTaken,
-        }
-    }
-
-    /// Frees what was given up long enough ago that nobody can still use it.
-    pub(crate) fn free_given_up(&mut self) {
-        let ended = self.state.ending.range(..(self.state.lapsed.saturating_add(1), BookingId(0)));
-        let ended: Vec<_> = ended.copied().collect();
-        for &(revision, id) in &ended {
-            self.state.ending.remove(&(revision, id));
-            let Some(booking) = self.state.bookings.get_mut(&id) else { continue };
-            for window in booking.windows.extract_if(.., |window| window.over == Some(revision)) {
-                self.promised.take(window.span, booking.request.rate);
-            }
-            if booking.windows.is_empty() {
-                self.drop_booking(id);
+        let Some(booking) = self.state.bookings.get_mut(&id) else { return Outcome::Invalid };
+        let mut has_released = false;
+        for window in &mut booking.windows {
+            if window.released_at.is_none() && is_selected(window) {
+                window.released_at = Some(revision);
+                has_released = true;
             }
         }
-        if !ended.is_empty() {
-            self.shrink();
+        if !has_released {
+            return Outcome::Invalid;
         }
+        self.state.released.insert((revision, id));
+        Outcome::Accepted
     }
 
-    fn drop_booking(&mut self, id: BookingId) {
-        self.state.bookings.remove(&id);
-        self.unsettled.retain(|(_, _, booking)| *booking != id);
-    }
-
-    /// Drops what is past. Looks at every booking only when a window has ended since it last did.
-    fn forget(&mut self) {
-        let at = self.state.at;
-        self.promised.forget(at);
-        self.state.supply.forget(at);
-        if at < self.state.sweep {
-            return;
-        }
-        let mut sweep = Micros::MAX;
-        for booking in self.state.bookings.values_mut() {
-            booking.windows.retain(|window| window.span.to > at);
-            booking.low.retain(|piece| piece.span.to > at);
-            let next = booking.windows.first().map_or(Micros::MAX, |window| window.span.to);
-            sweep = sweep.min(next);
-        }
-        let bookings = self.state.bookings.iter();
-        let empty: Vec<_> =
-            bookings.filter(|(_, booking)| booking.windows.is_empty()).map(|(id, _)| *id).collect();
-        empty.into_iter().for_each(|id| self.drop_booking(id));
-        self.state.answers.retain(|_, kept| kept.until > at);
-        let answers = self.state.answers.values().map(|kept| kept.until).min().unwrap_or(Micros::MAX);
-        self.state.sweep = sweep.min(answers);
+    /// Releases the current window of a booking if it started at `from` and was not used since.
+    fn release_unused(&mut self, id: BookingId, from: Micros) -> Outcome {
+        let now = self.state.time;
+        let window = self.state.bookings.get(&id).and_then(|booking| booking.window_at(now));
+        let is_no_show = window.is_some_and(|window| {
+            window.span.from == from && !window.used && now >= from.saturating_add(NO_SHOW_US)
+        });
+        if is_no_show { self.release(id, |window| window.span.from == from) } else { Outcome::Invalid }
     }
 
-    pub(crate) fn notice(&mut self, notice: Notice) {
-        if self.notices.len() >= MAX_NOTICES {
-            self.notices.pop_front();
+    fn push_event(&mut self, event: BookingEvent) {
+        if self.events.len() >= MAX_EVENTS {
+            self.events.pop_front();
         }
-        self.notices.push_back(notice);
+        self.events.push_back(event);
     }
 
-    /// What an owner is to be told.
-    pub fn poll_notice(&mut self) -> Option<Notice> {
-        self.notices.pop_front()
+    /// The next event for the owner of a booking.
+    pub fn poll_event(&mut self) -> Option<BookingEvent> {
+        self.events.pop_front()
     }
 
-    /// The answer that a name got, while it is kept.
-    pub fn answer(&self, id: BookingId) -> Option<&Answer> {
-        self.state.answers.get(&id).map(|kept| &kept.answer)
+    /// The recorded outcome of a booking request.
+    pub fn outcome(&self, id: BookingId) -> Option<&Outcome> {
+        self.state.outcomes.get(&id).map(|recorded| &recorded.outcome)
     }
 
-    /// The rate of a booking at a time: what was granted, less what it was shrunk by; none outside its windows.
+    /// The rate of a booking at a time, after reductions; `None` outside of its windows.
     pub fn rate_at(&self, id: BookingId, time: Micros) -> Option<Rate> {
-        self.state.bookings.get(&id)?.rate_at(time).map(|(rate, _)| rate)
+        self.state.bookings.get(&id)?.rate_at(time).map(|current| current.rate)
     }
 
-    /// The sum of what is promised at a time.
-    pub fn promised_at(&self, time: Micros) -> Rate {
-        self.promised.at(time)
+    /// The sum of all granted rates at a time, before reductions.
+    pub fn granted_at(&self, time: Micros) -> Rate {
+        self.granted.rate_at(time)
     }
 
-    /// The sum of what bookings have at a time, after shrinking.
+    /// The sum of the rates of all bookings at a time, after reductions.
     pub fn booked_at(&self, time: Micros) -> Rate {
         let rates = self.state.bookings.values().filter_map(|booking| booking.rate_at(time));
-        rates.fold(Rate::default(), |sum, (rate, _)| sum.with(rate, u64::saturating_add))
+        rates.fold(Rate::default(), |sum, current| sum.zip_with(current.rate, u64::saturating_add))
     }
 
-    /// What may be booked at a time, all bookings together.
+    /// The rate that all bookings together may have at a time.
     pub fn bookable_at(&self, time: Micros) -> Rate {
-        self.state.supply.bookable(time).0
+        self.state.capacity.bookable_at(time).rate
     }
 
-    /// Bookings with windows to come.
+    /// The bookings with windows that have not ended.
     pub fn bookings(&self) -> impl Iterator<Item = BookingId> + '_ {
         self.state.bookings.keys().copied()
     }
 
-    /// The last revision taken.
+    /// The last applied revision.
     pub fn revision(&self) -> Revision {
         self.state.revision
     }
--- a/crates/reservation/tests/book.rs
+++ b/crates/reservation/tests/book.rs
@@ -7,149 +7,180 @@
 const HOUR: Micros = 3_600_000_000;
 
 fn two(reads: u64, fetches: u64) -> Rate {
-    Two { reads, fetches }
+    PerKind { reads, fetches }
 }
 
-fn request(id: u64, rate: Rate, windows: &[(Micros, Micros)]) -> Request {
+fn request(id: u64, rate: Rate, windows: &[(Micros, Micros)]) -> BookingRequest {
     let windows = windows.iter().map(|&(from, to)| Span { from, to }).collect();
-    Request { id: BookingId(id), tenant: Tenant(id as u32 % 97), classes: Classes(1), rate, windows }
+    BookingRequest {
+        id: BookingId(id),
+        tenant: Tenant(id as u32 % 97),
+        classes: RequestClasses(1),
+        rate,
+        windows,
+    }
 }
 
-fn capacity(from: Micros, reads: u64, everyday: Vec<Rate>) -> Proposal {
-    Proposal::Capacity(Capacity { from, whole: two(reads, reads), everyday })
+fn capacity(from: Micros, reads: u64, baseline: Vec<Rate>) -> Proposal {
+    Proposal::SetCapacity(Capacity { from, total: two(reads, reads), baseline })
 }
 
-fn windows(from: Micros, to: Micros) -> Answer {
-    Answer::Granted { windows: vec![Span { from, to }], moved: None }
+fn windows(from: Micros, to: Micros) -> Outcome {
+    Outcome::Granted { windows: vec![Span { from, to }], moved_by: None }
 }
 
 #[test]
 fn a_name_gets_its_first_answer_again_whatever_has_changed_and_whatever_it_asks() {
-    let mut book = Book::default();
+    let mut book = ReservationBook::default();
     book.apply(1, 1, &capacity(0, 400, vec![]));
     let refused = book.apply(2, 2, &Proposal::Book(request(1, two(301, 0), &[(10, 20)])));
-    assert_eq!(refused, Answer::Refused { why: Why::Capacity, largest: two(300, 300), next: None });
+    assert_eq!(
+        refused,
+        Outcome::Rejected { reason: RejectReason::Capacity, largest: two(300, 300), next: None }
+    );
     book.apply(3, 3, &capacity(0, 4_000, vec![]));
     assert_eq!(book.apply(4, 4, &Proposal::Book(request(1, two(1, 0), &[(10, 20)]))), refused);
-    let mut restored = Book::restore(&book.snapshot()).expect("own bytes");
+    let mut restored = ReservationBook::restore(&book.snapshot()).expect("own bytes");
     assert_eq!(restored.apply(5, 5, &Proposal::Book(request(1, two(1, 0), &[(10, 20)]))), refused);
     assert_eq!(restored.apply(2, 2, &Proposal::Book(request(1, two(1, 0), &[(10, 20)]))), refused);
     let late = HOUR * 24 * 3;
-    assert_eq!(restored.apply(6, late, &Proposal::Book(request(1, two(1, 0), &[(10, 20)]))), Answer::Unheard);
+    assert_eq!(
+        restored.apply(6, late, &Proposal::Book(request(1, two(1, 0), &[(10, 20)]))),
+        Outcome::NotRecorded
+    );
 }
 
 #[test]
 fn a_freeze_grants_refuses_or_moves_by_its_terms_and_names_what_it_would_break() {
-    for (terms, expected) in [
-        (Terms::Grant, windows(100, 200)),
+    for (policy, expected) in [
+        (FreezePolicy::Allow, windows(100, 200)),
         (
-            Terms::Refuse,
-            Answer::Refused {
-                why: Why::Freeze(5),
+            FreezePolicy::Reject,
+            Outcome::Rejected {
+                reason: RejectReason::Freeze(5),
                 largest: two(0, 0),
                 next: Some(Span { from: 150, to: 250 }),
             },
         ),
-        (Terms::Move, Answer::Granted { windows: vec![Span { from: 150, to: 250 }], moved: Some(5) }),
+        (
+            FreezePolicy::Move,
+            Outcome::Granted { windows: vec![Span { from: 150, to: 250 }], moved_by: Some(5) },
+        ),
     ] {
-        let mut book = Book::default();
-        let frozen = Frozen { freeze: 5, span: Span { from: 50, to: 150 }, terms };
+        let mut book = ReservationBook::default();
+        let freeze = Freeze { id: 5, span: Span { from: 50, to: 150 }, policy };
         book.apply(1, 1, &capacity(0, 400, vec![]));
         book.apply(2, 2, &Proposal::Book(request(9, two(10, 0), &[(20, 51)])));
-        let breaks = book.breaks(&Change::Freeze(frozen));
-        assert_eq!(breaks, if terms == Terms::Grant { vec![] } else { vec![BookingId(9)] });
-        book.apply(3, 3, &Proposal::Freezes(vec![frozen]));
+        let breaks = book.affected_by(&PlannedChange::Freeze(freeze));
+        assert_eq!(breaks, if policy == FreezePolicy::Allow { vec![] } else { vec![BookingId(9)] });
+        book.apply(3, 3, &Proposal::SetFreezes(vec![freeze]));
         assert_eq!(book.apply(4, 4, &Proposal::Book(request(1, two(200, 1), &[(100, 200)]))), expected);
     }
 }
 
 #[test]
 fn the_booking_agreed_last_shrinks_first_and_grows_back_last() {
-    let mut book = Book::default();
+    let mut book = ReservationBook::default();
     book.apply(1, 1, &capacity(0, 400, vec![]));
     for (revision, id) in [(2, 7), (3, 5), (4, 6)] {
         book.apply(revision, 2, &Proposal::Book(request(id, two(100, 0), &[(10, 1_000)])));
     }
-    let rates =
-        |book: &Book, at| [7, 5, 6].map(|id| book.rate_at(BookingId(id), at).map_or(0, |rate| rate.reads));
-    let Proposal::Capacity(drop) = capacity(500, 200, vec![]) else { unreachable!() };
-    assert_eq!(book.breaks(&Change::Capacity(drop.clone())), [BookingId(5), BookingId(6)]);
-    book.apply(5, 20, &Proposal::Capacity(drop));
+    let rates = |book: &ReservationBook, at| {
+        [7, 5, 6].map(|id| book.rate_at(BookingId(id), at).map_or(0, |rate| rate.reads))
+    };
+    let Proposal::SetCapacity(drop) = capacity(500, 200, vec![]) else { unreachable!() };
+    assert_eq!(book.affected_by(&PlannedChange::Capacity(drop.clone())), [BookingId(5), BookingId(6)]);
+    book.apply(5, 20, &Proposal::SetCapacity(drop));
     assert_eq!((rates(&book, 499), rates(&book, 500)), ([100, 100, 100], [100, 50, 0]));
-    let notices: Vec<_> = std::iter::from_fn(|| book.poll_notice()).collect();
-    let shrunk =
-        |id, reads| Notice::Shrunk { booking: BookingId(id), to: two(reads, 0), from: 500, until: 1_000 };
-    assert_eq!(notices, [shrunk(5, 50), shrunk(6, 0)]);
+    let events: Vec<_> = std::iter::from_fn(|| book.poll_event()).collect();
+    let reduced = |id, reads| BookingEvent::Reduced {
+        booking: BookingId(id),
+        rate: two(reads, 0),
+        from: 500,
+        until: 1_000,
+    };
+    assert_eq!(events, [reduced(5, 50), reduced(6, 0)]);
     book.apply(6, 21, &capacity(500, 300, vec![]));
     assert_eq!(rates(&book, 600), [100, 100, 25]);
     book.apply(7, 22, &capacity(500, 400, vec![]));
     assert_eq!(rates(&book, 600), [100, 100, 100]);
-    let grown =
-        std::iter::from_fn(|| book.poll_notice()).filter(|notice| matches!(notice, Notice::Grown { .. }));
-    assert_eq!(grown.count(), 2);
+    let restored = std::iter::from_fn(|| book.poll_event())
+        .filter(|event| matches!(event, BookingEvent::Restored { .. }));
+    assert_eq!(restored.count(), 2);
 }
 
 #[test]
 fn a_bucket_gives_its_rate_and_one_burst_and_says_when_to_come_back() {
-    let (mut book, me) = (Book::default(), Holder { number: 0, incarnation: 3 });
+    let (mut book, me) = (ReservationBook::default(), Holder { node_id: 0, incarnation: 3 });
     book.apply(1, 1, &capacity(0, 64_000_000, vec![]));
-    book.apply(2, 2, &Proposal::Fleet(1));
+    book.apply(2, 2, &Proposal::SetFleetSize(1));
     book.apply(3, 3, &Proposal::Book(request(97, two(6_400_000, 0), &[(10, HOUR)])));
-    let renewals = vec![Renewal { holder: me, asked: 0, applied: 3 }];
-    book.apply(4, 10, &Proposal::Slices(Slices { renewals, ..Slices::default() }));
+    let renewals = vec![LeaseRenewal { holder: me, requested_at: 0, applied: 3 }];
+    book.apply(4, 10, &Proposal::AllocateSlices(SliceAllocation { renewals, ..SliceAllocation::default() }));
     let mut admission = Admission::new(me);
-    admission.refresh(0, FleetTime { earliest: 10, latest: 10 }, &book);
-    let mut admit = |now| admission.admit(now, Tenant(0), 0, Kind::Read);
-    let booked = Admitted::Booked { booking: BookingId(97), rank: Rank::Booked };
+    admission.refresh(0, TimeInterval { earliest: 10, latest: 10 }, &book);
+    let mut admit = |now| admission.admit(now, Tenant(0), 0, RequestKind::Read);
+    let booked = AdmissionDecision::Booked { booking: BookingId(97), priority: Priority::Booked };
     assert_eq!((0..60).filter(|_| admit(1_000_000) == booked).count(), 25);
-    assert_eq!(admit(1_000_000), Admitted::Spent { booking: BookingId(97), wait_ms: 10 });
+    assert_eq!(admit(1_000_000), AdmissionDecision::Exhausted { booking: BookingId(97), retry_after_ms: 10 });
     assert_eq!((admit(1_009_000) == booked, admit(1_010_000) == booked), (false, true));
-    assert!(matches!(admit(LEASE_US - LEASE_US / RATE_ERROR), Admitted::Spent { wait_ms: 500, .. }));
-    assert_eq!(admission.admit(1_020_000, Tenant(0), 1, Kind::Read), Admitted::NotBooked);
-    assert!(Rank::WithinShare < Rank::Booked && Rank::Booked < Rank::OverShare);
+    assert!(matches!(
+        admit(LEASE_US - LEASE_US / RATE_ERROR),
+        AdmissionDecision::Exhausted { retry_after_ms: 500, .. }
+    ));
+    assert_eq!(admission.admit(1_020_000, Tenant(0), 1, RequestKind::Read), AdmissionDecision::NotBooked);
+    assert!(Priority::WithinShare < Priority::Booked && Priority::Booked < Priority::OverShare);
 }
 
 #[test]
 fn what_is_given_up_and_an_ended_lifes_seat_are_free_only_once_a_lease_has_gone_by() {
-    let (mut book, old, new) =
-        (Book::default(), Holder { number: 0, incarnation: 3 }, Holder { number: 0, incarnation: 4 });
-    let renew = |holder, lapsed| {
-        let renewals = vec![Renewal { holder, asked: 1, applied: 0 }];
-        Proposal::Slices(Slices { renewals, lapsed, ..Slices::default() })
+    let (mut book, old, new) = (
+        ReservationBook::default(),
+        Holder { node_id: 0, incarnation: 3 },
+        Holder { node_id: 0, incarnation: 4 },
+    );
+    let renew = |holder, expired| {
+        let renewals = vec![LeaseRenewal { holder, requested_at: 1, applied: 0 }];
+        Proposal::AllocateSlices(SliceAllocation { renewals, expired, ..SliceAllocation::default() })
     };
     book.apply(1, 1, &capacity(0, 400, vec![]));
     book.apply(2, 2, &Proposal::Book(request(1, two(300, 0), &[(10, HOUR)])));
     book.apply(3, 20, &renew(old, 0));
     book.apply(4, 21, &renew(new, 0));
-    assert_eq!((book.parts(old, BookingId(1)).reads, book.parts(new, BookingId(1)).reads), (STANDING, 0));
+    assert_eq!((book.parts(old, BookingId(1)).reads, book.parts(new, BookingId(1)).reads), (STATIC_PARTS, 0));
     book.apply(5, 22, &Proposal::Cancel(BookingId(1)));
     assert_eq!(book.rate_at(BookingId(1), 22), None);
     book.apply(6, 23, &renew(new, 4));
     assert_eq!((book.lease_end(old), book.lease_end(new).is_some()), (None, true));
     let again = |id| Proposal::Book(request(id, two(300, 0), &[(30, HOUR)]));
-    assert!(matches!(book.apply(7, 24, &again(2)), Answer::Refused { .. }));
+    assert!(matches!(book.apply(7, 24, &again(2)), Outcome::Rejected { .. }));
     book.apply(8, 25, &renew(new, 5));
     assert_eq!(book.apply(9, 26, &again(3)), windows(30, HOUR));
 }
 
 #[test]
 fn what_is_not_used_is_lent_to_all_within_a_second_and_comes_back_as_soon_as_it_is() {
-    let (mut book, me) = (Book::default(), Holder { number: 0, incarnation: 3 });
+    let (mut book, me) = (ReservationBook::default(), Holder { node_id: 0, incarnation: 3 });
     book.apply(1, 1, &capacity(0, 64_000_000, vec![]));
-    book.apply(2, 2, &Proposal::Fleet(1));
+    book.apply(2, 2, &Proposal::SetFleetSize(1));
     book.apply(3, 3, &Proposal::Book(request(97, two(6_400_000, 0), &[(10, HOUR)])));
-    let renewals = vec![Renewal { holder: me, asked: 0, applied: 3 }];
-    let cuts = vec![Cut { booking: BookingId(97), holder: me, parts: Two::both(LENDABLE) }];
-    book.apply(4, 10, &Proposal::Slices(Slices { renewals, cuts, ..Slices::default() }));
+    let renewals = vec![LeaseRenewal { holder: me, requested_at: 0, applied: 3 }];
+    let changes =
+        vec![SliceChange { booking: BookingId(97), holder: me, parts: PerKind::uniform(DYNAMIC_PARTS) }];
+    book.apply(
+        4,
+        10,
+        &Proposal::AllocateSlices(SliceAllocation { renewals, changes, ..SliceAllocation::default() }),
+    );
     let mut admission = Admission::new(me);
     let mut spare_after = |second: Micros, requests: u64| {
         for step in 1..=10 {
             let now = second * 1_000_000 + step * 50_000;
-            admission.refresh(now, FleetTime { earliest: now + 10, latest: now + 10 }, &book);
-            (0..requests).for_each(|_| _ = admission.admit(now, Tenant(0), 0, Kind::Read));
-            admission.poll_ask(now, 4);
+            admission.refresh(now, TimeInterval { earliest: now + 10, latest: now + 10 }, &book);
+            (0..requests).for_each(|_| _ = admission.admit(now, Tenant(0), 0, RequestKind::Read));
+            admission.poll_request(now, 4);
         }
-        admission.spare(second * 1_000_000 + 500_000).reads
+        admission.unused_rate(second * 1_000_000 + 500_000).reads
     };
     assert_eq!(spare_after(0, 0), 6_400_000);
     let used = spare_after(1, 160);
@@ -173,7 +204,7 @@
         steps in prop::collection::vec((0..200_u64, 50..140_u64), 0..4),
     ) {
         const LONG: usize = 400;
-        let mut book = Book::default();
+        let mut book = ReservationBook::default();
         book.apply(1, 0, &capacity(0, 100, vec![]));
         let mut whole = vec![75_i64; LONG];
         for (index, &(from, reads)) in steps.iter().enumerate() {
@@ -201,16 +232,16 @@
                     taken[at as usize][0] += reads as i64;
                     taken[at as usize][1] += fetches as i64;
                 });
-                Answer::Granted { windows: spans.iter().map(|&(from, to)| Span { from, to }).collect(), moved: None }
+                Outcome::Granted { windows: spans.iter().map(|&(from, to)| Span { from, to }).collect(), moved_by: None }
             } else {
                 let shift = (0..LONG as u64).find(|shift| fits(*shift));
                 let next = shift.map(|shift| Span { from: spans[0].0 + shift, to: spans[0].1 + shift });
-                Answer::Refused { why: Why::Capacity, largest, next }
+                Outcome::Rejected { reason: RejectReason::Capacity, largest, next }
             };
             let answer = book.apply(100 + index as u64, 0, &Proposal::Book(request(index as u64, two(reads, fetches), &spans)));
             prop_assert_eq!(answer, expected);
             if index % 7 == 3 {
-                book = Book::restore(&book.snapshot()).unwrap();
+                book = ReservationBook::restore(&book.snapshot()).unwrap();
             }
         }
     }
@@ -218,27 +249,27 @@
     #[test]
     fn no_bytes_panic_on_restore_and_what_is_restored_goes_on(
         noise in prop::collection::vec(any::<u8>(), 0..200),
-        changes in prop::collection::vec((any::<prop::sample::Index>(), any::<u8>()), 0..6),
+        damage in prop::collection::vec((any::<prop::sample::Index>(), any::<u8>()), 0..6),
         cut in any::<prop::sample::Index>(),
     ) {
-        let _ = Book::restore(&noise);
-        let mut book = Book::default();
+        let _ = ReservationBook::restore(&noise);
+        let mut book = ReservationBook::default();
         book.apply(1, 1, &capacity(0, 400_000, vec![two(3, 3); 168]));
-        book.apply(2, 2, &Proposal::Fleet(3));
+        book.apply(2, 2, &Proposal::SetFleetSize(3));
         book.apply(3, 3, &Proposal::Book(request(0, two(1_000, 5), &[(10, HOUR), (2 * HOUR, 3 * HOUR)])));
-        let holder = Holder { number: 1, incarnation: 8 };
-        let renewals = vec![Renewal { holder, asked: 5, applied: 3 }];
-        let cuts = vec![Cut { booking: BookingId(0), holder, parts: Two::both(9) }];
-        book.apply(4, 20, &Proposal::Slices(Slices { renewals, cuts, ..Slices::default() }));
+        let holder = Holder { node_id: 1, incarnation: 8 };
+        let renewals = vec![LeaseRenewal { holder, requested_at: 5, applied: 3 }];
+        let changes = vec![SliceChange { booking: BookingId(0), holder, parts: PerKind::uniform(9) }];
+        book.apply(4, 20, &Proposal::AllocateSlices(SliceAllocation { renewals, changes, ..SliceAllocation::default() }));
         let mut bytes = book.snapshot();
-        let again = Book::restore(&bytes).unwrap();
+        let again = ReservationBook::restore(&bytes).unwrap();
         prop_assert_eq!(again.snapshot(), bytes.clone());
-        for (index, value) in changes {
+        for (index, value) in damage {
             *index.get_mut(&mut bytes) = value;
         }
         bytes.truncate(cut.index(bytes.len() * 4).max(1));
-        if let Ok(mut book) = Book::restore(&bytes) {
-            Admission::new(holder).refresh(9, FleetTime { earliest: 11, latest: 12 }, &book);
+        if let Ok(mut book) = ReservationBook::restore(&bytes) {
+            Admission::new(holder).refresh(9, TimeInterval { earliest: 11, latest: 12 }, &book);
             let next = book.revision().saturating_add(1);
             book.apply(next, 30, &capacity(0, 100, vec![]));
             book.apply(next.saturating_add(1), u64::MAX, &Proposal::Book(request(5, two(1, 1), &[(40, 50)])));
--- a/crates/reservation/tests/fleet.rs
+++ b/crates/reservation/tests/fleet.rs
@@ -55,15 +55,15 @@
                 let proposal = Proposal::Book(request(id, 12_000, 1_200, &[(from, from + 3_000 * SECOND)]));
                 world.propose(proposal.clone());
                 world.propose(proposal);
-                rebooked = matches!(world.answers[&id], Answer::Granted { .. }).then_some(BookingId(id));
+                rebooked = matches!(world.answers[&id], Outcome::Granted { .. }).then_some(BookingId(id));
             }
             world.step();
             stir(&mut world, &mut hot);
             let all = [Some(A), rebooked].into_iter().flatten().map(|id| world.usable(id));
-            let sum = all.fold(Rate::default(), |sum, rate| sum.with(rate, |a, b| a + b));
+            let sum = all.fold(Rate::default(), |sum, rate| sum.zip_with(rate, |a, b| a + b));
             most = most.max(sum.reads);
             assert!(
-                sum.fits(Two { reads: 12_000_000, fetches: 1_200_000 }),
+                sum.fits(PerKind { reads: 12_000_000, fetches: 1_200_000 }),
                 "seed {seed}, step {step}: {sum:?}"
             );
             let (truth, time) = (&world.truth, world.fleet_now());
@@ -145,7 +145,7 @@
                 world.reads(2, 20);
             }
         }
-        let left = world.truth.promised_at(world.fleet_now());
+        let left = world.truth.granted_at(world.fleet_now());
         assert_eq!(left.reads, if used { 12_000_000 } else { 0 });
     }
 }
--- a/crates/reservation/tests/golden.rs
+++ b/crates/reservation/tests/golden.rs
@@ -16,15 +16,15 @@
 }
 
 fn two(reads: u64, fetches: u64) -> Rate {
-    Two { reads, fetches }
+    PerKind { reads, fetches }
 }
 
 fn booking(id: u64, reads: u64, from: Micros) -> Proposal {
     let windows = vec![Span { from, to: from + HOUR }, Span { from: from + 2 * HOUR, to: from + 3 * HOUR }];
-    Proposal::Book(Request {
+    Proposal::Book(BookingRequest {
         id: BookingId(id),
         tenant: Tenant(7),
-        classes: Classes(5),
+        classes: RequestClasses(5),
         rate: two(reads, reads / 10),
         windows,
     })
@@ -32,34 +32,38 @@
 
 /// Proposals of every form, some of them refused.
 fn proposals() -> Vec<Proposal> {
-    let holder = |number| Holder { number, incarnation: 1_000 + u64::from(number) };
-    let capacity = |from, reads| Capacity { from, whole: two(reads, reads / 4), everyday: vec![two(10, 1)] };
+    let holder = |node_id| Holder { node_id, incarnation: 1_000 + u64::from(node_id) };
+    let capacity = |from, reads| Capacity { from, total: two(reads, reads / 4), baseline: vec![two(10, 1)] };
     vec![
-        Proposal::Capacity(capacity(0, 4_000)),
-        Proposal::Capacity(capacity(10 * HOUR, 2_000)),
+        Proposal::SetCapacity(capacity(0, 4_000)),
+        Proposal::SetCapacity(capacity(10 * HOUR, 2_000)),
         booking(1, 100, HOUR),
         booking(2, 200, 2 * HOUR),
         booking(3, 100_000, 2 * HOUR),
-        Proposal::Freezes(vec![Frozen {
-            freeze: 5,
+        Proposal::SetFreezes(vec![Freeze {
+            id: 5,
             span: Span { from: 20 * HOUR, to: 30 * HOUR },
-            terms: Terms::Move,
+            policy: FreezePolicy::Move,
         }]),
         booking(4, 50, 21 * HOUR),
-        Proposal::Slices(Slices {
-            turn: (1, 2),
-            lapsed: 3,
-            gone: vec![holder(9)],
-            renewals: vec![Renewal { holder: holder(1), asked: HOUR, applied: 4 }],
-            cuts: vec![Cut { booking: BookingId(1), holder: holder(1), parts: Two { reads: 7, fetches: 8 } }],
-            shown: vec![BookingId(2)],
+        Proposal::AllocateSlices(SliceAllocation {
+            id: AllocationId { incarnation: 1, sequence: 2 },
+            expired: 3,
+            departed: vec![holder(9)],
+            renewals: vec![LeaseRenewal { holder: holder(1), requested_at: HOUR, applied: 4 }],
+            changes: vec![SliceChange {
+                booking: BookingId(1),
+                holder: holder(1),
+                parts: PerKind { reads: 7, fetches: 8 },
+            }],
+            used: vec![BookingId(2)],
         }),
         Proposal::Cancel(BookingId(2)),
     ]
 }
 
-fn agreed() -> (Book, String) {
-    let mut book = Book::default();
+fn agreed() -> (ReservationBook, String) {
+    let mut book = ReservationBook::default();
     let mut text = String::new();
     for (revision, proposal) in (1..).zip(proposals()) {
         let answer = book.apply(revision, revision * 1_000, &proposal);
@@ -73,7 +77,7 @@
     let (book, _) = agreed();
     expect_file!["golden/snapshot.txt"].assert_eq(&format!("{}\n", hex(&book.snapshot())));
     let old = unhex(include_str!("golden/snapshot.txt"));
-    assert_eq!(Book::restore(&old).unwrap().snapshot(), old);
+    assert_eq!(ReservationBook::restore(&old).unwrap().snapshot(), old);
 }
 
 #[test]
--- a/crates/reservation/tests/world/mod.rs
+++ b/crates/reservation/tests/world/mod.rs
@@ -10,7 +10,7 @@
 pub const TENANT: Tenant = Tenant(7);
 
 enum Message {
-    Ask(Ask),
+    Request(SliceRequest),
     LearnUpTo(usize, usize),
     Commit(Proposal, Micros),
 }
@@ -21,7 +21,7 @@
     offset: Micros,
     pub stalled_until: Micros,
     pub up: bool,
-    pub book: Book,
+    pub book: ReservationBook,
     pub admission: Admission,
     grant: Option<(Micros, Micros, Micros)>,
 }
@@ -32,10 +32,10 @@
     pub log: Vec<(Micros, Proposal)>,
     pub nodes: Vec<Node>,
     pub leader: usize,
-    lender: Lender,
+    allocator: SliceAllocator,
     leader_skew: Micros,
-    pub truth: Book,
-    pub answers: HashMap<u64, Answer>,
+    pub truth: ReservationBook,
+    pub answers: HashMap<u64, Outcome>,
     /// When each entry was agreed, in true time.
     pub agreed: Vec<Micros>,
     messages: BTreeMap<(Micros, u64), Message>,
@@ -48,16 +48,16 @@
     pub fn new(seed: u64, balancers: u16, loss: f64, delay: Micros) -> Self {
         let mut random = fastrand::Rng::with_seed(seed);
         let nodes: Vec<_> = (0..balancers).map(|number| Node::new(number, &mut random)).collect();
-        let lender = Lender::new(nodes[0].holder, nodes[0].clock(START), 0);
+        let allocator = SliceAllocator::new(nodes[0].holder, nodes[0].clock(START), 0);
         let mut world = Self {
             now: START,
             random,
             log: vec![],
             nodes,
             leader: 0,
-            lender,
+            allocator,
             leader_skew: 0,
-            truth: Book::default(),
+            truth: ReservationBook::default(),
             answers: HashMap::new(),
             agreed: vec![],
             messages: BTreeMap::new(),
@@ -65,7 +65,7 @@
             loss,
             delay,
         };
-        world.commit(Proposal::Fleet(balancers), START);
+        world.commit(Proposal::SetFleetSize(balancers), START);
         world
     }
 
@@ -103,7 +103,7 @@
     }
 
     /// Every replica's answer to a name has to be the first one.
-    fn note(&mut self, proposal: &Proposal, answer: Answer) {
+    fn note(&mut self, proposal: &Proposal, answer: Outcome) {
         if let Proposal::Book(request) = proposal {
             let first = self.answers.entry(request.id.0).or_insert_with(|| answer.clone());
             assert_eq!(*first, answer, "a second answer for {:?}", request.id);
@@ -123,7 +123,7 @@
         self.leader = self.random.usize(..self.nodes.len().min(5));
         self.leader_skew = if self.loss > 0.0 { self.random.u64(..3) * SECOND } else { 0 };
         let node = &self.nodes[self.leader];
-        self.lender = Lender::new(
+        self.allocator = SliceAllocator::new(
             Holder { incarnation: self.random.u64(..), ..node.holder },
             node.clock(self.now),
             node.book.revision(),
@@ -135,7 +135,7 @@
     }
 
     pub fn restart(&mut self, node: usize) {
-        let book = Book::restore(&self.nodes[node].book.snapshot()).expect("its own snapshot");
+        let book = ReservationBook::restore(&self.nodes[node].book.snapshot()).expect("its own snapshot");
         let mut fresh = Node::new(node as u16, &mut self.random);
         fresh.book = book;
         self.nodes[node] = fresh;
@@ -163,11 +163,11 @@
 
     fn deliver(&mut self, message: Message) {
         match message {
-            Message::Ask(ask) if self.nodes[self.leader].runs(self.now) => {
+            Message::Request(request) if self.nodes[self.leader].runs(self.now) => {
                 let clock = self.nodes[self.leader].clock(self.now);
-                self.lender.hear(clock, ask);
+                self.allocator.handle_request(clock, request);
             }
-            Message::Ask(_) => {}
+            Message::Request(_) => {}
             Message::Commit(proposal, stamp) => self.commit(proposal, stamp),
             Message::LearnUpTo(node, length) if self.nodes[node].runs(self.now) => self.learn(node, length),
             Message::LearnUpTo(..) => {}
@@ -181,15 +181,15 @@
             let now = self.now;
             let node = &mut self.nodes[at];
             let answer = node.book.apply(index as u64 + 1, stamp, &proposal);
-            if let Proposal::Slices(slices) = &proposal
+            if let Proposal::AllocateSlices(slices) = &proposal
                 && let Some(mine) = slices.renewals.iter().find(|renewal| renewal.holder == node.holder)
             {
-                node.grant = Some((stamp, mine.asked, node.clock(now)));
+                node.grant = Some((stamp, mine.requested_at, node.clock(now)));
             }
             self.note(&proposal, answer);
             if at == self.leader {
                 let node = &self.nodes[at];
-                self.lender.applied(node.clock(now), &node.book);
+                self.allocator.handle_applied(node.clock(now), &node.book);
             }
         }
         self.nodes[at].refresh(self.now);
@@ -205,11 +205,11 @@
             node.refresh(now);
         }
         let (clock, applied) = (node.clock(now), node.book.revision());
-        let Some(ask) = node.admission.poll_ask(clock, applied) else { return };
+        let Some(request) = node.admission.poll_request(clock, applied) else { return };
         for _ in 0..if self.loss > 0.0 && self.random.f64() < 0.2 { 2 } else { 1 } {
             if !self.lost() {
                 let delay = self.some_delay();
-                self.send(Message::Ask(ask.clone()), delay);
+                self.send(Message::Request(request.clone()), delay);
             }
         }
     }
@@ -220,7 +220,7 @@
             return;
         }
         let stamp = self.fleet_now();
-        let Some(proposal) = self.lender.poll(node.clock(self.now), stamp, &node.book) else { return };
+        let Some(proposal) = self.allocator.poll(node.clock(self.now), stamp, &node.book) else { return };
         for _ in 0..if self.loss > 0.0 && self.random.f64() < 0.1 { 2 } else { 1 } {
             if !self.lost() {
                 let delay = 20_000 + self.some_delay();
@@ -232,8 +232,8 @@
     /// What all holders together may use, each by its own reading.
     pub fn usable(&self, id: BookingId) -> Rate {
         let running = self.nodes.iter().filter(|node| node.runs(self.now));
-        let each = running.map(|node| node.admission.usable(node.clock(self.now), id));
-        each.fold(Rate::default(), |sum, rate| sum.with(rate, |a, b| a + b))
+        let each = running.map(|node| node.admission.usable_rate(node.clock(self.now), id));
+        each.fold(Rate::default(), |sum, rate| sum.zip_with(rate, |a, b| a + b))
     }
 
     /// `requests` reads come in at `node`; how many of them were booked.
@@ -244,18 +244,22 @@
             return 0;
         }
         let clock = node.clock(now);
-        let admit =
-            |_: &u64| matches!(node.admission.admit(clock, TENANT, 1, Kind::Read), Admitted::Booked { .. });
+        let admit = |_: &u64| {
+            matches!(
+                node.admission.admit(clock, TENANT, 1, RequestKind::Read),
+                AdmissionDecision::Booked { .. }
+            )
+        };
         (0..requests).filter(admit).count() as u64
     }
 }
 
 impl Node {
-    fn new(number: u16, random: &mut fastrand::Rng) -> Self {
-        let holder = Holder { number, incarnation: random.u64(..) };
+    fn new(node_id: u16, random: &mut fastrand::Rng) -> Self {
+        let holder = Holder { node_id, incarnation: random.u64(..) };
         let rate = 1.0 + (random.f64() - 0.5) / 1_001.0;
         let offset = random.u64(..1_000 * SECOND);
-        let (book, admission) = (Book::default(), Admission::new(holder));
+        let (book, admission) = (ReservationBook::default(), Admission::new(holder));
         Self { holder, rate, offset, stalled_until: 0, up: true, book, admission, grant: None }
     }
 
@@ -270,19 +274,19 @@
     fn refresh(&mut self, now: Micros) {
         let clock = self.clock(now);
         if let Some((stamp, asked, heard)) = self.grant {
-            let time = FleetTime { earliest: stamp + (clock - heard), latest: stamp + (clock - asked) };
+            let time = TimeInterval { earliest: stamp + (clock - heard), latest: stamp + (clock - asked) };
             self.admission.refresh(clock, time, &self.book);
         }
     }
 }
 
 pub fn capacity(from: Micros, reads: u64, fetches: u64) -> Proposal {
-    let whole = Two { reads: reads * 1_000, fetches: fetches * 1_000 };
-    Proposal::Capacity(Capacity { from, whole, everyday: vec![] })
+    let total = PerKind { reads: reads * 1_000, fetches: fetches * 1_000 };
+    Proposal::SetCapacity(Capacity { from, total, baseline: vec![] })
 }
 
-pub fn request(id: u64, reads: u64, fetches: u64, windows: &[(Micros, Micros)]) -> Request {
-    let rate = Two { reads: reads * 1_000, fetches: fetches * 1_000 };
+pub fn request(id: u64, reads: u64, fetches: u64, windows: &[(Micros, Micros)]) -> BookingRequest {
+    let rate = PerKind { reads: reads * 1_000, fetches: fetches * 1_000 };
     let windows = windows.iter().map(|&(from, to)| Span { from, to }).collect();
-    Request { id: BookingId(id), tenant: TENANT, classes: Classes(2), rate, windows }
+    BookingRequest { id: BookingId(id), tenant: TENANT, classes: RequestClasses(2), rate, windows }
 }
