--- a/crates/audit/src/ledger/query.rs
+++ b/crates/audit/src/ledger/query.rs
@@ -137,12 +137,12 @@
     /// The lag of a version in revisions, and since when others have certainly had a newer one.
     fn lag(&self, version: &Version) -> (u64, Option<FleetMicros>) {
         let newest = self.accounts.iter().filter_map(|it| it.latest());
-        let revisions = newest.map(|(_, it)| version.behind(&it.period.version)).max().unwrap_or(0);
+        let revisions = newest.map(|(_, it)| version.lag_behind(&it.period.version)).max().unwrap_or(0);
         if revisions == 0 {
             return (0, None);
         }
         let entries = self.accounts.iter().flat_map(|it| it.entries());
-        let newer = entries.filter(|it| version.behind(&it.period.version) > 0);
+        let newer = entries.filter(|it| version.lag_behind(&it.period.version) > 0);
         (revisions, newer.map(|it| it.period.from.latest).min())
     }
 }
--- a/crates/audit/src/version.rs
+++ b/crates/audit/src/version.rs
@@ -23,7 +23,7 @@
 
 impl Version {
     /// The lag behind another version in revisions: the largest lag of any source. Lists of different sources are not compared.
-    pub fn behind(&self, other: &Self) -> u64 {
+    pub fn lag_behind(&self, other: &Self) -> u64 {
         let list = if self.list_source == other.list_source {
             other.list_revision.saturating_sub(self.list_revision)
         } else {
--- a/crates/audit/tests/golden.rs
+++ b/crates/audit/tests/golden.rs
@@ -1,4 +1,4 @@
-//! Reports and spans in the form that goes between balancers and to disk, and the answers' JSON.
+//! The encodings of reports and ledger entries on the wire and on disk, and the JSON of the queries.
 
 use audit::counting::{ActivityCounter, COUNT_KINDS, CountKind};
 use audit::lease::{LeaseGrant, LeaseRequest, TimeInterval};
@@ -27,21 +27,21 @@
     TimeInterval { earliest: at, latest: at + 10 }
 }
 
-fn piece() -> ActivityPeriod {
+fn period() -> ActivityPeriod {
     let counts = std::array::from_fn(|kind| 1_000 + kind as u64);
     ActivityPeriod { serial: 8, version: version(5), from: span(100), to: span(200), counts, digest: 9 }
 }
 
 #[test]
-fn reports_and_stored_spans_keep_their_form() {
+fn reports_and_ledger_entries_keep_their_encoding() {
     let report = ActivityReport {
         number: 300,
         incarnation: 10,
         sequence: 11,
         at: span(250),
-        pieces: vec![piece(), piece()],
+        pieces: vec![period(), period()],
     };
-    let entry = LedgerEntry { number: 300, incarnation: 10, sequence: 11, period: piece() };
+    let entry = LedgerEntry { number: 300, incarnation: 10, sequence: 11, period: period() };
     assert_eq!(ActivityReport::from_bytes(&report.to_bytes()), Some(report.clone()));
     assert_eq!(LedgerEntry::from_bytes(&entry.to_bytes()), Some(entry));
     let ask = postcard::to_allocvec(&LeaseRequest { number: 300, incarnation: 10, serial: 1_000 }).unwrap();
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn counts_keep_their_places_and_digests_their_values() {
+fn counts_keep_their_order_and_digests_their_values() {
     const ALL: [CountKind; COUNT_KINDS] = [
         CountKind::ReadOk,
         CountKind::ReadError,
@@ -88,14 +88,14 @@
 #[test]
 fn answers_keep_their_json() {
     let mut ledger = Ledger::new(3);
-    let mut old = piece();
+    let mut old = period();
     old.version.calendar = 2;
     ledger.record_report(&ActivityReport {
         number: 0,
         incarnation: 10,
         sequence: 1,
         at: span(250),
-        pieces: vec![piece()],
+        pieces: vec![period()],
     });
     ledger.record_report(&ActivityReport {
         number: 1,
--- a/crates/audit/tests/ledger.rs
+++ b/crates/audit/tests/ledger.rs
@@ -1,4 +1,4 @@
-//! What the ledger says of who acted on what, from reports that are lost, doubled and overtaken.
+//! The ledger under lost, duplicate and reordered reports.
 
 use audit::Micros;
 use audit::counting::{ActivityCounter, COUNT_KINDS, CountKind, MAX_VERSIONS};
@@ -20,129 +20,136 @@
 }
 
 fn reads(ledger: &Ledger, version: u64) -> Vec<(u16, u64)> {
-    let acted = ledger.activity_under(&calendar(version), 0, u64::MAX);
-    acted.iter().map(|it| (it.number, it.counts[CountKind::ReadOk as usize])).collect()
+    let activities = ledger.activity_under(&calendar(version), 0, u64::MAX);
+    activities.iter().map(|it| (it.number, it.counts[CountKind::ReadOk as usize])).collect()
 }
 
 /// A balancer that counts `n` reads in each of `seconds`, and reports after each.
-fn reports(counting: &mut ActivityCounter, seconds: std::ops::Range<u64>, n: u64) -> Vec<ActivityReport> {
+fn reports(counter: &mut ActivityCounter, seconds: std::ops::Range<u64>, n: u64) -> Vec<ActivityReport> {
     seconds
         .map(|second| {
-            (0..n).for_each(|_| counting.count(CountKind::ReadOk));
-            counting.report(at(second))
+            (0..n).for_each(|_| counter.count(CountKind::ReadOk));
+            counter.report(at(second))
         })
         .collect()
 }
 
 #[test]
-fn lost_doubled_and_overtaken_reports_are_noticed_and_nothing_counts_twice() {
-    let mut counting = ActivityCounter::new(2, 9, calendar(1), at(0));
-    let told = reports(&mut counting, 1..7, 10);
+fn lost_duplicate_and_reordered_reports_are_detected_and_counted_once() {
+    let mut counter = ActivityCounter::new(2, 9, calendar(1), at(0));
+    let sent = reports(&mut counter, 1..7, 10);
     let mut ledger = Ledger::new(300);
-    let heard: Vec<_> = [0, 0, 3, 1, 1, 3].iter().map(|it| ledger.record_report(&told[*it])).collect();
+    let statuses: Vec<_> = [0, 0, 3, 1, 1, 3].iter().map(|it| ledger.record_report(&sent[*it])).collect();
     use ReportStatus::{Late, Newest, Repeated};
-    assert_eq!(heard, [Newest, Repeated, Newest, Late, Repeated, Repeated]);
-    assert_eq!(reads(&ledger, 1), [(2, 40)], "the newest count, though an older one came after it");
+    assert_eq!(statuses, [Newest, Repeated, Newest, Late, Repeated, Repeated]);
+    assert_eq!(reads(&ledger, 1), [(2, 40)], "the newest count, although an older one arrived after it");
     assert_eq!((ledger.current_activity()[0].missing, ledger.current_activity()[0].repeated), (1, 3));
-    ledger.record_report(&told[5]);
-    assert_eq!(reads(&ledger, 1), [(2, 60)], "what lost reports told is made good");
-    let far = ActivityReport { sequence: 1_000, ..told[5].clone() };
+    ledger.record_report(&sent[5]);
+    assert_eq!(reads(&ledger, 1), [(2, 60)], "a later report makes up for lost ones");
+    let far_ahead = ActivityReport { sequence: 1_000, ..sent[5].clone() };
     assert_eq!(
-        (ledger.record_report(&far), ledger.record_report(&told[4])),
+        (ledger.record_report(&far_ahead), ledger.record_report(&sent[4])),
         (Newest, Repeated),
-        "too old to be told from a doubled one"
+        "too old to tell from a duplicate"
+    );
+    assert_eq!(
+        ledger.record_report(&ActivityReport { number: 300, ..far_ahead.clone() }),
+        ReportStatus::Refused
     );
-    assert_eq!(ledger.record_report(&ActivityReport { number: 300, ..far.clone() }), ReportStatus::Refused);
     assert_eq!(
         ledger.record_report(&ActivityReport {
             sequence: 2_000,
-            pieces: vec![far.pieces[0]; MAX_PERIODS_PER_REPORT + 1],
-            ..far
+            pieces: vec![far_ahead.pieces[0]; MAX_PERIODS_PER_REPORT + 1],
+            ..far_ahead
         }),
         ReportStatus::Refused
     );
 }
 
 #[test]
-fn a_try_counts_under_the_version_it_began_with_and_ended_spans_are_told_until_heard() {
-    let mut counting = ActivityCounter::new(0, 9, calendar(1), at(0));
-    let begun = counting.version();
-    assert_eq!(counting.switch_version(calendar(2), at(5)), None);
-    counting.switch_version(calendar(2), at(6));
-    counting.count_under(begun, CountKind::ReadOk);
-    counting.count(CountKind::ReadOk);
-    counting.count_under(counting.version(), CountKind::ReadOk);
-    let lost = [counting.report(at(7)), counting.report(at(8))];
+fn attempt_counts_under_its_first_version_and_ended_periods_are_repeated() {
+    let mut counter = ActivityCounter::new(0, 9, calendar(1), at(0));
+    let at_start = counter.version();
+    assert_eq!(counter.switch_version(calendar(2), at(5)), None);
+    counter.switch_version(calendar(2), at(6));
+    counter.count_under(at_start, CountKind::ReadOk);
+    counter.count(CountKind::ReadOk);
+    counter.count_under(counter.version(), CountKind::ReadOk);
+    let lost = [counter.report(at(7)), counter.report(at(8))];
     assert!(lost.iter().all(|it| it.pieces.len() == 2));
     let mut ledger = Ledger::new(1);
-    ledger.record_report(&counting.report(at(9)));
+    ledger.record_report(&counter.report(at(9)));
     assert_eq!((reads(&ledger, 1), reads(&ledger, 2)), (vec![(0, 1)], vec![(0, 2)]));
-    assert_eq!(counting.report(at(10)).pieces.len(), 1, "told three times");
-    counting.count_under(begun, CountKind::ReadOk);
-    ledger.record_report(&counting.report(at(11)));
-    assert_eq!(reads(&ledger, 1), [(0, 2)], "told again as it changed");
+    assert_eq!(counter.report(at(10)).pieces.len(), 1, "reported three times");
+    counter.count_under(at_start, CountKind::ReadOk);
+    ledger.record_report(&counter.report(at(11)));
+    assert_eq!(reads(&ledger, 1), [(0, 2)], "reported again after a change");
     let ended = ledger.activity_under(&calendar(1), 0, u64::MAX)[0];
     assert_eq!((ended.from, ended.to), (at(0), at(5)));
-    // Each version after the sixteenth needs the place of one, whose counts are handed out.
-    let handed: Vec<_> =
-        (3..30).filter_map(|it| counting.switch_version(calendar(it), at(10 + it))).collect();
-    assert_eq!(handed.len(), 29 - MAX_VERSIONS);
-    assert_eq!((handed[0].period.version, handed[0].period.counts[0]), (calendar(1), 2));
-    counting.count_under(begun, CountKind::ReadOk);
-    assert_eq!(counting.expired(), 1);
+    // Each version after the sixteenth evicts one, whose counts are returned.
+    let evicted: Vec<_> =
+        (3..30).filter_map(|it| counter.switch_version(calendar(it), at(10 + it))).collect();
+    assert_eq!(evicted.len(), 29 - MAX_VERSIONS);
+    assert_eq!((evicted[0].period.version, evicted[0].period.counts[0]), (calendar(1), 2));
+    counter.count_under(at_start, CountKind::ReadOk);
+    assert_eq!(counter.expired(), 1);
 }
 
 #[test]
-fn a_killed_balancer_is_known_until_its_last_word_and_its_next_life_is_another() {
+fn killed_balancer_is_known_until_its_last_report_and_its_restart_is_a_new_incarnation() {
     let mut ledger = Ledger::new(3);
     let mut first = ActivityCounter::new(1, 77, calendar(1), at(0));
-    let told = reports(&mut first, 1..5, 1);
-    told.iter().take(3).for_each(|it| assert_eq!(ledger.record_report(it), ReportStatus::Newest));
+    let sent = reports(&mut first, 1..5, 1);
+    sent.iter().take(3).for_each(|it| assert_eq!(ledger.record_report(it), ReportStatus::Newest));
     assert_eq!(ledger.known_until(1).map(|it| (it.incarnation, it.until)), Some((77, 3 * SECOND)));
     assert_eq!(
         ledger.activity_under(&calendar(1), 3 * SECOND + 5_001, u64::MAX),
         [],
-        "nothing is said of later"
+        "nothing is known of later times"
     );
     assert!(!ledger.activity_under(&calendar(1), 3 * SECOND + 1, u64::MAX)[0].certain);
     assert!(ledger.activity_under(&calendar(1), 0, 3 * SECOND)[0].certain);
     assert_eq!((ledger.known_until(0), ledger.known_until(9)), (None, None));
     let mut next = ActivityCounter::new(1, 5, calendar(2), at(20));
     ledger.record_report(&next.report(at(21)));
-    assert_eq!(ledger.record_report(&told[3]), ReportStatus::Newest, "a late word of the first life");
+    assert_eq!(
+        ledger.record_report(&sent[3]),
+        ReportStatus::Newest,
+        "a late report of the first incarnation"
+    );
     assert_eq!(ledger.known_until(1).map(|it| (it.incarnation, it.until)), Some((5, 21 * SECOND)));
     assert_eq!(ledger.current_activity()[0].version, calendar(2));
     assert_eq!(reads(&ledger, 1), [(1, 4)]);
 }
 
 #[test]
-fn stragglers_are_those_behind_by_revisions_or_by_time_and_those_not_heard() {
+fn lagging_nodes_lag_by_revisions_or_time_or_are_silent() {
     let mut ledger = Ledger::new(5);
     for (number, version) in [(0, 9), (1, 9), (2, 8), (3, 5)] {
-        let mut counting = ActivityCounter::new(number, 1, calendar(version), at(10));
-        ledger.record_report(&counting.report(at(if number == 1 { 11 } else { 20 })));
+        let mut counter = ActivityCounter::new(number, 1, calendar(version), at(10));
+        ledger.record_report(&counter.report(at(if number == 1 { 11 } else { 20 })));
     }
     let numbers = |now, revisions, time| -> Vec<u16> {
         ledger.lagging_nodes(now * SECOND, revisions, time * SECOND).iter().map(|it| it.number).collect()
     };
-    assert_eq!(numbers(20, 3, 15), [3, 4], "four revisions behind; never heard");
+    assert_eq!(numbers(20, 3, 15), [3, 4], "a lag of four revisions; never reported");
     assert_eq!(numbers(20, 3, 9), [2, 3, 4], "others have had a newer calendar for ten seconds");
     assert_eq!(numbers(20, 4, 8), [1, 2, 3, 4], "silent for nine seconds");
     assert_eq!(ledger.lagging_nodes(20 * SECOND, 9, 15 * SECOND)[0].silent_for, None);
 }
 
 #[test]
-fn changes_digest_alike_in_any_order_and_apart_by_verdict() {
+fn digest_depends_on_changes_and_verdicts_and_not_on_order() {
     let digest = |changes: &[(&str, bool)]| {
-        let mut counting = ActivityCounter::new(0, 1, calendar(1), at(0));
+        let mut counter = ActivityCounter::new(0, 1, calendar(1), at(0));
         changes
             .iter()
-            .for_each(|(change, accepted)| counting.record_topology_change(change.as_bytes(), *accepted));
-        let piece = counting.report(at(1)).pieces[0];
+            .for_each(|(change, accepted)| counter.record_topology_change(change.as_bytes(), *accepted));
+        let period = counter.report(at(1)).pieces[0];
         (
-            piece.digest,
-            piece.counts[CountKind::ChangeAccepted as usize],
-            piece.counts[CountKind::ChangeRefused as usize],
+            period.digest,
+            period.counts[CountKind::ChangeAccepted as usize],
+            period.counts[CountKind::ChangeRefused as usize],
         )
     };
     assert_eq!(
@@ -156,7 +163,7 @@
 }
 
 #[test]
-fn the_largest_report_fits_its_bytes_and_none_that_is_broken_is_read() {
+fn largest_report_fits_its_bound_and_malformed_reports_are_rejected() {
     let most = u64::MAX;
     let (span, version) = (
         TimeInterval { earliest: most, latest: most },
@@ -170,7 +177,7 @@
             epoch: most,
         },
     );
-    let piece = ActivityPeriod {
+    let period = ActivityPeriod {
         serial: most,
         version,
         from: span,
@@ -183,7 +190,7 @@
         incarnation: most,
         sequence: most,
         at: span,
-        pieces: vec![piece; MAX_PERIODS_PER_REPORT],
+        pieces: vec![period; MAX_PERIODS_PER_REPORT],
     };
     let bytes = report.to_bytes();
     assert!(bytes.len() <= MAX_REPORT_BYTES, "{} bytes", bytes.len());
@@ -191,34 +198,34 @@
     (0..bytes.len()).for_each(|cut| assert_eq!(ActivityReport::from_bytes(&bytes[..cut]), None));
     assert_eq!(
         ActivityReport::from_bytes(
-            &ActivityReport { pieces: vec![piece; MAX_PERIODS_PER_REPORT + 1], ..report }.to_bytes()
+            &ActivityReport { pieces: vec![period; MAX_PERIODS_PER_REPORT + 1], ..report }.to_bytes()
         ),
         None
     );
-    assert!(serde_json::to_string(&piece).is_ok());
+    assert!(serde_json::to_string(&period).is_ok());
 }
 
 #[test]
-fn spans_are_bounded_and_what_is_kept_on_disk_is_known_again_after_a_restart() {
+fn periods_are_bounded_in_memory_and_restored_from_disk() {
     let mut ledger = Ledger::new(2);
-    let mut counting = ActivityCounter::new(1, 4, calendar(0), at(0));
+    let mut counter = ActivityCounter::new(1, 4, calendar(0), at(0));
     let mut disk = std::collections::BTreeMap::new();
     for second in 1..=100 {
-        counting.count(CountKind::ReadOk);
-        ledger.record_report(&counting.report(at(second)));
-        counting.switch_version(calendar(second), at(second));
+        counter.count(CountKind::ReadOk);
+        ledger.record_report(&counter.report(at(second)));
+        counter.switch_version(calendar(second), at(second));
         disk.extend(ledger.take_unsaved().into_iter().map(|it| (it.key(), it.to_bytes())));
     }
-    ledger.record_report(&counting.report(at(101)));
+    ledger.record_report(&counter.report(at(101)));
     disk.extend(ledger.take_unsaved().into_iter().map(|it| (it.key(), it.to_bytes())));
     assert_eq!((ledger.evicted_unsaved(), disk.len()), (0, 101));
-    let spans: usize = (0..=100).map(|it| reads(&ledger, it).len()).sum();
-    assert_eq!(spans, MAX_PERIODS_PER_BALANCER);
+    let periods: usize = (0..=100).map(|it| reads(&ledger, it).len()).sum();
+    assert_eq!(periods, MAX_PERIODS_PER_BALANCER);
     let mut restored = Ledger::new(2);
     disk.values().for_each(|it| restored.restore(LedgerEntry::from_bytes(it).unwrap()));
     assert_eq!(restored.known_until(1), ledger.known_until(1));
     assert_eq!(restored.current_activity()[0].version, calendar(100));
-    assert_eq!(restored.take_unsaved(), [], "what came from disk need not go there");
-    assert_eq!(restored.record_report(&counting.report(at(102))), ReportStatus::Newest);
+    assert_eq!(restored.take_unsaved(), [], "entries from disk are saved already");
+    assert_eq!(restored.record_report(&counter.report(at(102))), ReportStatus::Newest);
     assert_eq!(LedgerEntry::from_bytes(&[255; 7]), None);
 }
--- a/crates/audit/tests/model.rs
+++ b/crates/audit/tests/model.rs
@@ -1,7 +1,7 @@
-//! All orders of up to a dozen events in the leases of three balancers, checked on the real types.
+//! A model of the leases of three balancers, checked on the real types in all orders of up to a dozen events.
 //!
-//! The log is an ordered list; asks are lost, late, doubled and reordered, learning is as late as may be, a balancer may stand still
-//! for any time while its clock goes on, and one starts anew. Clocks differ in offset and, by one in a thousand, in rate.
+//! The log is an ordered list. Requests are lost, late, duplicated and reordered, entries are applied at any later time, a
+//! balancer may stall while its clock runs, and one restarts. Clocks differ in offset and, by one part in a thousand, in rate.
 
 use audit::Micros;
 use audit::lease::{Lease, LeaseGrant, LeaseGranter, LeaseHolders, LeaseRequest, Settings};
@@ -11,16 +11,17 @@
 /// A tick on a slow clock and on a fast one.
 const RATES: [Micros; 3] = [10_000, 10_010, 10_000];
 const LEADER_RATE: Micros = 10_010;
-/// Two ticks, and a little: a slow clock without a margin for rates still holds when a fast one has ended it.
+/// Slightly more than two ticks: without a margin for clock rates, a lease still runs on a slow clock when it has ended on a
+/// fast one.
 const LEASE: Micros = 20_010;
 
-/// What is done otherwise than the design says.
+/// A deviation from the design.
 #[derive(Clone, Copy, PartialEq, Debug)]
 enum Fault {
     None,
-    CountedFromHearing,
-    CountedBeforeAllIsApplied,
-    RatesTakenForEqual,
+    CountedFromGrant,
+    AppliedOutOfOrder,
+    ClockRatesAssumedEqual,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -35,8 +36,8 @@
     lease: Lease,
     holders: LeaseHolders,
     applied: usize,
-    /// Only used where a lease is counted from hearing: its end.
-    from_hearing: Micros,
+    /// The end of the lease, if it is counted from its grant.
+    counted_from_grant: Micros,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -46,9 +47,9 @@
     granter: LeaseGranter,
     leader: LeaseHolders,
     log: Vec<Entry>,
-    /// All asks ever sent: each may still arrive, again or never.
-    asks: BTreeSet<(u16, u64, u64)>,
-    /// How many asks arrived: one of all may do so twice.
+    /// All requests ever sent. Each may arrive at any later time, repeatedly or never.
+    requests: BTreeSet<(u16, u64, u64)>,
+    /// How many requests arrived. One of them may arrive twice.
     arrived: usize,
     restarted: bool,
 }
@@ -56,35 +57,35 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Step {
     Tick,
-    Ask(usize),
+    Request(usize),
     Arrive(LeaseRequest),
     Propose,
     Freeze,
-    Learn(usize),
-    /// Learn a grant before what is before it in the log.
-    Jump(usize, usize),
+    Apply(usize),
+    /// Apply a log entry before the entries in front of it.
+    ApplyOutOfOrder(usize, usize),
     Restart,
 }
 
-/// What is played: all of it at once is more than can be looked at in half a minute.
+/// The bounds of a model. All at once are more than can be checked in half a minute.
 #[derive(Clone, Copy, Debug)]
 struct Leases {
     fault: Fault,
-    /// How many balancers there are.
+    /// The number of balancers.
     balancers: usize,
-    /// How many asks are sent in all.
-    asks: usize,
+    /// The number of requests sent in total.
+    requests: usize,
     ticks: u64,
-    /// All orders of so many events are looked at, and no longer ones.
+    /// The number of events in an order.
     depth: usize,
     restart: bool,
     freeze: bool,
 }
 
-const NO_LEASE_ENDS_FIRST: &str = "no lease ends first in others' eyes";
-const A_FREEZE_BINDS: &str = "a freeze in force is applied by all that hold a lease";
+const HOLDER_SEES_END_FIRST: &str = "a holder sees its lease end first";
+const FREEZE_IS_APPLIED: &str = "a freeze in force is applied by all that hold a lease";
 const HELD_UNDER_FREEZE: &str = "a lease is held under a freeze in force";
-const A_RESTART_HOLDS: &str = "a restart holds a lease";
+const HELD_AFTER_RESTART: &str = "a restarted balancer holds a lease";
 
 fn clock(balancer: usize, tick: u64) -> Micros {
     (balancer as u64 + 1) * 100_000 + tick * RATES[balancer]
@@ -98,7 +99,7 @@
     fn settings(&self) -> Settings {
         let mut settings = Settings::new(LEASE, 10_000, self.balancers as u16);
         settings.ask_every = 10_000;
-        if self.fault == Fault::RatesTakenForEqual {
+        if self.fault == Fault::ClockRatesAssumedEqual {
             settings.rate_error = u64::MAX;
         }
         settings
@@ -110,12 +111,12 @@
             lease: Lease::new(number as u16, incarnation, self.settings(), clock(number, tick)),
             holders: LeaseHolders::new(self.settings()),
             applied: 0,
-            from_hearing: 0,
+            counted_from_grant: 0,
         }
     }
 
-    /// The entry of the log at `index` comes to a balancer.
-    fn hear(&self, fleet: &mut Fleet, number: usize, index: usize) {
+    /// A balancer applies the log entry at `index`.
+    fn apply_entry(&self, fleet: &mut Fleet, number: usize, index: usize) {
         let Entry::Grants(grants, at) = fleet.log[index].clone() else { return };
         let now = clock(number, fleet.tick);
         let balancer = &mut fleet.balancers[number];
@@ -123,20 +124,20 @@
         balancer.holders.apply_grants(now, index as u64 + 1, &grants);
         if grants.iter().any(|it| usize::from(it.number) == number && it.incarnation == balancer.incarnation)
         {
-            balancer.from_hearing = now + LEASE;
+            balancer.counted_from_grant = now + LEASE;
         }
     }
 
     fn holds(&self, fleet: &Fleet, number: usize) -> bool {
         let (balancer, now) = (&fleet.balancers[number], clock(number, fleet.tick));
         match self.fault {
-            Fault::CountedFromHearing => now < balancer.from_hearing,
+            Fault::CountedFromGrant => now < balancer.counted_from_grant,
             _ => now < balancer.lease.change_until(now) && now < balancer.lease.serve_until(now),
         }
     }
 
-    /// Whoever serves with a lease holds it in the eyes of the leader and of all who have applied its grant.
-    fn ended_nowhere(&self, fleet: &Fleet) -> bool {
+    /// Whether every lease holder also holds its lease in the view of the leader and of all that have applied its grant.
+    fn no_lease_ended_for_others(&self, fleet: &Fleet) -> bool {
         (0..self.balancers).filter(|it| self.holds(fleet, *it)).all(|number| {
             let holder = &fleet.balancers[number];
             let (id, incarnation) = (number as u16, holder.incarnation);
@@ -144,16 +145,16 @@
                 return fleet.leader.holds(id, incarnation, leader_clock(fleet.tick));
             };
             let sees = |other: usize| {
-                let eyes = &fleet.balancers[other];
-                eyes.applied < granted as usize
-                    || eyes.holders.holds(id, incarnation, clock(other, fleet.tick))
+                let observer = &fleet.balancers[other];
+                observer.applied < granted as usize
+                    || observer.holders.holds(id, incarnation, clock(other, fleet.tick))
             };
             fleet.leader.holds(id, incarnation, leader_clock(fleet.tick))
                 && (0..self.balancers).filter(|other| *other != number).all(sees)
         })
     }
 
-    /// When the freeze is a lease old, and the error of rates, whether all that hold a lease have applied it; none if it is younger.
+    /// Which lease holders have applied the freeze, once it is older than a lease and the clock rate error; `None` before.
     fn freeze_binds(&self, fleet: &Fleet) -> Option<Vec<bool>> {
         let (index, agreed) = fleet.log.iter().enumerate().find_map(|(index, it)| match it {
             Entry::Freeze(agreed) => Some((index, *agreed)),
@@ -183,7 +184,7 @@
             granter: LeaseGranter::with_interval(self.balancers as u16, 10_000),
             leader: LeaseHolders::new(self.settings()),
             log: Vec::new(),
-            asks: BTreeSet::new(),
+            requests: BTreeSet::new(),
             arrived: 0,
             restarted: false,
         }]
@@ -193,11 +194,11 @@
         if fleet.tick < self.ticks {
             steps.push(Step::Tick);
         }
-        if fleet.asks.len() < self.asks {
-            steps.extend((0..self.balancers).map(Step::Ask));
+        if fleet.requests.len() < self.requests {
+            steps.extend((0..self.balancers).map(Step::Request));
         }
-        if fleet.arrived <= self.asks {
-            steps.extend(fleet.asks.iter().map(|&(number, incarnation, serial)| {
+        if fleet.arrived <= self.requests {
+            steps.extend(fleet.requests.iter().map(|&(number, incarnation, serial)| {
                 Step::Arrive(LeaseRequest { number, incarnation, serial })
             }));
         }
@@ -207,10 +208,10 @@
         }
         let behind = (0..self.balancers).filter(|it| fleet.balancers[*it].applied < fleet.log.len());
         for number in behind {
-            steps.push(Step::Learn(number));
-            if self.fault == Fault::CountedBeforeAllIsApplied {
+            steps.push(Step::Apply(number));
+            if self.fault == Fault::AppliedOutOfOrder {
                 let next = fleet.balancers[number].applied + 1;
-                steps.extend((next..fleet.log.len()).map(|index| Step::Jump(number, index)));
+                steps.extend((next..fleet.log.len()).map(|index| Step::ApplyOutOfOrder(number, index)));
             }
         }
         if self.restart && !fleet.restarted {
@@ -223,12 +224,12 @@
         let (tick, leader_now) = (fleet.tick, leader_clock(fleet.tick));
         match step {
             Step::Tick => fleet.tick += 1,
-            Step::Ask(number) => {
-                let ask = fleet.balancers[number].lease.poll_request(clock(number, tick))?;
-                fleet.asks.insert((ask.number, ask.incarnation, ask.serial));
+            Step::Request(number) => {
+                let request = fleet.balancers[number].lease.poll_request(clock(number, tick))?;
+                fleet.requests.insert((request.number, request.incarnation, request.serial));
             }
-            Step::Arrive(ask) => {
-                fleet.granter.handle_request(ask);
+            Step::Arrive(request) => {
+                fleet.granter.handle_request(request);
                 fleet.arrived += usize::from(fleet.granter != last.granter);
             }
             Step::Propose => {
@@ -237,12 +238,12 @@
                 fleet.log.push(Entry::Grants(grants, leader_now));
             }
             Step::Freeze => fleet.log.push(Entry::Freeze(leader_now)),
-            Step::Learn(number) => {
+            Step::Apply(number) => {
                 let index = fleet.balancers[number].applied;
-                self.hear(&mut fleet, number, index);
+                self.apply_entry(&mut fleet, number, index);
                 fleet.balancers[number].applied += 1;
             }
-            Step::Jump(number, index) => self.hear(&mut fleet, number, index),
+            Step::ApplyOutOfOrder(number, index) => self.apply_entry(&mut fleet, number, index),
             Step::Restart => {
                 fleet.balancers[0] = self.start(0, 100, tick);
                 fleet.restarted = true;
@@ -253,17 +254,15 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always(NO_LEASE_ENDS_FIRST, |it: &Self, fleet| it.ended_nowhere(fleet)),
-            Property::always(A_FREEZE_BINDS, |it: &Self, fleet| {
+            Property::always(HOLDER_SEES_END_FIRST, |it: &Self, fleet| it.no_lease_ended_for_others(fleet)),
+            Property::always(FREEZE_IS_APPLIED, |it: &Self, fleet| {
                 it.freeze_binds(fleet).is_none_or(|applied| applied.into_iter().all(|it| it))
             }),
-            Property::always("fleet time is within what is known of it", |_, fleet| {
-                Self::fleet_time_is_within(fleet)
-            }),
+            Property::always("fleet time is within its bounds", |_, fleet| Self::fleet_time_is_within(fleet)),
             Property::sometimes(HELD_UNDER_FREEZE, |it: &Self, fleet| {
                 it.freeze_binds(fleet).is_some_and(|applied| !applied.is_empty())
             }),
-            Property::sometimes(A_RESTART_HOLDS, |it: &Self, fleet: &Fleet| {
+            Property::sometimes(HELD_AFTER_RESTART, |it: &Self, fleet: &Fleet| {
                 fleet.restarted && it.holds(fleet, 0)
             }),
         ]
@@ -280,11 +279,11 @@
 }
 
 #[test]
-fn no_order_of_events_lets_a_lease_outlive_itself_or_a_freeze_be_missed() {
-    let of = |balancers, asks, depth| Leases {
+fn no_order_of_events_extends_a_lease_or_misses_a_freeze() {
+    let of = |balancers, requests, depth| Leases {
         fault: Fault::None,
         balancers,
-        asks,
+        requests,
         ticks: 4,
         depth,
         restart: true,
@@ -292,20 +291,21 @@
     };
     for model in [of(3, 2, 11), of(2, 2, 12), of(3, 1, 13)] {
         let (states, found) = check(model, HasDiscoveries::AnyFailures);
-        assert_eq!(found, [HELD_UNDER_FREEZE, A_RESTART_HOLDS], "{model:?}");
-        assert!(states > 10_000, "only {states} states were looked at");
+        assert_eq!(found, [HELD_UNDER_FREEZE, HELD_AFTER_RESTART], "{model:?}");
+        assert!(states > 10_000, "only {states} states were checked");
     }
 }
 
 #[test]
-fn every_fault_is_found() {
+fn every_injected_fault_is_detected() {
     for (fault, expected) in [
-        (Fault::CountedFromHearing, NO_LEASE_ENDS_FIRST),
-        (Fault::CountedFromHearing, A_FREEZE_BINDS),
-        (Fault::RatesTakenForEqual, NO_LEASE_ENDS_FIRST),
-        (Fault::CountedBeforeAllIsApplied, A_FREEZE_BINDS),
+        (Fault::CountedFromGrant, HOLDER_SEES_END_FIRST),
+        (Fault::CountedFromGrant, FREEZE_IS_APPLIED),
+        (Fault::ClockRatesAssumedEqual, HOLDER_SEES_END_FIRST),
+        (Fault::AppliedOutOfOrder, FREEZE_IS_APPLIED),
     ] {
-        let model = Leases { fault, balancers: 3, asks: 2, ticks: 4, depth: 11, restart: true, freeze: true };
+        let model =
+            Leases { fault, balancers: 3, requests: 2, ticks: 4, depth: 11, restart: true, freeze: true };
         let (_, found) = check(model, HasDiscoveries::AnyOf(BTreeSet::from([expected])));
         assert!(found.contains(&expected), "{fault:?} was not found, but {found:?}");
     }
