--- a/crates/gateway/src/engine/handle.rs
+++ b/crates/gateway/src/engine/handle.rs
@@ -105,7 +105,7 @@
     /// Reserves memory for a value that must be buffered completely; `None` if there is not enough.
     #[must_use]
     pub fn reserve_memory(&self, bytes: usize) -> Option<MemoryPermit> {
-        self.budget.hold(bytes)
+        self.budget.reserve(bytes)
     }
 
     /// Counts a request that its front rejected for want of memory.
--- a/crates/gateway/src/engine/phases/attempts.rs
+++ b/crates/gateway/src/engine/phases/attempts.rs
@@ -10,7 +10,7 @@
 use tokio::task::spawn_local;
 use tokio::time::Instant;
 use upstream::call::Answer;
-use upstream::connection::{Attempt, AttemptResult, Permit, StreamedValue};
+use upstream::connection::{Attempt, AttemptResult, SendPermit, StreamedValue};
 use upstream::endpoints::Endpoint;
 
 impl Engine {
@@ -45,27 +45,34 @@
         &mut self, id: RequestId, endpoint: &Rc<Endpoint>, sent_at: Instant, timeout_us: Micros,
     ) -> Option<Attempt> {
         let context = self.requests.get_mut(&id)?;
-        let until = match timeout_us {
+        let deadline = match timeout_us {
             0 => context.deadline,
             us => context.deadline.min(sent_at + Duration::from_micros(us)),
         };
-        let permit = Permit { owed: context.awaited.clone(), by: context.deduplication_ends(self.tick) };
+        let permit = SendPermit {
+            awaited: context.awaited.clone(),
+            deduplication_ends: context.deduplication_ends(self.tick),
+        };
         let number = context.attempts - 1;
         context.maybe_executed.push(SentAttempt { number, sent_at });
         let call = context.call.clone();
         // A retry must not meet a stale connection again, and a write must not meet one at all.
         let needs_new_connection =
-            context.met_stale_connection || (call.value.is_some() && self.pools.stale_lately(endpoint));
-        let line = if needs_new_connection { self.pools.dial(endpoint) } else { self.pools.line(endpoint) };
+            context.met_stale_connection || (call.value.is_some() && self.pools.was_stale_recently(endpoint));
+        let source = if needs_new_connection {
+            self.pools.check_out_new(endpoint)
+        } else {
+            self.pools.check_out(endpoint)
+        };
         Some(Attempt {
-            peer: endpoint.clone(),
+            endpoint: endpoint.clone(),
             call,
-            line,
-            dial: self.bounds.dial,
-            until,
+            source,
+            connect_timeout: self.bounds.dial,
+            deadline,
             permit,
-            fragile: context.effect == Effect::NonIdempotent,
-            lines: self.throttles.clone(),
+            is_non_idempotent: context.effect == Effect::NonIdempotent,
+            throttles: self.throttles.clone(),
             budget: self.handle.budget.clone(),
             written: self.handle.counters.borrow().attempts.clone(),
         })
@@ -99,9 +106,9 @@
         let InFlightAttempt { request: id, number, ref endpoint, sent_at, audited_version } = *attempt;
         self.audit_attempt(audited_version, endpoint.origin, result.outcome);
         self.handle.counters.borrow_mut().count_attempt(endpoint.origin, &result);
-        self.pools.put(endpoint, result.connection);
+        self.pools.check_in(endpoint, result.connection);
         if result.stale {
-            self.pools.found_stale(endpoint);
+            self.pools.record_stale(endpoint);
         }
         if matches!(result.outcome, Outcome::Timeout | Outcome::Cancelled) {
             self.preconnect(endpoint);
@@ -124,7 +131,7 @@
             outcome,
             latency_us,
             finished,
-            fetch_pending: result.pending,
+            fetch_pending: result.fetch_pending,
             stale: result.stale,
         });
         self.remove_if_finished(id);
--- a/crates/gateway/src/engine/phases/endpoint_lists.rs
+++ b/crates/gateway/src/engine/phases/endpoint_lists.rs
@@ -76,7 +76,7 @@
 
     /// Connects to an endpoint ahead of its next attempt, if it has no idle connection.
     pub(in crate::engine) fn preconnect(&mut self, endpoint: &Rc<Endpoint>) {
-        let Some(permit) = self.pools.ahead(endpoint) else { return };
+        let Some(permit) = self.pools.permit_preconnect(endpoint) else { return };
         let (endpoint, timeout) = (endpoint.clone(), self.bounds.dial);
         let inputs = self.handle.inputs.clone();
         spawn_local(async move {
--- a/crates/gateway/src/engine/phases/requests.rs
+++ b/crates/gateway/src/engine/phases/requests.rs
@@ -74,7 +74,7 @@
         }
         let unreserved_value = incoming.call.value.as_ref().filter(|_| incoming.memory.is_none());
         if let Some(value) = unreserved_value {
-            let memory = self.handle.budget.hold(value.len());
+            let memory = self.handle.budget.reserve(value.len());
             incoming.memory = Some(memory.ok_or(Reason::NoCapacity)?);
         }
         Ok(())
--- a/crates/gateway/src/engine/phases/wake.rs
+++ b/crates/gateway/src/engine/phases/wake.rs
@@ -113,7 +113,7 @@
             Input::Abandoned(id) => self.handle_abandoned(id),
             Input::AttemptStreaming(attempt, value) => self.handle_streaming(&attempt, value),
             Input::AttemptEnded(attempt, result) => self.handle_attempt_ended(&attempt, result),
-            Input::Preconnected(endpoint, connection) => self.pools.put(&endpoint, connection),
+            Input::Preconnected(endpoint, connection) => self.pools.check_in(&endpoint, connection),
             Input::Discovery(input) => match input.event {
                 WatchEvent::Subscribed => self.startup.release_list(),
                 WatchEvent::List(list) => self.handle_discovery_list(&list, input.published_at),
@@ -172,10 +172,11 @@
     }
 
     fn log_summary(&mut self) {
-        let (open, counts) = self.pools.counts();
+        let open = self.pools.open_connections();
         let requests = self.requests.len();
+        let counters = self.pools.counters();
         log::info!(
-            "engine: {requests} requests in progress, {open} connections open; since the start {counts:?}"
+            "engine: {requests} requests in progress, {open} connections open; since the start {counters}"
         );
         self.gossip.log_counts();
         log::info!("engine: answers since the start: {}", self.handle.counters.borrow());
--- a/crates/gateway/tests/fleet.rs
+++ b/crates/gateway/tests/fleet.rs
@@ -105,7 +105,7 @@
         outcome: Outcome::Ok,
         value: Bytes::from_static(value),
         large: None,
-        pending: false,
+        fetch_pending: false,
         stale: false,
         connection: None,
     }
--- a/crates/upstream/src/call.rs
+++ b/crates/upstream/src/call.rs
@@ -1,28 +1,28 @@
-//! What a request asks of a peer, and what its client is answered: shared by fronts, core and peers.
+//! What a request asks of an endpoint, and what its client is answered. Shared by fronts, engine and endpoints.
 
 use crate::connection::StreamedValue;
 use bytes::Bytes;
 use std::ops::Range;
 
-/// A request as its client worded it, for passing on. All parts are slices of what was read.
+/// A request as its client wrote it, for forwarding. All parts are slices of what was read.
 #[derive(Debug)]
 pub struct Call {
-    /// The command's word.
+    /// The name of the command.
     pub command: Bytes,
     /// The key, as text.
     pub key: Bytes,
-    /// The client's own id for the request.
+    /// The client's id of the request.
     pub id: Bytes,
-    /// The names and values.
+    /// The options, as names and values.
     pub options: Bytes,
-    /// Where in them the client's time stands.
+    /// Where the options state the client's time limit.
     pub time_at: Range<usize>,
     /// The value of a write.
     pub value: Option<Bytes>,
 }
 
 impl Call {
-    /// The names and values, with the time that this balancer will wait.
+    /// The options, with the time that this balancer will wait.
     #[must_use]
     pub fn options_with_time(&self, ms: u64) -> Vec<u8> {
         let Range { start, end } = self.time_at.clone();
@@ -33,25 +33,25 @@
 /// The one final answer.
 #[derive(Debug)]
 pub enum Answer {
-    /// The value or the write's receipt, as a peer or the origin made it for this request.
+    /// The value or the receipt of a write, as an endpoint made it for this request.
     Served(Bytes),
-    /// The same where it is large: it is passed on as it comes.
+    /// The same if it is large: it is forwarded as it arrives.
     Streamed(Box<StreamedValue>),
-    /// Refused: trying again is harmless, after so many milliseconds (0: no advice).
+    /// Rejected: a retry is harmless, after this many milliseconds (0: no advice).
     Refused(u64),
     /// Failed.
     Failed,
 }
 
 impl Answer {
-    /// The word for logs.
+    /// The word for log lines.
     #[must_use]
     pub fn word(&self) -> &'static str {
         match self {
-            Answer::Served(_) => "served",
-            Answer::Streamed(_) => "begun to be served",
-            Answer::Refused(_) => "refused",
-            Answer::Failed => "failed",
+            Self::Served(_) => "served",
+            Self::Streamed(_) => "streaming",
+            Self::Refused(_) => "rejected",
+            Self::Failed => "failed",
         }
     }
 }
--- /dev/null
+++ b/crates/upstream/src/connection/attempt.rs
@@ -0,0 +1,211 @@
+//! One attempt: connect if necessary, write the request, and read the response, within its time.
+
+use super::dial::dial;
+use super::http_response::read_http;
+use super::log_throttles::AttemptLogThrottles;
+use super::pools::ConnectionSource;
+use super::request::EncodedRequest;
+use super::resp_response::{read_resp, read_tail};
+use super::response::{LargeResponse, Response, ResponseError};
+use super::result::AttemptResult;
+use super::send::{LastByte, SendError, SendPermit, send_request};
+use super::socket::Connection;
+use super::streamed::StreamedValue;
+use crate::call::Call;
+use crate::endpoints::Endpoint;
+use crate::memory::MemoryBudget;
+use decide::api::Outcome;
+use std::cell::Cell;
+use std::future::pending;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::sync::oneshot;
+use tokio::time::{Instant, sleep_until, timeout_at};
+
+/// One attempt of a request at one endpoint.
+#[derive(Debug)]
+pub struct Attempt {
+    /// Where it is sent.
+    pub endpoint: Rc<Endpoint>,
+    /// What is sent.
+    pub call: Rc<Call>,
+    /// The connection to use.
+    pub source: ConnectionSource,
+    /// How long connecting may take.
+    pub connect_timeout: Duration,
+    /// When this balancer stops waiting.
+    pub deadline: Instant,
+    /// Whether it may still be sent.
+    pub permit: SendPermit,
+    /// Whether it must never be executed twice. Its last byte is then delayed until the connection has shown no fault.
+    pub is_non_idempotent: bool,
+    /// Limits on what it may log.
+    pub throttles: Rc<AttemptLogThrottles>,
+    /// Memory for large responses that must be buffered completely.
+    pub budget: MemoryBudget,
+    /// Counts attempts that were written completely.
+    pub written: Rc<Cell<u64>>,
+}
+
+/// How far an attempt has come.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+enum Stage {
+    Connecting,
+    Writing,
+    Written,
+    /// The response belongs to the client: neither the deadline nor a cancellation ends it.
+    Streaming,
+}
+
+impl Attempt {
+    /// Runs the attempt. If the result has no connection, that is closed. `on_streaming` receives a large response whose value
+    /// follows: the attempt has succeeded from then on, and ends when the value has been read.
+    pub async fn run(
+        self, cancelled: oneshot::Receiver<()>, on_streaming: impl FnOnce(Box<StreamedValue>),
+    ) -> AttemptResult {
+        let (deadline, window_ends) = (self.deadline, self.permit.deduplication_ends);
+        let stage = Cell::new(Stage::Connecting);
+        let exchange = self.exchange(&stage, on_streaming);
+        tokio::pin!(exchange);
+        let outcome = tokio::select! {
+            biased;
+            _ = cancelled => Outcome::Cancelled,
+            () = window_end_before_written(window_ends, &stage) => Outcome::NotSent,
+            result = timeout_at(deadline, &mut exchange) => match result {
+                Ok(result) => return result,
+                Err(_) => Outcome::Timeout,
+            }
+        };
+        match (outcome, stage.get()) {
+            (_, Stage::Streaming) => exchange.await,
+            // The time of the request ended before that of the connection attempt, which proves no unreachable endpoint.
+            (Outcome::Timeout, Stage::Connecting) => Outcome::NotSent.into(),
+            // A write that was not completed was not executed.
+            (Outcome::Timeout, Stage::Writing) => Outcome::ConnectFailed.into(),
+            _ => outcome.into(),
+        }
+    }
+
+    async fn exchange(
+        mut self, stage: &Cell<Stage>, on_streaming: impl FnOnce(Box<StreamedValue>),
+    ) -> AttemptResult {
+        let source = std::mem::replace(&mut self.source, ConnectionSource::Unavailable);
+        let is_reused = matches!(source, ConnectionSource::Idle(_));
+        let mut connection = match self.open(source).await {
+            Ok(connection) => connection,
+            Err(outcome) => return outcome.into(),
+        };
+        if !self.endpoint.ready() {
+            return Outcome::Rejected.into(); // it began to drain or was removed meanwhile
+        }
+        if self.permit.check(self.deadline).is_err() {
+            // The connection can serve another request.
+            return AttemptResult { connection: Some(connection), ..Outcome::NotSent.into() };
+        }
+        stage.set(Stage::Writing);
+        if let Err(error) = self.send(&mut connection).await {
+            return unsent_result(error);
+        }
+        stage.set(Stage::Written);
+        self.written.set(self.written.get() + 1);
+        match self.read_response(&mut connection).await {
+            Ok(Response::Complete { result, reusable }) => {
+                AttemptResult { connection: reusable.then_some(connection), ..result }
+            }
+            Ok(Response::Large(head)) => stream_value(connection, head, stage, on_streaming).await,
+            Err(ResponseError::Reset) => {
+                let stale = is_reused && connection.buffer.is_empty();
+                AttemptResult { stale, ..Outcome::Reset.into() }
+            }
+            Err(error) => {
+                self.log_unusable(&error);
+                Outcome::Error.into()
+            }
+        }
+    }
+
+    async fn open(&self, source: ConnectionSource) -> Result<Connection, Outcome> {
+        let permit = match source {
+            ConnectionSource::Idle(connection) if connection.is_quiet() => return Ok(connection),
+            // Input has arrived since the connection was chosen: it is replaced by a new one.
+            ConnectionSource::Idle(connection) => connection.into_permit(),
+            ConnectionSource::Dial(permit) => permit,
+            ConnectionSource::Unavailable => {
+                // The limit is this balancer's own: it says nothing about the endpoint's health, and no other is any nearer.
+                if let Some(more) = self.throttles.no_connection.line() {
+                    log::warn!("upstream: endpoint {}: no connection available{more}", self.endpoint.name);
+                }
+                return Err(Outcome::NotSent);
+            }
+        };
+        dial(permit, &self.endpoint, self.connect_timeout).await.ok_or(Outcome::ConnectFailed)
+    }
+
+    async fn send(&self, connection: &mut Connection) -> Result<(), SendError> {
+        let time_left = self.deadline.saturating_duration_since(Instant::now());
+        let time_limit_ms = time_left.as_millis().max(1) as u64;
+        let request = EncodedRequest::new(&self.call, &self.endpoint, time_limit_ms);
+        let last_byte = if self.is_non_idempotent { LastByte::Delayed } else { LastByte::Immediate };
+        send_request(connection, &request, last_byte, || self.permit.check(self.deadline)).await
+    }
+
+    async fn read_response(&self, connection: &mut Connection) -> Result<Response, ResponseError> {
+        if self.endpoint.origin {
+            read_http(connection, &self.budget).await
+        } else {
+            read_resp(connection, &self.endpoint.name, &self.throttles).await
+        }
+    }
+
+    fn log_unusable(&self, error: &ResponseError) {
+        let name = &self.endpoint.name;
+        match error {
+            ResponseError::Reset => {}
+            ResponseError::Malformed(error) => {
+                if let Some(more) = self.throttles.malformed_response.line() {
+                    log::warn!("upstream: endpoint {name}: malformed response: {error}{more}");
+                }
+            }
+            ResponseError::OutOfMemory => {
+                if let Some(more) = self.throttles.no_memory.line() {
+                    log::warn!("upstream: endpoint {name}: no memory for a response of unknown length{more}");
+                }
+            }
+        }
+    }
+}
+
+/// The result of an attempt whose request was not written completely.
+fn unsent_result(error: SendError) -> AttemptResult {
+    match error {
+        SendError::Revoked => Outcome::NotSent.into(),
+        SendError::DeadlinePassed => Outcome::ConnectFailed.into(),
+        // The endpoint had accepted the connection, so it is not unreachable.
+        SendError::Broken => AttemptResult { stale: true, ..Outcome::ConnectFailed.into() },
+    }
+}
+
+/// Hands a large value over, and waits until it has been read.
+async fn stream_value(
+    connection: Connection, head: LargeResponse, stage: &Cell<Stage>,
+    on_streaming: impl FnOnce(Box<StreamedValue>),
+) -> AttemptResult {
+    let (value, connection) = StreamedValue::of_connection(head.length, connection);
+    stage.set(Stage::Streaming);
+    on_streaming(Box::new(value));
+    // A connection that is not handed back broke within the value, or its client left.
+    let Ok(connection) = connection.await else { return Outcome::Reset.into() };
+    let connection = if head.reusable { read_tail(connection, head.tail).await } else { None };
+    AttemptResult { connection, ..Outcome::Ok.into() }
+}
+
+/// Waits for the end of the deduplication window; for ever once the request is written.
+async fn window_end_before_written(window_ends: Option<Instant>, stage: &Cell<Stage>) {
+    match window_ends {
+        Some(end) => sleep_until(end).await,
+        None => pending().await,
+    }
+    if stage.get() >= Stage::Written {
+        pending().await
+    }
+}
--- a/crates/upstream/src/connection/streamed.rs
+++ b/crates/upstream/src/connection/streamed.rs
@@ -1,8 +1,8 @@
-//! A large answer on its way: the peer's connection, lent to the client's until the value has been passed on.
+//! A large value that is forwarded as it arrives: the endpoint's connection, lent to the client's until the value is complete.
 
-use super::Connection;
+use super::socket::Connection;
 use crate::memory::MemoryPermit;
-use bytes::{Buf, Bytes};
+use bytes::{Buf, Bytes, BytesMut};
 use proto::MAX_BUFFERED_VALUE_BYTES;
 use std::fmt;
 use std::io;
@@ -11,49 +11,53 @@
 use tokio::sync::oneshot;
 use tokio::time::{Instant, timeout};
 
-/// What is read ahead of a client at most. Bounds the memory of a stream, whatever its size.
-const WINDOW: usize = 32 * 1024;
-/// How long a peer may give nothing in the middle of a value. Until then it is not cut off.
-const PEER_TIME: Duration = Duration::from_secs(5);
+/// How many bytes are read ahead of the client. Bounds the memory of a stream, whatever its size.
+const READ_AHEAD: usize = 32 * 1024;
+/// How long an endpoint may send nothing within a value before it is given up.
+const READ_TIMEOUT: Duration = Duration::from_secs(5);
+/// How long a client waits for the endpoint in total, over a whole value. Guards the connection and its client against a value that
+/// arrives by a byte now and then and never ends. The time that the client takes itself does not count.
+const TOTAL_READ_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// How long a client waits for the peer in all, over a whole value. Guards the connection and its client against a value
-/// that comes by a byte now and then and never ends; what the client takes for itself does not count.
-const PEER_TIME_IN_ALL: Duration = Duration::from_secs(30);
-
-/// A large answer whose length is known. What has not been taken when it is dropped closes the peer's connection.
+/// A large value of known length. If it is dropped before it is complete, the endpoint's connection is closed.
 pub struct StreamedValue {
     length: usize,
-    left: usize,
-    patience: Duration,
+    remaining: usize,
+    /// What is left of [`TOTAL_READ_TIMEOUT`].
+    time_left: Duration,
     source: Source,
 }
 
 enum Source {
-    Peer {
+    Connection {
         connection: Connection,
         /// Hands the connection back.
-        back: oneshot::Sender<Connection>,
+        return_to: oneshot::Sender<Connection>,
     },
-    /// It was held whole, since its length was not stated.
+    /// It was buffered completely, since its length was not stated.
     Memory {
         value: Bytes,
-        _held: MemoryPermit,
+        _memory: MemoryPermit,
     },
-    Taken,
+    Finished,
 }
 
 impl StreamedValue {
-    /// A value of this length, of which the connection gives the rest; it is handed back when all has come.
-    pub(super) fn of_peer(length: usize, connection: Connection) -> (Self, oneshot::Receiver<Connection>) {
-        let (back, connection_back) = oneshot::channel();
-        let source = Source::Peer { connection, back };
-        (Self { length, left: length, patience: PEER_TIME_IN_ALL, source }, connection_back)
+    /// A value of this length that the connection delivers. The receiver gets the connection back when the value is complete.
+    pub(super) fn of_connection(
+        length: usize, connection: Connection,
+    ) -> (Self, oneshot::Receiver<Connection>) {
+        let (return_to, returned) = oneshot::channel();
+        (Self::new(length, Source::Connection { connection, return_to }), returned)
+    }
+
+    /// A value that was buffered completely.
+    pub(super) fn of_memory(value: Bytes, memory: MemoryPermit) -> Self {
+        Self::new(value.len(), Source::Memory { value, _memory: memory })
     }
 
-    /// A value that was held whole.
-    pub(super) fn of_memory(value: Bytes, held: MemoryPermit) -> Self {
-        let (length, source) = (value.len(), Source::Memory { value, _held: held });
-        Self { length, left: length, patience: PEER_TIME_IN_ALL, source }
+    fn new(length: usize, source: Source) -> Self {
+        Self { length, remaining: length, time_left: TOTAL_READ_TIMEOUT, source }
     }
 
     /// The length of the value.
@@ -62,71 +66,79 @@
         self.length
     }
 
-    /// Whether all of it has come already.
+    /// Whether the value has arrived completely.
     #[must_use]
     pub fn whole(&self) -> bool {
         matches!(self.source, Source::Memory { .. })
     }
 
-    /// The memory that it takes until it is done, beyond what the budget for held values covers.
+    /// The memory that it needs until it is forwarded, beyond what the memory budget covers.
     #[must_use]
     pub fn window(&self) -> usize {
-        if self.whole() { 0 } else { WINDOW }
+        if self.whole() { 0 } else { READ_AHEAD }
     }
 
     /// Whether all of it has been taken.
     #[must_use]
     pub fn done(&self) -> bool {
-        self.left == 0
+        self.remaining == 0
     }
 
-    /// What has come of it and was not taken yet, at least a byte; to be called while it is not [`StreamedValue::done`].
+    /// The bytes that have arrived and were not taken, at least one. To be called while it is not [`StreamedValue::done`].
     ///
     /// # Errors
-    /// When the peer breaks off, or is silent for too long: the rest will not come.
+    /// When the endpoint breaks off or is silent for too long: the rest will not arrive.
     pub async fn next(&mut self) -> io::Result<&[u8]> {
-        let come = match &mut self.source {
-            Source::Peer { connection, .. } => {
-                let buffer = &mut connection.buffer;
-                if buffer.is_empty() {
-                    buffer.reserve(WINDOW);
-                    let asked = Instant::now();
-                    let time = PEER_TIME.min(self.patience);
-                    let read = timeout(time, connection.stream.read_buf(buffer)).await;
-                    self.patience = self.patience.saturating_sub(asked.elapsed());
-                    if read.map_err(|_| io::Error::from(io::ErrorKind::TimedOut))?? == 0 {
-                        return Err(io::ErrorKind::UnexpectedEof.into());
-                    }
+        let available = match &mut self.source {
+            Source::Connection { connection, .. } => {
+                if connection.buffer.is_empty() {
+                    read_ahead(connection, &mut self.time_left).await?;
                 }
-                &buffer[..]
+                &connection.buffer[..]
             }
             Source::Memory { value, .. } => &value[..],
-            Source::Taken => &[],
+            Source::Finished => &[],
         };
-        Ok(&come[..come.len().min(self.left)])
+        Ok(&available[..available.len().min(self.remaining)])
     }
 
-    /// Takes so many bytes of what [`StreamedValue::next`] gave. With the last one, the peer's connection goes back.
+    /// Takes bytes that [`StreamedValue::next`] returned. With the last one, the endpoint's connection is handed back.
     pub fn take(&mut self, bytes: usize) {
-        self.left -= bytes;
+        self.remaining -= bytes;
         match &mut self.source {
-            Source::Peer { connection, .. } => connection.buffer.advance(bytes),
+            Source::Connection { connection, .. } => connection.buffer.advance(bytes),
             Source::Memory { value, .. } => value.advance(bytes),
-            Source::Taken => {}
+            Source::Finished => {}
         }
         if self.done()
-            && let Source::Peer { mut connection, back } = std::mem::replace(&mut self.source, Source::Taken)
+            && let Source::Connection { mut connection, return_to } =
+                std::mem::replace(&mut self.source, Source::Finished)
         {
             if connection.buffer.capacity() > MAX_BUFFERED_VALUE_BYTES {
-                connection.buffer = bytes::BytesMut::from(&connection.buffer[..]); // a pool keeps no windows
+                connection.buffer = BytesMut::from(&connection.buffer[..]); // idle connections keep no large buffers
             }
-            let _ = back.send(connection); // its try waits for it
+            let _ = return_to.send(connection); // its attempt waits for it
         }
     }
 }
 
+/// Reads into the connection's empty buffer, and subtracts the time from `time_left`.
+async fn read_ahead(connection: &mut Connection, time_left: &mut Duration) -> io::Result<()> {
+    connection.buffer.reserve(READ_AHEAD);
+    let started_at = Instant::now();
+    let reading = connection.stream.read_buf(&mut connection.buffer);
+    let result = timeout(READ_TIMEOUT.min(*time_left), reading).await;
+    *time_left = time_left.saturating_sub(started_at.elapsed());
+    match result {
+        Ok(Ok(0)) => Err(io::ErrorKind::UnexpectedEof.into()),
+        Ok(Ok(_)) => Ok(()),
+        Ok(Err(error)) => Err(error),
+        Err(_) => Err(io::ErrorKind::TimedOut.into()),
+    }
+}
+
 impl fmt::Debug for StreamedValue {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{} of {} bytes left", self.left, self.length)
+        write!(f, "{} of {} bytes left", self.remaining, self.length)
     }
 }
--- a/crates/upstream/src/endpoints.rs
+++ b/crates/upstream/src/endpoints.rs
@@ -1,4 +1,4 @@
-//! The upstream group: the peers that discovery lists.
+//! The endpoints that discovery lists.
 
 use crate::setup::Names;
 use decide::api::{CellId, EndpointEntry, EndpointId, ListKind, Presence, ZoneId};
@@ -10,29 +10,34 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// A peer or the origin, as last listed.
+/// A cache node or the origin, as last listed.
 #[derive(Debug)]
 pub struct Endpoint {
-    /// Its number in the module.
+    /// Its id in the decision module.
     pub id: EndpointId,
     /// Its name in discovery.
     pub name: String,
-    /// Where to reach it.
+    /// Its address.
     pub addr: SocketAddr,
     /// Whether it is the origin, which speaks HTTP.
     pub origin: bool,
-    since: u64,
+    up_since_ms: u64,
     presence: Cell<Presence>,
 }
 
 impl Endpoint {
-    /// Whether something new may be sent to it.
+    /// Whether new requests may be sent to it.
     pub fn ready(&self) -> bool {
         self.presence.get() == Presence::Ready
     }
+
+    /// Marks an endpoint that is not listed any more, for attempts that still connect to it.
+    fn mark_gone(&self) {
+        self.presence.set(Presence::Gone);
+    }
 }
 
-/// A stable hash of discovery's id, so that all balancers rank keys alike. Never of address or order: both vary.
+/// A stable hash of discovery's name, so that all balancers assign keys alike. Addresses and order vary, and are not used.
 #[must_use]
 pub fn endpoint_id(name: &str) -> EndpointId {
     let mut hasher = FnvHasher::default();
@@ -40,27 +45,44 @@
     EndpointId(hasher.finish())
 }
 
-/// Changes of one list that are logged one by one; of more, how many there are. A line for each of some thousand would hold
-/// up what the list says.
-const LOGGED_ONE_BY_ONE: usize = 32;
+/// How many changes of one list are logged one by one; of more, the count is logged. A line for each of thousands would delay the
+/// application of the list.
+const MAX_LOGGED_CHANGES: usize = 32;
 
-/// The peers listed.
+/// The listed endpoints.
 #[derive(Debug)]
 pub struct EndpointSet {
     names: Names,
     origin_kind: Option<u16>,
-    peers: FxHashMap<EndpointId, Rc<Endpoint>>,
+    endpoints: FxHashMap<EndpointId, Rc<Endpoint>>,
+}
+
+/// Whether the presence of an endpoint has changed.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+enum PresenceChange {
+    Changed,
+    Unchanged,
+}
+
+/// The presence as log lines name it.
+fn presence_name(presence: Presence) -> &'static str {
+    match presence {
+        Presence::Ready => "Ready",
+        Presence::Draining => "Draining",
+        Presence::Gone => "Gone",
+    }
 }
 
-fn place<T: TryFrom<usize>>(names: &[String], name: &str, unknown: T) -> T {
+/// The number of a name, or `unknown` if it has none.
+fn name_index<T: TryFrom<usize>>(names: &[String], name: &str, unknown: T) -> T {
     names.iter().position(|n| n == name).and_then(|at| T::try_from(at).ok()).unwrap_or(unknown)
 }
 
 fn log_changes(changes: &[(&String, Presence)]) {
-    for (id, presence) in changes.iter().take(LOGGED_ONE_BY_ONE) {
-        log::info!("discovery: {id} is {presence:?}");
+    for (id, presence) in changes.iter().take(MAX_LOGGED_CHANGES) {
+        log::info!("discovery: {id} is {}", presence_name(*presence));
     }
-    if changes.len() > LOGGED_ONE_BY_ONE {
+    if changes.len() > MAX_LOGGED_CHANGES {
         let now = |presence| changes.iter().filter(|(_, it)| *it == presence).count();
         let [ready, draining, gone] = [Presence::Ready, Presence::Draining, Presence::Gone].map(now);
         log::info!(
@@ -71,92 +93,114 @@
 }
 
 impl EndpointSet {
-    /// An empty group.
+    /// An empty set.
     #[must_use]
     pub fn new(names: Names, origin_kind: Option<u16>) -> Self {
-        Self { names, origin_kind, peers: FxHashMap::default() }
+        Self { names, origin_kind, endpoints: FxHashMap::default() }
     }
 
-    /// The names that the settings give to numbers.
+    /// Names of the numbers in the settings.
     #[must_use]
     pub fn names(&self) -> &Names {
         &self.names
     }
 
-    /// How many peers are listed.
+    /// How many endpoints are listed.
     #[must_use]
     pub fn size(&self) -> usize {
-        self.peers.len()
+        self.endpoints.len()
     }
 
-    /// A peer that the list has named.
+    /// A listed endpoint.
     #[must_use]
     pub fn endpoint(&self, id: EndpointId) -> Option<&Rc<Endpoint>> {
-        self.peers.get(&id)
+        self.endpoints.get(&id)
     }
 
-    /// Takes in a list; returns it in the module's form, and the peers to which idle connections are void.
+    /// Applies a list. Returns its kind and its entries in the decision module's form, and the endpoints whose idle connections are
+    /// to be closed.
     pub fn apply(
         &mut self, list: &EndpointList, cached: bool,
     ) -> (ListKind, Vec<EndpointEntry>, Vec<EndpointId>) {
-        let entries: Vec<_> = list.members.iter().map(|m| self.entry(m)).collect();
-        let (mut stale, mut changes) = (Vec::new(), Vec::new());
+        let entries: Vec<_> = list.members.iter().map(|member| self.entry(member)).collect();
+        let mut stale = Vec::new();
         if list.complete {
-            let named: FxHashSet<_> = entries.iter().map(|e| e.id).collect();
-            self.peers.retain(|id, peer| {
-                let keep = named.contains(id);
-                if !keep {
-                    peer.presence.set(Presence::Gone); // tries that are dialling still look at it
-                    stale.push(*id);
-                }
-                keep
-            });
+            self.remove_unlisted(&entries, &mut stale);
         }
+        let mut changes = Vec::new();
         for (member, entry) in list.members.iter().zip(&entries) {
-            let known = self.peers.get(&entry.id);
-            if entry.presence == Presence::Gone {
-                // Guards memory on days on which new peers take the place of old ones all the time.
-                if let Some(peer) = self.peers.remove(&entry.id) {
-                    changes.push((&member.id, entry.presence));
-                    peer.presence.set(Presence::Gone); // tries that are dialling still look at it
-                    stale.push(entry.id);
-                }
-                continue;
-            }
-            if known.is_none_or(|peer| peer.presence.get() != entry.presence) {
+            if self.apply_entry(member, entry, &mut stale) == PresenceChange::Changed {
                 changes.push((&member.id, entry.presence));
             }
-            if let Some(peer) = known {
-                peer.presence.set(entry.presence);
-                let same = peer.addr == member.host_port && peer.since == member.up_since_ms;
-                if !same || !peer.ready() {
-                    stale.push(entry.id);
-                }
-                if same {
-                    continue;
-                }
-            }
-            let peer = Endpoint {
-                id: entry.id,
-                name: member.id.clone(),
-                addr: member.host_port,
-                origin: self.origin_kind == Some(entry.kind),
-                since: member.up_since_ms,
-                presence: Cell::new(entry.presence),
-            };
-            if let Some(old) = self.peers.insert(entry.id, Rc::new(peer)) {
-                old.presence.set(Presence::Gone); // what it was: its address or its process has changed
-            }
         }
         log_changes(&changes);
         let kind = match (cached, list.complete) {
             (true, _) => ListKind::Cached,
-            (_, true) => ListKind::Full,
-            _ => ListKind::Delta,
+            (false, true) => ListKind::Full,
+            (false, false) => ListKind::Delta,
         };
         (kind, entries, stale)
     }
 
+    /// Removes the endpoints that a complete list does not contain.
+    fn remove_unlisted(&mut self, entries: &[EndpointEntry], stale: &mut Vec<EndpointId>) {
+        let listed: FxHashSet<_> = entries.iter().map(|entry| entry.id).collect();
+        self.endpoints.retain(|id, endpoint| {
+            let keep = listed.contains(id);
+            if !keep {
+                endpoint.mark_gone();
+                stale.push(*id);
+            }
+            keep
+        });
+    }
+
+    fn apply_entry(
+        &mut self, member: &EndpointRecord, entry: &EndpointEntry, stale: &mut Vec<EndpointId>,
+    ) -> PresenceChange {
+        if entry.presence == Presence::Gone {
+            return self.remove(entry.id, stale);
+        }
+        let Some(known) = self.endpoints.get(&entry.id) else {
+            self.insert(member, entry);
+            return PresenceChange::Changed;
+        };
+        let change = match known.presence.replace(entry.presence) == entry.presence {
+            true => PresenceChange::Unchanged,
+            false => PresenceChange::Changed,
+        };
+        let is_same_process = known.addr == member.host_port && known.up_since_ms == member.up_since_ms;
+        if !is_same_process || !known.ready() {
+            stale.push(entry.id);
+        }
+        if !is_same_process {
+            self.insert(member, entry);
+        }
+        change
+    }
+
+    /// Removes an endpoint. Guards memory when endpoints are replaced by new ones all day.
+    fn remove(&mut self, id: EndpointId, stale: &mut Vec<EndpointId>) -> PresenceChange {
+        let Some(endpoint) = self.endpoints.remove(&id) else { return PresenceChange::Unchanged };
+        endpoint.mark_gone();
+        stale.push(id);
+        PresenceChange::Changed
+    }
+
+    fn insert(&mut self, member: &EndpointRecord, entry: &EndpointEntry) {
+        let endpoint = Endpoint {
+            id: entry.id,
+            name: member.id.clone(),
+            addr: member.host_port,
+            origin: self.origin_kind == Some(entry.kind),
+            up_since_ms: member.up_since_ms,
+            presence: Cell::new(entry.presence),
+        };
+        if let Some(replaced) = self.endpoints.insert(entry.id, Rc::new(endpoint)) {
+            replaced.mark_gone();
+        }
+    }
+
     fn entry(&self, member: &EndpointRecord) -> EndpointEntry {
         EndpointEntry {
             id: endpoint_id(&member.id),
@@ -165,10 +209,10 @@
                 Phase::Draining => Presence::Draining,
                 Phase::Gone => Presence::Gone,
             },
-            kind: place(&self.names.kinds, &member.flavor, u16::MAX),
+            kind: name_index(&self.names.kinds, &member.flavor, u16::MAX),
             weight: if member.size.is_finite() && member.size > 0.0 { member.size } else { 1.0 },
             cell: CellId(member.cell),
-            zone: ZoneId(place(&self.names.zones, &member.locality, u8::MAX)),
+            zone: ZoneId(name_index(&self.names.zones, &member.locality, u8::MAX)),
             online_since: member.up_since_ms.saturating_mul(1_000),
         }
     }
--- a/crates/upstream/src/lib.rs
+++ b/crates/upstream/src/lib.rs
@@ -1,10 +1,11 @@
-//! The side that faces peers and the origin: whom discovery lists, the connections to them, and one try on one of these.
+//! The side that faces the endpoints: which ones discovery lists, the connections to them, and one attempt on one connection.
 //!
-//! [`endpoints`] knows the peers by the names and addresses of the last list. [`connection`] keeps idle connections, dials, and runs
-//! one [`connection::Attempt`] of a [`call::FleetCall`], from its first byte to its outcome; [`memory`] bounds the memory of large values.
+//! [`endpoints`] knows the endpoints by the names and addresses of the last list. [`connection`] pools idle connections, opens new ones,
+//! and runs one [`connection::Attempt`] of a [`call::Call`] from its first byte to its outcome. [`memory`] bounds the memory of large
+//! values.
 //!
-//! It leaves to its owner, the core, everything that concerns more than one try: which peer, how long, whether again, what
-//! the client is answered, and following discovery. It knows no front.
+//! Everything that concerns more than one attempt is left to the engine: which endpoint, how long, whether to retry, what the
+//! client is answered, and following discovery. This crate knows no front.
 #![forbid(unsafe_code)]
 #![warn(unreachable_pub)]
 
--- a/crates/upstream/src/memory.rs
+++ b/crates/upstream/src/memory.rs
@@ -1,4 +1,4 @@
-//! Memory for values that are held whole though they are large, or wait for a peer: one budget for all of them.
+//! A memory budget for values that are buffered completely though they are large, or that wait for an endpoint.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -6,26 +6,26 @@
 /// The budget, in bytes.
 #[derive(Debug, Clone)]
 pub struct MemoryBudget {
-    most: usize,
+    limit: usize,
     used: Rc<Cell<usize>>,
 }
 
 impl MemoryBudget {
-    /// A budget of so many bytes.
+    /// A budget of `limit` bytes.
     #[must_use]
-    pub fn new(most: usize) -> Self {
-        Self { most, used: Rc::default() }
+    pub fn new(limit: usize) -> Self {
+        Self { limit, used: Rc::default() }
     }
 
-    /// Room for so many bytes; `None` where there is none.
+    /// Reserves memory; `None` if there is not enough.
     #[must_use]
-    pub fn hold(&self, bytes: usize) -> Option<MemoryPermit> {
-        let mut held = MemoryPermit { bytes: 0, budget: self.clone() };
-        held.grow(bytes).then_some(held)
+    pub fn reserve(&self, bytes: usize) -> Option<MemoryPermit> {
+        let mut permit = MemoryPermit { bytes: 0, budget: self.clone() };
+        permit.try_grow(bytes).then_some(permit)
     }
 }
 
-/// A part of the budget, given back when dropped.
+/// A part of the budget, released when dropped.
 #[derive(Debug)]
 pub struct MemoryPermit {
     bytes: usize,
@@ -33,14 +33,14 @@
 }
 
 impl MemoryPermit {
-    /// Takes room for so many more; false, and nothing taken, where there is none.
+    /// Reserves more bytes. Returns whether there were enough; if not, nothing is reserved.
     #[must_use]
-    pub fn grow(&mut self, more: usize) -> bool {
+    pub fn try_grow(&mut self, bytes: usize) -> bool {
         let used = self.budget.used.get();
-        let fits = more <= self.budget.most.saturating_sub(used);
+        let fits = bytes <= self.budget.limit.saturating_sub(used);
         if fits {
-            self.budget.used.set(used + more);
-            self.bytes += more;
+            self.budget.used.set(used + bytes);
+            self.bytes += bytes;
         }
         fits
     }
--- a/crates/upstream/src/setup.rs
+++ b/crates/upstream/src/setup.rs
@@ -1,8 +1,8 @@
-//! What is set up for everything that faces a network: names, and limits and times of connections.
+//! Configuration of everything that faces a network: names, and limits and timeouts of connections.
 
 use std::time::Duration;
 
-/// Names, each at the place that is its number in the module.
+/// Names, each at the index that is its number in the decision module.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Names {
     /// Classes.
@@ -15,22 +15,22 @@
     pub kinds: Vec<String>,
 }
 
-/// Limits and times of connections.
+/// Limits and timeouts of connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Bounds {
-    /// Client connections held at a time.
+    /// How many client connections may be open.
     pub clients: usize,
-    /// Connections to peers and the origin held at a time, idle ones included.
+    /// How many connections to cache nodes and the origin may be open, idle ones included.
     pub peers: usize,
-    /// Bytes of values held at a time: of requests, and of large answers that must be whole before they are passed on.
+    /// The memory budget in bytes for values of requests, and of large answers that must be complete before they are forwarded.
     pub held_bytes: usize,
-    /// Requests taken at a time whose answers have not been written.
+    /// How many accepted requests may have no written answer.
     pub open: usize,
-    /// Bytes that the answers to these may come to, at the size that answers have had of late.
+    /// How many bytes their answers may need, at the size of recent answers.
     pub answer_bytes: usize,
-    /// How long a dial may take.
+    /// Timeout for connecting to an endpoint.
     pub dial: Duration,
-    /// How long a connection to a peer is kept idle.
+    /// How long a connection to an endpoint may be idle.
     pub idle: Duration,
     /// The longest time that any client waits.
     pub longest: Duration,
--- /dev/null
+++ b/crates/upstream/tests/fake_endpoint/mod.rs
@@ -0,0 +1,116 @@
+//! An endpoint whose side of each connection is played by the test, and attempts at it.
+#![allow(dead_code)]
+
+use bytes::Bytes;
+use proto::MAX_BUFFERED_VALUE_BYTES;
+use proto::discovery::{EndpointList, EndpointRecord, Phase};
+use socket2::SockRef;
+use std::cell::Cell;
+use std::future::{Future, poll_fn};
+use std::net::{TcpListener, TcpStream};
+use std::pin::Pin;
+use std::rc::Rc;
+use std::task::Poll;
+use std::time::Duration;
+use tokio::time::{Instant, advance, pause, resume};
+use upstream::call::Call;
+use upstream::connection::{Attempt, AttemptResult, ConnectionPools, ConnectionSource, SendPermit, dial};
+use upstream::endpoints::{Endpoint, EndpointSet, endpoint_id};
+use upstream::memory::MemoryBudget;
+use upstream::setup::{Bounds, Names};
+
+/// Longer than any test runs; most of these spans pass on a clock that the test advances.
+pub const SPAN: Duration = Duration::from_secs(20);
+/// The response of a cache node that serves the value `v`.
+pub const VALUE: &str = "*3\r\n$1\r\nv\r\n$3\r\nhit\r\n$-1\r\n";
+
+pub struct FakeEndpoint {
+    pub listener: TcpListener,
+    pub endpoints: EndpointSet,
+    pub endpoint: Rc<Endpoint>,
+    pub pools: ConnectionPools,
+}
+
+impl FakeEndpoint {
+    /// A cache node, or with the flavor `origin` the origin.
+    pub fn new(flavor: &str) -> Self {
+        let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+        let names = Names { kinds: vec!["origin".into()], ..Names::default() };
+        let mut endpoints = EndpointSet::new(names, Some(0));
+        endpoints.apply(&list(&listener, flavor, Phase::Ready), false);
+        let endpoint = endpoints.endpoint(endpoint_id("s-1")).unwrap().clone();
+        let bounds = Bounds {
+            clients: 1,
+            peers: 9,
+            held_bytes: 0,
+            open: 1,
+            answer_bytes: 0,
+            dial: 10 * SPAN,
+            idle: 10 * SPAN,
+            longest: SPAN,
+            shortest: SPAN,
+        };
+        Self { listener, endpoints, endpoint, pools: ConnectionPools::new(bounds) }
+    }
+
+    /// A connection that was idle, and the endpoint's side of it.
+    pub async fn idle(&mut self) -> (ConnectionSource, Option<TcpStream>) {
+        let ConnectionSource::Dial(permit) = self.pools.check_out_new(&self.endpoint) else {
+            panic!("a connection is permitted")
+        };
+        let connection = dial(permit, &self.endpoint, SPAN).await;
+        self.pools.check_in(&self.endpoint, connection);
+        (self.pools.check_out(&self.endpoint), Some(self.listener.accept().unwrap().0))
+    }
+
+    pub fn attempt(&self, source: ConnectionSource, value: Option<Bytes>, deadline: Instant) -> Attempt {
+        let word = Bytes::from_static(b"1");
+        let (command, key, id, options) = (word.clone(), word.clone(), word.clone(), word);
+        let call = Rc::new(Call { command, key, id, options, time_at: 0..1, value });
+        Attempt {
+            endpoint: self.endpoints.endpoint(self.endpoint.id).unwrap().clone(),
+            call,
+            source,
+            connect_timeout: 10 * SPAN,
+            deadline,
+            permit: SendPermit { awaited: Rc::new(Cell::new(true)), deduplication_ends: None },
+            is_non_idempotent: false,
+            throttles: Rc::default(),
+            budget: MemoryBudget::new(2 * MAX_BUFFERED_VALUE_BYTES),
+            written: Rc::default(),
+        }
+    }
+}
+
+/// A list with this endpoint alone.
+pub fn list(listener: &TcpListener, flavor: &str, phase: Phase) -> EndpointList {
+    let member = EndpointRecord {
+        id: "s-1".into(),
+        host_port: listener.local_addr().unwrap(),
+        locality: String::new(),
+        flavor: flavor.into(),
+        cell: 0,
+        phase,
+        size: 1.0,
+        up_since_ms: 0,
+    };
+    EndpointList { revision: 1, complete: true, members: vec![member] }
+}
+
+/// Lets the attempt come as far as it can without its endpoint.
+pub async fn poll_until_blocked(run: &mut Pin<&mut impl Future<Output = AttemptResult>>) {
+    let pending = poll_fn(|cx| Poll::Ready(run.as_mut().poll(cx).is_pending())).await;
+    assert!(pending, "it waits for the endpoint");
+}
+
+/// Advances the clock.
+pub async fn advance_paused(time: Duration) {
+    pause();
+    advance(time).await;
+    resume();
+}
+
+/// Closes a connection with a reset.
+pub fn reset(stream: TcpStream) {
+    SockRef::from(&stream).set_linger(Some(Duration::ZERO)).unwrap();
+}
