--- a/crates/calendar/benches/check.rs
+++ b/crates/calendar/benches/check.rs
@@ -1,7 +1,7 @@
 //! What a check costs with a full calendar, and what it costs to lay one out.
 #![allow(missing_docs)]
 
-use calendar::*;
+use calendar::{Calendar, MAX_ENTRIES, ScopeTarget, ChangeKind, Repeat, Recurrence, Scope, Entry, Override, Freeze, Proposal, Applied, Change, TimeInterval, LeaseState, Revoke};
 use criterion::{BatchSize, Criterion, criterion_group, criterion_main};
 use std::hint::black_box;
 
--- a/crates/calendar/tests/golden.rs
+++ b/crates/calendar/tests/golden.rs
@@ -17,6 +17,7 @@
 }
 
 /// Entries of every form.
+#[expect(clippy::too_many_lines, reason = "a list of values")]
 fn proposals() -> Vec<Proposal> {
     const ALL_KINDS: [ChangeKind; 15] = [
         ChangeKind::Drain,
--- a/crates/reservation/benches/cost.rs
+++ b/crates/reservation/benches/cost.rs
@@ -3,7 +3,7 @@
 use std::hint::black_box;
 
 use criterion::{Criterion, criterion_group, criterion_main};
-use reservation::*;
+use reservation::{Micros, Holder, ReservationBook, PerKind, Proposal, Capacity, Span, Tenant, BookingRequest, BookingId, RequestClasses, Outcome, LeaseRenewal, SliceAllocation, DYNAMIC_PARTS, SliceChange, TimeInterval, Admission, RequestKind};
 
 const HOUR: Micros = 3_600_000_000;
 const ME: Holder = Holder { node_id: 0, incarnation: 1 };
--- a/crates/spindlebeam/benches/cost.rs
+++ b/crates/spindlebeam/benches/cost.rs
@@ -6,7 +6,7 @@
 
 #[path = "../tests/platform/mod.rs"]
 mod platform;
-use platform::*;
+use platform::{Peer, Discovery, list, member, config, Home, Balancer, call};
 use serde_json::Value;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::thread;
--- a/crates/spindlebeam/src/config.rs
+++ b/crates/spindlebeam/src/config.rs
@@ -1,7 +1,7 @@
 //! The configuration: the platform's JSON file, the environment, and what the program makes of both.
 //!
-//! The file is read once. Its `settings` are checked ([`validate`]), then flattened to the text that the decision module
-//! parses ([`settings_text`]); the other fields are read one by one ([`fields`]), so that an error names the one at fault.
+//! The file is read once. Its `settings` are checked (`validate`), then flattened to the text that the decision module
+//! parses (`settings_text`); the other fields are read one by one (`fields`), so that an error names the one at fault.
 
 mod fields;
 mod json;
--- a/crates/spindlebeam/tests/platform/mod.rs
+++ b/crates/spindlebeam/tests/platform/mod.rs
@@ -1,7 +1,12 @@
 //! A scripted platform: peers, an origin and discovery that do what a test says, and the program between them.
 //!
 //! Nothing sleeps: a test waits for what happens, and `PATIENCE` only ends one that waits for ever.
-#![allow(dead_code, unused_imports)] // each test uses its part
+#![allow(
+    dead_code,
+    unused_imports,
+    unreachable_pub,
+    reason = "shared by several test programs, each of which uses a part"
+)]
 
 mod client;
 mod discovery;
