--- a/crates/discovery/src/follow.rs
+++ b/crates/discovery/src/follow.rs
@@ -34,7 +34,7 @@
 /// A list known from an earlier run is updated by a watch alone: one request instead of two when a hundred balancers start at
 /// once. After the address has changed, the previous agent is followed until the new one has sent its list, since changes that
 /// the previous agent sends still apply. What it sent also takes precedence over a new agent with an older revision
-/// ([`EndpointHistory`]).
+/// (`EndpointHistory`).
 pub async fn follow<D: Dial>(
     mut address: watch::Receiver<SocketAddr>, known: Option<EndpointList>, way: Way, balancers: u32, dial: D,
     publish: impl Fn(WatchEvent),
--- a/crates/gateway/src/engine.rs
+++ b/crates/gateway/src/engine.rs
@@ -1,6 +1,6 @@
 //! The engine: one loop over all inputs and timers, in front of the decision module.
 //!
-//! It knows no front and no client socket: a front submits a request through a [`Handle`] and gets a [`Ticket`]. [`phases`] has what
+//! It knows no front and no client socket: a front submits a request through a [`Handle`] and gets a [`Ticket`]. The module `phases` has what
 //! the engine does at each wake; the other modules own one part of its state each.
 
 mod fleet;
