--- a/crates/calendar/benches/check.rs
+++ b/crates/calendar/benches/check.rs
@@ -1,7 +1,10 @@
-//! What a check costs with a full calendar, and what it costs to lay one out.
+//! The cost of a check against a full calendar, and of building its index.
 #![allow(missing_docs)]
 
-use calendar::*;
+use calendar::{
+    Applied, Calendar, Change, ChangeKind, Entry, Freeze, LeaseState, MAX_ENTRIES, Override, Proposal,
+    Recurrence, Repeat, Revoke, Scope, ScopeTarget, TimeInterval,
+};
 use criterion::{BatchSize, Criterion, criterion_group, criterion_main};
 use std::hint::black_box;
 
--- a/crates/calendar/src/change.rs
+++ b/crates/calendar/src/change.rs
@@ -138,21 +138,21 @@
     Queued,
 }
 
-/// What is said of a change.
+/// The verdict on a change.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Verdict {
-    /// It is taken.
+    /// The change may be applied.
     Allow {
-        /// The calendar's revision.
+        /// The revision of the calendar.
         revision: u64,
-        /// The override that lets it pass.
+        /// The override that allows it, if a freeze covers it.
         override_id: Option<Arc<str>>,
     },
-    /// It is held.
+    /// The change is held.
     Hold {
         /// Why.
         reason: HoldReason,
-        /// The fleet time at which to look again, where it is known.
+        /// The fleet time at which to check again, if known.
         until: Option<Millis>,
     },
 }
--- a/crates/calendar/tests/calendar.rs
+++ b/crates/calendar/tests/calendar.rs
@@ -1,4 +1,4 @@
-//! What is agreed, when it is in force, and what is held by it.
+//! Committed entries: when they are in force, and what they hold.
 
 mod support;
 
@@ -15,7 +15,7 @@
     Some(Repeat { until: until.parse().unwrap(), rhythm })
 }
 
-/// The weeks before the deadlines for permits: from the 24th to the end of the month, but for a year's end.
+/// The weeks before the monthly permit deadlines, from the 24th to the end of the month, except at the end of the year.
 fn deadline_weeks() -> Freeze {
     Freeze {
         repeat: repeat("2026-12-31", Recurrence::Monthly(1)),
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn deadline_weeks_hold_in_every_month_but_the_excepted_one() {
+fn monthly_freeze_recurs_except_on_its_exceptions() {
     let calendar = calendar(&[deadline_weeks()]);
     for (civil, is) in [
         ("2026-01-23T23:59:59", false),
@@ -39,7 +39,7 @@
         assert_eq!(frozen(&calendar, at(civil, MEXICO)), is, "{civil}");
     }
     let hold = calendar.check(
-        moment(utc("2026-01-25T06:00Z")),
+        instant(utc("2026-01-25T06:00Z")),
         LeaseState::Held,
         &Change::of_fleet(ChangeKind::Growth),
     );
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn a_freeze_across_a_change_of_clocks_keeps_to_the_clocks_on_the_wall() {
+fn freeze_across_a_clock_change_keeps_its_civil_times() {
     for (zone, start, end, hours) in [
         (MADRID, "2026-03-28T22:00", "2026-03-29T06:00", 7),
         (MADRID, "2026-10-24T22:00", "2026-10-25T06:00", 9),
@@ -66,14 +66,14 @@
 }
 
 #[test]
-fn an_hour_that_comes_twice_is_frozen_both_times() {
+fn ambiguous_hour_is_frozen_both_times() {
     let calendar = calendar(&[freeze("hour", "2026-10-25T02:00", "2026-10-25T02:30", MADRID)]);
     assert!(frozen(&calendar, utc("2026-10-25T00:10Z")) && frozen(&calendar, utc("2026-10-25T01:29Z")));
     assert!(!frozen(&calendar, utc("2026-10-25T01:30Z")));
 }
 
 #[test]
-fn a_recurrence_across_a_change_of_clocks_starts_at_the_same_hour_on_the_wall() {
+fn recurrence_across_a_clock_change_starts_at_the_same_civil_hour() {
     let nights = Freeze {
         repeat: repeat("2026-04-05", Recurrence::Weekly { every: 1, days: vec![Day::Saturday, Day::Sunday] }),
         ..freeze("nights", "2026-03-21T20:00", "2026-03-21T21:00", MADRID)
@@ -93,20 +93,20 @@
 
 /// The answer to a proposal contains this form.
 #[test]
-fn an_invalid_field_keeps_its_form_in_answers() {
+fn invalid_field_keeps_its_form_in_answers() {
     let revoke = Proposal::Revoke(Revoke { id: "".into(), asked_by: "ada".into(), reason: "over".into() });
     let applied = Calendar::new(BINDING).apply(1, 0, &revoke);
     assert_eq!(format!("{applied:?}"), "Refused(Invalid(Invalid { field: \"id\", what: Empty }))");
 }
 
 #[test]
-fn what_cannot_be_is_refused_by_the_name_of_its_field() {
+fn invalid_proposals_are_refused_with_their_field() {
     let good = || freeze("it", "2026-01-24T00:00", "2026-02-01T00:00", MEXICO);
     let never = vec!["2026-01-24".parse().unwrap()];
     let daily = repeat("2036-01-01", Recurrence::Daily(1));
     let bad_nth = repeat("2027-01-01", Recurrence::MonthlyByDay { every: 1, nth: 6, day: Day::Monday });
     let kinds = Scope { kinds: vec![ChangeKind::Drain], place: ScopeTarget::Fleet };
-    for (freeze, said) in [
+    for (freeze, message) in [
         (Freeze { end: "2026-01-24T00:00".parse().unwrap(), ..good() }, "`end` is not behind the start"),
         (Freeze { end: "2028-01-24T00:00".parse().unwrap(), ..good() }, "`end` is out of its range"),
         (Freeze { zone: "Mars/Base".into(), ..good() }, "`zone` names no time zone that is known"),
@@ -125,14 +125,14 @@
         (Freeze { asked_by: " ".into(), ..good() }, "`asked_by` is empty"),
         (Freeze { scope: kinds, ..good() }, "`scope.kinds` names a kind of change that is never held"),
     ] {
-        assert_eq!(add(&freeze).validate().unwrap_err().to_string(), said);
-        assert_eq!(calendar(&[]).validate_proposal(1_000, &add(&freeze)).unwrap_err().to_string(), said);
+        assert_eq!(add(&freeze).validate().unwrap_err().to_string(), message);
+        assert_eq!(calendar(&[]).validate_proposal(1_000, &add(&freeze)).unwrap_err().to_string(), message);
     }
     assert_eq!(add(&good()).validate(), Ok(()));
 }
 
 #[test]
-fn a_freeze_binds_a_lease_after_it_is_agreed_and_is_revoked_at_once() {
+fn freeze_is_in_force_a_lease_after_its_commit_and_revoked_at_once() {
     let (start, mut calendar) = (utc("2026-01-24T12:00Z"), Calendar::new(BINDING));
     let it = freeze("now", "2026-01-24T00:00", "2026-01-25T00:00", "UTC");
     assert_eq!(calendar.apply(7, start, &add(&it)), Applied::Added);
@@ -160,11 +160,11 @@
         calendar.apply(12, utc("2027-01-01T00:00Z"), &add(&it)),
         Applied::Refused(ProposalError::Over(_))
     ));
-    assert_eq!(calendar.entries().count(), 0, "forgotten so long behind its end");
+    assert_eq!(calendar.entries().count(), 0, "dropped so long after its end");
 }
 
 #[test]
-fn only_so_many_entries_and_occurrences_are_taken() {
+fn entries_and_occurrences_are_bounded() {
     let mut calendar = Calendar::new(BINDING);
     let name = |n: usize| freeze(&n.to_string(), "2026-01-24T00:00", "2026-02-01T00:00", "UTC");
     for n in 0..MAX_ENTRIES {
@@ -179,45 +179,45 @@
 }
 
 #[test]
-fn what_is_no_plan_is_never_held_and_without_a_lease_every_plan_is() {
+fn unplanned_changes_are_never_held_and_planned_ones_need_a_lease() {
     let calendar = calendar(&[freeze("it", "2026-01-24T00:00", "2026-02-01T00:00", "UTC")]);
-    let (inside, outside) = (moment(utc("2026-01-25T00:00Z")), moment(utc("2026-03-01T00:00Z")));
+    let (inside, outside) = (instant(utc("2026-01-25T00:00Z")), instant(utc("2026-03-01T00:00Z")));
     use ChangeKind::*;
     for kind in [Drain, Gone, Fall, Cold, Out, Back, Less] {
         let taken = calendar.check(inside, LeaseState::Fenced, &Change::of_host(kind, "h", "z"));
         assert_eq!(taken, Verdict::Allow { revision: 1, override_id: None });
     }
     for kind in ChangeKind::PLANNED {
-        let check = |time, standing| calendar.check(time, standing, &Change::of_host(kind, "h", "z"));
+        let check = |time, lease| calendar.check(time, lease, &Change::of_host(kind, "h", "z"));
         assert!(matches!(
             check(inside, LeaseState::Held),
             Verdict::Hold { reason: HoldReason::Freeze { .. }, .. }
         ));
         assert!(matches!(check(outside, LeaseState::Held), Verdict::Allow { .. }));
-        let stale = Verdict::Hold { reason: HoldReason::NoLease, until: None };
-        assert_eq!(check(outside, LeaseState::Fenced), stale);
-        assert_eq!(check(outside, LeaseState::Orphaned), stale);
-        assert_eq!(check(None, LeaseState::Held), stale);
+        let no_lease = Verdict::Hold { reason: HoldReason::NoLease, until: None };
+        assert_eq!(check(outside, LeaseState::Fenced), no_lease);
+        assert_eq!(check(outside, LeaseState::Orphaned), no_lease);
+        assert_eq!(check(None, LeaseState::Held), no_lease);
         assert!(matches!(check(None, LeaseState::NoFleet), Verdict::Allow { .. }));
     }
 }
 
 #[test]
-fn an_override_lets_pass_what_it_covers_whole_until_its_end() {
+fn override_allows_what_it_covers_completely_until_its_end() {
     let mut calendar = calendar(&[freeze("it", "2026-01-24T00:00", "2026-02-01T00:00", "UTC")]);
     let scope = Scope {
         kinds: vec![ChangeKind::Zone, ChangeKind::Join],
         place: ScopeTarget::Zones(vec!["a".into()]),
     };
-    let agreed = utc("2026-01-25T00:00Z");
-    calendar.apply(5, agreed, &leave("rack", "2026-01-26T00:00", scope));
+    let committed = utc("2026-01-25T00:00Z");
+    calendar.apply(5, committed, &leave("rack", "2026-01-26T00:00", scope));
     let in_a = Change::of_host(ChangeKind::Join, "h", "a");
-    let under = calendar.check(moment(agreed), LeaseState::Held, &in_a);
-    assert_eq!(under, Verdict::Allow { revision: 5, override_id: Some("rack".into()) });
-    assert!(held(&calendar, agreed, &Change::of_host(ChangeKind::More, "h", "a")));
-    assert!(held(&calendar, agreed, &Change::of_fleet(ChangeKind::Join)));
+    let verdict = calendar.check(instant(committed), LeaseState::Held, &in_a);
+    assert_eq!(verdict, Verdict::Allow { revision: 5, override_id: Some("rack".into()) });
+    assert!(held(&calendar, committed, &Change::of_host(ChangeKind::More, "h", "a")));
+    assert!(held(&calendar, committed, &Change::of_fleet(ChangeKind::Join)));
     let both = Change { kind: ChangeKind::Zone, host: Some("h"), zones: [Some("a"), Some("b")] };
-    assert!(held(&calendar, agreed, &both), "it covers only one of the two zones");
+    assert!(held(&calendar, committed, &both), "it covers only one of the two zones");
     let end = utc("2026-01-26T00:00Z");
     assert!(!held(&calendar, end - 1, &in_a) && held(&calendar, end, &in_a));
     let across = Some(TimeInterval { earliest: end - 5, latest: end });
@@ -225,7 +225,7 @@
 }
 
 #[test]
-fn proposals_come_back_from_toml_and_postcard_as_they_were() {
+fn proposals_round_trip_through_toml_and_postcard() {
     let scope =
         Scope { kinds: vec![], place: ScopeTarget::Group { name: "old".into(), hosts: vec!["h1".into()] } };
     let plain = freeze("b", "2026-01-24T00:00", "2026-02-01T00:00", "UTC");
@@ -243,7 +243,7 @@
 }
 
 #[test]
-fn the_same_log_makes_the_same_calendar_and_so_does_its_snapshot() {
+fn same_log_or_snapshot_makes_the_same_calendar() {
     let mut runner = TestRunner::new(ProptestConfig {
         rng_seed: RngSeed::Fixed(5),
         failure_persistence: None,
@@ -253,20 +253,20 @@
     let play = |log: &[(u8, bool, u64)]| {
         let mut calendar = Calendar::new(BINDING);
         let mut time = utc("2026-01-20T00:00Z");
-        let become_of = log.iter().enumerate().map(|(n, (id, add_it, hours))| {
+        let outcomes = log.iter().enumerate().map(|(n, (id, add_it, hours))| {
             time += hours * 3_600_000;
             let id = id.to_string();
             let freeze = Freeze { id: id.clone(), ..deadline_weeks() };
             let revoke = Revoke { id, asked_by: "Ana".into(), reason: "over".into() };
             calendar.apply(n as u64 + 1, time, &if *add_it { add(&freeze) } else { Proposal::Revoke(revoke) })
         });
-        let become_of: Vec<_> = become_of.collect();
-        (calendar, become_of)
+        let outcomes: Vec<_> = outcomes.collect();
+        (calendar, outcomes)
     };
     let same = |log: Vec<(u8, bool, u64)>| {
-        let ((one, of_one), (other, of_other)) = (play(&log), play(&log));
+        let ((one, outcomes_of_one), (other, outcomes_of_other)) = (play(&log), play(&log));
         prop_assert_eq!(&one, &other);
-        prop_assert_eq!(of_one, of_other);
+        prop_assert_eq!(outcomes_of_one, outcomes_of_other);
         let restored = Calendar::restore(&one.snapshot()).unwrap();
         prop_assert_eq!(&restored, &one);
         prop_assert_eq!(restored.snapshot(), other.snapshot());
@@ -276,7 +276,7 @@
 }
 
 #[test]
-fn no_bytes_make_restore_panic_nor_a_calendar_that_could_not_be() {
+fn restore_of_any_bytes_neither_panics_nor_accepts_invalid_entries() {
     let mut runner = TestRunner::new(ProptestConfig {
         rng_seed: RngSeed::Fixed(6),
         failure_persistence: None,
--- a/crates/calendar/tests/frozen.rs
+++ b/crates/calendar/tests/frozen.rs
@@ -1,4 +1,4 @@
-//! Whether an instant is frozen, against a plain reading that goes through the days one by one.
+//! Compares the calendar with a reference implementation that checks one day after another.
 
 mod support;
 
@@ -49,7 +49,7 @@
 }
 
 /// Whether an occurrence that starts on any of the days before covers the instant.
-fn plainly_frozen(it: &Freeze, at: Millis) -> bool {
+fn reference_frozen(it: &Freeze, at: Millis) -> bool {
     let zone = TimeZoneDatabase::bundled().get(&it.zone).unwrap();
     let instant = jiff::Timestamp::from_millisecond(at.cast_signed()).unwrap();
     let length = it.start.until(it.end).unwrap();
@@ -99,33 +99,38 @@
 }
 
 #[test]
-fn an_instant_is_frozen_where_a_plain_reading_of_the_days_says_so() {
+fn frozen_instants_match_a_reference_that_checks_each_day() {
     let mut runner = TestRunner::new(ProptestConfig {
         rng_seed: RngSeed::Fixed(11),
         failure_persistence: None,
         ..ProptestConfig::with_cases(200)
     });
-    let probes = proptest::collection::vec(0_u64..(1300 * 24 * 60), 60);
-    let all = (proptest::collection::vec(any_freeze(), 1..5), probes);
-    let (seen, both) = (std::cell::Cell::new(0), std::cell::Cell::new(0));
-    let alike = |(freezes, probes): (Vec<Freeze>, Vec<u64>)| {
+    let instants = proptest::collection::vec(0_u64..(1300 * 24 * 60), 60);
+    let all = (proptest::collection::vec(any_freeze(), 1..5), instants);
+    let (checked_instants, frozen_instants) = (std::cell::Cell::new(0), std::cell::Cell::new(0));
+    let matches_reference = |(freezes, instants): (Vec<Freeze>, Vec<u64>)| {
         let mut calendar = Calendar::new(BINDING);
-        let mut taken = Vec::new();
+        let mut accepted = Vec::new();
         for (n, it) in freezes.into_iter().enumerate() {
             let it = Freeze { id: n.to_string(), ..it };
             if calendar.apply(n as u64 + 1, 1_000, &add(&it)) == Applied::Added {
-                taken.push(it);
+                accepted.push(it);
             }
         }
-        for minutes in probes {
+        for minutes in instants {
             let at = utc("2021-08-31T00:00Z") + minutes * 60_000;
-            let plain = taken.iter().any(|it| plainly_frozen(it, at));
-            seen.set(seen.get() + 1);
-            both.set(both.get() + u32::from(plain));
-            prop_assert_eq!(frozen(&calendar, at), plain, "at {}", at);
+            let expected = accepted.iter().any(|it| reference_frozen(it, at));
+            checked_instants.set(checked_instants.get() + 1);
+            frozen_instants.set(frozen_instants.get() + u32::from(expected));
+            prop_assert_eq!(frozen(&calendar, at), expected, "at {}", at);
         }
         Ok(())
     };
-    runner.run(&all, alike).unwrap();
-    assert!(both.get() * 20 > seen.get(), "frozen in {} of {}", both.get(), seen.get());
+    runner.run(&all, matches_reference).unwrap();
+    assert!(
+        frozen_instants.get() * 20 > checked_instants.get(),
+        "frozen in {} of {}",
+        frozen_instants.get(),
+        checked_instants.get()
+    );
 }
--- a/crates/calendar/tests/gate.rs
+++ b/crates/calendar/tests/gate.rs
@@ -1,4 +1,4 @@
-//! What passes the gate, what waits, and how it is taken at the end.
+//! What the gate applies, what it holds, and how it releases held changes.
 
 mod support;
 
@@ -6,7 +6,7 @@
 use proto::discovery::{EndpointList, EndpointRecord, Phase};
 use support::*;
 
-const STEPS: ReleasePace = ReleasePace { hosts: 2, pause: 1_000 };
+const PACE: ReleasePace = ReleasePace { hosts: 2, pause: 1_000 };
 const BEFORE: &str = "2026-01-23T00:00Z";
 const DURING: &str = "2026-01-25T00:00Z";
 const AFTER: &str = "2026-02-02T00:00Z";
@@ -26,57 +26,57 @@
 fn phase(phase: Phase, member: EndpointRecord) -> EndpointRecord {
     EndpointRecord { phase, ..member }
 }
-fn three() -> Vec<EndpointRecord> {
+fn three_hosts() -> Vec<EndpointRecord> {
     ["h1", "h2", "h3"].map(|it| host(it, 1.0)).to_vec()
 }
-fn whole(members: Vec<EndpointRecord>) -> EndpointList {
+fn complete(members: Vec<EndpointRecord>) -> EndpointList {
     EndpointList { revision: 3, complete: true, members }
 }
 fn changes(members: Vec<EndpointRecord>) -> EndpointList {
     EndpointList { revision: 4, complete: false, members }
 }
 fn now(at: Millis, fleet_time: &str) -> GateContext {
-    GateContext { now: at, fleet_time: moment(utc(fleet_time)), lease: LeaseState::Held }
+    GateContext { now: at, fleet_time: instant(utc(fleet_time)), lease: LeaseState::Held }
 }
-fn weeks() -> Calendar {
+fn frozen_week() -> Calendar {
     calendar(&[freeze("weeks", "2026-01-24T00:00", "2026-02-01T00:00", "UTC")])
 }
 fn gate() -> TopologyGate {
-    TopologyGate::new(Some(three()), STEPS)
+    TopologyGate::new(Some(three_hosts()), PACE)
 }
-/// What is handed on, as `host:weight`.
-fn told(heard: &GateResult) -> String {
+/// The accepted list, as `host:weight`.
+fn listed_weights(result: &GateResult) -> String {
     let one = |it: &EndpointRecord| {
         format!("{}:{}{}", it.id, it.size, if it.phase == Phase::Ready { "" } else { "-" })
     };
-    heard.list.members.iter().map(one).collect::<Vec<_>>().join(" ")
+    result.list.members.iter().map(one).collect::<Vec<_>>().join(" ")
 }
-fn outcome<'a>(heard: &'a GateResult, host: &str) -> (ChangeKind, &'a ChangeOutcome) {
+fn outcome<'a>(result: &'a GateResult, host: &str) -> (ChangeKind, &'a ChangeOutcome) {
     let record =
-        heard.records.iter().find(|it| it.host == host).unwrap_or_else(|| panic!("{host}: {heard:?}"));
+        result.records.iter().find(|it| it.host == host).unwrap_or_else(|| panic!("{host}: {result:?}"));
     (record.kind, &record.outcome)
 }
 
 #[test]
-fn in_a_freeze_facts_and_losses_pass_and_what_is_planned_waits() {
-    let (mut gate, calendar) = (gate(), weeks());
+fn freeze_applies_facts_and_losses_and_holds_planned_changes() {
+    let (mut gate, calendar) = (gate(), frozen_week());
     let moved = EndpointRecord { locality: "b".into(), up_since_ms: 9, ..host("h2", 1.0) };
     let less = EndpointRecord { locality: "b".into(), ..host("h3", 0.5) };
-    let heard = gate.apply_list(
+    let result = gate.apply_list(
         &now(1, DURING),
         &calendar,
-        &whole(vec![host("h1", 2.0), host("h4", 4.0), moved, less]),
+        &complete(vec![host("h1", 2.0), host("h4", 4.0), moved, less]),
     );
-    assert_eq!(told(&heard), "h1:1.5 h2:1 h3:0.5", "h1 makes good what h3 lost");
-    assert_eq!(outcome(&heard, "h3"), (ChangeKind::Less, &ChangeOutcome::Applied));
-    assert_eq!(outcome(&heard, "h2"), (ChangeKind::Cold, &ChangeOutcome::Applied));
+    assert_eq!(listed_weights(&result), "h1:1.5 h2:1 h3:0.5", "h1 replaces what h3 lost");
+    assert_eq!(outcome(&result, "h3"), (ChangeKind::Less, &ChangeOutcome::Applied));
+    assert_eq!(outcome(&result, "h2"), (ChangeKind::Cold, &ChangeOutcome::Applied));
     assert!(matches!(
-        outcome(&heard, "h4"),
+        outcome(&result, "h4"),
         (ChangeKind::Join, ChangeOutcome::Held { reason: HoldReason::Freeze { .. }, .. })
     ));
     let zones: Vec<_> = gate.members().map(|it| (it.locality.as_str(), it.up_since_ms)).collect();
-    assert_eq!(zones, [("a", 5), ("a", 9), ("a", 5)], "restarts are facts, zones are not");
-    assert!(heard.records.iter().all(|it| it.revision == 1 && it.list == 3));
+    assert_eq!(zones, [("a", 5), ("a", 9), ("a", 5)], "restarts are facts, zone changes are planned");
+    assert!(result.records.iter().all(|it| it.revision == 1 && it.list == 3));
     let waits: Vec<_> = gate.waiting().iter().map(|it| (it.0, it.1.kind)).collect();
     let wanted = [
         ("h1", ChangeKind::More),
@@ -88,49 +88,62 @@
 }
 
 #[test]
-fn a_host_that_joins_and_leaves_while_held_is_never_named() {
-    let (mut gate, calendar) = (gate(), weeks());
-    assert_eq!(told(&gate.apply_list(&now(1, DURING), &calendar, &changes(vec![host("h4", 1.0)]))), "");
+fn endpoint_that_joins_and_leaves_while_held_is_never_listed() {
+    let (mut gate, calendar) = (gate(), frozen_week());
+    assert_eq!(
+        listed_weights(&gate.apply_list(&now(1, DURING), &calendar, &changes(vec![host("h4", 1.0)]))),
+        ""
+    );
     assert_eq!(gate.waiting().len(), 1);
     let drains = changes(vec![phase(Phase::Draining, host("h4", 1.0))]);
-    assert_eq!(told(&gate.apply_list(&now(2, DURING), &calendar, &drains)), "");
+    assert_eq!(listed_weights(&gate.apply_list(&now(2, DURING), &calendar, &drains)), "");
     assert!(gate.waiting().is_empty());
-    let listed = whole([three(), drains.members].concat());
-    assert_eq!(told(&gate.apply_list(&now(2, DURING), &calendar, &listed)), "h1:1 h2:1 h3:1");
-    assert_eq!(told(&gate.clone().apply_list(&now(2, AFTER), &calendar, &listed)), "h1:1 h2:1 h3:1 h4:1-");
+    let complete_list = complete([three_hosts(), drains.members].concat());
+    assert_eq!(
+        listed_weights(&gate.apply_list(&now(2, DURING), &calendar, &complete_list)),
+        "h1:1 h2:1 h3:1"
+    );
+    assert_eq!(
+        listed_weights(&gate.clone().apply_list(&now(2, AFTER), &calendar, &complete_list)),
+        "h1:1 h2:1 h3:1 h4:1-"
+    );
     gate.apply_list(&now(3, DURING), &calendar, &changes(vec![host("h5", 1.0)]));
-    gate.apply_list(&now(4, DURING), &calendar, &whole(three()));
+    gate.apply_list(&now(4, DURING), &calendar, &complete(three_hosts()));
     assert!(gate.waiting().is_empty());
     assert_eq!(gate.release(&now(5, AFTER), &calendar), None);
 }
 
 #[test]
-fn at_the_end_hosts_are_taken_in_steps_in_their_newest_state_and_nobody_goes_past() {
-    let (mut gate, calendar) = (gate(), weeks());
+fn held_changes_are_released_in_steps_in_their_newest_state_and_in_order() {
+    let (mut gate, calendar) = (gate(), frozen_week());
     let joins = |size| (4..9).map(|n| host(&format!("h{n}"), size)).collect::<Vec<_>>();
     gate.apply_list(&now(1, DURING), &calendar, &changes(joins(1.0)));
     let again = gate.apply_list(&now(2, DURING), &calendar, &changes(joins(2.0)));
-    assert_eq!((told(&again).as_str(), gate.waiting().get("h4").unwrap().since), ("", 1));
+    assert_eq!((listed_weights(&again).as_str(), gate.waiting().get("h4").unwrap().since), ("", 1));
     assert_eq!(gate.release(&now(10, DURING), &calendar), None);
-    assert_eq!(gate.next_release_at(), Some(1_010), "a look in vain must not be repeated at once");
+    assert_eq!(
+        gate.next_release_at(),
+        Some(1_010),
+        "a review without a release must not be repeated at once"
+    );
     let late = gate.apply_list(&now(1_500, AFTER), &calendar, &changes(vec![host("h0", 1.0)]));
-    let turn = ChangeOutcome::Held { reason: HoldReason::Queued, until: None };
-    assert_eq!(outcome(&late, "h0"), (ChangeKind::Join, &turn));
-    assert_eq!(told(&gate.release(&now(2_000, AFTER), &calendar).unwrap()), "h4:2 h5:2");
+    let queued = ChangeOutcome::Held { reason: HoldReason::Queued, until: None };
+    assert_eq!(outcome(&late, "h0"), (ChangeKind::Join, &queued));
+    assert_eq!(listed_weights(&gate.release(&now(2_000, AFTER), &calendar).unwrap()), "h4:2 h5:2");
     assert_eq!(gate.release(&now(2_999, AFTER), &calendar), None);
     let loss =
         gate.apply_list(&now(2_999, AFTER), &calendar, &changes(vec![phase(Phase::Gone, host("h1", 1.0))]));
-    assert_eq!(told(&loss), "h1:1-", "a loss waits for no step");
-    assert_eq!(told(&gate.release(&now(3_000, AFTER), &calendar).unwrap()), "h6:2 h7:2");
-    assert_eq!(told(&gate.release(&now(4_000, AFTER), &calendar).unwrap()), "h8:2 h0:1");
+    assert_eq!(listed_weights(&loss), "h1:1-", "a loss applies at once");
+    assert_eq!(listed_weights(&gate.release(&now(3_000, AFTER), &calendar).unwrap()), "h6:2 h7:2");
+    assert_eq!(listed_weights(&gate.release(&now(4_000, AFTER), &calendar).unwrap()), "h8:2 h0:1");
     assert_eq!(gate.next_release_at(), None);
     let next = gate.apply_list(&now(4_001, AFTER), &calendar, &changes(vec![host("h9", 1.0)]));
     assert_eq!(outcome(&next, "h9"), (ChangeKind::Join, &ChangeOutcome::Applied));
 }
 
 #[test]
-fn a_loss_in_a_freeze_opens_replacement_up_to_the_strength_at_its_start() {
-    let (mut gate, calendar) = (gate(), weeks());
+fn loss_during_a_freeze_is_replaced_up_to_the_capacity_at_its_start() {
+    let (mut gate, calendar) = (gate(), frozen_week());
     gate.apply_list(
         &now(1, BEFORE),
         &calendar,
@@ -138,30 +151,35 @@
     );
     let back = changes(vec![host("h3", 1.0)]);
     assert_eq!(
-        told(&gate.apply_list(&now(2, DURING), &calendar, &back)),
+        listed_weights(&gate.apply_list(&now(2, DURING), &calendar, &back)),
         "",
-        "what drained before it was no loss in it"
+        "what drained before the freeze is no loss during it"
+    );
+    let replacements =
+        vec![host("h5", 0.75), host("h6", 1.5), phase(Phase::Gone, host("h1", 1.0)), host("h7", 1.0)];
+    let result = gate.apply_list(&now(3, DURING), &calendar, &changes(replacements));
+    assert_eq!(
+        listed_weights(&result),
+        "h1:1- h5:0.75 h6:0.25",
+        "the loss first, then no more than was lost"
     );
-    let swap = vec![host("h5", 0.75), host("h6", 1.5), phase(Phase::Gone, host("h1", 1.0)), host("h7", 1.0)];
-    let heard = gate.apply_list(&now(3, DURING), &calendar, &changes(swap));
-    assert_eq!(told(&heard), "h1:1- h5:0.75 h6:0.25", "the loss first, then no more than was lost");
-    assert_eq!(outcome(&heard, "h5"), (ChangeKind::Join, &ChangeOutcome::Replacement));
+    assert_eq!(outcome(&result, "h5"), (ChangeKind::Join, &ChangeOutcome::Replacement));
     let weight: f64 = gate.members().filter(|it| it.phase == Phase::Ready).map(|it| it.size).sum();
     assert!((weight - 3.0).abs() < 1e-6, "{weight}");
     gate.mark_down("h2");
     assert_eq!(
-        told(&gate.release(&now(5_000, DURING), &calendar).unwrap()),
+        listed_weights(&gate.release(&now(5_000, DURING), &calendar).unwrap()),
         "h3:1",
-        "who waits longest is first"
+        "the longest held is first"
     );
     gate.mark_up("h2");
     gate.mark_down("h2");
     gate.mark_down("h2");
-    assert_eq!(gate.release(&now(9_000, DURING), &calendar), None, "the same loss is not made good twice");
+    assert_eq!(gate.release(&now(9_000, DURING), &calendar), None, "the same loss is not replaced twice");
 }
 
 #[test]
-fn strength_is_counted_in_the_scope_of_each_freeze() {
+fn capacity_is_tracked_in_the_scope_of_each_freeze() {
     let zone = |it: &str| Scope { kinds: vec![], place: ScopeTarget::Zones(vec![it.into()]) };
     let it = freeze("a", "2026-01-24T00:00", "2026-02-01T00:00", "UTC");
     let calendar = calendar(&[
@@ -171,12 +189,12 @@
     let mut capacity = AvailableCapacity::default();
     capacity.set_weight("h1", "a", 2.0);
     capacity.set_weight("h2", "b", 2.0);
-    capacity.update_freezes(&calendar, moment(utc(DURING)).unwrap());
+    capacity.update_freezes(&calendar, instant(utc(DURING)).unwrap());
     capacity.set_weight("h1", "a", 0.0);
     assert_eq!(capacity.replacement(&Change::of_host(ChangeKind::Join, "h3", "a"), 2.0), Some(2.0));
     assert_eq!(capacity.replacement(&Change::of_host(ChangeKind::Join, "h3", "b"), 1.0), None);
     assert_eq!(capacity.replacement(&Change::of_host(ChangeKind::Join, "h3", "c"), 1.0), None);
-    capacity.update_freezes(&calendar, moment(utc(AFTER)).unwrap());
+    capacity.update_freezes(&calendar, instant(utc(AFTER)).unwrap());
     assert_eq!(
         capacity.replacement(&Change::of_host(ChangeKind::Join, "h3", "a"), 1.0),
         None,
@@ -185,56 +203,59 @@
 }
 
 #[test]
-fn a_process_that_knows_nothing_serves_its_first_list_and_holds_what_joins_behind_it() {
-    let (mut gate, calendar) = (TopologyGate::new(None, STEPS), weeks());
+fn process_without_a_known_list_accepts_its_first_list_and_holds_later_joins() {
+    let (mut gate, calendar) = (TopologyGate::new(None, PACE), frozen_week());
     let fenced = GateContext { fleet_time: None, lease: LeaseState::Fenced, ..now(1, DURING) };
-    let first = gate.apply_list(&fenced, &calendar, &whole(three()));
-    assert_eq!(first.list, whole(three()));
+    let first = gate.apply_list(&fenced, &calendar, &complete(three_hosts()));
+    assert_eq!(first.list, complete(three_hosts()));
     assert!(
         first.records.len() == 3 && first.records.iter().all(|it| it.outcome == ChangeOutcome::InitialList)
     );
     let next = gate.apply_list(&now(2, DURING), &calendar, &changes(vec![host("h4", 1.0)]));
     assert!(matches!(outcome(&next, "h4"), (ChangeKind::Join, ChangeOutcome::Held { .. })));
-    let beyond =
-        self::gate().apply_list(&now(1, DURING), &calendar, &whole(vec![host("h1", 1.0), host("h4", 1.0)]));
-    assert_eq!(told(&beyond), "h1:1 h4:1", "h4 replaces what the known list has lost");
+    let beyond = self::gate().apply_list(
+        &now(1, DURING),
+        &calendar,
+        &complete(vec![host("h1", 1.0), host("h4", 1.0)]),
+    );
+    assert_eq!(listed_weights(&beyond), "h1:1 h4:1", "h4 replaces what the known list has lost");
     assert_eq!(outcome(&beyond, "h4"), (ChangeKind::Join, &ChangeOutcome::Replacement));
 }
 
 #[test]
-fn without_a_lease_all_that_is_planned_waits_and_without_a_fleet_all_passes() {
+fn planned_changes_are_held_without_a_lease_and_applied_without_a_fleet() {
     let calendar = Calendar::new(BINDING);
     let list = changes(vec![host("h4", 1.0), phase(Phase::Gone, host("h1", 1.0))]);
-    for standing in [LeaseState::Fenced, LeaseState::Orphaned] {
+    for lease in [LeaseState::Fenced, LeaseState::Orphaned] {
         let mut gate = gate();
-        let heard = gate.apply_list(&GateContext { lease: standing, ..now(1, DURING) }, &calendar, &list);
-        assert_eq!(told(&heard), "h1:1-");
+        let result = gate.apply_list(&GateContext { lease, ..now(1, DURING) }, &calendar, &list);
+        assert_eq!(listed_weights(&result), "h1:1-");
         assert_eq!(
-            outcome(&heard, "h4").1,
+            outcome(&result, "h4").1,
             &ChangeOutcome::Held { reason: HoldReason::NoLease, until: None }
         );
-        assert_eq!(told(&gate.release(&now(2_000, DURING), &calendar).unwrap()), "h4:1");
+        assert_eq!(listed_weights(&gate.release(&now(2_000, DURING), &calendar).unwrap()), "h4:1");
     }
     let alone = GateContext { now: 1, fleet_time: None, lease: LeaseState::NoFleet };
-    let list = whole(vec![host("h9", 3.0), EndpointRecord { locality: "b".into(), ..host("h1", 7.0) }]);
+    let list = complete(vec![host("h9", 3.0), EndpointRecord { locality: "b".into(), ..host("h1", 7.0) }]);
     assert_eq!(gate().apply_list(&alone, &calendar, &list).list, list);
 }
 
 #[test]
-fn an_override_takes_a_host_out_of_the_queue() {
-    let (mut gate, mut calendar) = (gate(), weeks());
+fn override_releases_a_held_endpoint() {
+    let (mut gate, mut calendar) = (gate(), frozen_week());
     gate.apply_list(&now(1, DURING), &calendar, &changes(vec![host("h4", 1.0), host("h5", 1.0)]));
     let place = ScopeTarget::Group { name: "new".into(), hosts: vec!["h5".into()] };
     calendar.apply(2, utc(DURING), &leave("rack", "2026-01-27T00:00", Scope { kinds: vec![], place }));
-    let heard = gate.release(&now(2, DURING), &calendar).unwrap();
-    assert_eq!(told(&heard), "h5:1");
-    assert_eq!(outcome(&heard, "h5").1, &ChangeOutcome::Override("rack".into()));
-    assert_eq!((heard.records[0].revision, gate.waiting().len()), (2, 1));
+    let result = gate.release(&now(2, DURING), &calendar).unwrap();
+    assert_eq!(listed_weights(&result), "h5:1");
+    assert_eq!(outcome(&result, "h5").1, &ChangeOutcome::Override("rack".into()));
+    assert_eq!((result.records[0].revision, gate.waiting().len()), (2, 1));
 }
 
 #[test]
-fn the_queue_of_changes_is_bounded_and_refuses_what_is_over() {
-    let mut queue = PendingChanges::new(STEPS);
+fn queue_of_held_changes_is_bounded() {
+    let mut queue = PendingChanges::new(PACE);
     let one = |state| PendingChange {
         reason: HoldReason::NoLease,
         kind: ChangeKind::Configuration,
--- a/crates/calendar/tests/golden.rs
+++ b/crates/calendar/tests/golden.rs
@@ -1,4 +1,4 @@
-//! The calendar as bytes and as JSON, in the forms that are stored, sent and posted.
+//! The encodings of the calendar that are stored, sent and posted, as bytes and as JSON.
 
 mod support;
 
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn a_snapshot_keeps_its_form_and_is_read() {
+fn snapshot_keeps_its_encoding_and_is_restored() {
     let calendar = agreed();
     expect_file!["golden/snapshot.txt"].assert_eq(&format!("{}\n", hex(&calendar.snapshot())));
     let old = unhex(include_str!("golden/snapshot.txt"));
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn proposals_keep_their_bytes() {
+fn proposals_keep_their_encoding() {
     let mut text = String::new();
     for proposal in proposals() {
         writeln!(text, "{}", hex(&postcard::to_stdvec(&proposal).unwrap())).unwrap();
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn refusals_keep_their_words() {
+fn refusals_keep_their_texts() {
     let mut calendar = agreed();
     let at = support::utc("2030-01-02T00:00Z");
     let refused = [
--- a/crates/calendar/tests/support/mod.rs
+++ b/crates/calendar/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Freezes, logs and lists in few words.
+//! Helpers that build freezes, calendars and instants.
 #![allow(dead_code, unreachable_pub)]
 
 use calendar::{
@@ -9,7 +9,7 @@
 
 pub const BINDING: Millis = 10_000;
 
-/// A civil time at a place as fleet time.
+/// A civil time in a time zone as fleet time.
 pub fn at(civil: &str, zone: &str) -> Millis {
     let zone = TimeZoneDatabase::bundled().get(zone).unwrap();
     let civil: jiff::civil::DateTime = civil.parse().unwrap();
@@ -47,7 +47,7 @@
 pub fn add(freeze: &Freeze) -> Proposal {
     Proposal::Add(Entry::Freeze(freeze.clone()))
 }
-/// A calendar with these, agreed long before.
+/// A calendar with these freezes, committed long before.
 pub fn calendar(freezes: &[Freeze]) -> Calendar {
     let mut calendar = Calendar::new(BINDING);
     for (n, it) in freezes.iter().enumerate() {
@@ -55,11 +55,11 @@
     }
     calendar
 }
-pub fn moment(at: Millis) -> Option<TimeInterval> {
+pub fn instant(at: Millis) -> Option<TimeInterval> {
     Some(TimeInterval { earliest: at, latest: at })
 }
 pub fn held(calendar: &Calendar, at: Millis, change: &Change<'_>) -> bool {
-    matches!(calendar.check(moment(at), LeaseState::Held, change), Verdict::Hold { .. })
+    matches!(calendar.check(instant(at), LeaseState::Held, change), Verdict::Hold { .. })
 }
 pub fn frozen(calendar: &Calendar, at: Millis) -> bool {
     held(calendar, at, &Change::of_fleet(ChangeKind::Configuration))
