--- a/crates/maintenance/tests/golden.rs
+++ b/crates/maintenance/tests/golden.rs
@@ -1,4 +1,4 @@
-//! The file of operator orders in the form that the next process reads.
+//! The format of the file of operator overrides, which the next process reads.
 
 use expect_test::expect_file;
 use maintenance::{OperatorOverrides, OverriddenList, OverrideCommand};
@@ -14,20 +14,20 @@
     let members = [member("origin", 0), member("s-a", 5), member("s-b", 6), member("s-c", 7)];
     let text = json!({"revision": 1, "complete": true, "members": members}).to_string();
     let _ = maintenance.apply_list(&parse_endpoint_list(text.as_bytes()).unwrap());
-    let orders = [
+    let commands = [
         (1_764_600_000_100, OverrideCommand::Disable("s-a".into())),
         (1_764_600_000_200, OverrideCommand::Disable("s-b".into())),
         (1_764_600_000_300, OverrideCommand::Enable("s-b".into())),
         (1_764_600_000_400, OverrideCommand::Drain),
     ];
-    for (now, order) in orders {
-        let _ = maintenance.apply_command(now, &order).unwrap();
+    for (now, command) in commands {
+        let _ = maintenance.apply_command(now, &command).unwrap();
     }
     maintenance
 }
 
 #[test]
-fn the_file_keeps_its_form_and_is_read() {
+fn file_keeps_its_format_and_is_read() {
     let maintenance = given();
     expect_file!["golden/orders.json"].assert_eq(&maintenance.overrides().to_text());
     let old = OperatorOverrides::from_text(include_str!("golden/orders.json")).unwrap();
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn unreadable_files_are_refused_in_the_same_words() {
+fn unreadable_files_are_rejected_with_the_same_texts() {
     let mut text = String::new();
     for bad in ["", "{}", "{\"version\":2}", "{\"version\":1,\"out\":[]}"] {
         text += &format!("{}\n", OperatorOverrides::from_text(bad).unwrap_err());
--- a/crates/maintenance/tests/overrides.rs
+++ b/crates/maintenance/tests/overrides.rs
@@ -1,4 +1,4 @@
-//! Orders laid over lists, without sockets, files or clocks.
+//! Overrides laid over endpoint lists, without sockets, files or clocks.
 
 use maintenance::{OperatorOverrides, OverriddenList, OverrideCommand, OverrideError};
 use proto::discovery::{EndpointList, Phase, parse_endpoint_list};
@@ -16,105 +16,105 @@
     .unwrap()
 }
 
-fn told(list: &EndpointList) -> Vec<(&str, Phase, u64)> {
+fn entries(list: &EndpointList) -> Vec<(&str, Phase, u64)> {
     list.members.iter().map(|it| (&it.id[..], it.phase, it.up_since_ms)).collect()
 }
 
-fn out(id: &str) -> OverrideCommand {
+fn disable(id: &str) -> OverrideCommand {
     OverrideCommand::Disable(id.into())
 }
 
-fn back(id: &str) -> OverrideCommand {
+fn enable(id: &str) -> OverrideCommand {
     OverrideCommand::Enable(id.into())
 }
 
-fn two() -> OverriddenList {
+fn two_endpoints() -> OverriddenList {
     let mut it = OverriddenList::new(Some("origin".into()), OperatorOverrides::default());
     let list = read(true, &[("origin", "ready", 0), ("a", "ready", 0), ("b", "ready", 0)]);
-    assert_eq!(it.apply_list(&list), list, "nothing is ordered");
+    assert_eq!(it.apply_list(&list), list, "no override is in force");
     it
 }
 
 #[test]
-fn a_host_out_by_hand_reads_as_draining_whatever_discovery_says() {
-    let mut it = two();
-    let changed = it.apply_command(100, &out("a")).unwrap();
-    assert_eq!(told(&it.current_entries(&changed)), [("a", Phase::Draining, 0)]);
+fn disabled_endpoint_is_listed_as_draining_whatever_discovery_says() {
+    let mut it = two_endpoints();
+    let changed = it.apply_command(100, &disable("a")).unwrap();
+    assert_eq!(entries(&it.current_entries(&changed)), [("a", Phase::Draining, 0)]);
     for complete in [true, false] {
         let list = it.apply_list(&read(complete, &[("a", "ready", 150), ("b", "ready", 0)]));
-        assert_eq!(told(&list), [("a", Phase::Draining, 150), ("b", Phase::Ready, 0)]);
+        assert_eq!(entries(&list), [("a", Phase::Draining, 150), ("b", Phase::Ready, 0)]);
     }
     let _ = it.apply_list(&read(false, &[("a", "gone", 0)]));
     let list = it.apply_list(&read(false, &[("a", "ready", 160)]));
-    assert_eq!(told(&list), [("a", Phase::Draining, 160)], "it left and returned");
+    assert_eq!(entries(&list), [("a", Phase::Draining, 160)], "it left the list and returned");
 }
 
 #[test]
-fn one_call_back_undoes_two_calls_out_and_the_host_is_cold_until_its_start_is_known() {
-    let mut it = two();
+fn one_enable_undoes_two_disables_and_endpoint_counts_as_just_started() {
+    let mut it = two_endpoints();
     for now in [100, 110] {
-        it.apply_command(now, &out("a")).unwrap();
+        it.apply_command(now, &disable("a")).unwrap();
     }
-    let changed = it.apply_command(200, &back("a")).unwrap();
-    assert_eq!(told(&it.current_entries(&changed)), [("a", Phase::Ready, 200)]);
+    let changed = it.apply_command(200, &enable("a")).unwrap();
+    assert_eq!(entries(&it.current_entries(&changed)), [("a", Phase::Ready, 200)]);
     let list = it.apply_list(&read(true, &[("a", "ready", 0)]));
-    assert_eq!(told(&list), [("a", Phase::Ready, 200)], "discovery has not heard of its start");
+    assert_eq!(entries(&list), [("a", Phase::Ready, 200)], "discovery does not list its start yet");
     let list = it.apply_list(&read(false, &[("a", "ready", 150)]));
-    assert_eq!(told(&list), [("a", Phase::Ready, 150)], "it has");
+    assert_eq!(entries(&list), [("a", Phase::Ready, 150)], "its start is listed");
     let list = it.apply_list(&read(false, &[("a", "draining", 150)]));
-    assert_eq!(told(&list), [("a", Phase::Draining, 150)], "a call back is no more than that");
-    assert!(it.apply_command(300, &back("a")).unwrap().is_empty(), "it is not out");
+    assert_eq!(entries(&list), [("a", Phase::Draining, 150)], "an enabled endpoint can still drain");
+    assert!(it.apply_command(300, &enable("a")).unwrap().is_empty(), "it is not disabled");
 
-    it.apply_command(400, &out("b")).unwrap();
+    it.apply_command(400, &disable("b")).unwrap();
     let _ = it.apply_list(&read(false, &[("b", "ready", 450)]));
-    let changed = it.apply_command(500, &back("b")).unwrap();
+    let changed = it.apply_command(500, &enable("b")).unwrap();
     assert_eq!(
-        told(&it.current_entries(&changed)),
+        entries(&it.current_entries(&changed)),
         [("b", Phase::Ready, 450)],
-        "told of before the call back"
+        "its start was listed before it was enabled"
     );
 }
 
 #[test]
-fn an_id_that_no_cache_host_has_is_owed_a_no() {
-    let mut it = two();
-    for order in [out("origin"), out("nadie"), back("nadie")] {
-        assert!(matches!(it.apply_command(1, &order), Err(OverrideError::Unknown(_))), "{order:?}");
+fn command_for_an_unknown_endpoint_is_rejected() {
+    let mut it = two_endpoints();
+    for command in [disable("origin"), disable("nadie"), enable("nadie")] {
+        assert!(matches!(it.apply_command(1, &command), Err(OverrideError::Unknown(_))), "{command:?}");
     }
     let _ = it.apply_list(&read(false, &[("b", "gone", 0)]));
-    let changed = it.apply_command(1, &out("b")).unwrap();
+    let changed = it.apply_command(1, &disable("b")).unwrap();
     assert!(it.current_entries(&changed).members.is_empty(), "known, but not listed now");
     let list = it.apply_list(&read(false, &[("b", "ready", 5)]));
-    assert_eq!(told(&list), [("b", Phase::Draining, 5)]);
+    assert_eq!(entries(&list), [("b", Phase::Draining, 5)]);
 }
 
 #[test]
-fn orders_go_over_to_the_next_process_and_back() {
-    let mut it = two();
-    it.apply_command(100, &out("a")).unwrap();
-    it.apply_command(100, &out("b")).unwrap();
-    it.apply_command(120, &back("b")).unwrap();
+fn overrides_pass_to_the_next_process_and_back() {
+    let mut it = two_endpoints();
+    it.apply_command(100, &disable("a")).unwrap();
+    it.apply_command(100, &disable("b")).unwrap();
+    it.apply_command(120, &enable("b")).unwrap();
     it.apply_command(130, &OverrideCommand::Drain).unwrap();
-    let kept = OperatorOverrides::from_text(&it.overrides().to_text()).unwrap();
-    assert_eq!(&kept, it.overrides());
-    let mut next = OverriddenList::new(Some("origin".into()), kept);
+    let persisted = OperatorOverrides::from_text(&it.overrides().to_text()).unwrap();
+    assert_eq!(&persisted, it.overrides());
+    let mut next = OverriddenList::new(Some("origin".into()), persisted);
     assert!(next.overrides().draining());
     let list = next.apply_list(&read(true, &[("a", "ready", 0), ("b", "ready", 0)]));
-    assert_eq!(told(&list), [("a", Phase::Draining, 0), ("b", Phase::Ready, 120)]);
+    assert_eq!(entries(&list), [("a", Phase::Draining, 0), ("b", Phase::Ready, 120)]);
 
-    next.apply_command(140, &back("a")).unwrap();
+    next.apply_command(140, &enable("a")).unwrap();
     next.apply_command(150, &OverrideCommand::Undrain).unwrap();
     let changed = it.replace_overrides(next.overrides().clone());
     assert_eq!(
-        told(&it.current_entries(&changed)),
+        entries(&it.current_entries(&changed)),
         [("a", Phase::Ready, 140)],
-        "what was ordered at the other door"
+        "the command of the other process"
     );
     assert!(!it.overrides().draining());
 }
 
 #[test]
-fn orders_that_cannot_be_read_say_why() {
+fn unreadable_overrides_report_the_reason() {
     let why = |text: &str| OperatorOverrides::from_text(text).unwrap_err().to_string();
     assert!(why("{\"version\":1,\"out\":[]}").contains("not in the form"));
     assert!(why("").contains("not in the form"));
--- a/crates/maintenance/tests/store.rs
+++ b/crates/maintenance/tests/store.rs
@@ -1,4 +1,4 @@
-//! Orders on their way to a disk that may stand still: time and the disk are what the tests say.
+//! The store of overrides on a disk that may stall. The tests control time and the disk.
 
 use maintenance::{
     CommandOutcome, OperatorOverrides, OverriddenList, OverrideChange, OverrideCommand, OverrideError,
@@ -7,132 +7,142 @@
 use proto::discovery::parse_endpoint_list;
 use serde_json::json;
 
-struct Rig {
-    keeping: OverrideStore<u32>,
-    maintenance: OverriddenList,
+struct Harness {
+    store: OverrideStore<u32>,
+    list: OverriddenList,
     now: u64,
 }
 
-impl Rig {
-    /// Hosts a and b are listed, and the file was looked at once.
+impl Harness {
+    /// Endpoints a and b are listed.
     fn new() -> Self {
-        let mut maintenance = OverriddenList::new(None, OperatorOverrides::default());
+        let mut list = OverriddenList::new(None, OperatorOverrides::default());
         let member = |id| json!({"id": id, "host_port": "127.0.0.1:1", "flavor": "m", "phase": "ready", "up_since_ms": 0});
         let members = json!({"revision": 1, "complete": true, "members": [member("a"), member("b")]});
-        let _ = maintenance.apply_list(&parse_endpoint_list(members.to_string().as_bytes()).unwrap());
-        Self { keeping: OverrideStore::new(true), maintenance, now: 1_000 }
+        let _ = list.apply_list(&parse_endpoint_list(members.to_string().as_bytes()).unwrap());
+        Self { store: OverrideStore::new(true), list, now: 1_000 }
     }
-    fn steps(&mut self) -> Vec<StoreAction<u32>> {
-        std::iter::from_fn(|| self.keeping.poll()).collect()
+    fn actions(&mut self) -> Vec<StoreAction<u32>> {
+        std::iter::from_fn(|| self.store.poll()).collect()
     }
-    fn ordered(&mut self, order: OverrideCommand, who: u32) -> Vec<StoreAction<u32>> {
-        self.keeping.handle_command(self.now, &mut self.maintenance, order, who);
-        self.steps()
+    fn command(&mut self, command: OverrideCommand, who: u32) -> Vec<StoreAction<u32>> {
+        self.store.handle_command(self.now, &mut self.list, command, who);
+        self.actions()
     }
-    fn looked(&mut self, news: Option<OperatorOverrides>) -> Vec<StoreAction<u32>> {
-        self.keeping.handle_read(self.now, &mut self.maintenance, news);
-        self.steps()
+    fn read(&mut self, loaded: Option<OperatorOverrides>) -> Vec<StoreAction<u32>> {
+        self.store.handle_read(self.now, &mut self.list, loaded);
+        self.actions()
     }
-    fn wrote(&mut self, written: Result<(), String>) -> Vec<StoreAction<u32>> {
-        self.wrote_or(written.map_err(WriteError::Failed))
+    fn written(&mut self, written: Result<(), String>) -> Vec<StoreAction<u32>> {
+        self.written_or_error(written.map_err(WriteError::Failed))
     }
-    fn wrote_or(&mut self, written: Result<(), WriteError>) -> Vec<StoreAction<u32>> {
-        self.keeping.handle_write(self.now, &mut self.maintenance, written);
-        self.steps()
+    fn written_or_error(&mut self, written: Result<(), WriteError>) -> Vec<StoreAction<u32>> {
+        self.store.handle_write(self.now, &mut self.list, written);
+        self.actions()
     }
     fn pass(&mut self, ms: u64) -> Vec<StoreAction<u32>> {
         (0..ms / 100).flat_map(|_| self.tick()).collect()
     }
     fn tick(&mut self) -> Vec<StoreAction<u32>> {
         self.now += 100;
-        self.keeping.tick(self.now, &mut self.maintenance);
-        self.steps()
+        self.store.tick(self.now, &mut self.list);
+        self.actions()
     }
-    fn out(&self) -> [bool; 2] {
-        ["a", "b"].map(|id| self.maintenance.overrides().is_out(id))
+    fn disabled(&self) -> [bool; 2] {
+        ["a", "b"].map(|id| self.list.overrides().is_out(id))
     }
 }
 
-fn out(id: &str) -> OverrideCommand {
+fn disable(id: &str) -> OverrideCommand {
     OverrideCommand::Disable(id.into())
 }
 
 fn in_force(id: &str) -> StoreAction<u32> {
-    StoreAction::Changed(OverrideChange::Command(out(id)), vec![id.into()])
+    StoreAction::Changed(OverrideChange::Command(disable(id)), vec![id.into()])
 }
 
 #[test]
-fn an_order_is_answered_yes_once_the_file_was_looked_at_and_written() {
-    let mut rig = Rig::new();
-    assert_eq!(rig.ordered(out("a"), 1), [StoreAction::Read]);
-    assert_eq!(rig.ordered(out("b"), 2), [], "one operation at a time");
-    let steps = rig.looked(None);
-    assert_eq!(steps, [in_force("a"), StoreAction::Write(rig.maintenance.overrides().clone())]);
+fn command_is_answered_after_the_file_was_read_and_written() {
+    let mut harness = Harness::new();
+    assert_eq!(harness.command(disable("a"), 1), [StoreAction::Read]);
+    assert_eq!(harness.command(disable("b"), 2), [], "one operation at a time");
+    let actions = harness.read(None);
+    assert_eq!(actions, [in_force("a"), StoreAction::Write(harness.list.overrides().clone())]);
     assert_eq!(
-        rig.wrote(Ok(())),
+        harness.written(Ok(())),
         [StoreAction::Answer(1, CommandOutcome::Persisted), StoreAction::Read],
         "the second has its own look"
     );
-    assert_eq!(rig.looked(None)[0], in_force("b"));
-    assert_eq!(rig.wrote(Ok(())), [StoreAction::Answer(2, CommandOutcome::Persisted)]);
-    assert_eq!(rig.ordered(out("a"), 3), [StoreAction::Read]);
-    let again = rig.looked(None);
+    assert_eq!(harness.read(None)[0], in_force("b"));
+    assert_eq!(harness.written(Ok(())), [StoreAction::Answer(2, CommandOutcome::Persisted)]);
+    assert_eq!(harness.command(disable("a"), 3), [StoreAction::Read]);
+    let again = harness.read(None);
     assert_eq!(
         again.last(),
         Some(&StoreAction::Answer(3, CommandOutcome::Persisted)),
         "nothing new to write: {again:?}"
     );
-    rig.ordered(OverrideCommand::Enable("nadie".into()), 4);
+    harness.command(OverrideCommand::Enable("nadie".into()), 4);
     let unknown = CommandOutcome::Rejected(OverrideError::Unknown("nadie".into()));
-    assert_eq!(rig.looked(None), [StoreAction::Answer(4, unknown)]);
+    assert_eq!(harness.read(None), [StoreAction::Answer(4, unknown)]);
 }
 
 #[test]
-fn on_a_disk_that_stands_still_an_order_is_in_force_and_answered_in_time_and_written_later() {
-    let mut rig = Rig::new();
-    rig.ordered(out("a"), 1);
-    assert_eq!(rig.pass(200), [in_force("a")], "the look has not come back");
-    assert_eq!(rig.pass(500), [StoreAction::Answer(1, CommandOutcome::Applied)]);
-    assert!(matches!(rig.looked(None)[..], [StoreAction::Write(_)]));
-    rig.ordered(out("b"), 2);
-    assert_eq!(rig.pass(200), [in_force("b")], "nor has the write");
-    assert_eq!(rig.pass(500), [StoreAction::Answer(2, CommandOutcome::Applied)]);
-    let failed = rig.wrote(Err("full".into()));
-    assert_eq!((failed, rig.out()), (vec![], [true, true]), "what was promised is not taken back");
-    assert!(rig.pass(900).iter().all(|step| *step == StoreAction::Read));
-    rig.looked(None);
-    let again = rig.pass(200);
+fn command_on_a_stalled_disk_is_applied_and_answered_in_time_and_written_later() {
+    let mut harness = Harness::new();
+    harness.command(disable("a"), 1);
+    assert_eq!(harness.pass(200), [in_force("a")], "the read has not completed");
+    assert_eq!(harness.pass(500), [StoreAction::Answer(1, CommandOutcome::Applied)]);
+    assert!(matches!(harness.read(None)[..], [StoreAction::Write(_)]));
+    harness.command(disable("b"), 2);
+    assert_eq!(harness.pass(200), [in_force("b")], "nor has the write");
+    assert_eq!(harness.pass(500), [StoreAction::Answer(2, CommandOutcome::Applied)]);
+    let failed = harness.written(Err("full".into()));
+    assert_eq!(
+        (failed, harness.disabled()),
+        (vec![], [true, true]),
+        "acknowledged commands are not rolled back"
+    );
+    assert!(harness.pass(900).iter().all(|action| *action == StoreAction::Read));
+    harness.read(None);
+    let again = harness.pass(200);
     assert!(
-        again.iter().any(|step| matches!(step, StoreAction::Write(orders) if orders.is_out("b"))),
+        again.iter().any(|action| matches!(action, StoreAction::Write(overrides) if overrides.is_out("b"))),
         "{again:?}"
     );
-    assert_eq!(rig.wrote(Ok(())), []);
-    rig.looked(None);
-    assert!(rig.pass(3_000).iter().all(|step| *step == StoreAction::Read), "and nothing is written again");
+    assert_eq!(harness.written(Ok(())), []);
+    harness.read(None);
+    assert!(
+        harness.pass(3_000).iter().all(|action| *action == StoreAction::Read),
+        "nothing is written again"
+    );
 }
 
 #[test]
-fn an_order_that_cannot_be_written_is_taken_back_and_answered_no() {
-    let mut rig = Rig::new();
-    rig.ordered(out("a"), 1);
-    rig.looked(None);
-    rig.ordered(out("a"), 2); // the same again while it is written
-    let steps = rig.wrote(Err("no space".into()));
-    let no = |who| StoreAction::Answer(who, CommandOutcome::NotPersisted("no space".into()));
-    assert_eq!(steps[..2], [StoreAction::Changed(OverrideChange::RolledBack, vec!["a".into()]), no(1)]);
-    assert_eq!(rig.out(), [false, false]);
-    assert_eq!(rig.looked(None)[0], in_force("a"), "the second call stands for itself");
+fn command_that_cannot_be_written_is_rolled_back() {
+    let mut harness = Harness::new();
+    harness.command(disable("a"), 1);
+    harness.read(None);
+    harness.command(disable("a"), 2); // the same again while it is written
+    let actions = harness.written(Err("no space".into()));
+    let not_persisted = |who| StoreAction::Answer(who, CommandOutcome::NotPersisted("no space".into()));
+    assert_eq!(
+        actions[..2],
+        [StoreAction::Changed(OverrideChange::RolledBack, vec!["a".into()]), not_persisted(1)]
+    );
+    assert_eq!(harness.disabled(), [false, false]);
+    assert_eq!(harness.read(None)[0], in_force("a"), "the second command counts by itself");
 }
 
 #[test]
-fn what_the_other_process_was_ordered_and_what_is_still_to_be_written_are_both_in_force() {
-    let mut rig = Rig::new();
-    rig.ordered(out("a"), 1);
-    rig.pass(200); // in force, the look still out
-    let mut other = Rig::new();
-    other.ordered(out("b"), 9);
-    other.looked(None);
-    let found = rig.looked(Some(other.maintenance.overrides().clone()));
+fn loaded_overrides_and_unwritten_commands_are_both_in_force() {
+    let mut harness = Harness::new();
+    harness.command(disable("a"), 1);
+    harness.pass(200); // in force, the read still in progress
+    let mut other = Harness::new();
+    other.command(disable("b"), 9);
+    other.read(None);
+    let found = harness.read(Some(other.list.overrides().clone()));
     assert_eq!(found[0], StoreAction::Changed(OverrideChange::Loaded, vec!["b".into()]));
     assert!(
         matches!(&found[1], StoreAction::Write(both) if both.is_out("a") && both.is_out("b")),
@@ -142,48 +152,51 @@
 
 /// Both processes look, then each writes: who comes second finds the other's orders in the file, and writes both.
 #[test]
-fn what_the_other_process_wrote_since_the_look_is_not_written_over() {
-    let mut rig = Rig::new();
-    rig.ordered(OverrideCommand::Drain, 1);
-    assert!(matches!(rig.looked(None).last(), Some(StoreAction::Write(_))));
-    let mut other = Rig::new();
-    other.ordered(out("b"), 9);
-    other.looked(None);
-    let changed = Err(WriteError::Changed(other.maintenance.overrides().clone()));
-    let again = rig.wrote_or(changed);
+fn overrides_written_by_the_other_process_since_the_read_are_kept() {
+    let mut harness = Harness::new();
+    harness.command(OverrideCommand::Drain, 1);
+    assert!(matches!(harness.read(None).last(), Some(StoreAction::Write(_))));
+    let mut other = Harness::new();
+    other.command(disable("b"), 9);
+    other.read(None);
+    let changed = Err(WriteError::Changed(other.list.overrides().clone()));
+    let again = harness.written_or_error(changed);
     assert_eq!(again[0], StoreAction::Changed(OverrideChange::Loaded, vec!["b".into()]));
     assert!(
         matches!(&again[1], StoreAction::Write(both) if both.draining() && both.is_out("b")),
         "{again:?}"
     );
     assert_eq!(again.len(), 2, "the caller waits for that write");
-    assert_eq!(rig.wrote(Ok(())), [StoreAction::Answer(1, CommandOutcome::Persisted)]);
+    assert_eq!(harness.written(Ok(())), [StoreAction::Answer(1, CommandOutcome::Persisted)]);
 }
 
-/// One order is promised, on a disk that stood still; the next, behind it, meets a disk that is full.
+/// One command is acknowledged on a stalled disk. The write of the next one finds the disk full.
 #[test]
-fn an_order_that_cannot_be_written_is_taken_back_also_behind_one_that_was_promised() {
-    let mut rig = Rig::new();
-    rig.ordered(out("a"), 1);
-    rig.pass(200);
-    assert_eq!(rig.pass(500), [StoreAction::Answer(1, CommandOutcome::Applied)]);
-    rig.looked(None);
-    rig.ordered(OverrideCommand::Drain, 2);
-    rig.ordered(out("a"), 3); // in force already, and promised
-    rig.pass(200);
-    assert!(rig.maintenance.overrides().draining());
-    let steps = rig.wrote(Err("no space".into()));
-    assert_eq!(steps[0], StoreAction::Changed(OverrideChange::RolledBack, vec![]));
+fn unwritten_command_is_rolled_back_even_after_an_acknowledged_one() {
+    let mut harness = Harness::new();
+    harness.command(disable("a"), 1);
+    harness.pass(200);
+    assert_eq!(harness.pass(500), [StoreAction::Answer(1, CommandOutcome::Applied)]);
+    harness.read(None);
+    harness.command(OverrideCommand::Drain, 2);
+    harness.command(disable("a"), 3); // in force already, and acknowledged
+    harness.pass(200);
+    assert!(harness.list.overrides().draining());
+    let actions = harness.written(Err("no space".into()));
+    assert_eq!(actions[0], StoreAction::Changed(OverrideChange::RolledBack, vec![]));
     assert!(
-        steps.contains(&StoreAction::Answer(2, CommandOutcome::NotPersisted("no space".into()))),
-        "{steps:?}"
+        actions.contains(&StoreAction::Answer(2, CommandOutcome::NotPersisted("no space".into()))),
+        "{actions:?}"
     );
-    assert_eq!((rig.out(), rig.maintenance.overrides().draining()), ([true, false], false));
+    assert_eq!((harness.disabled(), harness.list.overrides().draining()), ([true, false], false));
 }
 
 #[test]
-fn without_a_file_orders_are_in_force_at_once() {
-    let mut rig = Rig { keeping: OverrideStore::new(false), ..Rig::new() };
-    assert_eq!(rig.ordered(out("a"), 1), [in_force("a"), StoreAction::Answer(1, CommandOutcome::Persisted)]);
-    assert_eq!(rig.pass(1_000), []);
+fn commands_without_a_file_are_applied_at_once() {
+    let mut harness = Harness { store: OverrideStore::new(false), ..Harness::new() };
+    assert_eq!(
+        harness.command(disable("a"), 1),
+        [in_force("a"), StoreAction::Answer(1, CommandOutcome::Persisted)]
+    );
+    assert_eq!(harness.pass(1_000), []);
 }
