--- a/crates/audit/benches/counting.rs
+++ b/crates/audit/benches/counting.rs
@@ -1,4 +1,4 @@
-//! What it costs to count one try under the version in force.
+//! The cost of counting one attempt under the version in force.
 
 use audit::counting::{ActivityCounter, CountKind};
 use audit::lease::TimeInterval;
@@ -8,16 +8,16 @@
 
 fn count(criterion: &mut Criterion) {
     let now = TimeInterval { earliest: 1, latest: 2 };
-    let mut counting = ActivityCounter::new(0, 1, Version::default(), now);
-    let earlier = counting.version();
-    counting.switch_version(Version { calendar: 1, ..Version::default() }, now);
+    let mut counter = ActivityCounter::new(0, 1, Version::default(), now);
+    let earlier = counter.version();
+    counter.switch_version(Version { calendar: 1, ..Version::default() }, now);
     criterion.bench_function("count", |it| {
-        it.iter(|| black_box(&mut counting).count(black_box(CountKind::ReadOk)))
+        it.iter(|| black_box(&mut counter).count(black_box(CountKind::ReadOk)))
     });
     criterion.bench_function("count under an earlier version", |it| {
-        it.iter(|| black_box(&mut counting).count_under(black_box(earlier), black_box(CountKind::ReadOk)));
+        it.iter(|| black_box(&mut counter).count_under(black_box(earlier), black_box(CountKind::ReadOk)));
     });
-    criterion.bench_function("report", |it| it.iter(|| black_box(&mut counting).report(now)));
+    criterion.bench_function("report", |it| it.iter(|| black_box(&mut counter).report(now)));
 }
 
 criterion_group!(benches, count);
--- a/crates/membership/examples/measure_members.rs
+++ b/crates/membership/examples/measure_members.rs
@@ -1,12 +1,13 @@
-//! Prints what membership costs and how soon it settles, over many seeds: `measure [seeds] [seeds of mixed faults]`; with no
-//! seeds but of mixed faults, only these.
+//! Measures the cost of membership and its time to converge over many seeds.
+//!
+//! Arguments: the number of seeds, and the number of seeds for mixed faults. With 0 seeds only mixed faults are measured.
 #[path = "../tests/common/mod.rs"]
 mod common;
 
-use common::{Fleet, LIFE, MS, S};
+use common::{Fleet, INCARNATION, MS, S};
 use membership::{Action, DownReason, Micros};
 
-type Play = fn(usize, u64) -> Option<Micros>;
+type Scenario = fn(usize, u64) -> Option<Micros>;
 
 fn main() {
     let seeds: u64 = std::env::args().nth(1).and_then(|it| it.parse().ok()).unwrap_or(20);
@@ -14,7 +15,7 @@
     if seeds > 0 {
         cost();
     }
-    let plays: [(&str, Play, usize, u64); 9] = [
+    let scenarios: [(&str, Scenario, usize, u64); 9] = [
         ("all start at once", start, 300, seeds),
         ("one joins", join, 300, seeds),
         ("seven in ten crash", crash, 300, seeds),
@@ -28,8 +29,8 @@
     println!(
         "\n| what | members | seeds | not settled | median s | most s |\n| --- | --- | --- | --- | --- | --- |"
     );
-    for (name, play, size, seeds) in plays.into_iter().filter(|it| it.3 > 0) {
-        let mut spans: Vec<Option<Micros>> = (0..seeds).map(|seed| play(size, seed)).collect();
+    for (name, scenario, size, seeds) in scenarios.into_iter().filter(|it| it.3 > 0) {
+        let mut spans: Vec<Option<Micros>> = (0..seeds).map(|seed| scenario(size, seed)).collect();
         spans.sort_by_key(|it| it.unwrap_or(Micros::MAX));
         let never = spans.iter().filter(|it| it.is_none()).count();
         let seconds = |at: usize| spans[at].map_or(f64::NAN, |it| it as f64 / S as f64);
@@ -48,7 +49,7 @@
     );
     for size in [50, 100, 200, 300] {
         for loss in [0.0, 0.01, 0.2] {
-            let mut fleet = Fleet::settled(size, 7);
+            let mut fleet = Fleet::converged(size, 7);
             fleet.faults.loss = loss;
             fleet.run(10 * S);
             let before = fleet.counts();
@@ -66,51 +67,51 @@
 
 fn start(size: usize, seed: u64) -> Option<Micros> {
     let mut fleet = Fleet::new(size, seed);
-    (0..size).for_each(|number| fleet.start(number, LIFE));
-    fleet.settles_within(20 * S)
+    (0..size).for_each(|number| fleet.start(number, INCARNATION));
+    fleet.converges_within(20 * S)
 }
 
 fn join(size: usize, seed: u64) -> Option<Micros> {
     let mut fleet = Fleet::new(size, seed);
-    (0..size - 1).for_each(|number| fleet.start(number, LIFE));
+    (0..size - 1).for_each(|number| fleet.start(number, INCARNATION));
     fleet.run(10 * S);
-    fleet.start(size - 1, LIFE);
-    fleet.settles_within(20 * S)
+    fleet.start(size - 1, INCARNATION);
+    fleet.converges_within(20 * S)
 }
 
 fn crash(size: usize, seed: u64) -> Option<Micros> {
-    let mut fleet = Fleet::settled(size, seed);
+    let mut fleet = Fleet::converged(size, seed);
     (0..size * 7 / 10).for_each(|number| fleet.crash(number));
-    fleet.settles_within(60 * S)
+    fleet.converges_within(60 * S)
 }
 
 fn one_crash(size: usize, seed: u64) -> Option<Micros> {
-    let mut fleet = Fleet::settled(size, seed);
+    let mut fleet = Fleet::converged(size, seed);
     fleet.crash(5);
-    fleet.settles_within(60 * S)
+    fleet.converges_within(60 * S)
 }
 
 fn heal(size: usize, seed: u64) -> Option<Micros> {
-    let mut fleet = Fleet::settled(size, seed);
+    let mut fleet = Fleet::converged(size, seed);
     fleet.faults.cut = Box::new(move |from, to| (from < size / 2) != (to < size / 2));
     fleet.run(20 * S);
     fleet.faults.cut = Box::new(|_, _| false);
-    fleet.settles_within(60 * S)
+    fleet.converges_within(60 * S)
 }
 
 fn stall(size: usize, seed: u64) -> Option<Micros> {
-    let mut fleet = Fleet::settled(size, seed);
+    let mut fleet = Fleet::converged(size, seed);
     fleet.stall(9, 20 * S);
     fleet.run(20 * S);
-    fleet.settles_within(60 * S)
+    fleet.converges_within(60 * S)
 }
 
-/// Half a minute of everything at once, then quiet; counts from the quiet on.
+/// Half a minute of random faults. Measures the time to converge after they end.
 fn mixed(size: usize, seed: u64) -> Option<Micros> {
-    let mut fleet = Fleet::settled(size, seed);
+    let mut fleet = Fleet::converged(size, seed);
     fleet.faults.delay = 0..80 * MS;
     fleet.faults.repeat = 0.1;
-    let mut incarnation = LIFE;
+    let mut incarnation = INCARNATION;
     for _ in 0..10 {
         fleet.faults.loss = fleet.random.f64() * 0.3;
         let (number, other) = (fleet.random.usize(0..size), fleet.random.usize(0..size));
@@ -132,10 +133,10 @@
     }
     fleet.faults.loss = 0.0;
     fleet.faults.cut = Box::new(|_, _| false);
-    fleet.settles_within(90 * S)
+    fleet.converges_within(90 * S)
 }
 
-/// A minute at 20 % loss: how often a living member was out of a view, and for how long at most.
+/// A minute at 20 % loss: how often a live member was down for another, and for how long at most.
 fn loss(seeds: u64) {
     println!(
         "\n| 20 % loss, one minute | times a living one was out of a view | longest s |\n| --- | --- | --- |"
@@ -143,10 +144,10 @@
     for size in [50, 300] {
         let (mut times, mut longest) = (0, 0);
         for seed in 0..seeds {
-            let mut fleet = Fleet::settled(size, seed);
+            let mut fleet = Fleet::converged(size, seed);
             fleet.faults.loss = 0.2;
             fleet.run(60 * S);
-            let (more, most) = outs(&fleet);
+            let (more, most) = down_times(&fleet);
             times += more;
             longest = longest.max(most);
         }
@@ -154,7 +155,7 @@
     }
 }
 
-fn outs(fleet: &Fleet) -> (usize, Micros) {
+fn down_times(fleet: &Fleet) -> (usize, Micros) {
     let mut since = std::collections::BTreeMap::new();
     let (mut times, mut longest) = (0, 0);
     for (at, number, action) in &fleet.log {
--- a/crates/membership/tests/common/mod.rs
+++ b/crates/membership/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A fleet on one virtual clock, and a network between its members that loses, delays, repeats and cuts.
+//! A fleet on a virtual clock, with a network that loses, delays, duplicates and cuts.
 
 #![allow(dead_code, missing_docs, reason = "each test program uses a part of it")]
 
@@ -12,16 +12,16 @@
 pub const MS: Micros = 1_000;
 pub const S: Micros = 1_000_000;
 
-/// A first life as owners draw it: Unix microseconds, nine bytes on the wire.
-pub const LIFE: u64 = 1_760_000_000_000_000;
+/// A first incarnation as owners choose it: Unix microseconds, nine bytes on the wire.
+pub const INCARNATION: u64 = 1_760_000_000_000_000;
 
-/// What happens to datagrams on their way.
+/// Faults of the network.
 pub struct Faults {
     pub loss: f64,
     pub repeat: f64,
-    /// The delay is drawn from this span, so that datagrams overtake one another.
+    /// The range of random delays, which reorder datagrams.
     pub delay: std::ops::Range<Micros>,
-    /// Whether this link carries nothing.
+    /// Whether the link between two members is cut.
     pub cut: Box<dyn Fn(usize, usize) -> bool>,
 }
 
@@ -31,7 +31,7 @@
 
 enum Event {
     Datagram(usize, Bytes),
-    /// For the start of the process it was set in.
+    /// A timer, with the start of the process that set it.
     Timer(usize, u64, Timer),
 }
 
@@ -40,7 +40,7 @@
     starts: u64,
     stalled_until: Micros,
     gap: Micros,
-    asleep: Vec<Event>,
+    queued: Vec<Event>,
 }
 
 pub struct Fleet {
@@ -48,9 +48,9 @@
     pub faults: Faults,
     pub random: fastrand::Rng,
     pub log: Vec<(Micros, usize, Action)>,
-    pub told_of_stalls: bool,
-    /// All datagrams that were sent, with the number they go to, where a test asks for them.
-    pub kept: Option<Vec<(usize, Bytes)>>,
+    pub reports_stalls: bool,
+    /// All datagrams sent, with their destination, if a test captures them.
+    pub captured: Option<Vec<(usize, Bytes)>>,
     queue: BinaryHeap<Reverse<(Micros, u64)>>,
     events: std::collections::HashMap<u64, Event>,
     next: u64,
@@ -61,14 +61,14 @@
 impl Fleet {
     pub fn new(size: usize, seed: u64) -> Self {
         let process =
-            || Process { membership: None, starts: 0, stalled_until: 0, gap: 0, asleep: Vec::new() };
+            || Process { membership: None, starts: 0, stalled_until: 0, gap: 0, queued: Vec::new() };
         Self {
             now: 1_000 * S,
             faults: Faults { loss: 0.0, repeat: 0.0, delay: 200..2_000, cut: Box::new(|_, _| false) },
             random: fastrand::Rng::with_seed(seed),
             log: Vec::new(),
-            told_of_stalls: true,
-            kept: None,
+            reports_stalls: true,
+            captured: None,
             queue: BinaryHeap::new(),
             events: Default::default(),
             next: 0,
@@ -77,22 +77,22 @@
         }
     }
 
-    /// All started within a second and in view of one another.
-    pub fn settled(size: usize, seed: u64) -> Self {
+    /// A fleet whose members all see one another.
+    pub fn converged(size: usize, seed: u64) -> Self {
         let mut fleet = Self::new(size, seed);
         for number in 0..size {
-            fleet.start(number, LIFE);
+            fleet.start(number, INCARNATION);
         }
-        let within = fleet.settles_within(10 * S);
-        assert!(within.is_some(), "seed {seed}: {size} did not find one another");
+        let converged_after = fleet.converges_within(10 * S);
+        assert!(converged_after.is_some(), "seed {seed}: {size} did not converge");
         fleet.run(12 * S);
         fleet.log.clear();
         fleet
     }
 
-    /// Starts a process of this number without memory; the first three are asked to let it in.
+    /// Starts a process of this number, which joins through the first three.
     pub fn start(&mut self, number: usize, incarnation: u64) {
-        let seats =
+        let slots =
             (0..self.all.len()).map(|n| (n as u16, MemberSlot { address: address(n), zone: (n % 3) as u16 }));
         let me = Member {
             number: number as u16,
@@ -100,13 +100,13 @@
             address: address(number),
             zone: (number % 3) as u16,
         };
-        let roster: Roster = seats.collect();
+        let roster: Roster = slots.collect();
         let seed = self.random.u64(..);
         let process = &mut self.all[number];
         process.starts += 1;
         process.stalled_until = 0;
         self.stalled.remove(&number);
-        process.asleep.clear();
+        process.queued.clear();
         process.membership = Some(Membership::new(me, roster, Settings::default(), seed));
         self.with(number, |it, now| it.join(now, &[address(0), address(1), address(2)]));
     }
@@ -115,7 +115,7 @@
         self.all[number].membership = None;
     }
 
-    /// Takes a process out of the fleet, for a test to go on with it by hand.
+    /// Takes a process out of the fleet, for a test to drive it directly.
     pub fn take(&mut self, number: usize) -> Membership {
         self.all[number].membership.take().expect("a process that runs")
     }
@@ -125,14 +125,14 @@
         self.crash(number);
     }
 
-    /// Stops a process for a while; what comes for it waits.
+    /// Stalls a process. Its events are queued meanwhile.
     pub fn stall(&mut self, number: usize, gap: Micros) {
         self.all[number].gap = gap;
         self.stalled.insert(number);
         self.all[number].stalled_until = self.now + gap;
     }
 
-    /// Lets `input` act on a member and carries out what follows.
+    /// Passes an input to a member and carries out its actions.
     pub fn with(&mut self, number: usize, input: impl FnOnce(&mut Membership, Micros)) {
         let Some(membership) = &mut self.all[number].membership else { return };
         input(membership, self.now);
@@ -142,23 +142,23 @@
         }
         for action in actions {
             match action {
-                Action::Send { to, datagram } => self.carry(number, to, datagram),
+                Action::Send { to, datagram } => self.transmit(number, to, datagram),
                 Action::Timer { after, timer } => {
                     let event = Event::Timer(number, self.all[number].starts, timer);
-                    self.later(after, event);
+                    self.schedule(after, event);
                 }
                 other => self.log.push((self.now, number, other)),
             }
         }
     }
 
-    fn carry(&mut self, from: usize, to: SocketAddr, datagram: Bytes) {
+    fn transmit(&mut self, from: usize, to: SocketAddr, datagram: Bytes) {
         assert!(datagram.len() <= membership::MAX_DATAGRAM, "{} bytes", datagram.len());
         let SocketAddr::V4(address) = to else { panic!("{to} is not on the roster") };
         let [_, _, high, low] = address.ip().octets();
         let to = usize::from(u16::from_be_bytes([high, low]));
-        if let Some(kept) = &mut self.kept {
-            kept.push((to, datagram.clone()));
+        if let Some(captured) = &mut self.captured {
+            captured.push((to, datagram.clone()));
         }
         if (self.faults.cut)(from, to) || self.random.f64() < self.faults.loss {
             return;
@@ -166,11 +166,11 @@
         let copies = 1 + usize::from(self.random.f64() < self.faults.repeat);
         for _ in 0..copies {
             let delay = self.random.u64(self.faults.delay.clone());
-            self.later(delay, Event::Datagram(to, datagram.clone()));
+            self.schedule(delay, Event::Datagram(to, datagram.clone()));
         }
     }
 
-    fn later(&mut self, after: Micros, event: Event) {
+    fn schedule(&mut self, after: Micros, event: Event) {
         self.next += 1;
         self.events.insert(self.next, event);
         self.queue.push(Reverse((self.now + after, self.next)));
@@ -180,9 +180,9 @@
         let end = self.now + span;
         loop {
             let event = self.queue.peek().map_or(end, |Reverse((at, _))| *at).min(end);
-            let wake = self.stalled.iter().copied().min_by_key(|&n| self.all[n].stalled_until);
-            if let Some(number) = wake.filter(|&n| self.all[n].stalled_until <= event) {
-                self.wake(number);
+            let resume = self.stalled.iter().copied().min_by_key(|&n| self.all[n].stalled_until);
+            if let Some(number) = resume.filter(|&n| self.all[n].stalled_until <= event) {
+                self.resume(number);
                 continue;
             }
             self.now = event;
@@ -191,18 +191,18 @@
             }
             let Some(Reverse((_, id))) = self.queue.pop() else { return };
             let event = self.events.remove(&id).expect("one event for each entry");
-            self.happen(event);
+            self.dispatch(event);
         }
     }
 
-    fn happen(&mut self, event: Event) {
+    fn dispatch(&mut self, event: Event) {
         let number = match &event {
             Event::Datagram(to, _) => *to,
             Event::Timer(of, starts, _) if self.all[*of].starts == *starts => *of,
             Event::Timer(..) => return,
         };
         if self.all[number].stalled_until > 0 {
-            self.all[number].asleep.push(event);
+            self.all[number].queued.push(event);
             return;
         }
         match event {
@@ -211,25 +211,25 @@
         }
     }
 
-    /// Wakes a process: timers first, then what a socket's buffer of 200 datagrams kept.
-    fn wake(&mut self, number: usize) {
+    /// Resumes a process: timers first, then the 200 datagrams that fit the buffer of a socket.
+    fn resume(&mut self, number: usize) {
         self.now = self.now.max(self.all[number].stalled_until);
         self.all[number].stalled_until = 0;
         self.stalled.remove(&number);
-        let (timers, mut datagrams): (Vec<_>, Vec<_>) = std::mem::take(&mut self.all[number].asleep)
+        let (timers, mut datagrams): (Vec<_>, Vec<_>) = std::mem::take(&mut self.all[number].queued)
             .into_iter()
             .partition(|it| matches!(it, Event::Timer(..)));
         datagrams.truncate(200);
-        if self.told_of_stalls {
+        if self.reports_stalls {
             let gap = self.all[number].gap;
             self.with(number, |it, now| it.handle_stall(now, gap));
         }
         for event in timers.into_iter().chain(datagrams) {
-            self.happen(event);
+            self.dispatch(event);
         }
     }
 
-    pub fn living(&self) -> Vec<usize> {
+    pub fn running(&self) -> Vec<usize> {
         (0..self.all.len()).filter(|&n| self.all[n].membership.is_some()).collect()
     }
 
@@ -238,17 +238,17 @@
     }
 
     pub fn counts(&self) -> Vec<Counters> {
-        self.living().iter().map(|&n| self.member(n).counters()).collect()
+        self.running().iter().map(|&n| self.member(n).counters()).collect()
     }
 
-    /// Who of those that live has a wrong view of those that live, their lives included.
+    /// The running members whose view of the running members and their incarnations is wrong.
     pub fn wrong(&self) -> Vec<usize> {
-        let living = self.living();
-        let truth: BTreeSet<(u16, u64)> = living.iter().map(|&n| self.incarnation(n)).collect();
+        let running = self.running();
+        let truth: BTreeSet<(u16, u64)> = running.iter().map(|&n| self.incarnation(n)).collect();
         let right = |n: &usize| {
             self.member(*n).members().map(|it| (it.number, it.incarnation)).eq(truth.iter().copied())
         };
-        living.into_iter().filter(|n| !right(n)).collect()
+        running.into_iter().filter(|n| !right(n)).collect()
     }
 
     fn incarnation(&self, number: usize) -> (u16, u64) {
@@ -256,8 +256,8 @@
         (me.number, me.incarnation)
     }
 
-    /// After how long all views were right for the first time, if within `span`.
-    pub fn settles_within(&mut self, span: Micros) -> Option<Micros> {
+    /// The time until all views are right, if within `span`.
+    pub fn converges_within(&mut self, span: Micros) -> Option<Micros> {
         let start = self.now;
         while self.now < start + span {
             self.run(100 * MS);
--- a/crates/membership/tests/fleet.rs
+++ b/crates/membership/tests/fleet.rs
@@ -1,120 +1,127 @@
-//! A fleet finds itself, and finds itself again after what a network and processes do to it.
+//! Convergence of a fleet after starts, crashes, stalls and network faults.
 mod common;
 
-use common::{Fleet, LIFE, MS, S};
+use common::{Fleet, INCARNATION, MS, S};
 use membership::{Action, DownReason, Micros};
 
-/// At 20 % loss, the longest that a living member is out of anyone's view.
-const OUT_AT_MOST: Micros = 2 * S;
+/// At 20 % loss, the longest time that a live member is down for any other.
+const MAX_DOWN_TIME: Micros = 2 * S;
 
 #[test]
-fn all_who_start_at_once_are_in_view_of_one_another_within_three_seconds() {
+fn members_that_start_together_see_each_other_within_three_seconds() {
     for size in [3, 50, 300] {
         let mut fleet = Fleet::new(size, 1);
-        (0..size).for_each(|number| fleet.start(number, LIFE));
-        assert!(fleet.settles_within(3 * S).is_some(), "{size}: {} wrong", fleet.wrong().len());
+        (0..size).for_each(|number| fleet.start(number, INCARNATION));
+        assert!(fleet.converges_within(3 * S).is_some(), "{size}: {} wrong", fleet.wrong().len());
     }
 }
 
 #[test]
-fn one_that_joins_knows_all_and_is_known_by_all_within_three_seconds() {
+fn joining_member_sees_all_and_is_seen_by_all_within_three_seconds() {
     for size in [50, 300] {
         let mut fleet = Fleet::new(size, 2);
-        (0..size - 1).for_each(|number| fleet.start(number, LIFE));
+        (0..size - 1).for_each(|number| fleet.start(number, INCARNATION));
         fleet.run(8 * S);
-        fleet.start(size - 1, LIFE);
-        assert!(fleet.settles_within(3 * S).is_some(), "{size}: {} wrong", fleet.wrong().len());
+        fleet.start(size - 1, INCARNATION);
+        assert!(fleet.converges_within(3 * S).is_some(), "{size}: {} wrong", fleet.wrong().len());
     }
 }
 
 #[test]
-fn a_crash_of_seven_in_ten_is_agreed_on_by_the_rest_within_ten_seconds() {
+fn crash_of_seventy_percent_is_detected_by_all_within_ten_seconds() {
     for seed in 0..3 {
-        let mut fleet = Fleet::settled(300, seed);
+        let mut fleet = Fleet::converged(300, seed);
         (0..210).for_each(|number| fleet.crash(number));
-        assert!(fleet.settles_within(10 * S).is_some(), "seed {seed}: {} of 90 wrong", fleet.wrong().len());
+        assert!(fleet.converges_within(10 * S).is_some(), "seed {seed}: {} of 90 wrong", fleet.wrong().len());
     }
 }
 
 #[test]
-fn two_halves_that_gave_each_other_up_are_one_again_within_five_seconds_of_the_heal() {
-    let mut fleet = Fleet::settled(300, 4);
+fn healed_partition_merges_within_five_seconds() {
+    let mut fleet = Fleet::converged(300, 4);
     fleet.faults.cut = Box::new(|from, to| (from < 150) != (to < 150));
     fleet.run(20 * S);
-    assert!(fleet.living().iter().all(|&n| fleet.member(n).len() == 150));
+    assert!(fleet.running().iter().all(|&n| fleet.member(n).len() == 150));
     fleet.faults.cut = Box::new(|_, _| false);
-    assert!(fleet.settles_within(5 * S).is_some(), "{} wrong", fleet.wrong().len());
+    assert!(fleet.converges_within(5 * S).is_some(), "{} wrong", fleet.wrong().len());
 }
 
 #[test]
-fn at_one_in_five_lost_some_repeated_and_overtaken_no_living_member_stays_out() {
-    let mut fleet = Fleet::settled(50, 5);
+fn live_members_stay_up_at_twenty_percent_loss_with_duplicates_and_reordering() {
+    let mut fleet = Fleet::converged(50, 5);
     fleet.faults.loss = 0.2;
     fleet.faults.repeat = 0.1;
     fleet.faults.delay = 0..40 * MS;
-    let mut out = std::collections::BTreeMap::new();
+    let mut down_since = std::collections::BTreeMap::new();
     for _ in 0..600 {
         fleet.run(100 * MS);
-        let short: Vec<_> = fleet.living().into_iter().filter(|&n| fleet.member(n).len() < 50).collect();
-        out.retain(|n, _| short.contains(n));
+        let short: Vec<_> = fleet.running().into_iter().filter(|&n| fleet.member(n).len() < 50).collect();
+        down_since.retain(|n, _| short.contains(n));
         for number in short {
-            let since = *out.entry(number).or_insert(fleet.now);
-            assert!(fleet.now - since <= OUT_AT_MOST, "{number} misses one since {since}");
+            let since = *down_since.entry(number).or_insert(fleet.now);
+            assert!(fleet.now - since <= MAX_DOWN_TIME, "{number} misses one since {since}");
         }
     }
     let suspicions: u64 = fleet.counts().iter().map(|it| it.suspicions).sum();
     assert!(
         (50..200).contains(&suspicions),
-        "the loss is felt, and second tries take most of it away: {suspicions}"
+        "loss raises suspicions, and repeated pings avoid most of them: {suspicions}"
     );
 }
 
 #[test]
-fn a_link_that_carries_nothing_one_way_for_a_minute_puts_nobody_out() {
-    let mut fleet = Fleet::settled(20, 6);
+fn one_way_loss_of_a_link_for_a_minute_takes_nobody_down() {
+    let mut fleet = Fleet::converged(20, 6);
     fleet.faults.cut = Box::new(|from, to| from == 3 && to == 4);
     fleet.run(60 * S);
     assert_eq!(downs(&fleet), vec![]);
 }
 
 #[test]
-fn one_that_is_not_heard_or_does_not_hear_is_out_and_comes_back_within_five_seconds() {
-    for way in [true, false] {
-        let mut fleet = Fleet::settled(30, 7);
-        fleet.faults.cut = Box::new(move |from, to| if way { from == 8 } else { to == 8 });
+fn member_cut_off_one_way_is_down_and_returns_within_five_seconds() {
+    for outgoing in [true, false] {
+        let mut fleet = Fleet::converged(30, 7);
+        fleet.faults.cut = Box::new(move |from, to| if outgoing { from == 8 } else { to == 8 });
         fleet.run(8 * S);
-        assert!(fleet.living().iter().all(|&n| n == 8 || fleet.member(n).len() == 29), "way {way}");
+        assert!(
+            fleet.running().iter().all(|&n| n == 8 || fleet.member(n).len() == 29),
+            "outgoing {outgoing}"
+        );
         fleet.faults.cut = Box::new(|_, _| false);
-        assert!(fleet.settles_within(5 * S).is_some(), "way {way}: {} wrong", fleet.wrong().len());
+        assert!(
+            fleet.converges_within(5 * S).is_some(),
+            "outgoing {outgoing}: {} wrong",
+            fleet.wrong().len()
+        );
     }
 }
 
 #[test]
-fn one_that_stood_still_for_20_s_comes_back_as_a_later_life_and_accuses_nobody() {
-    for told in [true, false] {
-        let mut fleet = Fleet::settled(50, 8);
-        fleet.told_of_stalls = told;
+fn member_stalled_for_20_s_returns_as_a_new_incarnation_and_suspects_nobody() {
+    for reported in [true, false] {
+        let mut fleet = Fleet::converged(50, 8);
+        fleet.reports_stalls = reported;
         fleet.stall(9, 20 * S);
         fleet.run(20 * S - MS);
-        assert_eq!(fleet.member(0).len(), 49, "it was given up");
+        assert_eq!(fleet.member(0).len(), 49, "it was declared down");
         fleet.log.clear();
-        assert!(fleet.settles_within(2 * S).is_some(), "{} wrong", fleet.wrong().len());
+        assert!(fleet.converges_within(2 * S).is_some(), "{} wrong", fleet.wrong().len());
         fleet.run(10 * S);
         let renewed = fleet
             .log
             .iter()
-            .any(|(_, n, it)| *n == 9 && matches!(it, Action::Renewed(me) if me.incarnation > LIFE));
-        assert!(renewed, "its owner sees its new life");
+            .any(|(_, n, it)| *n == 9 && matches!(it, Action::Renewed(me) if me.incarnation > INCARNATION));
+        assert!(renewed, "its owner learns of its new incarnation");
         assert_eq!(fleet.member(9).counters().suspicions, 0);
         assert_eq!(downs(&fleet), vec![]);
     }
 }
 
 #[test]
-fn one_that_wakes_with_its_answers_unread_accuses_nobody() {
-    for told in [true, false] {
-        let mut fleet = Fleet::settled(20, 14);
-        fleet.told_of_stalls = told;
+fn resumed_member_with_unread_answers_suspects_nobody() {
+    for reported in [true, false] {
+        let mut fleet = Fleet::converged(20, 14);
+        fleet.reports_stalls = reported;
         fleet.faults.delay = 30 * MS..45 * MS;
         for number in 0..20 {
             let phase = fleet.random.u64(0..300) * MS;
@@ -122,46 +129,46 @@
             let before = fleet.member(number).counters().suspicions;
             fleet.stall(number, S);
             fleet.run(3 * S);
-            assert_eq!(fleet.member(number).counters().suspicions, before, "{number}, told: {told}");
+            assert_eq!(fleet.member(number).counters().suspicions, before, "{number}, reported: {reported}");
         }
     }
 }
 
 #[test]
-fn one_that_stood_still_for_two_seconds_says_that_it_lives_and_stays_in() {
-    let mut fleet = Fleet::settled(50, 9);
+fn member_stalled_for_two_seconds_refutes_suspicion_and_stays_up() {
+    let mut fleet = Fleet::converged(50, 9);
     fleet.stall(9, 2 * S);
     fleet.run(15 * S);
     assert!(fleet.log.iter().any(|(_, n, it)| *n == 9 && *it == Action::Refuted));
     assert_eq!(downs(&fleet), vec![]);
-    assert_eq!(fleet.member(9).local_member().incarnation, LIFE);
+    assert_eq!(fleet.member(9).local_member().incarnation, INCARNATION);
 }
 
 #[test]
-fn one_restarted_without_memory_replaces_its_ghost_also_where_its_clock_went_back() {
-    for incarnation in [LIFE + S, LIFE - 30 * S] {
-        let mut fleet = Fleet::settled(30, 10);
+fn restarted_member_supersedes_its_earlier_incarnation_even_if_its_clock_went_back() {
+    for incarnation in [INCARNATION + S, INCARNATION - 30 * S] {
+        let mut fleet = Fleet::converged(30, 10);
         fleet.start(7, incarnation);
-        assert!(fleet.settles_within(3 * S).is_some(), "{} wrong", fleet.wrong().len());
+        assert!(fleet.converges_within(3 * S).is_some(), "{} wrong", fleet.wrong().len());
         fleet.run(10 * S);
-        assert!(fleet.member(7).local_member().incarnation > LIFE);
+        assert!(fleet.member(7).local_member().incarnation > INCARNATION);
         assert_eq!(downs(&fleet), vec![]);
         let replaced =
-            |it: &Action| matches!(it, Action::Down(ghost, DownReason::Superseded) if ghost.number == 7);
+            |it: &Action| matches!(it, Action::Down(earlier, DownReason::Superseded) if earlier.number == 7);
         assert_eq!(fleet.log.iter().filter(|(_, _, it)| replaced(it)).count(), 29);
     }
 }
 
 #[test]
-fn late_datagrams_of_an_old_life_do_not_touch_the_new_one() {
-    let mut fleet = Fleet::settled(10, 11);
-    fleet.kept = Some(Vec::new());
+fn late_datagrams_of_an_old_incarnation_do_not_affect_the_new_one() {
+    let mut fleet = Fleet::converged(10, 11);
+    fleet.captured = Some(Vec::new());
     fleet.run(2 * S);
     fleet.leave(7);
     fleet.run(S);
-    let late = fleet.kept.take().unwrap();
-    fleet.start(7, LIFE + S);
-    assert!(fleet.settles_within(3 * S).is_some());
+    let late = fleet.captured.take().unwrap();
+    fleet.start(7, INCARNATION + S);
+    assert!(fleet.converges_within(3 * S).is_some());
     fleet.log.clear();
     for (to, datagram) in late {
         fleet.with(to, |it, now| it.handle_datagram(now, &datagram));
@@ -172,37 +179,37 @@
 }
 
 #[test]
-fn one_that_leaves_is_out_at_once_and_known_to_have_left() {
-    let mut fleet = Fleet::settled(50, 12);
+fn leaving_member_is_down_at_once_with_reason_left() {
+    let mut fleet = Fleet::converged(50, 12);
     fleet.leave(7);
-    assert!(fleet.settles_within(S).is_some());
+    assert!(fleet.converges_within(S).is_some());
     let left = |it: &Action| matches!(it, Action::Down(gone, DownReason::Left) if gone.number == 7);
     assert_eq!(fleet.log.iter().filter(|(_, _, it)| left(it)).count(), 49);
 }
 
 #[test]
-fn a_process_whose_number_a_later_one_took_learns_it_and_falls_silent() {
-    let mut fleet = Fleet::settled(10, 13);
+fn replaced_process_learns_of_its_replacement_and_falls_silent() {
+    let mut fleet = Fleet::converged(10, 13);
     let mut old = fleet.take(7);
-    fleet.start(7, LIFE + S);
-    assert!(fleet.settles_within(3 * S).is_some());
+    fleet.start(7, INCARNATION + S);
+    assert!(fleet.converges_within(3 * S).is_some());
     old.join(fleet.now, &[common::address(0)]);
-    let asked = std::iter::from_fn(|| old.poll()).find_map(|it| match it {
+    let announcement = std::iter::from_fn(|| old.poll()).find_map(|it| match it {
         Action::Send { to, datagram } if to == common::address(0) => Some(datagram),
         _ => None,
     });
-    fleet.kept = Some(Vec::new());
-    fleet.with(0, |it, now| it.handle_datagram(now, &asked.unwrap()));
-    for (_, answer) in fleet.kept.take().unwrap() {
+    fleet.captured = Some(Vec::new());
+    fleet.with(0, |it, now| it.handle_datagram(now, &announcement.unwrap()));
+    for (_, answer) in fleet.captured.take().unwrap() {
         old.handle_datagram(fleet.now, &answer);
     }
     let after: Vec<_> = std::iter::from_fn(|| old.poll()).collect();
-    assert!(after.contains(&Action::Replaced(LIFE + S)), "{after:?}");
+    assert!(after.contains(&Action::Replaced(INCARNATION + S)), "{after:?}");
     old.join(fleet.now, &[common::address(0)]);
     assert_eq!(old.poll(), None);
 }
 
-/// Who declared whom out, replacements aside.
+/// Which member declared which down, without replacements.
 fn downs(fleet: &Fleet) -> Vec<(usize, u16)> {
     let out = |(_, n, it): &(Micros, usize, Action)| match it {
         Action::Down(gone, why) if *why != DownReason::Superseded => Some((*n, gone.number)),
--- a/crates/membership/tests/golden.rs
+++ b/crates/membership/tests/golden.rs
@@ -1,19 +1,19 @@
-//! Datagrams in the form that members of other versions know.
+//! The encoding of datagrams, which members of other versions must understand.
 
 mod common;
 
-use common::{Fleet, LIFE, S};
+use common::{Fleet, INCARNATION, S};
 use expect_test::expect_file;
 use std::fmt::Write;
 
-/// Datagrams that are compared of each part of the run.
+/// Datagrams compared in each part of the run.
 const COMPARED: usize = 60;
 
 fn recorded(fleet: &mut Fleet, span: u64) -> String {
-    fleet.kept = Some(Vec::new());
+    fleet.captured = Some(Vec::new());
     fleet.run(span);
     let mut text = String::new();
-    for (to, datagram) in fleet.kept.take().unwrap().iter().take(COMPARED) {
+    for (to, datagram) in fleet.captured.take().unwrap().iter().take(COMPARED) {
         let bytes: String = datagram.iter().map(|byte| format!("{byte:02x}")).collect();
         writeln!(text, "{to} {bytes}").unwrap();
     }
@@ -21,11 +21,11 @@
 }
 
 #[test]
-fn datagrams_keep_their_form() {
+fn datagrams_keep_their_encoding() {
     let mut fleet = Fleet::new(5, 43);
-    fleet.start(0, LIFE);
-    fleet.kept = Some(Vec::new());
-    (1..5).for_each(|number| fleet.start(number, LIFE + number as u64));
+    fleet.start(0, INCARNATION);
+    fleet.captured = Some(Vec::new());
+    (1..5).for_each(|number| fleet.start(number, INCARNATION + number as u64));
     let mut text = recorded(&mut fleet, 3 * S);
     fleet.crash(3);
     text += "\nafter a crash\n";
@@ -33,7 +33,7 @@
     fleet.leave(4);
     text += "\nafter one left\n";
     text += &recorded(&mut fleet, 3 * S);
-    fleet.start(3, LIFE + 100);
+    fleet.start(3, INCARNATION + 100);
     text += "\nafter a start\n";
     text += &recorded(&mut fleet, 3 * S);
     expect_file!["golden/datagrams.txt"].assert_eq(&text);
--- a/crates/membership/tests/health.rs
+++ b/crates/membership/tests/health.rs
@@ -3,7 +3,7 @@
 use membership::health::{Health, MAX_SCORE};
 
 #[test]
-fn late_timers_stretch_times_up_to_a_bound_and_punctual_ones_bring_them_back() {
+fn late_timers_stretch_timeouts_up_to_a_bound_and_punctual_ones_restore_them() {
     let mut health = Health::default();
     assert!(!health.record_timer(49, 50));
     assert_eq!(health.stretch(100), 100);
--- a/crates/membership/tests/noise.rs
+++ b/crates/membership/tests/noise.rs
@@ -1,22 +1,22 @@
-//! What does not belong into a fleet is counted, and nothing that is heard makes a member panic.
+//! Invalid datagrams are dropped and counted, and none makes a member panic.
 mod common;
 
 use std::sync::OnceLock;
 
 use bytes::Bytes;
-use common::{Fleet, LIFE, MS, S};
+use common::{Fleet, INCARNATION, MS, S};
 use membership::MAX_DATAGRAM;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
 #[test]
-fn numbers_that_are_not_on_the_roster_are_passed_over_and_the_rest_is_believed() {
+fn updates_about_unknown_numbers_are_ignored_and_the_rest_applied() {
     let mut larger = Fleet::new(6, 1);
-    larger.kept = Some(Vec::new());
-    (0..6).for_each(|number| larger.start(number, LIFE));
+    larger.captured = Some(Vec::new());
+    (0..6).for_each(|number| larger.start(number, INCARNATION));
     larger.run(3 * S);
-    let mut fleet = Fleet::settled(3, 2);
-    for (to, datagram) in larger.kept.take().unwrap() {
+    let mut fleet = Fleet::converged(3, 2);
+    for (to, datagram) in larger.captured.take().unwrap() {
         if to < 3 {
             fleet.with(to, |it, now| it.handle_datagram(now, &datagram));
         }
@@ -33,12 +33,12 @@
 }
 
 #[test]
-fn what_is_too_long_garbled_misdirected_or_our_own_is_dropped_under_its_name() {
-    let mut fleet = Fleet::settled(3, 3);
-    fleet.kept = Some(Vec::new());
+fn invalid_datagrams_are_dropped_and_counted_by_reason() {
+    let mut fleet = Fleet::converged(3, 3);
+    fleet.captured = Some(Vec::new());
     fleet.run(S);
-    let kept = fleet.kept.take().unwrap();
-    let (_, other) = kept.iter().find(|(to, _)| *to == 1).unwrap().clone();
+    let captured = fleet.captured.take().unwrap();
+    let (_, other) = captured.iter().find(|(to, _)| *to == 1).unwrap().clone();
     fleet.with(0, |it, now| {
         it.handle_datagram(now, &[0; MAX_DATAGRAM + 1]);
         it.handle_datagram(now, &[]);
@@ -49,17 +49,17 @@
     assert_eq!(counts.not_for_us + counts.own_number, 1);
 }
 
-/// Real datagrams of a lively fleet, all to number 0.
-fn real() -> &'static [Bytes] {
+/// Datagrams of a running fleet to number 0.
+fn captured_datagrams() -> &'static [Bytes] {
     static REAL: OnceLock<Vec<Bytes>> = OnceLock::new();
     REAL.get_or_init(|| {
         let mut fleet = Fleet::new(6, 4);
-        fleet.kept = Some(Vec::new());
+        fleet.captured = Some(Vec::new());
         fleet.faults.loss = 0.3;
         (0..6).for_each(|number| fleet.start(number, 2));
         fleet.run(10 * S);
         fleet
-            .kept
+            .captured
             .take()
             .unwrap()
             .into_iter()
@@ -72,7 +72,7 @@
 fn mutated() -> impl Strategy<Value = Vec<u8>> {
     (any::<prop::sample::Index>(), prop::collection::vec((any::<prop::sample::Index>(), any::<u8>()), 0..4))
         .prop_map(|(which, changes)| {
-            let mut datagram = real()[which.index(real().len())].to_vec();
+            let mut datagram = captured_datagrams()[which.index(captured_datagrams().len())].to_vec();
             for (at, to) in changes {
                 let at = at.index(datagram.len());
                 datagram[at] = if to < 128 { to % 8 } else { to };
@@ -87,7 +87,7 @@
     })]
 
     #[test]
-    fn nothing_that_is_heard_makes_a_member_panic(
+    fn no_datagram_makes_a_member_panic(
         datagrams in prop::collection::vec(
             prop_oneof![prop::collection::vec(any::<u8>(), 0..80), mutated(), mutated(), mutated()], 1..60,
         )
