--- a/crates/discovery/src/agent.rs
+++ b/crates/discovery/src/agent.rs
@@ -2,8 +2,8 @@
 //!
 //! `docs/design/crossings-list.md` lists the states by the events that can happen in them.
 
+use crate::dial::Dial;
 use crate::error::RequestError;
-use crate::follow::Dial;
 use crate::pace::{Failure, MAX_DRAINED_LINES, MAX_WATCHES, PREVIOUS_AGENT_RETRY_PERIOD, RetrySchedule};
 use crate::request::{Response, send_request};
 use crate::watch::{Watch, next_line};
--- a/crates/discovery/src/dialer.rs
+++ b/crates/discovery/src/dial.rs
@@ -1,5 +1,6 @@
-//! Connects to the agent, also when the process has run out of file descriptors.
+//! Opens connections to the agent, also when the process has run out of file descriptors.
 
+use futures_util::future::LocalBoxFuture;
 use std::cell::RefCell;
 use std::fs::File;
 use std::io;
@@ -13,6 +14,24 @@
 /// Error number of the system for "too many open files".
 const EMFILE: i32 = 24;
 
+/// Opens connections to the agent.
+pub trait Dial: Clone + 'static {
+    /// A connection.
+    type Stream: AsyncRead + AsyncWrite + Unpin + 'static;
+    /// Connects to this address.
+    fn dial(&self, addr: SocketAddr) -> LocalBoxFuture<'static, io::Result<Self::Stream>>;
+}
+
+impl<S: AsyncRead + AsyncWrite + Unpin + 'static, F> Dial for F
+where
+    F: Fn(SocketAddr) -> LocalBoxFuture<'static, io::Result<S>> + Clone + 'static,
+{
+    type Stream = S;
+    fn dial(&self, addr: SocketAddr) -> LocalBoxFuture<'static, io::Result<S>> {
+        self(addr)
+    }
+}
+
 /// Connects to the agent, with one file descriptor in reserve.
 ///
 /// Guards against a descriptor limit that is lower than configured. Clients and endpoints then use up all descriptors, and do not
--- a/crates/discovery/src/follow.rs
+++ b/crates/discovery/src/follow.rs
@@ -1,40 +1,20 @@
 //! Follows the endpoint list at the configured address, also when the configuration moves discovery to another one.
 
 use crate::agent::Agent;
+use crate::dial::Dial;
 use crate::endpoint_history::EndpointHistory;
 use crate::pace::{RetrySchedule, Way};
-use futures_util::future::{LocalBoxFuture, OptionFuture};
+use futures_util::future::OptionFuture;
 use proto::discovery::{EndpointList, WatchEvent};
-use std::io;
 use std::net::SocketAddr;
-use tokio::io::{AsyncRead, AsyncWrite};
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// Opens connections to the agent.
-pub trait Dial: Clone + 'static {
-    /// A connection.
-    type Stream: AsyncRead + AsyncWrite + Unpin + 'static;
-    /// Connects to this address.
-    fn dial(&self, addr: SocketAddr) -> LocalBoxFuture<'static, io::Result<Self::Stream>>;
-}
-
-impl<S: AsyncRead + AsyncWrite + Unpin + 'static, F> Dial for F
-where
-    F: Fn(SocketAddr) -> LocalBoxFuture<'static, io::Result<S>> + Clone + 'static,
-{
-    type Stream = S;
-    fn dial(&self, addr: SocketAddr) -> LocalBoxFuture<'static, io::Result<S>> {
-        self(addr)
-    }
-}
-
 /// Follows discovery at the latest address until the returned future is dropped, and publishes each event as it arrives.
 ///
 /// A list known from an earlier run is updated by a watch alone: one request instead of two when a hundred balancers start at
 /// once. After the address has changed, the previous agent is followed until the new one has sent its list, since changes that
-/// the previous agent sends still apply. What it sent also takes precedence over a new agent with an older revision
-/// ([`EndpointHistory`]).
+/// the previous agent sends still apply. What it sent also takes precedence over a new agent with an older revision.
 pub async fn follow<D: Dial>(
     mut address: watch::Receiver<SocketAddr>, known: Option<EndpointList>, way: Way, balancers: u32, dial: D,
     publish: impl Fn(WatchEvent),
--- a/crates/discovery/src/lib.rs
+++ b/crates/discovery/src/lib.rs
@@ -9,13 +9,13 @@
 //! rules on draining endpoints allow. Where each request costs a service that all balancers share, at most one request is in
 //! flight, and it is given the time that it may spend in the service's queue.
 //!
-//! [`follow`] opens no socket itself: it is given a [`Dial`] implementation ([`Dialler`] in production), so that tests run on a
+//! [`follow()`] opens no socket itself: it is given a [`Dial`] implementation ([`Dialler`] in production), so that tests run on a
 //! paused clock. It does not store the endpoint list: the caller receives each change as it arrives.
 #![forbid(unsafe_code)]
 #![warn(unreachable_pub)]
 
 mod agent;
-mod dialer;
+mod dial;
 mod endpoint_history;
 mod error;
 mod follow;
@@ -24,6 +24,6 @@
 mod transfer;
 mod watch;
 
-pub use dialer::{Connection, Dialler};
-pub use follow::{Dial, follow};
+pub use dial::{Connection, Dial, Dialler};
+pub use follow::follow;
 pub use pace::Way;
--- a/crates/discovery/src/pace.rs
+++ b/crates/discovery/src/pace.rs
@@ -49,7 +49,7 @@
 /// How long after a move a broken watch of the previous agent is requested again. After that the new agent's list applies.
 pub const PREVIOUS_AGENT_RETRY_PERIOD: Duration = Duration::from_secs(4);
 /// The first pause after a failed request. Pauses double up to a maximum, and each is drawn from 0.5 to 1.5 times its value.
-/// Guards discovery, which may be one small service for a hundred balancers, against being kept down by retries.
+/// Guards discovery, which may be one small service for a hundred balancers, against being overloaded by retries.
 const BACKOFF_MIN: Duration = Duration::from_millis(50);
 /// The longest such pause where requests cost the service, before jitter.
 const POLL_BACKOFF_MAX: Duration = Duration::from_millis(500);
--- a/crates/gateway/src/engine.rs
+++ b/crates/gateway/src/engine.rs
@@ -1,6 +1,6 @@
 //! The engine: one loop over all inputs and timers, in front of the decision module.
 //!
-//! It knows no front and no client socket: a front submits a request through a [`Handle`] and gets a [`Ticket`]. [`phases`] has what
+//! It knows no front and no client socket: a front submits a request through a [`Handle`] and gets a [`Ticket`]. `phases` has what
 //! the engine does at each wake; the other modules own one part of its state each.
 
 mod fleet;
@@ -11,6 +11,7 @@
 mod overrides;
 mod phases;
 mod requests;
+mod schedule;
 mod startup;
 #[doc(hidden)]
 pub mod testing;
@@ -30,10 +31,10 @@
 use gossip::Gossip;
 use input::Inbox;
 use overrides::Overrides;
-use phases::Schedule;
 use proto::discovery::EndpointList;
 use requests::RequestContext;
 use rustc_hash::FxHashMap;
+use schedule::Schedule;
 use startup::StartupGate;
 use std::collections::VecDeque;
 use std::rc::Rc;
--- a/crates/gateway/src/engine/phases/attempts.rs
+++ b/crates/gateway/src/engine/phases/attempts.rs
@@ -15,20 +15,20 @@
 
 impl Engine {
     /// Sends a request to an endpoint.
-    pub(in crate::engine) fn start_attempt(&mut self, id: RequestId, server: EndpointId, timeout_us: Micros) {
+    pub(in crate::engine) fn start_attempt(&mut self, id: RequestId, target: EndpointId, timeout_us: Micros) {
         let Some(context) = self.requests.get_mut(&id) else { return };
         let number = context.attempts;
         context.attempts += 1;
         let sent_at = Instant::now();
         let awaited = context.awaited.get();
-        let endpoint = self.endpoints.endpoint(server).filter(|endpoint| endpoint.ready() && awaited);
+        let endpoint = self.endpoints.endpoint(target).filter(|endpoint| endpoint.ready() && awaited);
         let Some(endpoint) = endpoint.cloned() else {
             return self.events.push_back(unsent_attempt(id, number, awaited));
         };
         let (cancel, cancelled) = oneshot::channel();
         context.in_flight.push(CancellableAttempt { number, cancel });
-        let attempt = self.prepare_attempt(id, &endpoint, sent_at, timeout_us);
-        let Some(attempt) = attempt else { return };
+        let sent = SentAttempt { number, sent_at };
+        let Some(attempt) = self.prepare_attempt(id, &endpoint, sent, timeout_us) else { return };
         let audited_version = self.audited_version(attempt.call.value.is_some());
         let in_flight = InFlightAttempt { request: id, number, endpoint, sent_at, audited_version };
         let inputs = self.handle.inputs.clone();
@@ -41,20 +41,20 @@
         });
     }
 
+    /// Chooses the connection of an attempt, and records that the request may be executed by it.
     fn prepare_attempt(
-        &mut self, id: RequestId, endpoint: &Rc<Endpoint>, sent_at: Instant, timeout_us: Micros,
+        &mut self, id: RequestId, endpoint: &Rc<Endpoint>, sent: SentAttempt, timeout_us: Micros,
     ) -> Option<Attempt> {
         let context = self.requests.get_mut(&id)?;
         let deadline = match timeout_us {
             0 => context.deadline,
-            us => context.deadline.min(sent_at + Duration::from_micros(us)),
+            us => context.deadline.min(sent.sent_at + Duration::from_micros(us)),
         };
         let permit = SendPermit {
             awaited: context.awaited.clone(),
             deduplication_ends: context.deduplication_ends(self.tick),
         };
-        let number = context.attempts - 1;
-        context.maybe_executed.push(SentAttempt { number, sent_at });
+        context.maybe_executed.push(sent);
         let call = context.call.clone();
         // A retry must not meet a stale connection again, and a write must not meet one at all.
         let needs_new_connection =
--- a/crates/gateway/src/engine/phases/mod.rs
+++ b/crates/gateway/src/engine/phases/mod.rs
@@ -7,5 +7,3 @@
 mod overrides;
 mod requests;
 mod wake;
-
-pub(super) use wake::Schedule;
--- a/crates/gateway/src/engine/phases/requests.rs
+++ b/crates/gateway/src/engine/phases/requests.rs
@@ -17,7 +17,7 @@
 const LATE_ANSWER: Duration = Duration::from_millis(50);
 
 impl Engine {
-    /// Accepts a request, or rejects it before the decision module hears of it.
+    /// Accepts a request, or rejects it before the decision module knows of it.
     pub(in crate::engine) fn accept_request(
         &mut self, id: RequestId, mut incoming: IncomingRequest, slot: AnswerSlot,
     ) {
--- a/crates/gateway/src/engine/phases/wake.rs
+++ b/crates/gateway/src/engine/phases/wake.rs
@@ -1,8 +1,9 @@
 //! What wakes the engine, and which phase handles it.
 
-use crate::engine::fleet::{self, FleetMember};
+use crate::engine::fleet::FleetMember;
 use crate::engine::gossip::Datagram;
 use crate::engine::input::{Input, OperatorInput};
+use crate::engine::schedule::Schedule;
 use crate::engine::timers::{ExpiredTimer, TimerEvent};
 use crate::engine::{Engine, overrides};
 use crate::fleet_link::FleetUpdate;
@@ -10,32 +11,7 @@
 use decide::api::{Event, RequestId};
 use proto::discovery::WatchEvent;
 use std::future::pending;
-use std::time::Duration;
-use tokio::time::{Interval, MissedTickBehavior, interval, sleep_until};
-
-/// How often idle connections are checked.
-const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
-/// How often a summary is logged.
-const SUMMARY_INTERVAL: Duration = Duration::from_secs(10);
-
-/// The periodic work of the engine.
-pub(in crate::engine) struct Schedule {
-    sweep: Interval,
-    summary: Interval,
-    overrides: Interval,
-    fleet: Interval,
-}
-
-impl Schedule {
-    /// A schedule that starts now.
-    pub(in crate::engine) fn start() -> Self {
-        let mut overrides = interval(overrides::POLL_INTERVAL);
-        let mut fleet = interval(fleet::POLL_INTERVAL);
-        overrides.set_missed_tick_behavior(MissedTickBehavior::Delay);
-        fleet.set_missed_tick_behavior(MissedTickBehavior::Delay);
-        Self { sweep: interval(SWEEP_INTERVAL), summary: interval(SUMMARY_INTERVAL), overrides, fleet }
-    }
-}
+use tokio::time::sleep_until;
 
 /// Why the engine runs.
 #[expect(
--- /dev/null
+++ b/crates/gateway/src/engine/schedule.rs
@@ -0,0 +1,29 @@
+//! The periodic work of the engine.
+
+use super::{fleet, overrides};
+use std::time::Duration;
+use tokio::time::{Interval, MissedTickBehavior, interval};
+
+/// How often idle connections are checked.
+const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
+/// How often a summary is logged.
+const SUMMARY_INTERVAL: Duration = Duration::from_secs(10);
+
+/// Intervals of the periodic work.
+pub(super) struct Schedule {
+    pub(super) sweep: Interval,
+    pub(super) summary: Interval,
+    pub(super) overrides: Interval,
+    pub(super) fleet: Interval,
+}
+
+impl Schedule {
+    /// A schedule that starts now.
+    pub(super) fn start() -> Self {
+        let mut overrides = interval(overrides::POLL_INTERVAL);
+        let mut fleet = interval(fleet::POLL_INTERVAL);
+        overrides.set_missed_tick_behavior(MissedTickBehavior::Delay);
+        fleet.set_missed_tick_behavior(MissedTickBehavior::Delay);
+        Self { sweep: interval(SWEEP_INTERVAL), summary: interval(SUMMARY_INTERVAL), overrides, fleet }
+    }
+}
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -101,7 +101,7 @@
         *self.rejected.entry(reason).or_default() += 1;
     }
 
-    /// Counts a request that is rejected before the decision module has heard of it, and its answer.
+    /// Counts a request that is rejected before the decision module knows of it, and its answer.
     pub fn count_rejected_unseen(&mut self, class: ClassId, reason: Reason) {
         self.count_rejected(reason);
         self.count_answer(class, &Answer::Refused(0));
