--- a/crates/audit/src/lease/granter.rs
+++ b/crates/audit/src/lease/granter.rs
@@ -65,7 +65,7 @@
     }
 
     /// When to call [`LeaseGranter::poll_grants`] next; `None` without a pending request.
-    pub fn next_due(&self) -> Option<Micros> {
+    pub fn next_grant_at(&self) -> Option<Micros> {
         (!self.pending.is_empty()).then_some(self.next_at)
     }
 
--- a/crates/audit/src/lease/holders.rs
+++ b/crates/audit/src/lease/holders.rs
@@ -23,7 +23,8 @@
     ends: Micros,
 }
 
-/// Which balancers hold a lease, as far as the log is applied here. Bounded by the roster and [`MAX_INCARNATIONS`].
+/// Which balancers hold a lease, as far as the log is applied here. Bounded by the roster and by four incarnations of each
+/// balancer.
 ///
 /// A lease counts from when its grant was *applied* here, which is never before it was requested. So it ends here later than
 /// for its holder. That a balancer holds none is known only up to the applied revision: a lagging replica may miss a grant.
--- a/crates/audit/tests/lease.rs
+++ b/crates/audit/tests/lease.rs
@@ -219,12 +219,15 @@
     for late in [request(1, 1, 3), request(1, 1, 2), request(0, 5, 9), request(0, 6, 1), request(3, 1, 1)] {
         granter.handle_request(late);
     }
-    assert_eq!((granter.poll_grants(START + 499_999), granter.next_due()), (None, Some(START + 500_000)));
+    assert_eq!(
+        (granter.poll_grants(START + 499_999), granter.next_grant_at()),
+        (None, Some(START + 500_000))
+    );
     assert_eq!(
         granter.poll_grants(START + 500_000),
         Some(vec![grant(request(0, 6, 1)), grant(request(1, 1, 3))])
     );
     granter.handle_request(request(2, 1, 1));
     granter.clear();
-    assert_eq!((granter.poll_grants(START + 5_000_000), granter.next_due()), (None, None));
+    assert_eq!((granter.poll_grants(START + 5_000_000), granter.next_grant_at()), (None, None));
 }
--- a/crates/calendar/src/calendar.rs
+++ b/crates/calendar/src/calendar.rs
@@ -234,7 +234,7 @@
     /// any time that fleet time may be.
     pub fn check(&self, fleet_time: Option<TimeInterval>, lease: LeaseState, change: &Change<'_>) -> Verdict {
         let allow = |override_id| Verdict::Allow { revision: self.revision, override_id };
-        if !change.kind.planned() {
+        if !change.kind.is_planned() {
             return allow(None);
         }
         let span = match (lease, fleet_time) {
--- a/crates/calendar/src/change.rs
+++ b/crates/calendar/src/change.rs
@@ -53,7 +53,7 @@
         Self::Council,
     ];
     /// Whether a freeze can hold this kind.
-    pub fn planned(self) -> bool {
+    pub fn is_planned(self) -> bool {
         Self::PLANNED.contains(&self)
     }
     /// The word for this kind in digests and log lines. Balancers compare digests, so a word must never change.
--- a/crates/calendar/src/gate.rs
+++ b/crates/calendar/src/gate.rs
@@ -38,7 +38,7 @@
     }
 
     /// The held changes.
-    pub fn waiting(&self) -> &PendingChanges<EndpointRecord> {
+    pub fn held_changes(&self) -> &PendingChanges<EndpointRecord> {
         &self.pending
     }
 
--- a/crates/calendar/src/lib.rs
+++ b/crates/calendar/src/lib.rs
@@ -41,7 +41,7 @@
 pub use limits::{
     MAX_ENTRIES, MAX_LENGTH_DAYS, MAX_NAMES, MAX_OCCURRENCES, MAX_PER_ENTRY, MAX_TEXT, RETENTION_MS,
 };
-pub use pending::{MAX_WAITING, PendingChange, PendingChanges, ReleasePace, ReleasedChange};
+pub use pending::{MAX_PENDING_CHANGES, PendingChange, PendingChanges, ReleasePace, ReleasedChange};
 pub use records::{ChangeOutcome, ChangeRecord, GateContext, GateResult};
 pub use validate::{FieldProblem, InvalidField};
 
--- a/crates/calendar/src/pending.rs
+++ b/crates/calendar/src/pending.rs
@@ -4,7 +4,7 @@
 use hashlink::LinkedHashMap;
 
 /// Upper bound on the held changes: more endpoints than a list can name.
-pub const MAX_WAITING: usize = 16_384;
+pub const MAX_PENDING_CHANGES: usize = 16_384;
 
 /// How fast held changes are released. It limits the load of cold endpoints on the origin.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -96,7 +96,7 @@
             let before = std::mem::replace(queued, PendingChange { since, ..change });
             return Ok(before != *queued);
         }
-        if self.queue.len() >= MAX_WAITING {
+        if self.queue.len() >= MAX_PENDING_CHANGES {
             return Err(change);
         }
         self.queue.insert(subject.to_owned(), change);
--- a/crates/calendar/src/validate.rs
+++ b/crates/calendar/src/validate.rs
@@ -80,7 +80,7 @@
     if scope.kinds.len() > ChangeKind::PLANNED.len() {
         return invalid("scope.kinds", FieldProblem::TooLong);
     }
-    if scope.kinds.iter().any(|it| !it.planned()) {
+    if scope.kinds.iter().any(|it| !it.is_planned()) {
         return invalid("scope.kinds", FieldProblem::NeverHeld);
     }
     match &scope.place {
--- a/crates/calendar/tests/gate.rs
+++ b/crates/calendar/tests/gate.rs
@@ -77,7 +77,7 @@
     let zones: Vec<_> = gate.members().map(|it| (it.locality.as_str(), it.up_since_ms)).collect();
     assert_eq!(zones, [("a", 5), ("a", 9), ("a", 5)], "restarts are facts, zone changes are planned");
     assert!(result.records.iter().all(|it| it.revision == 1 && it.list == 3));
-    let waits: Vec<_> = gate.waiting().iter().map(|it| (it.0, it.1.kind)).collect();
+    let waits: Vec<_> = gate.held_changes().iter().map(|it| (it.0, it.1.kind)).collect();
     let wanted = [
         ("h1", ChangeKind::More),
         ("h4", ChangeKind::Join),
@@ -94,10 +94,10 @@
         listed_weights(&gate.apply_list(&now(1, DURING), &calendar, &changes(vec![host("h4", 1.0)]))),
         ""
     );
-    assert_eq!(gate.waiting().len(), 1);
+    assert_eq!(gate.held_changes().len(), 1);
     let drains = changes(vec![phase(Phase::Draining, host("h4", 1.0))]);
     assert_eq!(listed_weights(&gate.apply_list(&now(2, DURING), &calendar, &drains)), "");
-    assert!(gate.waiting().is_empty());
+    assert!(gate.held_changes().is_empty());
     let complete_list = complete([three_hosts(), drains.members].concat());
     assert_eq!(
         listed_weights(&gate.apply_list(&now(2, DURING), &calendar, &complete_list)),
@@ -109,7 +109,7 @@
     );
     gate.apply_list(&now(3, DURING), &calendar, &changes(vec![host("h5", 1.0)]));
     gate.apply_list(&now(4, DURING), &calendar, &complete(three_hosts()));
-    assert!(gate.waiting().is_empty());
+    assert!(gate.held_changes().is_empty());
     assert_eq!(gate.release(&now(5, AFTER), &calendar), None);
 }
 
@@ -119,7 +119,7 @@
     let joins = |size| (4..9).map(|n| host(&format!("h{n}"), size)).collect::<Vec<_>>();
     gate.apply_list(&now(1, DURING), &calendar, &changes(joins(1.0)));
     let again = gate.apply_list(&now(2, DURING), &calendar, &changes(joins(2.0)));
-    assert_eq!((listed_weights(&again).as_str(), gate.waiting().get("h4").unwrap().since), ("", 1));
+    assert_eq!((listed_weights(&again).as_str(), gate.held_changes().get("h4").unwrap().since), ("", 1));
     assert_eq!(gate.release(&now(10, DURING), &calendar), None);
     assert_eq!(
         gate.next_release_at(),
@@ -250,7 +250,7 @@
     let result = gate.release(&now(2, DURING), &calendar).unwrap();
     assert_eq!(listed_weights(&result), "h5:1");
     assert_eq!(outcome(&result, "h5").1, &ChangeOutcome::Override("rack".into()));
-    assert_eq!((result.records[0].revision, gate.waiting().len()), (2, 1));
+    assert_eq!((result.records[0].revision, gate.held_changes().len()), (2, 1));
 }
 
 #[test]
@@ -263,7 +263,7 @@
         state,
         until: None,
     };
-    for n in 0..MAX_WAITING {
+    for n in 0..MAX_PENDING_CHANGES {
         assert_eq!(queue.hold(&n.to_string(), one(n)), Ok(true));
     }
     assert!(queue.hold("one more", one(0)).is_err());
