--- a/crates/agreement/src/action.rs
+++ b/crates/agreement/src/action.rs
@@ -24,21 +24,22 @@
         /// The entry and its stamp.
         stamped: Stamped<E>,
     },
-    /// A new segment of the log starts, with other voters or with the same ones. It takes a revision of its own.
+    /// A new segment of the log starts, with other voters or with the same ones. It takes a revision of its
+    /// own.
     VotersChanged {
         /// Its index in the log.
         revision: Revision,
-        /// Fleet time.
-        at: u64,
+        /// Fleet time in Unix microseconds.
+        timestamp: u64,
         /// The voters from now on.
-        members: Vec<Voter>,
+        voters: Vec<Voter>,
     },
     /// Replace the owner's state by a snapshot, because the entries before it are trimmed.
     Restore {
         /// The last revision that the snapshot holds.
         revision: Revision,
         /// The timestamp of that revision.
-        at: u64,
+        timestamp: u64,
         /// The bytes that an owner passed to [`crate::Agreement::snapshot`].
         snapshot: Bytes,
     },
@@ -60,7 +61,8 @@
 pub enum ProposalOutcome {
     /// Committed at this revision.
     Committed(Revision),
-    /// Not known to be committed within [`crate::PROPOSAL_TIMEOUT_US`]. It may still be committed, at most once.
+    /// Not known to be committed within [`crate::PROPOSAL_TIMEOUT_US`]. It may still be committed, at most
+    /// once.
     TimedOut,
 }
 
@@ -72,9 +74,9 @@
     /// Its store is older than the one that others have received messages from.
     StaleStore {
         /// Writes that the store counts.
-        ours: u64,
+        stored: u64,
         /// Writes that others have seen.
-        heard: u64,
+        observed: u64,
     },
     /// Its store failed; the text is that of the store's error.
     StorageFailed(String),
--- a/crates/agreement/src/agreement.rs
+++ b/crates/agreement/src/agreement.rs
@@ -1,4 +1,5 @@
-//! The public interface of the log: passes each input to the module concerned, and sends nothing before it is durable.
+//! The public interface of the log: passes each input to the module concerned, and sends nothing before it is
+//! durable.
 mod apply;
 mod dispatch;
 mod propose;
@@ -28,7 +29,8 @@
 use bytes::Bytes;
 use std::collections::VecDeque;
 
-/// The generation of a voter to add until that of its store is known; any but 0, which marks a founding voter.
+/// The generation of a voter to add until that of its store is known; any but 0, which marks a founding
+/// voter.
 const UNKNOWN_GENERATION: u64 = 1;
 
 /// A balancer's participation in the log; see the crate's documentation.
@@ -90,7 +92,8 @@
         agreement
     }
 
-    /// Advances time. The owner calls it every [`crate::TICK_INTERVAL_US`], with the machine's Unix time in microseconds.
+    /// Advances time. The owner calls it every [`crate::TICK_INTERVAL_US`], with the machine's Unix time in
+    /// microseconds.
     pub fn tick(&mut self, now: Micros, unix: u64) {
         // Fleet time continues from where it was if the leader's clock is behind or was set back.
         self.fleet_clock.observe(now, self.log.last_timestamp());
@@ -110,7 +113,8 @@
         self.drive(now);
     }
 
-    /// Proposes an entry and returns the identifier of the proposal. Its outcome is reported by [`Action::ProposalFinished`].
+    /// Proposes an entry and returns the identifier of the proposal. Its outcome is reported by
+    /// [`Action::ProposalFinished`].
     ///
     /// # Errors
     /// If the entry is too long or too many proposals are pending.
@@ -122,7 +126,8 @@
         self.add_proposal(now, Command::Entry(entry), None)
     }
 
-    /// Proposes to remove one voter, to add one, or both. Adding a present voter renews it with the store that it has now.
+    /// Proposes to remove one voter, to add one, or both. Adding a present voter renews it with the store
+    /// that it has now.
     ///
     /// # Errors
     /// If the change is invalid or too many proposals are pending.
@@ -145,8 +150,8 @@
         self.actions.pop_front()
     }
 
-    /// Supplies a snapshot of the owner's state after the entry at `revision`, at most [`MAX_SNAPSHOT_BYTES`] long. Items well
-    /// before it are trimmed.
+    /// Supplies a snapshot of the owner's state after the entry at `revision`, at most [`MAX_SNAPSHOT_BYTES`]
+    /// long. Items well before it are trimmed.
     pub fn snapshot(&mut self, now: Micros, revision: Revision, state: Bytes) {
         if state.len() > MAX_SNAPSHOT_BYTES {
             return;
--- a/crates/agreement/src/agreement/apply.rs
+++ b/crates/agreement/src/agreement/apply.rs
@@ -67,7 +67,7 @@
         self.actions.push_back(match item {
             LogItem::Entry(stamped) => Action::Committed { revision, stamped },
             LogItem::StopSign(stamped) => {
-                Action::VotersChanged { revision, at: stamped.timestamp, members: stamped.entry }
+                Action::VotersChanged { revision, timestamp: stamped.timestamp, voters: stamped.entry }
             }
         });
         if key.proposer == self.settings.node_id
@@ -99,7 +99,7 @@
     fn restore(&mut self, snapshot: LogSnapshot) {
         self.actions.push_back(Action::Restore {
             revision: snapshot.revision,
-            at: snapshot.timestamp,
+            timestamp: snapshot.timestamp,
             snapshot: snapshot.state.clone(),
         });
         self.log.restore(snapshot);
--- a/crates/agreement/src/agreement/propose.rs
+++ b/crates/agreement/src/agreement/propose.rs
@@ -1,4 +1,5 @@
-//! Sends this balancer's proposals to the leader, and appends the proposals of all balancers while it is the leader itself.
+//! Sends this balancer's proposals to the leader, and appends the proposals of all balancers while it is the
+//! leader itself.
 use super::Agreement;
 use crate::{
     action::{Action, ProposeError},
@@ -10,7 +11,7 @@
     types::{Entry, Micros, NodeId, Stamped},
 };
 
-/// Each so many attempts a proposal goes to any voter: what is known of the leader may be old.
+/// Every so many attempts a proposal goes to a random voter, because the known leader may be an old one.
 const ATTEMPTS_PER_DETOUR: u32 = 3;
 
 impl<E: Entry, S: Store> Agreement<E, S> {
--- a/crates/agreement/src/agreement/synchronize.rs
+++ b/crates/agreement/src/agreement/synchronize.rs
@@ -1,4 +1,5 @@
-//! Keeps all balancers up to date: advertises the commit index, requests missing items and serves the requests of others.
+//! Keeps all balancers up to date: advertises the commit index, requests missing items and serves the
+//! requests of others.
 use super::Agreement;
 use crate::{
     message::MessageBody,
--- a/crates/agreement/src/agreement/voting.rs
+++ b/crates/agreement/src/agreement/voting.rs
@@ -1,4 +1,5 @@
-//! This balancer as a voter: enters segments, verifies that it may vote, and exchanges the replication frames of its replica.
+//! This balancer as a voter: enters segments, verifies that it may vote, and exchanges the replication frames
+//! of its replica.
 use super::Agreement;
 use crate::{
     message::{MessageBody, ObservedHistory, ReplicationFrame, VoterHistory},
@@ -85,7 +86,8 @@
         let mut journal = self.journal.lock();
         let known = journal.hard_state().founders.iter().find(|founder| founder.node_id == from).copied();
         let is_voter = self.log.segment().voter(from).is_some();
-        // Only the first store counts: a second one without state on the same balancer has lost the votes of the first.
+        // Only the first store counts: a second one without state on the same balancer has lost the votes of
+        // the first.
         if known.is_none() && !requester.has_state && !own.has_state && is_voter {
             journal.hard_state_mut().founders.push(requesting_store);
         }
--- a/crates/agreement/src/catch_up.rs
+++ b/crates/agreement/src/catch_up.rs
@@ -9,7 +9,8 @@
 const ADVERTISE_INTERVAL_US: Micros = 250_000;
 /// Receivers of each advertisement.
 const ADVERTISE_FANOUT: usize = 3;
-/// Interval after which a lagging balancer requests from another one, in microseconds: longer than a round trip.
+/// Interval after which a lagging balancer requests from another one, in microseconds: longer than a round
+/// trip.
 const REQUEST_INTERVAL_US: Micros = 200_000;
 /// Responses between two ticks: bounds what a starting fleet costs one balancer.
 const MAX_RESPONSES_PER_TICK: u32 = 32;
@@ -82,7 +83,8 @@
         drawn.into_iter().map(|peer| peer.node_id).collect()
     }
 
-    /// The peer to request items from, if this balancer lags and no request is pending. Prefers peers of the same zone.
+    /// The peer to request items from, if this balancer lags and no request is pending. Prefers peers of the
+    /// same zone.
     pub(crate) fn poll_request(
         &mut self, now: Micros, applied: Revision, random: &mut fastrand::Rng,
     ) -> Option<NodeId> {
--- a/crates/agreement/src/committed_log.rs
+++ b/crates/agreement/src/committed_log.rs
@@ -9,7 +9,8 @@
 use rustc_hash::FxHashSet;
 use std::collections::VecDeque;
 
-/// Items retained before the snapshot's revision: serve slightly lagging balancers and detect repeated proposals.
+/// Items retained before the snapshot's revision: serve slightly lagging balancers and detect repeated
+/// proposals.
 const RETAINED_ITEMS: u64 = 2_048;
 /// Items at which the log is full: a leader then accepts no proposals until its owner supplies a snapshot.
 const MAX_ITEMS: u64 = 16_384;
@@ -77,8 +78,8 @@
         self.snapshot.as_ref()
     }
 
-    /// Whether a proposal made at the commit index `proposed_after` is in the log; `None` if the items needed to tell are
-    /// trimmed.
+    /// Whether a proposal made at the commit index `proposed_after` is in the log; `None` if the items needed
+    /// to tell are trimmed.
     pub(crate) fn contains(&self, key: ProposalKey, proposed_after: Revision) -> Option<bool> {
         (proposed_after + 1 >= self.first).then(|| self.proposals.contains(&key))
     }
@@ -120,8 +121,8 @@
         segment
     }
 
-    /// Stores a snapshot of the owner's state and trims the items well before it. Ignores one that is not newer than the
-    /// last, or that is not of a retained revision.
+    /// Stores a snapshot of the owner's state and trims the items well before it. Ignores one that is not
+    /// newer than the last, or that is not of a retained revision.
     pub(crate) fn install_owner_snapshot(
         &mut self, revision: Revision, state: Bytes,
     ) -> Option<Compaction<'_>> {
--- a/crates/agreement/src/fragment_transfer.rs
+++ b/crates/agreement/src/fragment_transfer.rs
@@ -1,8 +1,8 @@
 //! Transfers messages that are too long for a datagram, in fragments.
 //!
-//! The sender transmits the first few fragments; the receiver requests those it misses. A loss costs one request, and the
-//! receiver determines the rate. Partial messages, and sent ones retained for requests, are bounded; beyond the bounds the oldest
-//! are dropped.
+//! The sender transmits the first few fragments; the receiver requests those it misses. A loss costs one
+//! request, and the receiver determines the rate. Partial messages, and sent ones retained for requests, are
+//! bounded; beyond the bounds the oldest are dropped.
 use crate::{
     fragment::{FRAGMENT_BYTES, Fragment, MAX_FRAGMENTS},
     limits::MAX_SNAPSHOT_BYTES,
@@ -75,7 +75,8 @@
 }
 
 impl FragmentTransfer {
-    /// `first_id` identifies the first message sent. It is drawn at random so that two incarnations use different identifiers.
+    /// `first_id` identifies the first message sent. It is drawn at random so that two incarnations use
+    /// different identifiers.
     pub(crate) fn new(first_id: u64) -> Self {
         FragmentTransfer {
             next_id: first_id,
--- a/crates/agreement/src/journal.rs
+++ b/crates/agreement/src/journal.rs
@@ -1,7 +1,7 @@
 //! A voter's state in memory, with the changes that must be durable before the voter sends anything.
 //!
-//! `omnipaxos` panics when a write fails. Here no write fails: changes are recorded, and [`Journal::flush`] makes them durable in
-//! one batch before anything is sent. If that fails, the voter sends nothing any more.
+//! `omnipaxos` panics when a write fails. Here no write fails: changes are recorded, and [`Journal::flush`]
+//! makes them durable in one batch before anything is sent. If that fails, the voter sends nothing any more.
 use crate::{
     codec::encode,
     hard_state::HardState,
@@ -71,7 +71,7 @@
         }
         self.hard_state.writes += 1;
         let mut changes = std::mem::take(&mut self.changes);
-        changes.push(StoreChange::Head(encode(&self.hard_state)));
+        changes.push(StoreChange::HardState(encode(&self.hard_state)));
         self.hard_state_changed = false;
         let written = store.write(&changes);
         self.failed = written.is_err();
--- a/crates/agreement/src/limits.rs
+++ b/crates/agreement/src/limits.rs
@@ -1,7 +1,8 @@
 //! Sizes, counts and times that bound what the log does.
 use crate::types::Micros;
 
-/// Interval at which the owner calls [`crate::Agreement::tick`], in microseconds: a fraction of the time an election may take.
+/// Interval at which the owner calls [`crate::Agreement::tick`], in microseconds: a fraction of the time an
+/// election may take.
 pub const TICK_INTERVAL_US: Micros = 50_000;
 /// Longest entry, in bytes of postcard: several times a grant to 300 balancers.
 pub const MAX_ENTRY_BYTES: usize = 32 * 1024;
--- a/crates/agreement/src/link.rs
+++ b/crates/agreement/src/link.rs
@@ -1,7 +1,7 @@
 //! An ordered, reliable link between two voters over datagrams.
 //!
-//! `omnipaxos` forgets accepted entries when an old message arrives after a newer one. The link therefore delivers messages in
-//! order, each once, and reports a [`LinkEvent::Reset`] whenever some may be missing.
+//! `omnipaxos` forgets accepted entries when an old message arrives after a newer one. The link therefore
+//! delivers messages in order, each once, and reports a [`LinkEvent::Reset`] whenever some may be missing.
 use crate::types::Micros;
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
@@ -187,7 +187,8 @@
         events
     }
 
-    /// Drops what is queued, so that no message to the peer's previous process reaches the new one, and the reverse.
+    /// Drops what is queued, so that no message to the peer's previous process reaches the new one, and the
+    /// reverse.
     fn handle_peer_restart(&mut self, epoch: u64, events: &mut Vec<LinkEvent>) {
         if self.peer_epoch != 0 {
             self.session += 1;
--- a/crates/agreement/src/message.rs
+++ b/crates/agreement/src/message.rs
@@ -113,7 +113,8 @@
     pub(crate) segment: u32,
     pub(crate) writes: u64,
     pub(crate) generation: u64,
-    /// The sender's fleet time. The next leader continues from it even if it has not learned of the last timestamp.
+    /// The sender's fleet time. The next leader continues from it even if it has not learned of the last
+    /// timestamp.
     pub(crate) fleet_time: u64,
     pub(crate) packet: Packet,
 }
--- a/crates/agreement/src/message_filter.rs
+++ b/crates/agreement/src/message_filter.rs
@@ -69,7 +69,8 @@
     }
 
     fn accept_promise<E: Entry>(&self, promise: &mut Promise<Stamped<E>>, accepted_index: usize) -> bool {
-        // Once a quorum has promised, the suffix of a late promise is of no use, and may start before newly decided entries.
+        // Once a quorum has promised, the suffix of a late promise is of no use, and may start before newly
+        // decided entries.
         if self.is_leader {
             promise.log_sync = None;
         }
@@ -95,7 +96,8 @@
     }
 
     fn accept_log_sync<E: Entry>(&self, sync: &mut LogSync<Stamped<E>>) -> bool {
-        // The index of a stop sign counts as accepted but holds no entry: a suffix after it would count it twice.
+        // The index of a stop sign counts as accepted but holds no entry: a suffix after it would count it
+        // twice.
         if self.has_stop_sign && sync.sync_idx == self.log_length + 1 && sync.suffix.is_empty() {
             sync.sync_idx = self.log_length;
         }
--- a/crates/agreement/src/pending_proposals.rs
+++ b/crates/agreement/src/pending_proposals.rs
@@ -1,4 +1,5 @@
-//! This balancer's pending proposals: each is retried under the same identifier until it is committed or times out.
+//! This balancer's pending proposals: each is retried under the same identifier until it is committed or
+//! times out.
 use crate::{
     action::ProposalOutcome,
     limits::PROPOSAL_TIMEOUT_US,
--- a/crates/agreement/src/recovery.rs
+++ b/crates/agreement/src/recovery.rs
@@ -41,8 +41,8 @@
     store: &mut S, founding: &Segment, random: &mut fastrand::Rng,
 ) -> Result<RecoveredState<E>, RecoveryError<S::Error>> {
     let stored = store.load().map_err(RecoveryError::Store)?;
-    let Some(head) = stored.head else { return Ok(RecoveredState::empty(founding, random)) };
-    let mut hard_state: HardState = decode("head", &head)?;
+    let Some(hard_state) = stored.hard_state else { return Ok(RecoveredState::empty(founding, random)) };
+    let mut hard_state: HardState = decode("head", &hard_state)?;
     hard_state.epoch += 1;
     let accepted = stored.accepted.iter().map(|bytes| decode("accepted entry", bytes));
     let accepted = accepted.collect::<Result<_, _>>()?;
--- a/crates/agreement/src/replica.rs
+++ b/crates/agreement/src/replica.rs
@@ -80,7 +80,8 @@
 }
 
 impl<E: Entry> Replica<E> {
-    /// Starts the replica for the segment of the journal. `session` must be greater than any that this epoch has used.
+    /// Starts the replica for the segment of the journal. `session` must be greater than any that this epoch
+    /// has used.
     pub(crate) fn new(local: NodeId, journal: SharedJournal<E>, session: u32) -> Option<Self> {
         let (segment, epoch) = {
             let journal = journal.lock();
@@ -176,7 +177,8 @@
         self.journal.lock().accepted().last().map_or(0, |stamped| stamped.timestamp)
     }
 
-    /// Appends an entry; it is dropped if this replica is not the leader any more, and proposed again by its proposer.
+    /// Appends an entry; it is dropped if this replica is not the leader any more, and proposed again by its
+    /// proposer.
     pub(crate) fn append(&mut self, stamped: Stamped<E>) {
         let _ = self.paxos.append(stamped);
     }
--- a/crates/agreement/src/segment.rs
+++ b/crates/agreement/src/segment.rs
@@ -1,11 +1,13 @@
-//! A segment of the log: the entries that one set of voters commits. A stop sign ends it and names the voters of the next one.
+//! A segment of the log: the entries that one set of voters commits. A stop sign ends it and names the voters
+//! of the next one.
 use crate::{
     limits::{MAX_VOTERS, MIN_VOTERS},
     types::{NodeId, ProposalKey, Revision, Stamped},
 };
 use serde::{Deserialize, Serialize};
 
-/// Entries after which the leader starts a new segment with the same voters. Bounds what a lagging voter is sent.
+/// Entries after which the leader starts a new segment with the same voters. Bounds what a lagging voter is
+/// sent.
 pub(crate) const MAX_SEGMENT_ENTRIES: usize = 1_024;
 
 /// A member of the quorum group.
--- a/crates/agreement/src/store.rs
+++ b/crates/agreement/src/store.rs
@@ -6,8 +6,8 @@
 /// One change of the stored state. A batch of them is applied atomically.
 #[derive(Clone, Debug, PartialEq)]
 pub enum StoreChange {
-    /// Replaces the head: ballots, counters and the current segment.
-    Head(Bytes),
+    /// Replaces the hard state: ballots, counters and the current segment.
+    HardState(Bytes),
     /// Truncates the accepted entries at `from` and appends.
     Accepted {
         /// Index of the first replaced entry, from 0 in the current segment.
@@ -31,8 +31,8 @@
 /// The whole content of a store.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct StoredState {
-    /// The last head; `None` in a store that was never written.
-    pub head: Option<Bytes>,
+    /// The last hard state; `None` in a store that was never written.
+    pub hard_state: Option<Bytes>,
     /// The entries accepted in the current segment.
     pub accepted: Vec<Bytes>,
     /// Revision of the first of `items`.
@@ -69,7 +69,7 @@
     fn apply(&mut self, change: &StoreChange) {
         let stored = &mut self.0;
         match change {
-            StoreChange::Head(head) => stored.head = Some(head.clone()),
+            StoreChange::HardState(hard_state) => stored.hard_state = Some(hard_state.clone()),
             StoreChange::Accepted { from, entries } => {
                 stored.accepted.truncate(*from as usize);
                 stored.accepted.extend(entries.iter().cloned());
--- a/crates/agreement/src/voting_guard.rs
+++ b/crates/agreement/src/voting_guard.rs
@@ -53,7 +53,8 @@
         }
     }
 
-    /// Starts a segment in which this balancer is `local`. A voter that is allowed to vote stays so while it keeps its store.
+    /// Starts a segment in which this balancer is `local`. A voter that is allowed to vote stays so while it
+    /// keeps its store.
     pub(crate) fn enter_segment(&mut self, now: Micros, local: Option<&Voter>, hard_state: &HardState) {
         let Some(voter) = local else {
             self.state = VotingState::NotVoter;
@@ -98,7 +99,7 @@
         &mut self, from: NodeId, sender: VoterHistory, observed: ObservedHistory, writes: u64,
     ) {
         if observed.writes > writes && self.state != VotingState::NotVoter {
-            self.block(VotingBlock::StaleStore { ours: writes, heard: observed.writes });
+            self.block(VotingBlock::StaleStore { stored: writes, observed: observed.writes });
         } else if self.state == VotingState::Verifying {
             self.responses.insert(from, HistoryResponse { sender, observed });
         }
--- a/crates/agreement/tests/agreement.rs
+++ b/crates/agreement/tests/agreement.rs
@@ -115,7 +115,9 @@
     sim.balancers[2].disk = old;
     sim.start(2);
     sim.run(5 * SECOND);
-    assert!(matches!(sim.balancers[2].why, Some(VotingBlock::StaleStore { ours, heard }) if ours < heard));
+    assert!(
+        matches!(sim.balancers[2].why, Some(VotingBlock::StaleStore { stored, observed }) if stored < observed)
+    );
     assert!(!sim.node(2).is_voting());
 }
 
--- a/crates/agreement/tests/common/mod.rs
+++ b/crates/agreement/tests/common/mod.rs
@@ -240,11 +240,11 @@
                     let s = stamped;
                     self.check(number, revision, (s.timestamp, s.proposer, s.proposal_id, s.entry));
                 }
-                Action::VotersChanged { revision, at, members } => {
+                Action::VotersChanged { revision, timestamp, voters } => {
                     self.check(
                         number,
                         revision,
-                        (at, u16::MAX, revision, postcard::to_allocvec(&members).expect("fits")),
+                        (timestamp, u16::MAX, revision, postcard::to_allocvec(&voters).expect("fits")),
                     );
                 }
                 Action::Restore { revision, snapshot, .. } => {
--- a/crates/agreement/tests/golden.rs
+++ b/crates/agreement/tests/golden.rs
@@ -69,7 +69,7 @@
 fn lines(kept: &StoredState) -> String {
     let mut text = format!("first {}\n", kept.first_revision);
     let mut line = |name: &str, bytes: &Bytes| writeln!(text, "{name} {}", hex(bytes)).unwrap();
-    kept.head.iter().for_each(|bytes| line("head", bytes));
+    kept.hard_state.iter().for_each(|bytes| line("head", bytes));
     kept.accepted.iter().for_each(|bytes| line("accepted", bytes));
     kept.items.iter().for_each(|bytes| line("item", bytes));
     kept.snapshot.iter().for_each(|bytes| line("snapshot", bytes));
@@ -82,7 +82,7 @@
         let (name, value) = line.split_once(' ').unwrap();
         match name {
             "first" => kept.first_revision = value.parse().unwrap(),
-            "head" => kept.head = Some(unhex(value).into()),
+            "head" => kept.hard_state = Some(unhex(value).into()),
             "accepted" => kept.accepted.push(unhex(value).into()),
             "item" => kept.items.push(unhex(value).into()),
             "snapshot" => kept.snapshot = Some(unhex(value).into()),
@@ -106,7 +106,7 @@
     let kept = kept(include_str!("golden/stored.txt"));
     let mut store = MemoryStore::default();
     let changes = [
-        StoreChange::Head(kept.head.unwrap()),
+        StoreChange::HardState(kept.hard_state.unwrap()),
         StoreChange::Accepted { from: 0, entries: kept.accepted },
         StoreChange::Items { from: kept.first_revision, items: kept.items },
         StoreChange::Snapshot(kept.snapshot.unwrap()),
@@ -118,8 +118,8 @@
     let mut text = String::new();
     while let Some(action) = node.poll() {
         match action {
-            Action::Restore { revision, at, snapshot } => {
-                writeln!(text, "snapshot {revision} {at} {}", hex(&snapshot)).unwrap();
+            Action::Restore { revision, timestamp, snapshot } => {
+                writeln!(text, "snapshot {revision} {timestamp} {}", hex(&snapshot)).unwrap();
             }
             Action::Committed { revision, stamped: it } => {
                 writeln!(
@@ -132,9 +132,9 @@
                 )
                 .unwrap();
             }
-            Action::VotersChanged { revision, at, members } => {
-                let members: Vec<_> = members.iter().map(|it| (it.node_id, it.generation)).collect();
-                writeln!(text, "members {revision} {at} {members:?}").unwrap();
+            Action::VotersChanged { revision, timestamp, voters } => {
+                let members: Vec<_> = voters.iter().map(|it| (it.node_id, it.generation)).collect();
+                writeln!(text, "members {revision} {timestamp} {members:?}").unwrap();
             }
             _ => {}
         }
--- a/crates/fleet/src/file.rs
+++ b/crates/fleet/src/file.rs
@@ -11,7 +11,8 @@
 
 /// Most balancers of a fleet; bounds every map that is keyed by them.
 const MAX_BALANCERS: usize = 1_024;
-/// Shortest lease: several requests must fit, each with a commit and a grant that is delayed by up to half a second.
+/// Shortest lease: several requests must fit, each with a commit and a grant that is delayed by up to half a
+/// second.
 const MIN_LEASE: SignedDuration = SignedDuration::from_secs(2);
 /// Longest lease: a freeze takes effect no sooner.
 const MAX_LEASE: SignedDuration = SignedDuration::from_mins(10);
@@ -174,8 +175,8 @@
         slots.collect()
     }
 
-    /// The settings of leases. A report of another balancer is valid for two fifths of a lease; each receives about thirty
-    /// in that time.
+    /// The settings of leases. A report of another balancer is valid for two fifths of a lease; each receives
+    /// about thirty in that time.
     pub(crate) fn lease_settings(&self) -> Settings {
         let lease = u64::try_from(self.lease.as_micros()).unwrap_or(u64::MAX);
         let settings = Settings::new(lease, lease * 2 / 5, self.balancer_count());
--- a/crates/fleet/src/member.rs
+++ b/crates/fleet/src/member.rs
@@ -17,8 +17,8 @@
 use membership::{Member, Membership, Timer};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Interval of heartbeats. A lost lease is thus known while the last report of it is valid, and the cost does not grow with the
-/// fleet.
+/// Interval of heartbeats. A lost lease is thus known while the last report of it is valid, and the cost does
+/// not grow with the fleet.
 const HEARTBEAT_INTERVAL: Micros = 250_000;
 /// Receivers of each heartbeat, drawn each time.
 const HEARTBEAT_FANOUT: usize = 3;
@@ -185,7 +185,8 @@
         self.outputs.push_back(Output::LeaseChanged(Box::new(self.lease.clone())));
     }
 
-    /// Proposes the grants that are due. A rejected proposal is not repeated, because whoever has no lease requests it again.
+    /// Proposes the grants that are due. A rejected proposal is not repeated, because whoever has no lease
+    /// requests it again.
     fn propose_grants(&mut self, now: Micros) {
         if self.is_leader
             && let Some(grants) = self.granter.poll_grants(now)
@@ -194,8 +195,8 @@
         }
     }
 
-    /// Proposes a change of the calendar and returns the identifier of the proposal. Its outcome is reported by
-    /// [`Output::ProposalFinished`].
+    /// Proposes a change of the calendar and returns the identifier of the proposal. Its outcome is reported
+    /// by [`Output::ProposalFinished`].
     ///
     /// # Errors
     /// If too many proposals are pending or this one is too long.
@@ -221,7 +222,8 @@
         Ok(id)
     }
 
-    /// Records what this balancer decided under which version, and sends it to the voters and to a few drawn members.
+    /// Records what this balancer decided under which version, and sends it to the voters and to a few drawn
+    /// members.
     pub fn publish_report(&mut self, now: Micros, report: ActivityReport) {
         self.ledger.record_report(&report);
         let mut receivers = self.voters();
--- a/crates/fleet/src/member/actions.rs
+++ b/crates/fleet/src/member/actions.rs
@@ -1,4 +1,5 @@
-//! Carries out the actions of the log and of the membership: applies what is committed, and reports changes to the owner.
+//! Carries out the actions of the log and of the membership: applies what is committed, and reports changes
+//! to the owner.
 
 use super::{AppliedProposal, FleetMember};
 use crate::entry::Entry;
@@ -47,16 +48,16 @@
         match action {
             Action::Send { to, message } => self.send(to, Body::Agreement(Box::new(message))),
             Action::Committed { revision, stamped } => self.apply(now, revision, &stamped),
-            Action::Restore { revision, at, snapshot } => {
-                let position = LogPosition { revision, timestamp: at };
+            Action::Restore { revision, timestamp, snapshot } => {
+                let position = LogPosition { revision, timestamp };
                 if self.state.restore(now, position, &snapshot, &mut self.lease).is_ok() {
                     self.snapshot_revision = revision;
                     self.report_calendar();
                     self.report_lease();
                 }
             }
-            Action::VotersChanged { members, .. } => {
-                let voters = members.iter().map(|voter| voter.node_id).collect();
+            Action::VotersChanged { voters, .. } => {
+                let voters = voters.iter().map(|voter| voter.node_id).collect();
                 self.outputs.push_back(Output::VotersChanged(voters));
             }
             Action::LeadershipChanged(is_leader) => {
@@ -127,7 +128,8 @@
                 self.outputs.push_back(Output::MembersChanged(self.membership.len()));
             }
             membership::Action::Refuted | membership::Action::Renewed(_) => {}
-            // The clock went back between two starts, so an earlier process had a higher incarnation. This one is the newer.
+            // The clock went back between two starts, so an earlier process had a higher incarnation. This
+            // one is the newer.
             membership::Action::Replaced(incarnation) => self.rejoin(now, incarnation + 1),
         }
     }
--- a/crates/fleet/src/member/datagrams.rs
+++ b/crates/fleet/src/member/datagrams.rs
@@ -8,7 +8,8 @@
 use std::net::SocketAddr;
 
 impl<S: Store> FleetMember<S> {
-    /// Handles a datagram. It is dropped unless it comes from the address that the fleet file gives for its sender.
+    /// Handles a datagram. It is dropped unless it comes from the address that the fleet file gives for its
+    /// sender.
     pub fn handle_datagram(&mut self, now: Micros, from: SocketAddr, datagram: &[u8]) {
         let envelope = match Envelope::decode(datagram) {
             Ok(envelope) => envelope,
@@ -49,8 +50,8 @@
         }
     }
 
-    /// Passes a request to the granter, or forwards one that its owner sent. A voter's forwarded request is not forwarded
-    /// again.
+    /// Passes a request to the granter, or forwards one that its owner sent. A voter's forwarded request is
+    /// not forwarded again.
     fn handle_lease_request(&mut self, from: NodeId, request: LeaseRequest) {
         let is_own = request.number == from;
         if self.is_leader && (is_own || self.is_voter(from)) {
--- a/crates/fleet/src/member/view.rs
+++ b/crates/fleet/src/member/view.rs
@@ -52,7 +52,8 @@
         self.file.balancers.get(usize::from(number)).map(|balancer| balancer.name.as_str())
     }
 
-    /// What a balancer did under the version that it was last known to act on. The ledger has the other versions.
+    /// What a balancer did under the version that it was last known to act on. The ledger has the other
+    /// versions.
     fn past_activity(&self, current: &CurrentActivity) -> Option<PastActivity> {
         let past = self.ledger.activity_under(&current.version, 0, u64::MAX);
         past.into_iter().find(|past| past.number == current.number && past.incarnation == current.incarnation)
--- a/crates/fleet/src/output.rs
+++ b/crates/fleet/src/output.rs
@@ -29,7 +29,8 @@
     CalendarChanged(Box<Calendar>),
     /// The number of members changed; this balancer is counted.
     MembersChanged(usize),
-    /// Everything that others advertised is applied, up to this revision. Also yielded after each change of the calendar.
+    /// Everything that others advertised is applied, up to this revision. Also yielded after each change of
+    /// the calendar.
     CaughtUp(Revision),
     /// This balancer became the leader, or is the leader no longer.
     LeadershipChanged(bool),
@@ -53,7 +54,8 @@
     Committed {
         /// Its revision.
         revision: Revision,
-        /// The calendar's result; `None` if this balancer learned of the commit but did not apply the entry itself.
+        /// The calendar's result; `None` if this balancer learned of the commit but did not apply the entry
+        /// itself.
         applied: Option<Applied>,
     },
     /// The proposal is not known to be committed in time. It may still be committed, at most once.
--- a/crates/fleet/src/replicated_state.rs
+++ b/crates/fleet/src/replicated_state.rs
@@ -21,7 +21,8 @@
     pub(crate) timestamp: u64,
 }
 
-/// The wire form of a snapshot. It includes the grants, so that a balancer has its lease as soon as it installs one.
+/// The wire form of a snapshot. It includes the grants, so that a balancer has its lease as soon as it
+/// installs one.
 #[derive(Serialize, Deserialize)]
 struct Snapshot {
     grants: Vec<LeaseGrant>,
--- a/crates/reservation/src/admission.rs
+++ b/crates/reservation/src/admission.rs
@@ -82,7 +82,8 @@
         }
     }
 
-    /// Adopts what the book says of the own slices. To be called after each applied entry, and at least every [`MEASURE_US`].
+    /// Adopts what the book says of the own slices. To be called after each applied entry, and at least every
+    /// [`MEASURE_US`].
     pub fn refresh(&mut self, now: Micros, time: TimeInterval, book: &ReservationBook) {
         let previous_lease_end = self.lease_end;
         let lease = book.state.lease_of(self.holder).filter(|lease| lease.requested_at <= now);
@@ -148,8 +149,8 @@
         decision
     }
 
-    /// The rate that bookings did not use here over the last [`MEASURE_US`], with the own share of what no balancer holds. All
-    /// traffic may use it until it is in demand.
+    /// The rate that bookings did not use here over the last [`MEASURE_US`], with the own share of what no
+    /// balancer holds. All traffic may use it until it is in demand.
     pub fn unused_rate(&self, now: Micros) -> Rate {
         let has_lease = now < self.lease_end;
         let buckets = self.buckets.values().flatten().filter(|bucket| bucket.is_valid_at(now));
@@ -166,7 +167,8 @@
         bucket.filter(|_| now < self.lease_end).map_or(Rate::default(), |bucket| bucket.rate)
     }
 
-    /// The request to send to the leader, if one is due. `applied` is the revision of the last [`Admission::refresh`].
+    /// The request to send to the leader, if one is due. `applied` is the revision of the last
+    /// [`Admission::refresh`].
     pub fn poll_request(&mut self, now: Micros, applied: Revision) -> Option<SliceRequest> {
         self.measure_if_due(now);
         let interval = if self.is_urgent { URGENT_REQUEST_INTERVAL_US } else { REQUEST_INTERVAL_US };
--- a/crates/reservation/src/allocator.rs
+++ b/crates/reservation/src/allocator.rs
@@ -1,6 +1,7 @@
 //! Allocates slices on the leader: collects the demands of all holders, and proposes who holds what.
 //!
-//! A slice that grows takes only what is free, so parts are taken from one holder before they are given to another.
+//! A slice that grows takes only what is free, so parts are taken from one holder before they are given to
+//! another.
 
 mod targets;
 
@@ -18,7 +19,8 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use targets::{HolderDemand, slice_changes};
 
-/// How long a revision must have been applied until every lease renewed before it has expired on its holder's clock.
+/// How long a revision must have been applied until every lease renewed before it has expired on its holder's
+/// clock.
 const EXPIRY_US: Micros = LEASE_US + LEASE_US / RATE_ERROR + 1;
 
 /// The last request of a holder.
@@ -30,7 +32,8 @@
     is_new: bool,
 }
 
-/// Everything up to `revision` was applied by `until`. Revisions applied within a short time after `since` share an element.
+/// Everything up to `revision` was applied by `until`. Revisions applied within a short time after `since`
+/// share an element.
 #[derive(Clone, Copy, Debug)]
 struct AppliedRevision {
     revision: Revision,
--- a/crates/reservation/src/book.rs
+++ b/crates/reservation/src/book.rs
@@ -23,7 +23,8 @@
 use crate::state::{Booking, RecordedOutcome, State, Window};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// How long an outcome is recorded after its last window, in microseconds. A later duplicate is past and gets no outcome.
+/// How long an outcome is recorded after its last window, in microseconds. A later duplicate is past and gets
+/// no outcome.
 const OUTCOME_RETENTION_US: Micros = 86_400 * SECOND;
 
 /// A change that is planned, to be checked before it is proposed.
@@ -39,7 +40,8 @@
 #[derive(Clone, Debug, Default)]
 pub struct ReservationBook {
     pub(crate) state: State,
-    /// The sum of all granted rates, without reductions: nothing new is granted that a reduced booking waits for.
+    /// The sum of all granted rates, without reductions: nothing new is granted that a reduced booking waits
+    /// for.
     granted: RateTimeline,
     /// Slices whose previous parts their holder may still use.
     pub(crate) unconfirmed: BTreeSet<UnconfirmedSlice>,
--- a/crates/reservation/src/book/allocation.rs
+++ b/crates/reservation/src/book/allocation.rs
@@ -44,8 +44,8 @@
         }
     }
 
-    /// Ends the leases renewed at or before `expired`: a leader has applied those revisions a lease ago. The remaining holders have
-    /// applied them too.
+    /// Ends the leases renewed at or before `expired`: a leader has applied those revisions a lease ago. The
+    /// remaining holders have applied them too.
     fn expire_leases(&mut self, expired: Revision) {
         if expired <= self.state.expired {
             return;
@@ -75,7 +75,8 @@
         }
     }
 
-    /// Renews a lease, or starts one. Returns `false` if another incarnation has the lease, or if the request is an old one.
+    /// Renews a lease, or starts one. Returns `false` if another incarnation has the lease, or if the request
+    /// is an old one.
     fn renew_lease(&mut self, renewal: &LeaseRenewal) -> bool {
         let LeaseRenewal { holder: Holder { node_id, incarnation }, requested_at, .. } = *renewal;
         if node_id >= MAX_HOLDERS {
--- a/crates/reservation/src/book/expiry.rs
+++ b/crates/reservation/src/book/expiry.rs
@@ -29,7 +29,8 @@
         self.unconfirmed.retain(|slice| slice.booking != id);
     }
 
-    /// Discards what is past. Visits all bookings only if a window or a recorded outcome has ended since the last time.
+    /// Discards what is past. Visits all bookings only if a window or a recorded outcome has ended since the
+    /// last time.
     pub(super) fn discard_past(&mut self) {
         let now = self.state.time;
         self.granted.discard_before(now);
--- a/crates/reservation/src/book/placement.rs
+++ b/crates/reservation/src/book/placement.rs
@@ -42,8 +42,8 @@
         largest
     }
 
-    /// The least shift of all `windows` at which `rate` fits in each and none is frozen; `None` if there is none within the
-    /// bounds.
+    /// The least shift of all `windows` at which `rate` fits in each and none is frozen; `None` if there is
+    /// none within the bounds.
     pub(super) fn find_shift(&self, windows: &[Span], rate: Rate) -> Option<Micros> {
         let mut budget = SearchBudget(MAX_SEARCH_STEPS);
         let mut shift = 0;
--- a/crates/reservation/src/book/reduction.rs
+++ b/crates/reservation/src/book/reduction.rs
@@ -1,7 +1,8 @@
 //! Reduces bookings when the capacity falls: the one granted last is reduced first and restored last.
 //!
-//! Bookings are visited in the order of their grants. Each takes what is left of the bookable rate, up to what it was granted.
-//! Windows are divided where capacities change, so that a fall of an hour reduces an hour.
+//! Bookings are visited in the order of their grants. Each takes what is left of the bookable rate, up to
+//! what it was granted. Windows are divided where capacities change, so that a fall of an hour reduces an
+//! hour.
 
 use super::{PlannedChange, ReservationBook};
 use crate::booking::BookingId;
@@ -15,8 +16,8 @@
 use std::collections::BTreeMap;
 
 impl ReservationBook {
-    /// The bookings that `change` would affect if it took effect now: those that it would reduce, or those that a freeze would
-    /// reject or move.
+    /// The bookings that `change` would affect if it took effect now: those that it would reduce, or those
+    /// that a freeze would reject or move.
     pub fn affected_by(&self, change: &PlannedChange) -> Vec<BookingId> {
         match change {
             PlannedChange::Freeze(freeze) => self.frozen_by(freeze),
--- a/crates/reservation/src/capacity.rs
+++ b/crates/reservation/src/capacity.rs
@@ -14,8 +14,8 @@
     pub from: Micros,
     /// The total rate, configured or measured.
     pub total: Rate,
-    /// The rate of unbooked traffic by hour of the week: 168 values or none. Hour 0 is that of the Unix epoch, Thursday 0:00 UTC;
-    /// the owner converts its own week.
+    /// The rate of unbooked traffic by hour of the week: 168 values or none. Hour 0 is that of the Unix
+    /// epoch, Thursday 0:00 UTC; the owner converts its own week.
     pub baseline: Vec<Rate>,
 }
 
@@ -32,7 +32,8 @@
     Allow,
     /// The booking is rejected.
     Reject,
-    /// All windows of the booking are moved together to the next time at which they overlap no freeze and fit.
+    /// All windows of the booking are moved together to the next time at which they overlap no freeze and
+    /// fit.
     Move,
 }
 
--- a/crates/reservation/src/capacity_schedule.rs
+++ b/crates/reservation/src/capacity_schedule.rs
@@ -1,4 +1,5 @@
-//! The rate that may be booked over time: capacity without the baseline traffic and a reserve for failures, and freezes.
+//! The rate that may be booked over time: capacity without the baseline traffic and a reserve for failures,
+//! and freezes.
 
 use crate::capacity::{Capacity, Freeze, FreezePolicy, HOURS_PER_WEEK};
 use crate::limits::{MAX_CAPACITIES, SECOND};
--- a/crates/reservation/src/limits.rs
+++ b/crates/reservation/src/limits.rs
@@ -7,8 +7,8 @@
 
 /// Parts of a booking. Fine enough that a three-hundredth of [`STATIC_PARTS`] is accurate to 2%.
 pub const TOTAL_PARTS: u32 = 1 << 20;
-/// Parts that are divided among all balancers in advance, so that the first requests find tokens anywhere. Only a sixty-fourth,
-/// because few balancers with all the traffic cannot use most of them.
+/// Parts that are divided among all balancers in advance, so that the first requests find tokens anywhere.
+/// Only a sixty-fourth, because few balancers with all the traffic cannot use most of them.
 pub const STATIC_PARTS: u32 = TOTAL_PARTS / 64;
 /// Parts that are allocated by demand.
 pub const DYNAMIC_PARTS: u32 = TOTAL_PARTS - STATIC_PARTS;
@@ -22,11 +22,13 @@
 pub const URGENT_REQUEST_INTERVAL_US: Micros = 100_000;
 /// Interval of the leader's allocations, in microseconds: at most ten entries a second.
 pub const ALLOCATION_INTERVAL_US: Micros = 100_000;
-/// How long the leader waits for its own entry before it proposes again, in microseconds. A lost entry must not end the allocation.
+/// How long the leader waits for its own entry before it proposes again, in microseconds. A lost entry must
+/// not end the allocation.
 pub const PROPOSAL_TIMEOUT_US: Micros = 500_000;
 /// Capacity of a token bucket, in microseconds of its rate (and one request at least).
 pub const BURST_US: Micros = 250_000;
-/// Interval over which use and demand are measured, in microseconds. Unused rate is available to all traffic within two of them.
+/// Interval over which use and demand are measured, in microseconds. Unused rate is available to all traffic
+/// within two of them.
 pub const MEASURE_US: Micros = 250_000;
 /// Time without use after which a window is released, in microseconds.
 pub const NO_SHOW_US: Micros = 600 * SECOND;
--- a/crates/reservation/src/outcome.rs
+++ b/crates/reservation/src/outcome.rs
@@ -30,10 +30,12 @@
         reason: RejectReason,
         /// The highest rate that fits in the requested windows.
         largest: Rate,
-        /// The first window of the nearest later time at which all windows fit, if one was found within the bounds.
+        /// The first window of the nearest later time at which all windows fit, if one was found within the
+        /// bounds.
         next: Option<Span>,
     },
-    /// No outcome is recorded: the book is full (for this tenant), all windows are past, or the revision was applied before.
+    /// No outcome is recorded: the book is full (for this tenant), all windows are past, or the revision was
+    /// applied before.
     NotRecorded,
     /// The proposal is accepted.
     Accepted,
--- a/crates/reservation/src/slice.rs
+++ b/crates/reservation/src/slice.rs
@@ -62,7 +62,8 @@
     pub used: Vec<BookingId>,
 }
 
-/// The lease of a balancer. Another incarnation waits until it has ended; otherwise both would use the same parts.
+/// The lease of a balancer. Another incarnation waits until it has ended; otherwise both would use the same
+/// parts.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub(crate) struct HolderLease {
     pub(crate) incarnation: u64,
--- a/crates/reservation/src/span.rs
+++ b/crates/reservation/src/span.rs
@@ -2,7 +2,8 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Microseconds: a span, or a point in fleet time (Unix) or on a balancer's own clock, as the name beside it says.
+/// Microseconds: a span, or a point in fleet time (Unix) or on a balancer's own clock, as the name beside it
+/// says.
 pub type Micros = u64;
 /// An index of the replicated log.
 pub type Revision = u64;
--- a/crates/reservation/src/state.rs
+++ b/crates/reservation/src/state.rs
@@ -15,7 +15,8 @@
     pub(crate) span: Span,
     /// Whether the booking was used in the window.
     pub(crate) used: bool,
-    /// The revision at which the window was released. Its rate is free only once a lease has passed since then.
+    /// The revision at which the window was released. Its rate is free only once a lease has passed since
+    /// then.
     pub(crate) released_at: Option<Revision>,
 }
 
@@ -38,8 +39,8 @@
 pub(crate) struct Booking {
     pub(crate) request: BookingRequest,
     pub(crate) granted_at: Revision,
-    /// The number of balancers that share the static parts. Fixed, because two different numbers would sum up to more than all
-    /// parts.
+    /// The number of balancers that share the static parts. Fixed, because two different numbers would sum up
+    /// to more than all parts.
     pub(crate) static_shares: u16,
     pub(crate) windows: Vec<Window>,
     pub(crate) reductions: Vec<Reduction>,
--- a/crates/reservation/src/token_bucket.rs
+++ b/crates/reservation/src/token_bucket.rs
@@ -89,7 +89,8 @@
         self.parts = terms.parts;
         self.rate = terms.rate.part(terms.parts);
         self.unallocated = terms.rate.part(terms.unallocated);
-        // Both ends are estimated so that the slice is never used outside of its span, whatever the error of the clocks' rates.
+        // Both ends are estimated so that the slice is never used outside of its span, whatever the error of
+        // the clocks' rates.
         let until_start = terms.span.from.saturating_sub(earliest);
         let from = now.saturating_add(until_start).saturating_add(until_start.div_ceil(RATE_ERROR));
         let until_end = terms.span.to.saturating_sub(latest);
@@ -99,8 +100,8 @@
         self.fill(now, now);
     }
 
-    /// Adds the tokens since the last time. None are added outside of the span in force or after `lease_end`, because the same parts
-    /// may be another holder's then.
+    /// Adds the tokens since the last time. None are added outside of the span in force or after `lease_end`,
+    /// because the same parts may be another holder's then.
     pub(crate) fn fill(&mut self, now: Micros, lease_end: Micros) {
         let since = self.filled_at.max(self.valid.from);
         let elapsed = now.min(self.valid.to).min(lease_end).saturating_sub(since).min(BURST_US);
--- a/crates/spindlebeam/src/fleet_thread.rs
+++ b/crates/spindlebeam/src/fleet_thread.rs
@@ -1,7 +1,7 @@
 //! The fleet's thread: the socket, the clock and the disk of this balancer as a member of its fleet.
 //!
-//! It runs beside the core's thread, so that no request waits for a vote or a slow disk. The core receives copies of what it needs
-//! through [`gateway::fleet_link`].
+//! It runs beside the core's thread, so that no request waits for a vote or a slow disk. The core receives
+//! copies of what it needs through [`gateway::fleet_link`].
 
 mod answer;
 mod driver;
@@ -36,7 +36,8 @@
     pub keep: Option<PathBuf>,
 }
 
-/// Starts the thread of the balancer with this name; `seed` is that of all randomness. Returns `None` without a fleet file.
+/// Starts the thread of the balancer with this name; `seed` is that of all randomness. Returns `None` without
+/// a fleet file.
 ///
 /// # Errors
 /// If the file cannot be used or names no such balancer, or if the socket or the disk is not available.
--- a/crates/spindlebeam/src/fleet_thread/answer.rs
+++ b/crates/spindlebeam/src/fleet_thread/answer.rs
@@ -84,8 +84,8 @@
         VotingBlock::LostState => {
             "lost state: it starts without state while others have some, so it may have voted before".into()
         }
-        VotingBlock::StaleStore { ours, heard } => {
-            format!("stale store: its disk counts {ours} writes, others have seen {heard}")
+        VotingBlock::StaleStore { stored, observed } => {
+            format!("stale store: its disk counts {stored} writes, others have seen {observed}")
         }
         VotingBlock::StorageFailed(error) => format!("storage failed: {error}"),
     }
--- a/crates/storage/src/disk_store.rs
+++ b/crates/storage/src/disk_store.rs
@@ -19,7 +19,7 @@
 const SINGLE: TableDefinition<&str, &[u8]> = TableDefinition::new("single");
 const ACCEPTED: TableDefinition<u64, &[u8]> = TableDefinition::new("accepted");
 const ITEMS: TableDefinition<u64, &[u8]> = TableDefinition::new("items");
-const HEAD: &str = "head";
+const HARD_STATE: &str = "head";
 const SNAPSHOT: &str = "snapshot";
 
 /// An open file. One process has it open at a time.
@@ -87,7 +87,7 @@
         let transaction = self.database.begin_read()?;
         let mut stored = StoredState::default();
         let Some(single) = existing(transaction.open_table(SINGLE))? else { return Ok(stored) };
-        stored.head = single.get(HEAD)?.map(|head| Bytes::copy_from_slice(head.value()));
+        stored.hard_state = single.get(HARD_STATE)?.map(|value| Bytes::copy_from_slice(value.value()));
         stored.snapshot = single.get(SNAPSHOT)?.map(|snapshot| Bytes::copy_from_slice(snapshot.value()));
         for row in transaction.open_table(ACCEPTED)?.iter()? {
             stored.accepted.push(Bytes::copy_from_slice(row?.1.value()));
@@ -139,8 +139,8 @@
 
 fn apply(transaction: &WriteTransaction, change: &StoreChange) -> Result<(), redb::Error> {
     match change {
-        StoreChange::Head(head) => {
-            transaction.open_table(SINGLE)?.insert(HEAD, &head[..])?;
+        StoreChange::HardState(hard_state) => {
+            transaction.open_table(SINGLE)?.insert(HARD_STATE, &hard_state[..])?;
         }
         StoreChange::Snapshot(snapshot) => {
             transaction.open_table(SINGLE)?.insert(SNAPSHOT, &snapshot[..])?;
--- a/crates/storage/tests/disk_store.rs
+++ b/crates/storage/tests/disk_store.rs
@@ -15,14 +15,14 @@
 
 fn changes() -> Vec<Vec<StoreChange>> {
     let bytes = |n: u64| Bytes::from(vec![n as u8; 100 + n as usize]);
-    let mut all = vec![vec![StoreChange::Head(bytes(1))]];
+    let mut all = vec![vec![StoreChange::HardState(bytes(1))]];
     for n in 0..40 {
         let entries = vec![bytes(n), bytes(n + 1)];
         let items = vec![bytes(n)];
         all.push(vec![
             StoreChange::Accepted { from: n, entries },
             StoreChange::Items { from: n + 1, items },
-            StoreChange::Head(bytes(n)),
+            StoreChange::HardState(bytes(n)),
         ]);
     }
     all.push(vec![
@@ -143,7 +143,7 @@
     let backend = FullDisk(FileBackend::new(opened).expect("opens"), full.clone());
     let mut store = DiskStore::with_backend(&file, backend).expect("opens");
     full.store(true, Ordering::Relaxed);
-    let promise = [StoreChange::Head(Bytes::from_static(b"a promise"))];
+    let promise = [StoreChange::HardState(Bytes::from_static(b"a promise"))];
     let error = store.write(&promise).expect_err("is full");
     assert!(matches!(error, Error::Write { .. }) && error.to_string().contains("log.redb"), "{error}");
     full.store(false, Ordering::Relaxed);
--- a/crates/storage/tests/golden.rs
+++ b/crates/storage/tests/golden.rs
@@ -16,7 +16,7 @@
     let mut store = DiskStore::open(file).unwrap();
     store
         .write(&[
-            StoreChange::Head(bytes(1)),
+            StoreChange::HardState(bytes(1)),
             StoreChange::Accepted { from: 0, entries: vec![bytes(2), bytes(3), bytes(4)] },
             StoreChange::Items { from: 1, items: vec![bytes(5), bytes(6), bytes(7)] },
         ])
@@ -76,7 +76,7 @@
     assert_eq!(dump(&file), include_str!("golden/tables.txt"));
     let mut store = DiskStore::open(&file).unwrap();
     let stored = store.load().unwrap();
-    assert_eq!(stored.head, Some(bytes(1)));
+    assert_eq!(stored.hard_state, Some(bytes(1)));
     assert_eq!(stored.accepted, [bytes(2), bytes(3), bytes(9)]);
     assert_eq!((stored.first_revision, stored.items), (2, vec![bytes(6), bytes(7)]));
     assert_eq!(stored.snapshot, Some(bytes(8)));
