--- a/crates/agreement/examples/measure_log.rs
+++ b/crates/agreement/examples/measure_log.rs
@@ -14,16 +14,16 @@
     simulated_s: u64,
 }
 
-/// A minute of faults drawn by the seed, then peace; every check is in the simulation itself.
+/// A minute of faults drawn by the seed, then none; every check is in the simulation itself.
 fn play(seed: u64, balancers: u16, totals: &mut Totals) {
-    let council = [3, 5, 7][seed as usize % 3];
-    let mut sim = Sim::new(seed, balancers, council);
+    let voters = [3, 5, 7][seed as usize % 3];
+    let mut sim = Sim::new(seed, balancers, voters);
     sim.snapshot_each = 20;
     sim.run(5 * SECOND);
     let mut ids = Vec::new();
     let mut away = None;
     for round in 0..20_u64 {
-        common::fault(&mut sim, &mut away, council);
+        common::fault(&mut sim, &mut away, voters);
         let by = sim.random.u16(..balancers);
         if sim.balancers[by as usize].node.is_some() {
             let incarnation = sim.balancers[by as usize].incarnation;
@@ -31,24 +31,27 @@
         }
         sim.run(2 * SECOND);
     }
-    common::peace(&mut sim, &mut away);
+    common::end_faults(&mut sim, &mut away);
     let start = sim.now;
     let before = sim.agreed.len() as u64;
     let by = (0..balancers).rev().find(|n| sim.balancers[*n as usize].node.is_some()).expect("one is up");
     let id = sim.propose(by, b"peace".to_vec());
     if !sim.run_until(start + 12 * SECOND, |sim| sim.agreed.len() as u64 > before) {
-        sim.tell_council();
+        sim.print_voters();
         panic!("seed {seed} does not recover");
     }
     totals.recovered_us.push(sim.now - start);
     let (agreed, revision) = (sim.now, sim.agreed.len() as u64);
     let up = sim.balancers.iter().filter(|b| b.node.is_some()).count();
     let enough = up - up / 100;
-    assert!(sim.run_until(agreed + 20 * SECOND, |sim| sim.know(revision) >= enough), "seed {seed} spreads");
+    assert!(
+        sim.run_until(agreed + 20 * SECOND, |sim| sim.count_caught_up(revision) >= enough),
+        "seed {seed} spreads"
+    );
     totals.spread_us.push(sim.now - agreed);
     assert!(sim.decided(by, id, 12 * SECOND), "seed {seed}");
     sim.run(15 * SECOND);
-    sim.assert_alike();
+    sim.assert_converged();
     let ended = |(by, incarnation, id): &(u16, u64, u64)| {
         (sim.balancers[*by as usize].incarnation == *incarnation)
             .then(|| sim.outcome(*by, *id).expect("has ended"))
--- a/crates/agreement/tests/common/mod.rs
+++ b/crates/agreement/tests/common/mod.rs
@@ -1,4 +1,5 @@
-//! Balancers on a virtual clock, a network that loses, doubles, delays and cuts, and a checker of all that is decided.
+//! Balancers on a virtual clock, a network that loses, duplicates, delays and blocks messages, and a checker of all
+//! committed entries.
 #![allow(dead_code)]
 use agreement::*;
 use std::{
@@ -12,7 +13,7 @@
 pub const SECOND: Micros = 1_000_000;
 pub const UNIX: u64 = 1_700_000_000_000_000;
 
-/// A disk that outlives the process, can be copied and can fail.
+/// A disk that survives the process, can be copied and can fail.
 #[derive(Clone, Default)]
 pub struct Disk(pub Rc<RefCell<(MemoryStore, bool)>>);
 
@@ -50,7 +51,7 @@
     pub disk: Disk,
     pub incarnation: u64,
     pub next: Revision,
-    pub why: Option<VotingBlock>,
+    pub voting_block: Option<VotingBlock>,
     pub leads: bool,
     pub outcomes: HashMap<u64, ProposalOutcome>,
     pub restored: u64,
@@ -68,24 +69,24 @@
 pub struct Sim {
     pub now: Micros,
     pub random: fastrand::Rng,
-    pub council: Vec<NodeId>,
+    pub voters: Vec<NodeId>,
     pub balancers: Vec<Balancer>,
     events: BinaryHeap<Reverse<(Micros, u64, Event)>>,
     count: u64,
-    /// Parts of all messages lost, and doubled.
+    /// Shares of messages that are lost and duplicated.
     pub loss: f64,
-    pub double: f64,
+    pub duplication: f64,
     pub delay: (Micros, Micros),
     pub cut: HashSet<(NodeId, NodeId)>,
-    /// All that was ever decided.
+    /// All committed entries.
     pub agreed: BTreeMap<Revision, (u64, NodeId, u64, Entry)>,
     names: HashMap<(NodeId, u64), Revision>,
     pub snapshot_each: u64,
     pub longest: usize,
     pub sent: u64,
-    /// Whether a member has come back with another disk than its own.
+    /// Whether a voter has restarted with another disk.
     pub disk_replaced: bool,
-    /// Messages as sent, the first of them, to be damaged by tests.
+    /// The first messages sent.
     pub recorded: Vec<(NodeId, NodeId, Vec<u8>)>,
 }
 
@@ -93,16 +94,16 @@
 const RECORDED: usize = 4_000;
 
 impl Sim {
-    pub fn new(seed: u64, balancers: u16, council: u16) -> Sim {
+    pub fn new(seed: u64, balancers: u16, voters: u16) -> Sim {
         let mut sim = Sim {
             now: SECOND,
             random: fastrand::Rng::with_seed(seed),
-            council: (0..council).collect(),
+            voters: (0..voters).collect(),
             balancers: (0..balancers).map(|_| Balancer::default()).collect(),
             events: BinaryHeap::new(),
             count: 0,
             loss: 0.0,
-            double: 0.0,
+            duplication: 0.0,
             delay: (500, 15_000),
             cut: HashSet::new(),
             agreed: BTreeMap::new(),
@@ -130,7 +131,7 @@
         let everyone = (0..self.balancers.len() as u16).map(|n| (n, n % 3)).collect();
         let incarnation = self.random.u64(..);
         let settings =
-            Settings { node_id: number, incarnation, voters: self.council.clone(), nodes: everyone };
+            Settings { node_id: number, incarnation, voters: self.voters.clone(), nodes: everyone };
         let balancer = &mut self.balancers[number as usize];
         let disk = balancer.disk.clone();
         *balancer = Balancer { disk: disk.clone(), incarnation, next: 1, ..Default::default() };
@@ -196,9 +197,9 @@
         id
     }
 
-    pub fn exchange(&mut self, by: NodeId, out: Option<NodeId>, taken_in: Option<NodeId>) -> u64 {
+    pub fn change_voters_at(&mut self, by: NodeId, removed: Option<NodeId>, added: Option<NodeId>) -> u64 {
         let now = self.now;
-        let id = self.node(by).change_voters(now, out, taken_in).expect("is taken");
+        let id = self.node(by).change_voters(now, removed, added).expect("is taken");
         self.drain(by);
         id
     }
@@ -216,7 +217,7 @@
         (0..self.balancers.len()).find(|n| self.balancers[*n].leads).map(|n| n as u16)
     }
 
-    pub fn know(&self, revision: Revision) -> usize {
+    pub fn count_caught_up(&self, revision: Revision) -> usize {
         self.balancers.iter().filter(|b| b.node.is_some() && b.next > revision).count()
     }
 
@@ -254,7 +255,7 @@
                     balancer.state = postcard::from_bytes(&snapshot).expect("own snapshot");
                 }
                 Action::LeadershipChanged(leads) => balancer.leads = leads,
-                Action::VotingBlocked(why) => balancer.why = Some(why),
+                Action::VotingBlocked(voting_block) => balancer.voting_block = Some(voting_block),
                 Action::ProposalFinished { id, outcome } => {
                     assert!(balancer.outcomes.insert(id, outcome).is_none(), "one outcome each");
                 }
@@ -294,7 +295,7 @@
         if self.recorded.len() < RECORDED {
             self.recorded.push((from, to, bytes.clone()));
         }
-        let times = 1 + usize::from(self.random.f64() < self.double);
+        let times = 1 + usize::from(self.random.f64() < self.duplication);
         for _ in 0..times {
             if self.random.f64() >= self.loss && !self.cut.contains(&(from, to)) {
                 let delay = self.random.u64(self.delay.0..=self.delay.1);
@@ -303,19 +304,21 @@
         }
     }
 
-    /// Prints what each member of the founding council is at.
-    pub fn tell_council(&mut self) {
-        for number in self.council.clone() {
+    /// Prints the state of each founding voter.
+    pub fn print_voters(&mut self) {
+        for number in self.voters.clone() {
             let balancer = &self.balancers[number as usize];
             let node = balancer.node.as_ref();
             let (votes, leader) = (node.map(|node| node.is_voting()), node.and_then(|node| node.leader()));
-            let (next, leads, why) = (balancer.next, balancer.leads, &balancer.why);
-            println!("{number}: votes {votes:?} leads {leads} leader {leader:?} next {next} why {why:?}");
+            let (next, leads, voting_block) = (balancer.next, balancer.leads, &balancer.voting_block);
+            println!(
+                "{number}: votes {votes:?} leads {leads} leader {leader:?} next {next} voting_block {voting_block:?}"
+            );
         }
     }
 
-    /// All that are up have come to the same state.
-    pub fn assert_alike(&self) {
+    /// Asserts that all running balancers have the same state.
+    pub fn assert_converged(&self) {
         let last = self.agreed.len() as u64;
         let up = self.balancers.iter().enumerate().filter(|b| b.1.node.is_some());
         let states: Vec<_> = up.map(|(n, b)| (b.next - 1, b.state, n)).collect();
@@ -327,28 +330,28 @@
     }
 }
 
-/// Draws one fault more or takes one back. At most a minority of the council is down, and one that lost its disk comes back.
-pub fn fault(sim: &mut Sim, away: &mut Option<(NodeId, Option<Disk>)>, council: NodeId) {
+/// Starts or ends a random fault. At most a minority of the voters is down, and one that lost its disk comes back.
+pub fn fault(sim: &mut Sim, away: &mut Option<(NodeId, Option<Disk>)>, voters: NodeId) {
     let all = sim.balancers.len() as u16;
     match sim.random.u8(..10) {
         0 => sim.loss = f64::from(sim.random.u8(..35)) / 100.0,
-        1 => (sim.double, sim.delay.1) = (0.2, sim.random.u64(5_000..200_000)),
+        1 => (sim.duplication, sim.delay.1) = (0.2, sim.random.u64(5_000..200_000)),
         2 => {
             let some: Vec<_> = (0..all).filter(|_| sim.random.bool()).collect();
             sim.isolate(&some);
         }
         3 => {
-            let (from, to) = (sim.random.u16(..council), sim.random.u16(..all));
+            let (from, to) = (sim.random.u16(..voters), sim.random.u16(..all));
             sim.cut.insert((from, to));
         }
         4 => sim.cut.clear(),
         5 => {
-            let number = sim.random.u16(..council);
+            let number = sim.random.u16(..voters);
             let stalled = &mut sim.balancers[number as usize].stalled;
             *stalled = !*stalled;
         }
         6 if away.is_none() => {
-            let number = sim.random.u16(..council);
+            let number = sim.random.u16(..voters);
             // Once in a life of a fleet a disk is lost, or an old copy comes back: taken now, put in place later.
             let replaced = !sim.disk_replaced && sim.random.bool();
             let old = match sim.random.bool() {
@@ -362,13 +365,13 @@
             }
             *away = Some((number, replaced.then_some(old)));
         }
-        7 => come_back(sim, away),
+        7 => bring_back(sim, away),
         8 => {
-            let number = sim.random.u16(council..all);
+            let number = sim.random.u16(voters..all);
             sim.start(number);
         }
         _ => {
-            let number = sim.random.u16(..council);
+            let number = sim.random.u16(..voters);
             if away.is_none() && sim.balancers[number as usize].node.is_some() {
                 sim.start(number);
             }
@@ -376,7 +379,7 @@
     }
 }
 
-fn come_back(sim: &mut Sim, away: &mut Option<(NodeId, Option<Disk>)>) {
+fn bring_back(sim: &mut Sim, away: &mut Option<(NodeId, Option<Disk>)>) {
     if let Some((number, old)) = away.take() {
         if let Some(old) = old {
             sim.stop(number);
@@ -386,10 +389,10 @@
     }
 }
 
-/// Takes all faults back.
-pub fn peace(sim: &mut Sim, away: &mut Option<(NodeId, Option<Disk>)>) {
-    come_back(sim, away);
-    (sim.loss, sim.double, sim.delay) = (0.0, 0.0, (500, 15_000));
+/// Ends all faults.
+pub fn end_faults(sim: &mut Sim, away: &mut Option<(NodeId, Option<Disk>)>) {
+    bring_back(sim, away);
+    (sim.loss, sim.duplication, sim.delay) = (0.0, 0.0, (500, 15_000));
     sim.cut.clear();
     sim.balancers.iter_mut().for_each(|balancer| balancer.stalled = false);
     sim.run(3 * SECOND);
--- a/crates/agreement/tests/garbage.rs
+++ b/crates/agreement/tests/garbage.rs
@@ -1,4 +1,4 @@
-//! Whatever a datagram holds, hearing it ends no process.
+//! No content of a datagram makes a balancer panic.
 mod common;
 use agreement::Message;
 use common::{Entry, SECOND, Sim};
@@ -12,7 +12,7 @@
     TestRunner::new_with_rng(config, TestRng::from_seed(RngAlgorithm::ChaCha, &[7; 32]))
 }
 
-fn played() -> Sim {
+fn recorded_run() -> Sim {
     let mut sim = Sim::new(1, 5, 3);
     sim.loss = 0.1;
     sim.snapshot_each = 10;
@@ -21,13 +21,13 @@
         sim.propose(4, vec![n; 1_500]);
         sim.run(SECOND / 5);
     }
-    sim.exchange(4, Some(2), Some(3));
+    sim.change_voters_at(4, Some(2), Some(3));
     sim.run(3 * SECOND);
     sim
 }
 
-/// Hears the bytes, lets some time pass and takes all actions; what comes of forged messages is not checked.
-fn hear(sim: &mut Sim, from: u16, to: u16, bytes: &[u8]) -> bool {
+/// Handles the bytes, advances time and drops all actions. The effect of forged messages is not checked.
+fn handle(sim: &mut Sim, from: u16, to: u16, bytes: &[u8]) -> bool {
     let Ok(message) = postcard::from_bytes::<Message<Entry>>(bytes) else { return false };
     let now = sim.now;
     sim.node(to).handle_message(now, from, message);
@@ -39,23 +39,23 @@
 }
 
 #[test]
-fn random_bytes_never_end_the_process() {
-    let sim = std::cell::RefCell::new(played());
+fn random_bytes_never_panic() {
+    let sim = std::cell::RefCell::new(recorded_run());
     let strategy = (0..11_u8, prop::collection::vec(any::<u8>(), 0..200), 0..4_u16, 0..4_u16);
     let run = runner(20_000).run(&strategy, |(kind, mut bytes, from, to)| {
         bytes.insert(0, kind);
-        hear(&mut sim.borrow_mut(), from, to, &bytes);
+        handle(&mut sim.borrow_mut(), from, to, &bytes);
         Ok(())
     });
-    run.expect("hears all");
+    run.expect("handles all");
 }
 
 #[test]
-fn true_messages_with_some_bytes_changed_never_end_the_process() {
-    let mut first = played();
+fn recorded_messages_with_changed_bytes_never_panic() {
+    let mut first = recorded_run();
     let recorded = std::mem::take(&mut first.recorded);
     let sim = std::cell::RefCell::new(first);
-    let heard = std::cell::Cell::new(0);
+    let decoded = std::cell::Cell::new(0);
     let change = (any::<prop::sample::Index>(), any::<u8>());
     let strategy = (any::<prop::sample::Index>(), prop::collection::vec(change, 0..3));
     let run = runner(40_000).run(&strategy, |(which, changes)| {
@@ -64,9 +64,9 @@
             let length = bytes.len();
             bytes[place.index(length)] = byte;
         }
-        heard.set(heard.get() + u32::from(hear(&mut sim.borrow_mut(), from, to, &bytes)));
+        decoded.set(decoded.get() + u32::from(handle(&mut sim.borrow_mut(), from, to, &bytes)));
         Ok(())
     });
-    run.expect("hears all");
-    assert!(heard.get() > 20_000, "most could be decoded: {}", heard.get());
+    run.expect("handles all");
+    assert!(decoded.get() > 20_000, "most could be decoded: {}", decoded.get());
 }
--- a/crates/agreement/tests/golden.rs
+++ b/crates/agreement/tests/golden.rs
@@ -24,7 +24,7 @@
 }
 
 /// Proposals from everywhere, a long entry, a change of the quorum group, snapshots, and a balancer that starts late.
-fn played() -> Sim {
+fn recorded_run() -> Sim {
     let mut sim = Sim::new(43, 7, 3);
     sim.snapshot_each = 8;
     sim.run(3 * SECOND);
@@ -34,7 +34,7 @@
     }
     let id = sim.propose(4, vec![9; 3_000]);
     assert!(sim.decided(4, id, 10 * SECOND));
-    let id = sim.exchange(1, Some(2), Some(5));
+    let id = sim.change_voters_at(1, Some(2), Some(5));
     assert!(sim.decided(1, id, 10 * SECOND));
     for round in 0..12 {
         let id = sim.propose(6, vec![round]);
@@ -47,7 +47,7 @@
 
 #[test]
 fn messages_keep_their_form() {
-    let sim = played();
+    let sim = recorded_run();
     let mut kinds: BTreeMap<u8, Vec<&Vec<u8>>> = BTreeMap::new();
     for (.., bytes) in &sim.recorded {
         let seen = kinds.entry(bytes[0]).or_default();
@@ -94,7 +94,7 @@
 
 #[test]
 fn stored_values_keep_their_form() {
-    let sim = played();
+    let sim = recorded_run();
     let mut disk: Disk = sim.balancers[0].disk.clone();
     let stored = disk.load().unwrap();
     assert!(!stored.accepted.is_empty() && !stored.items.is_empty() && stored.snapshot.is_some());
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn a_balancer_starts_from_stored_values_of_the_first_version() {
+fn balancer_recovers_from_stored_values_of_the_first_version() {
     let kept = kept(include_str!("golden/stored.txt"));
     let mut store = MemoryStore::default();
     let changes = [
--- a/crates/fleet/examples/measure_fleet/faults.rs
+++ b/crates/fleet/examples/measure_fleet/faults.rs
@@ -35,7 +35,7 @@
 impl Faults {
     pub fn new(site: &mut Site) -> Self {
         let mut random = fastrand::Rng::with_seed(site.seed ^ 0x5eed);
-        let count = site.parts.len();
+        let count = site.members.len();
         for n in 0..count {
             site.clocks[n] = random.i64(-CLOCKS_APART / 2..=CLOCKS_APART / 2);
             site.rates[n] = random.i64(-490..=490);
@@ -46,7 +46,7 @@
 
     /// Whether one is alive, not cut off, and was not for a while.
     pub fn faultless(&self, site: &Site, n: usize) -> bool {
-        site.parts[n].is_some() && self.own[n] + RECOVERY <= site.now
+        site.members[n].is_some() && self.own[n] + RECOVERY <= site.now
     }
 
     fn tell(&mut self, site: &Site, what: String) {
@@ -56,7 +56,7 @@
     /// A second's faults; those that are over end.
     pub fn turn(&mut self, site: &mut Site, referee: &mut Referee) {
         self.end(site, referee, site.now);
-        let count = site.parts.len();
+        let count = site.members.len();
         if self.random.u32(0..10) == 0 {
             site.loss = *self.random.choice(&[0.0, 0.05, 0.1, 0.2]).unwrap_or(&0.0);
             self.tell(site, format!("loss {}", site.loss));
@@ -89,7 +89,7 @@
         if self.cuts.len() >= 2 {
             return;
         }
-        let (until, count) = (self.until(site), site.parts.len());
+        let (until, count) = (self.until(site), site.members.len());
         let cut = match self.random.u32(0..4) {
             0 | 1 => {
                 let many = 1 + self.random.usize(0..count / 2);
@@ -124,10 +124,10 @@
 
     fn lay(&self, site: &mut Site) {
         site.cut.clear();
-        let count = site.parts.len();
+        let count = site.members.len();
         for (_, cut) in &self.cuts {
             match cut {
-                Cut::Sets(some) => site.cut_off(some.iter().copied()),
+                Cut::Sets(some) => site.isolate(some.iter().copied()),
                 Cut::Mute(n) => site.cut.extend((0..count).map(|to| (*n, to))),
                 Cut::Deaf(n) => site.cut.extend((0..count).map(|from| (from, *n))),
                 Cut::Pairs(pairs) => site.cut.extend(pairs),
@@ -138,9 +138,9 @@
     fn stop(&mut self, site: &mut Site, many: usize, leader: bool) {
         let until = site.now + STOP;
         for _ in 0..many {
-            let drawn = self.random.usize(0..site.parts.len());
+            let drawn = self.random.usize(0..site.members.len());
             let n = if leader { site.leader().unwrap_or(drawn) } else { drawn };
-            if site.parts[n].is_some() && site.stopped.insert(n) {
+            if site.members[n].is_some() && site.stopped.insert(n) {
                 self.tell(site, format!("stop {n}"));
                 self.stops.push((until, n));
                 self.own[n] = self.own[n].max(until);
@@ -149,7 +149,7 @@
     }
 
     fn kill(&mut self, site: &mut Site) {
-        let count = site.parts.len();
+        let count = site.members.len();
         for _ in 0..1 + self.random.usize(0..count / 20 + 1) {
             // A quarter of them of the council, however large the fleet.
             let n = if self.random.u32(0..4) == 0 {
@@ -157,7 +157,7 @@
             } else {
                 self.random.usize(0..count)
             };
-            if site.parts[n].is_some() && !site.stopped.contains(&n) {
+            if site.members[n].is_some() && !site.stopped.contains(&n) {
                 let until = self.random.u64(1..10) * SECOND + site.now;
                 self.tell(site, format!("kill {n}"));
                 site.kill(n);
@@ -191,13 +191,13 @@
             // One memory of the council may be lost at a time: of more, a majority may have forgotten what it agreed.
             let all_vote = (0..COUNCIL)
                 .filter(|it| *it != n)
-                .all(|it| site.parts[it].as_ref().is_some_and(|it| it.is_voting()));
+                .all(|it| site.members[it].as_ref().is_some_and(|it| it.is_voting()));
             let forgets = n >= COUNCIL || (all_vote && self.random.bool());
             self.tell(site, format!("start {n}, without memory: {forgets}"));
             if forgets {
-                site.begin(n)
+                site.start_empty(n)
             } else {
-                site.begin_again(n)
+                site.start(n)
             }
             self.own[n] = self.own[n].max(site.now);
         }
@@ -212,13 +212,13 @@
 
     /// Staff have a member of the council that lost its memory taken in anew.
     pub fn renew(&mut self, site: &mut Site) {
-        for n in site.voteless.clone() {
-            if site.parts[n].as_ref().is_none_or(|it| it.is_voting()) {
-                site.voteless.remove(&n);
+        for n in site.blocked_voters.clone() {
+            if site.members[n].as_ref().is_none_or(|it| it.is_voting()) {
+                site.blocked_voters.remove(&n);
             } else if let Some(by) = self.somebody(site) {
                 let now = site.local(by);
-                if let Some(part) = &mut site.parts[by] {
-                    _ = part.change_voters(now, None, Some(n as u16));
+                if let Some(member) = &mut site.members[by] {
+                    _ = member.change_voters(now, None, Some(n as u16));
                 }
                 self.tell(site, format!("{n} is to be taken in anew, by {by}"));
             }
@@ -226,8 +226,9 @@
     }
 
     fn somebody(&mut self, site: &Site) -> Option<usize> {
-        let alive: Vec<usize> =
-            (0..site.parts.len()).filter(|n| site.parts[*n].is_some() && !site.stopped.contains(n)).collect();
+        let alive: Vec<usize> = (0..site.members.len())
+            .filter(|n| site.members[*n].is_some() && !site.stopped.contains(n))
+            .collect();
         self.random.choice(alive)
     }
 
@@ -246,8 +247,8 @@
         };
         self.tell(site, format!("{by} proposes {proposal:?}").chars().take(90).collect());
         let now = site.local(by);
-        if let Some(part) = &mut site.parts[by] {
-            _ = part.propose(now, proposal.into());
+        if let Some(member) = &mut site.members[by] {
+            _ = member.propose(now, proposal.into());
         }
     }
 }
--- a/crates/fleet/examples/measure_fleet/main.rs
+++ b/crates/fleet/examples/measure_fleet/main.rs
@@ -43,9 +43,9 @@
     violations: Vec<String>,
 }
 
-fn settled(count: usize, seed: u64) -> Site {
-    let mut site = Site::start(count, COUNCIL, "10s", seed);
-    site.until(60 * SECOND, |it| it.all_stand(LeaseState::Held));
+fn with_leases(count: usize, seed: u64) -> Site {
+    let mut site = Site::new(count, COUNCIL, "10s", seed);
+    site.run_until(60 * SECOND, |it| it.all_have_state(LeaseState::Held));
     site
 }
 
@@ -54,7 +54,7 @@
 }
 
 fn mixed(count: usize, seed: u64) -> Played {
-    let mut site = Site::start(count, COUNCIL, "10s", seed);
+    let mut site = Site::new(count, COUNCIL, "10s", seed);
     let (mut faults, mut referee) = (Faults::new(&mut site), Referee::default());
     let mut played = Played { seeds: 1, ..Played::default() };
     let mut worst = String::new();
@@ -74,9 +74,10 @@
     }
     faults.end_all(&mut site, &mut referee);
     let from = site.now;
-    while !site.all_stand(LeaseState::Held) && referee.violation.is_none() {
+    while !site.all_have_state(LeaseState::Held) && referee.violation.is_none() {
         if site.now - from >= RECOVERED {
-            let not = (0..count).filter(|n| site.standing(*n) != Some(LeaseState::Held)).collect::<Vec<_>>();
+            let not =
+                (0..count).filter(|n| site.lease_state(*n) != Some(LeaseState::Held)).collect::<Vec<_>>();
             referee.violation = Some(format!("not held within {}: {not:?}", seconds(RECOVERED)));
         }
         watched(&mut site, &mut referee, SECOND / 10);
@@ -165,13 +166,13 @@
 
 /// How long agreed entries take to 99 of 100, at a fifth lost.
 fn spread(count: usize) {
-    let mut site = settled(count, 1);
+    let mut site = with_leases(count, 1);
     site.loss = 0.2;
     let (mut agreed, mut spans) = (Vec::new(), Vec::new());
     for k in 0..50 {
         let (id, by) = (format!("freeze-{k}"), k * 7 % count);
         let from = site.local(by);
-        site.parts[by].as_mut().unwrap().propose(from, freeze(&id).into()).unwrap();
+        site.members[by].as_mut().unwrap().propose(from, freeze(&id).into()).unwrap();
         let asked = site.now;
         while site.decided.len() <= k {
             site.run(SECOND / 100);
@@ -193,7 +194,7 @@
 }
 
 fn traffic(count: usize) {
-    let mut site = settled(count, 1);
+    let mut site = with_leases(count, 1);
     (site.sent, site.bytes) = (0, 0);
     site.run(20 * SECOND);
     let each = 20.0 * count as f64;
--- a/crates/fleet/examples/measure_fleet/referee.rs
+++ b/crates/fleet/examples/measure_fleet/referee.rs
@@ -1,6 +1,6 @@
 //! The referee: keeps a book of its own of what was agreed when, in true time, and looks at every tick whether the fleet keeps to it.
 
-use crate::common::{SECOND, Site, takes_a_join};
+use crate::common::{SECOND, Site, accepts_join};
 use audit::lease::LeaseState;
 use calendar::{Entry, EntryPhase};
 use fleet::Micros;
@@ -34,17 +34,17 @@
     pub fn look(&mut self, site: &Site, n: usize) {
         self.read(site);
         self.looks += 1;
-        if let Some((revision, at)) = site.unlike.first() {
+        if let Some((revision, at)) = site.diverged.first() {
             self.found(site, format!("calendar of {at} at revision {revision} is not the others'"));
         }
         let frozen = self.frozen(site.now);
-        let joins = takes_a_join(site, n);
+        let joins = accepts_join(site, n);
         self.joins += u64::from(joins);
         self.frozen_looks += u64::from(frozen.is_some());
         if let Some(id) = frozen.filter(|_| joins) {
             let agreed = self.book[&id].agreed;
             let knows = site.calendars[n].agreed_at(&id);
-            let span = site.parts[n].as_ref().and_then(|part| part.lease().fleet_time(site.local(n)));
+            let span = site.members[n].as_ref().and_then(|member| member.lease().fleet_time(site.local(n)));
             let late = site.now - agreed - BINDING;
             self.found(
                 site,
@@ -55,10 +55,11 @@
     }
 
     fn look_at_lease(&mut self, site: &Site, n: usize) {
-        let Some(part) = &site.parts[n] else { return };
+        let Some(member) = &site.members[n] else { return };
         let local = site.local(n);
-        let held = part.lease().state(local).0 == LeaseState::Held && part.lease().serve_until(local) > local;
-        let Some(revision) = part.lease().revision(local).filter(|_| held) else { return };
+        let held =
+            member.lease().state(local).0 == LeaseState::Held && member.lease().serve_until(local) > local;
+        let Some(revision) = member.lease().revision(local).filter(|_| held) else { return };
         let heard = site.applied.get(revision as usize - 1).copied();
         if heard.is_none_or(|heard| site.now >= heard + BINDING) {
             self.found(site, format!("{n} serves under a lease of revision {revision}, over for all others"));
@@ -112,11 +113,11 @@
 
 impl ShutOut {
     pub fn sample(&mut self, site: &Site, faultless: impl Fn(usize) -> bool) {
-        let some: Vec<usize> = (0..site.parts.len()).filter(|n| faultless(*n)).collect();
-        let out = some.iter().filter(|n| site.standing(**n) == Some(LeaseState::Fenced)).count();
-        let part = out as f64 / some.len().max(1) as f64;
-        self.worst = self.worst.max(part);
-        self.sum += part;
+        let some: Vec<usize> = (0..site.members.len()).filter(|n| faultless(*n)).collect();
+        let out = some.iter().filter(|n| site.lease_state(**n) == Some(LeaseState::Fenced)).count();
+        let share = out as f64 / some.len().max(1) as f64;
+        self.worst = self.worst.max(share);
+        self.sum += share;
         self.samples += 1;
     }
 
--- a/crates/fleet/tests/common/mod.rs
+++ b/crates/fleet/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! A fleet on a virtual clock: every balancer's part, and a network between them that a seed spoils.
-#![allow(dead_code, reason = "each test program uses a part of it")]
+//! A fleet on a virtual clock, with all its members and a network whose faults are drawn from a seed.
+#![allow(dead_code, reason = "each test program uses only some of it")]
 
 use agreement::{MemoryStore, Store, StoreChange as Written, StoredState};
 use audit::lease::LeaseState;
@@ -46,7 +46,7 @@
     }
 }
 
-/// A memory that outlives the process, as a disk does.
+/// A store that survives the process, as a disk does.
 #[derive(Clone, Default)]
 pub struct Disk(Rc<RefCell<MemoryStore>>);
 
@@ -62,7 +62,7 @@
 
 pub struct Site {
     pub now: Micros,
-    pub parts: Vec<Option<FleetMember<Disk>>>,
+    pub members: Vec<Option<FleetMember<Disk>>>,
     /// Microseconds in a million that each monotonic clock runs fast.
     pub rates: Vec<i64>,
     /// Microseconds that each wall clock is off.
@@ -82,9 +82,9 @@
     /// When each revision of the log was first applied anywhere; the first is revision 1.
     pub applied: Vec<Micros>,
     /// Revisions at which two calendars were not the same, and where.
-    pub unlike: Vec<(u64, usize)>,
+    pub diverged: Vec<(u64, usize)>,
     /// Members of the council that said that they cannot vote.
-    pub voteless: BTreeSet<usize>,
+    pub blocked_voters: BTreeSet<usize>,
     /// The balancer whose tick is looked at.
     pub ticked: usize,
     pub seed: u64,
@@ -120,10 +120,10 @@
 }
 
 impl Site {
-    pub fn start(count: usize, council: usize, lease: &str, seed: u64) -> Self {
+    pub fn new(count: usize, council: usize, lease: &str, seed: u64) -> Self {
         let mut it = Self {
             now: BEGIN,
-            parts: (0..count).map(|_| None).collect(),
+            members: (0..count).map(|_| None).collect(),
             rates: vec![0; count],
             clocks: vec![0; count],
             loss: 0.0,
@@ -135,8 +135,8 @@
             calendars: vec![Calendar::new(0); count],
             decided: BTreeMap::new(),
             applied: Vec::new(),
-            unlike: Vec::new(),
-            voteless: BTreeSet::new(),
+            diverged: Vec::new(),
+            blocked_voters: BTreeSet::new(),
             ticked: 0,
             seed,
             file: FleetFile::parse("fleet.toml", &text(count, council, lease)).unwrap(),
@@ -146,19 +146,19 @@
             due: BinaryHeap::new(),
             number: 0,
         };
-        (0..count).for_each(|n| it.begin(n));
+        (0..count).for_each(|n| it.start_empty(n));
         it
     }
 
-    /// Starts a balancer, or starts it again without its memory.
-    pub fn begin(&mut self, n: usize) {
+    /// Starts a balancer with an empty store.
+    pub fn start_empty(&mut self, n: usize) {
         self.disks[n] = Disk::default();
-        self.begin_again(n);
+        self.start(n);
     }
 
-    /// Starts a balancer with what its disk holds.
-    pub fn begin_again(&mut self, n: usize) {
-        self.voteless.remove(&n);
+    /// Starts a balancer with its present store.
+    pub fn start(&mut self, n: usize) {
+        self.blocked_voters.remove(&n);
         self.incarnations[n] += 1;
         let config = MemberConfig {
             node_id: n as u16,
@@ -166,7 +166,7 @@
             store: self.disks[n].clone(),
             seed: self.random.u64(..),
         };
-        self.parts[n] = Some(FleetMember::new(self.file.clone(), config, self.local(n)));
+        self.members[n] = Some(FleetMember::new(self.file.clone(), config, self.local(n)));
         let after = self.random.u64(0..agreement::TICK_INTERVAL_US);
         self.push(after, Event::Tick(n, self.incarnations[n]));
         self.carry_out(n);
@@ -178,7 +178,7 @@
     }
 
     pub fn kill(&mut self, n: usize) {
-        self.parts[n] = None;
+        self.members[n] = None;
         self.incarnations[n] += 1;
     }
 
@@ -197,7 +197,7 @@
     }
 
     fn carry_out(&mut self, n: usize) {
-        while let Some(output) = self.parts[n].as_mut().and_then(FleetMember::poll) {
+        while let Some(output) = self.members[n].as_mut().and_then(FleetMember::poll) {
             match output {
                 Output::Send { to, datagram: bytes } => {
                     self.sent += 1;
@@ -215,11 +215,11 @@
                     self.push(after, Event::Timer(n, self.incarnations[n], timer))
                 }
                 Output::CalendarChanged(calendar) => self.note(n, *calendar),
-                Output::VotingBlocked(_) => _ = self.voteless.insert(n),
+                Output::VotingBlocked(_) => _ = self.blocked_voters.insert(n),
                 _ => {}
             }
         }
-        let applied = self.parts[n].as_ref().map_or(0, |part| part.revision() as usize);
+        let applied = self.members[n].as_ref().map_or(0, |member| member.revision() as usize);
         if applied > self.applied.len() {
             self.applied.resize(applied, self.now);
         }
@@ -228,7 +228,7 @@
     fn note(&mut self, n: usize, calendar: Calendar) {
         let first = self.decided.entry(calendar.revision()).or_insert_with(|| (self.now, calendar.clone()));
         if first.1 != calendar {
-            self.unlike.push((calendar.revision(), n));
+            self.diverged.push((calendar.revision(), n));
         }
         self.calendars[n] = calendar;
     }
@@ -251,24 +251,26 @@
                 }
                 Event::Datagram { from, to, bytes } => {
                     let local = self.local(to);
-                    if let Some(part) = &mut self.parts[to] {
-                        part.handle_datagram(local, address(from), &bytes);
+                    if let Some(member) = &mut self.members[to] {
+                        member.handle_datagram(local, address(from), &bytes);
                         self.carry_out(to);
                     }
                 }
                 Event::Timer(n, incarnation, timer) => {
                     let local = self.local(n);
-                    if let Some(part) = self.parts[n].as_mut().filter(|_| self.incarnations[n] == incarnation)
+                    if let Some(member) =
+                        self.members[n].as_mut().filter(|_| self.incarnations[n] == incarnation)
                     {
-                        part.handle_timer(local, timer);
+                        member.handle_timer(local, timer);
                         self.carry_out(n);
                     }
                 }
                 Event::Tick(n, incarnation) => {
                     let (unix, local) = (self.unix(n), self.local(n));
-                    if let Some(part) = self.parts[n].as_mut().filter(|_| self.incarnations[n] == incarnation)
+                    if let Some(member) =
+                        self.members[n].as_mut().filter(|_| self.incarnations[n] == incarnation)
                     {
-                        part.tick(local, unix);
+                        member.tick(local, unix);
                         self.carry_out(n);
                         self.push(agreement::TICK_INTERVAL_US, Event::Tick(n, incarnation));
                         self.ticked = n;
@@ -280,10 +282,10 @@
         self.now = until;
     }
 
-    pub fn cut_off(&mut self, some: impl IntoIterator<Item = usize>) {
+    pub fn isolate(&mut self, some: impl IntoIterator<Item = usize>) {
         let some: BTreeSet<usize> = some.into_iter().collect();
-        for from in 0..self.parts.len() {
-            for to in 0..self.parts.len() {
+        for from in 0..self.members.len() {
+            for to in 0..self.members.len() {
                 if some.contains(&from) != some.contains(&to) {
                     self.cut.insert((from, to));
                 }
@@ -291,19 +293,19 @@
         }
     }
 
-    pub fn standing(&self, n: usize) -> Option<LeaseState> {
-        self.parts[n].as_ref().map(|part| part.lease().state(self.local(n)).0)
+    pub fn lease_state(&self, n: usize) -> Option<LeaseState> {
+        self.members[n].as_ref().map(|member| member.lease().state(self.local(n)).0)
     }
 
-    pub fn all_stand(&self, standing: LeaseState) -> bool {
-        (0..self.parts.len())
+    pub fn all_have_state(&self, lease_state: LeaseState) -> bool {
+        (0..self.members.len())
             .filter(|n| !self.stopped.contains(n))
-            .filter_map(|n| self.standing(n))
-            .all(|it| it == standing)
+            .filter_map(|n| self.lease_state(n))
+            .all(|it| it == lease_state)
     }
 
     /// Plays until it is so; yields how long that took.
-    pub fn until(&mut self, most: Micros, mut so: impl FnMut(&Self) -> bool) -> Micros {
+    pub fn run_until(&mut self, most: Micros, mut so: impl FnMut(&Self) -> bool) -> Micros {
         let from = self.now;
         while !so(self) {
             assert!(self.now - from < most, "not so within {most} us, seed {}", self.seed);
@@ -314,17 +316,17 @@
 
     pub fn leader(&self) -> Option<usize> {
         let leads = |n: &usize| {
-            self.parts[*n].as_ref().is_some_and(|it| it.view(self.local(*n))["leader"] == format!("n{n}"))
+            self.members[*n].as_ref().is_some_and(|it| it.view(self.local(*n))["leader"] == format!("n{n}"))
         };
-        (0..7.min(self.parts.len())).filter(|n| !self.stopped.contains(n)).find(leads)
+        (0..7.min(self.members.len())).filter(|n| !self.stopped.contains(n)).find(leads)
     }
 }
 
 /// Whether this balancer, as its core would, takes a host in by plan now.
-pub fn takes_a_join(site: &Site, n: usize) -> bool {
-    let Some(part) = &site.parts[n] else { return false };
-    let (lease, now) = (part.lease(), site.local(n));
-    let standing = match lease.state(now).0 {
+pub fn accepts_join(site: &Site, n: usize) -> bool {
+    let Some(member) = &site.members[n] else { return false };
+    let (lease, now) = (member.lease(), site.local(n));
+    let lease_state = match lease.state(now).0 {
         LeaseState::Held => calendar::LeaseState::Held,
         LeaseState::Fenced => calendar::LeaseState::Fenced,
         LeaseState::Orphaned => calendar::LeaseState::Orphaned,
@@ -333,7 +335,7 @@
     let span =
         span.map(|it| TimeInterval { earliest: it.earliest / 1_000, latest: it.latest.div_ceil(1_000) });
     let join = Change::of_host(ChangeKind::Join, "s-9", "a");
-    matches!(site.calendars[n].check(span, standing, &join), Verdict::Allow { .. })
+    matches!(site.calendars[n].check(span, lease_state, &join), Verdict::Allow { .. })
 }
 
 /// A freeze of the whole fleet from the first day of the test on.
--- a/crates/fleet/tests/fleet.rs
+++ b/crates/fleet/tests/fleet.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use audit::lease::LeaseState;
-use common::{SECOND, Site, freeze, takes_a_join, text};
+use common::{SECOND, Site, accepts_join, freeze, text};
 use fleet::wire::{Body, DecodeError, Envelope, MAX_BYTES};
 use fleet::{FleetFile, Micros};
 use proptest::prelude::*;
@@ -14,61 +14,61 @@
 /// From when on a freeze binds: a lease and the error of clocks' rates after it was agreed.
 const BINDING: Micros = LEASE + LEASE / 1_000 + 2_000;
 
-fn settled(count: usize, council: usize, seed: u64, loss: f64) -> Site {
-    let mut site = Site::start(count, council, "4s", seed);
+fn with_leases(count: usize, council: usize, seed: u64, loss: f64) -> Site {
+    let mut site = Site::new(count, council, "4s", seed);
     site.loss = loss;
-    site.until(15 * SECOND, |it| it.all_stand(LeaseState::Held));
+    site.run_until(15 * SECOND, |it| it.all_have_state(LeaseState::Held));
     site
 }
 
 fn may_serve(site: &Site, n: usize) -> bool {
-    site.parts[n].as_ref().is_some_and(|part| part.lease().serve_until(site.now) > site.now)
+    site.members[n].as_ref().is_some_and(|member| member.lease().serve_until(site.now) > site.now)
 }
 
-fn knowing(site: &Site, id: &str) -> usize {
-    site.parts.iter().flatten().filter(|part| part.calendar().agreed_at(id).is_some()).count()
+fn count_knowing(site: &Site, id: &str) -> usize {
+    site.members.iter().flatten().filter(|member| member.calendar().agreed_at(id).is_some()).count()
 }
 
 #[test]
-fn an_agreed_freeze_is_known_in_two_seconds_at_a_fifth_lost_and_holds_joins_everywhere_a_lease_later() {
-    let mut site = settled(60, 5, 1, 0.2);
-    assert!((0..60).all(|n| takes_a_join(&site, n)));
+fn freeze_is_known_within_2_s_at_20_percent_loss_and_holds_joins_a_lease_later() {
+    let mut site = with_leases(60, 5, 1, 0.2);
+    assert!((0..60).all(|n| accepts_join(&site, n)));
     let now = site.now;
-    site.parts[41].as_mut().unwrap().propose(now, freeze("deadline").into()).unwrap();
-    site.until(5 * SECOND, |it| knowing(it, "deadline") > 0);
+    site.members[41].as_mut().unwrap().propose(now, freeze("deadline").into()).unwrap();
+    site.run_until(5 * SECOND, |it| count_knowing(it, "deadline") > 0);
     let agreed = site.now;
-    site.until(2 * SECOND, |it| knowing(it, "deadline") == 60);
-    assert!((0..60).any(|n| takes_a_join(&site, n)), "it binds no sooner than a lease after it was agreed");
+    site.run_until(2 * SECOND, |it| count_knowing(it, "deadline") == 60);
+    assert!((0..60).any(|n| accepts_join(&site, n)), "it binds no sooner than a lease after it was agreed");
     site.run(agreed + BINDING - site.now);
-    assert!((0..60).all(|n| may_serve(&site, n) && !takes_a_join(&site, n)));
+    assert!((0..60).all(|n| may_serve(&site, n) && !accepts_join(&site, n)));
 }
 
 #[test]
-fn one_that_is_cut_off_is_fenced_within_its_lease_and_takes_no_host_in_against_a_freeze() {
-    let mut site = settled(30, 3, 2, 0.05);
-    site.cut_off([17]);
+fn isolated_balancer_is_fenced_within_its_lease_and_accepts_no_join_during_a_freeze() {
+    let mut site = with_leases(30, 3, 2, 0.05);
+    site.isolate([17]);
     let cut = site.now;
-    site.parts[8].as_mut().unwrap().propose(cut, freeze("deadline").into()).unwrap();
-    site.until(3 * SECOND, |it| knowing(it, "deadline") > 0);
+    site.members[8].as_mut().unwrap().propose(cut, freeze("deadline").into()).unwrap();
+    site.run_until(3 * SECOND, |it| count_knowing(it, "deadline") > 0);
     let binds = site.now + BINDING;
     site.run_watching(10 * SECOND, |it| {
         assert!(it.now < cut + LEASE || !may_serve(it, 17), "it serves past its lease");
-        assert!(it.now < binds || (0..30).all(|n| !takes_a_join(it, n)), "a join against the freeze");
+        assert!(it.now < binds || (0..30).all(|n| !accepts_join(it, n)), "a join against the freeze");
     });
-    assert_eq!(site.standing(17), Some(LeaseState::Fenced));
+    assert_eq!(site.lease_state(17), Some(LeaseState::Fenced));
     site.cut.clear();
-    let back = site.until(5 * SECOND, |it| it.standing(17) == Some(LeaseState::Held));
-    assert!(back < 5 * SECOND && site.parts[17].as_ref().unwrap().calendar().agreed_at("deadline").is_some());
+    let back = site.run_until(5 * SECOND, |it| it.lease_state(17) == Some(LeaseState::Held));
+    assert!(
+        back < 5 * SECOND && site.members[17].as_ref().unwrap().calendar().agreed_at("deadline").is_some()
+    );
 }
 
 /// One whose last asks were lost lapses before it can tell that all others will: a twentieth lost leaves few of those.
 #[rstest]
 #[case::nothing_lost(0.0, 0)]
-#[case::a_twentieth_lost(0.05, 4)]
-fn a_lost_council_does_not_shut_the_fleet_out_and_holds_all_planned_changes(
-    #[case] loss: f64, #[case] out: usize,
-) {
-    let mut site = settled(40, 5, 3, loss);
+#[case::five_percent_lost(0.05, 4)]
+fn lost_quorum_does_not_fence_the_fleet_and_holds_all_planned_changes(#[case] loss: f64, #[case] out: usize) {
+    let mut site = with_leases(40, 5, 3, loss);
     (0..5).for_each(|n| site.kill(n));
     let lost = site.now;
     let mut most_out = 0;
@@ -76,37 +76,38 @@
         most_out = most_out.max((5..40).filter(|n| !may_serve(it, *n)).count());
     });
     assert!(most_out <= out, "{most_out} balancers were shut out at a time");
-    assert!((5..40).all(|n| site.standing(n) == Some(LeaseState::Orphaned) && !takes_a_join(&site, n)));
+    assert!((5..40).all(|n| site.lease_state(n) == Some(LeaseState::Orphaned) && !accepts_join(&site, n)));
     assert!(site.now - lost > LEASE);
 }
 
 #[test]
-fn a_process_that_stood_still_across_its_lease_lets_nothing_through_on_its_first_look() {
-    let mut site = settled(20, 3, 4, 0.0);
+fn process_stopped_across_its_lease_admits_nothing_when_it_wakes() {
+    let mut site = with_leases(20, 3, 4, 0.0);
     for stopped in [11, site.leader().unwrap()] {
         site.stopped.insert(stopped);
         site.run(20 * SECOND);
         assert!(!may_serve(&site, stopped), "on waking, before anything is heard");
         assert!((0..20).filter(|n| *n != stopped).all(|n| may_serve(&site, n)));
         site.stopped.clear();
-        site.until(5 * SECOND, |it| it.standing(stopped) == Some(LeaseState::Held));
+        site.run_until(5 * SECOND, |it| it.lease_state(stopped) == Some(LeaseState::Held));
     }
 }
 
 #[test]
-fn fleet_time_goes_on_though_leaders_clocks_are_thirty_seconds_apart() {
-    let mut site = Site::start(9, 5, "4s", 5);
+fn fleet_time_advances_while_leaders_clocks_are_30_s_apart() {
+    let mut site = Site::new(9, 5, "4s", 5);
     for n in 0..9 {
         site.clocks[n] = (n as i64 - 4) * 30 * SECOND as i64;
     }
-    site.until(15 * SECOND, |it| it.all_stand(LeaseState::Held));
+    site.run_until(15 * SECOND, |it| it.all_have_state(LeaseState::Held));
     let mut last = [0; 9];
     for _ in 0..3 {
         let leader = site.leader().unwrap();
-        site.cut_off([leader]);
+        site.isolate([leader]);
         site.run_watching(3 * LEASE, |it| {
             for (n, last) in last.iter_mut().enumerate() {
-                let Some(span) = it.parts[n].as_ref().and_then(|part| part.lease().fleet_time(it.now)) else {
+                let Some(span) = it.members[n].as_ref().and_then(|member| member.lease().fleet_time(it.now))
+                else {
                     continue;
                 };
                 // By no more than a tick and the way of a message.
@@ -119,49 +120,49 @@
             }
         });
         site.cut.clear();
-        site.until(15 * SECOND, |it| it.all_stand(LeaseState::Held));
+        site.run_until(15 * SECOND, |it| it.all_have_state(LeaseState::Held));
     }
 }
 
 #[test]
-fn fleet_time_loses_nothing_while_leaders_clocks_are_behind_nor_from_one_leader_to_the_next() {
-    let mut site = settled(9, 5, 10, 0.1);
+fn fleet_time_loses_nothing_while_leaders_clocks_are_behind_or_leaders_change() {
+    let mut site = with_leases(9, 5, 10, 0.1);
     site.clocks = vec![-120 * SECOND as i64; 9]; // all set back: fleet time goes on from what was stamped
-    let of = |site: &Site, n: usize| site.parts[n].as_ref().unwrap().lease().fleet_time(site.now).unwrap();
+    let of = |site: &Site, n: usize| site.members[n].as_ref().unwrap().lease().fleet_time(site.now).unwrap();
     let (before, begun) = (of(&site, 8), site.now);
     for _ in 0..4 {
         site.run(15 * SECOND);
         let leader = site.leader().unwrap();
-        site.cut_off([leader]);
+        site.isolate([leader]);
         site.run(2 * SECOND);
         site.cut.clear();
     }
-    site.until(15 * SECOND, |it| it.all_stand(LeaseState::Held));
+    site.run_until(15 * SECOND, |it| it.all_have_state(LeaseState::Held));
     let lost = (before.earliest + site.now - begun).saturating_sub(of(&site, 8).latest);
     assert!(lost < SECOND / 10, "fleet time lost {lost} us");
 }
 
 #[test]
-fn a_restart_by_tenths_leaves_the_others_serving_and_each_is_back_with_all_that_was_agreed() {
-    let mut site = settled(30, 3, 6, 0.05);
+fn rolling_restart_by_tenths_leaves_the_others_serving_and_restores_committed_state() {
+    let mut site = with_leases(30, 3, 6, 0.05);
     let now = site.now;
-    site.parts[4].as_mut().unwrap().propose(now, freeze("deadline").into()).unwrap();
-    site.until(3 * SECOND, |it| knowing(it, "deadline") == 30);
+    site.members[4].as_mut().unwrap().propose(now, freeze("deadline").into()).unwrap();
+    site.run_until(3 * SECOND, |it| count_knowing(it, "deadline") == 30);
     for tenth in 1..10 {
         let some: Vec<usize> = (3 * tenth..3 * tenth + 3).collect();
-        some.iter().for_each(|n| site.begin(*n));
+        some.iter().for_each(|n| site.start_empty(*n));
         site.run_watching(2 * SECOND, |it| {
             assert!((0..30).filter(|n| !some.contains(n)).all(|n| may_serve(it, n)), "seed {}", it.seed);
         });
-        site.until(5 * SECOND, |it| it.all_stand(LeaseState::Held));
-        assert_eq!(knowing(&site, "deadline"), 30);
+        site.run_until(5 * SECOND, |it| it.all_have_state(LeaseState::Held));
+        assert_eq!(count_knowing(&site, "deadline"), 30);
     }
 }
 
 #[test]
-fn messages_and_bytes_of_each_are_flat_in_the_size_of_the_fleet() {
+fn datagrams_and_bytes_per_balancer_do_not_grow_with_the_fleet() {
     let per_second = |count: usize| {
-        let mut site = settled(count, 5, 7, 0.0);
+        let mut site = with_leases(count, 5, 7, 0.0);
         (site.sent, site.bytes) = (0, 0);
         site.run(10 * SECOND);
         let each = 10.0 * count as f64;
@@ -173,7 +174,7 @@
 }
 
 #[test]
-fn a_file_that_cannot_be_used_names_the_field_or_the_line() {
+fn invalid_fleet_file_names_the_field_or_the_line() {
     let good = text(5, 3, "10s");
     assert!(FleetFile::parse("f", &good).is_ok());
     for (from, to, wanted) in [
@@ -199,19 +200,19 @@
 }
 
 #[test]
-fn what_comes_from_another_address_fleet_or_version_is_counted_and_not_heard() {
-    let mut site = settled(3, 3, 8, 0.0);
+fn datagrams_of_another_address_fleet_or_version_are_counted_and_dropped() {
+    let mut site = with_leases(3, 3, 8, 0.0);
     let now = site.now;
-    let part = site.parts[0].as_mut().unwrap();
-    let before = part.counters();
+    let member = site.members[0].as_mut().unwrap();
+    let before = member.counters();
     let word = Envelope { fleet: 7, from: 1, incarnation: 1, body: Body::Heartbeat(None) };
     let mut datagram = word.encode().unwrap();
-    part.handle_datagram(now, ([10, 0, 0, 2], 7100).into(), &datagram);
-    part.handle_datagram(now, ([10, 0, 0, 9], 7100).into(), &datagram);
+    member.handle_datagram(now, ([10, 0, 0, 2], 7100).into(), &datagram);
+    member.handle_datagram(now, ([10, 0, 0, 9], 7100).into(), &datagram);
     datagram[0] = 2;
-    part.handle_datagram(now, ([10, 0, 0, 2], 7100).into(), &datagram);
-    part.handle_datagram(now, ([10, 0, 0, 2], 7100).into(), &[1; MAX_BYTES + 1]);
-    let after = part.counters();
+    member.handle_datagram(now, ([10, 0, 0, 2], 7100).into(), &datagram);
+    member.handle_datagram(now, ([10, 0, 0, 2], 7100).into(), &[1; MAX_BYTES + 1]);
+    let after = member.counters();
     let more = (after.unknown_sender - before.unknown_sender, after.other_version - before.other_version);
     assert_eq!((more, after.malformed - before.malformed, after.received), ((2, 1), 1, before.received));
 }
@@ -220,14 +221,14 @@
     #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(9), failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn no_bytes_make_a_part_panic_and_what_is_written_is_read(bytes in prop::collection::vec(any::<u8>(), 0..1_300)) {
-        let mut site = Site::start(3, 3, "4s", 9);
+    fn arbitrary_datagrams_never_panic_and_envelopes_round_trip(bytes in prop::collection::vec(any::<u8>(), 0..1_300)) {
+        let mut site = Site::new(3, 3, "4s", 9);
         let now = site.now;
-        let part = site.parts[0].as_mut().unwrap();
+        let member = site.members[0].as_mut().unwrap();
         let mut datagram = vec![fleet::wire::VERSION];
         datagram.extend(&bytes);
-        part.handle_datagram(now, ([10, 0, 0, 2], 7100).into(), &datagram);
-        part.handle_datagram(now, ([10, 0, 0, 2], 7100).into(), &bytes);
+        member.handle_datagram(now, ([10, 0, 0, 2], 7100).into(), &datagram);
+        member.handle_datagram(now, ([10, 0, 0, 2], 7100).into(), &bytes);
         let said = Envelope { fleet: 1, from: 2, incarnation: 3, body: Body::Membership(bytes.clone()) };
         match said.encode() {
             Some(written) => prop_assert_eq!(Envelope::decode(&written), Ok(said)),
--- a/crates/fleet/tests/golden.rs
+++ b/crates/fleet/tests/golden.rs
@@ -37,16 +37,16 @@
     ActivityReport { number: 0, incarnation: 10, sequence: 11, at: to, pieces: vec![piece] }
 }
 
-fn played() -> Site {
-    let mut site = Site::start(5, 3, "4s", 43);
+fn recorded_run() -> Site {
+    let mut site = Site::new(5, 3, "4s", 43);
     site.run(5 * SECOND);
     let now = site.now;
-    site.parts[4].as_mut().unwrap().propose(now, freeze("deadline").into()).unwrap();
-    site.parts[0].as_mut().unwrap().publish_report(now, report());
+    site.members[4].as_mut().unwrap().propose(now, freeze("deadline").into()).unwrap();
+    site.members[0].as_mut().unwrap().publish_report(now, report());
     site.run(3 * SECOND);
     let revoke = calendar::Revoke { id: "deadline".into(), asked_by: "ada".into(), reason: "over".into() };
     let now = site.now;
-    site.parts[1].as_mut().unwrap().propose(now, Proposal::Revoke(revoke).into()).unwrap();
+    site.members[1].as_mut().unwrap().propose(now, Proposal::Revoke(revoke).into()).unwrap();
     site.kill(3);
     site.run(10 * SECOND);
     site
@@ -54,7 +54,7 @@
 
 #[test]
 fn datagrams_keep_their_form() {
-    let site = played();
+    let site = recorded_run();
     let mut kinds: BTreeMap<&str, Vec<&Vec<u8>>> = BTreeMap::new();
     for datagram in &site.recorded {
         let envelope = Envelope::decode(datagram).unwrap();
@@ -82,14 +82,14 @@
 
 #[test]
 fn the_answer_of_get_fleet_keeps_its_form() {
-    let site = played();
-    let view = site.parts[0].as_ref().unwrap().view(site.local(0));
+    let site = recorded_run();
+    let view = site.members[0].as_ref().unwrap().view(site.local(0));
     expect_file!["golden/view.json"].assert_eq(&format!("{view:#}\n"));
 }
 
 #[test]
 fn stored_values_keep_their_form() {
-    let mut site = played();
+    let mut site = recorded_run();
     site.run(300 * SECOND); // past the first snapshot
     let stored = site.disk(0).load().unwrap();
     let mut text = String::new();
--- a/crates/reservation/tests/book.rs
+++ b/crates/reservation/tests/book.rs
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn a_name_gets_its_first_answer_again_whatever_has_changed_and_whatever_it_asks() {
+fn booking_gets_its_first_outcome_again_whatever_has_changed() {
     let mut book = ReservationBook::default();
     book.apply(1, 1, &capacity(0, 400, vec![]));
     let refused = book.apply(2, 2, &Proposal::Book(request(1, two(301, 0), &[(10, 20)])));
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn a_freeze_grants_refuses_or_moves_by_its_terms_and_names_what_it_would_break() {
+fn freeze_allows_rejects_or_moves_by_its_policy_and_names_affected_bookings() {
     for (policy, expected) in [
         (FreezePolicy::Allow, windows(100, 200)),
         (
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn the_booking_agreed_last_shrinks_first_and_grows_back_last() {
+fn booking_granted_last_is_reduced_first_and_restored_last() {
     let mut book = ReservationBook::default();
     book.apply(1, 1, &capacity(0, 400, vec![]));
     for (revision, id) in [(2, 7), (3, 5), (4, 6)] {
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn a_bucket_gives_its_rate_and_one_burst_and_says_when_to_come_back() {
+fn token_bucket_admits_its_rate_and_one_burst_and_tells_when_to_retry() {
     let (mut book, me) = (ReservationBook::default(), Holder { node_id: 0, incarnation: 3 });
     book.apply(1, 1, &capacity(0, 64_000_000, vec![]));
     book.apply(2, 2, &Proposal::SetFleetSize(1));
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn what_is_given_up_and_an_ended_lifes_seat_are_free_only_once_a_lease_has_gone_by() {
+fn released_rate_and_lease_of_an_ended_incarnation_are_free_only_after_a_lease() {
     let (mut book, old, new) = (
         ReservationBook::default(),
         Holder { node_id: 0, incarnation: 3 },
@@ -159,7 +159,7 @@
 }
 
 #[test]
-fn what_is_not_used_is_lent_to_all_within_a_second_and_comes_back_as_soon_as_it_is() {
+fn unused_rate_is_available_to_all_within_a_second_and_returns_when_used() {
     let (mut book, me) = (ReservationBook::default(), Holder { node_id: 0, incarnation: 3 });
     book.apply(1, 1, &capacity(0, 64_000_000, vec![]));
     book.apply(2, 2, &Proposal::SetFleetSize(1));
@@ -199,7 +199,7 @@
 proptest! {
     #![proptest_config(config(11, 256))]
     #[test]
-    fn grants_largest_and_next_are_those_of_a_plain_reading(
+    fn outcomes_match_a_plain_model(
         asks in prop::collection::vec((1..60_u64, 1..60_u64, 0..200_u64, 1..25_u64, prop::option::of(0..60_u64)), 1..25),
         steps in prop::collection::vec((0..200_u64, 50..140_u64), 0..4),
     ) {
@@ -247,7 +247,7 @@
     }
 
     #[test]
-    fn no_bytes_panic_on_restore_and_what_is_restored_goes_on(
+    fn restore_never_panics_and_restored_book_continues(
         noise in prop::collection::vec(any::<u8>(), 0..200),
         damage in prop::collection::vec((any::<prop::sample::Index>(), any::<u8>()), 0..6),
         cut in any::<prop::sample::Index>(),
--- a/crates/reservation/tests/fleet.rs
+++ b/crates/reservation/tests/fleet.rs
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn whatever_is_lost_doubled_reordered_stalled_or_ended_slices_never_sum_up_to_more_than_is_booked() {
+fn usable_slices_never_exceed_the_booking_under_mixed_faults() {
     for seed in 0..6 {
         let mut world = booked_world(seed, 0.25, 120_000);
         let mut hot = vec![3, 77, 201];
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn traffic_at_three_of_three_hundred_gets_what_is_booked_within_seconds() {
+fn traffic_at_3_of_300_balancers_gets_the_booked_rate_within_seconds() {
     let mut world = booked_world(1, 0.0, 40_000);
     (0..300).for_each(|_| world.step());
     let first = time_to_reach(&mut world, [5, 150, 280]);
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn after_a_fall_of_capacity_all_use_no_more_than_is_left_once_a_lease_has_gone_by() {
+fn usable_rate_respects_reduced_capacity_after_a_lease() {
     let mut world = booked_world(4, 0.25, 120_000);
     let mut hot = vec![1, 2, 3];
     (0..500).for_each(|_| {
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn a_booking_that_nobody_uses_is_given_up_and_one_in_use_is_not() {
+fn unused_booking_is_released_and_used_one_is_not() {
     for used in [false, true] {
         let mut world = World::new(9, 5, 0.0, 40_000);
         world.propose(capacity(0, 16_000, 1_600));
