--- a/crates/reservation/src/book.rs
+++ b/crates/reservation/src/book.rs
@@ -6,8 +6,6 @@
 mod reduction;
 mod snapshot;
 
-pub use snapshot::RestoreError;
-
 use crate::booking::{BookingId, BookingRequest, Tenant};
 use crate::capacity::{Capacity, Freeze, FreezePolicy};
 use crate::limits::{
--- a/crates/reservation/src/lib.rs
+++ b/crates/reservation/src/lib.rs
@@ -32,11 +32,12 @@
 mod slice_request;
 mod span;
 mod state;
+mod state_validation;
 mod token_bucket;
 
 pub use admission::{Admission, AdmissionDecision, Priority, TimeInterval};
 pub use allocator::SliceAllocator;
-pub use book::{PlannedChange, ReservationBook, RestoreError};
+pub use book::{PlannedChange, ReservationBook};
 pub use booking::{BookingId, BookingRequest, RequestClasses, Tenant};
 pub use capacity::{Capacity, Freeze, FreezePolicy};
 pub use limits::{
@@ -52,3 +53,4 @@
 pub use slice::{AllocationId, Holder, LeaseRenewal, SliceAllocation, SliceChange};
 pub use slice_request::{Demand, SliceRequest};
 pub use span::{Micros, Revision, Span};
+pub use state_validation::RestoreError;
