--- a/crates/agreement/tests/golden.rs
+++ b/crates/agreement/tests/golden.rs
@@ -24,7 +24,7 @@
 }
 
 /// Proposals from everywhere, a long entry, a change of the quorum group, snapshots, and a balancer that starts late.
-fn played() -> Sim {
+fn recorded_run() -> Sim {
     let mut sim = Sim::new(43, 7, 3);
     sim.snapshot_each = 8;
     sim.run(3 * SECOND);
@@ -34,7 +34,7 @@
     }
     let id = sim.propose(4, vec![9; 3_000]);
     assert!(sim.decided(4, id, 10 * SECOND));
-    let id = sim.exchange(1, Some(2), Some(5));
+    let id = sim.change_voters_at(1, Some(2), Some(5));
     assert!(sim.decided(1, id, 10 * SECOND));
     for round in 0..12 {
         let id = sim.propose(6, vec![round]);
@@ -47,7 +47,7 @@
 
 #[test]
 fn messages_keep_their_form() {
-    let sim = played();
+    let sim = recorded_run();
     let mut kinds: BTreeMap<u8, Vec<&Vec<u8>>> = BTreeMap::new();
     for (.., bytes) in &sim.recorded {
         let seen = kinds.entry(bytes[0]).or_default();
@@ -69,7 +69,7 @@
 fn lines(kept: &StoredState) -> String {
     let mut text = format!("first {}\n", kept.first_revision);
     let mut line = |name: &str, bytes: &Bytes| writeln!(text, "{name} {}", hex(bytes)).unwrap();
-    kept.head.iter().for_each(|bytes| line("head", bytes));
+    kept.hard_state.iter().for_each(|bytes| line("head", bytes));
     kept.accepted.iter().for_each(|bytes| line("accepted", bytes));
     kept.items.iter().for_each(|bytes| line("item", bytes));
     kept.snapshot.iter().for_each(|bytes| line("snapshot", bytes));
@@ -82,7 +82,7 @@
         let (name, value) = line.split_once(' ').unwrap();
         match name {
             "first" => kept.first_revision = value.parse().unwrap(),
-            "head" => kept.head = Some(unhex(value).into()),
+            "head" => kept.hard_state = Some(unhex(value).into()),
             "accepted" => kept.accepted.push(unhex(value).into()),
             "item" => kept.items.push(unhex(value).into()),
             "snapshot" => kept.snapshot = Some(unhex(value).into()),
@@ -94,7 +94,7 @@
 
 #[test]
 fn stored_values_keep_their_form() {
-    let sim = played();
+    let sim = recorded_run();
     let mut disk: Disk = sim.balancers[0].disk.clone();
     let stored = disk.load().unwrap();
     assert!(!stored.accepted.is_empty() && !stored.items.is_empty() && stored.snapshot.is_some());
@@ -102,11 +102,11 @@
 }
 
 #[test]
-fn a_balancer_starts_from_stored_values_of_the_first_version() {
+fn balancer_recovers_from_stored_values_of_the_first_version() {
     let kept = kept(include_str!("golden/stored.txt"));
     let mut store = MemoryStore::default();
     let changes = [
-        StoreChange::Head(kept.head.unwrap()),
+        StoreChange::HardState(kept.hard_state.unwrap()),
         StoreChange::Accepted { from: 0, entries: kept.accepted },
         StoreChange::Items { from: kept.first_revision, items: kept.items },
         StoreChange::Snapshot(kept.snapshot.unwrap()),
@@ -118,8 +118,8 @@
     let mut text = String::new();
     while let Some(action) = node.poll() {
         match action {
-            Action::Restore { revision, at, snapshot } => {
-                writeln!(text, "snapshot {revision} {at} {}", hex(&snapshot)).unwrap();
+            Action::Restore { revision, timestamp, snapshot } => {
+                writeln!(text, "snapshot {revision} {timestamp} {}", hex(&snapshot)).unwrap();
             }
             Action::Committed { revision, stamped: it } => {
                 writeln!(
@@ -132,9 +132,9 @@
                 )
                 .unwrap();
             }
-            Action::VotersChanged { revision, at, members } => {
-                let members: Vec<_> = members.iter().map(|it| (it.node_id, it.generation)).collect();
-                writeln!(text, "members {revision} {at} {members:?}").unwrap();
+            Action::VotersChanged { revision, timestamp, voters } => {
+                let members: Vec<_> = voters.iter().map(|it| (it.node_id, it.generation)).collect();
+                writeln!(text, "members {revision} {timestamp} {members:?}").unwrap();
             }
             _ => {}
         }
