--- a/crates/gateway/src/engine/handle.rs
+++ b/crates/gateway/src/engine/handle.rs
@@ -27,7 +27,7 @@
     Order(#[from] OverrideError),
     /// It could not be stored for the next process.
     #[error("the order could not be written to {OVERRIDES_FILE}: {0}")]
-    NotKept(String),
+    NotPersisted(String),
     /// The engine is gone.
     #[error("the core has stopped")]
     Stopped,
@@ -142,7 +142,7 @@
             CommandOutcome::Persisted => Ok(true),
             CommandOutcome::Applied => Ok(false),
             CommandOutcome::Rejected(error) => Err(error.into()),
-            CommandOutcome::NotPersisted(error) => Err(CommandError::NotKept(error)),
+            CommandOutcome::NotPersisted(error) => Err(CommandError::NotPersisted(error)),
         }
     }
 
--- a/crates/upstream/src/connection/attempt.rs
+++ b/crates/upstream/src/connection/attempt.rs
@@ -125,11 +125,14 @@
     }
 
     async fn open(&self, source: ConnectionSource) -> Result<Connection, Outcome> {
-        let permit = match source {
+        let (_replaced, permit) = match source {
             ConnectionSource::Idle(connection) if connection.is_quiet() => return Ok(connection),
-            // Input has arrived since the connection was chosen: it is replaced by a new one.
-            ConnectionSource::Idle(connection) => connection.into_permit(),
-            ConnectionSource::Dial(permit) => permit,
+            // Input has arrived since the connection was chosen. It is closed once its replacement is open.
+            ConnectionSource::Idle(connection) => {
+                let (stream, permit) = connection.into_parts();
+                (Some(stream), permit)
+            }
+            ConnectionSource::Dial(permit) => (None, permit),
             ConnectionSource::Unavailable => {
                 // The limit is this balancer's own: it says nothing about the endpoint's health, and no other is any nearer.
                 if let Some(more) = self.throttles.no_connection.line() {
--- a/crates/upstream/src/connection/socket.rs
+++ b/crates/upstream/src/connection/socket.rs
@@ -44,9 +44,9 @@
         Self { stream, buffer: BytesMut::new(), permit }
     }
 
-    /// Closes the connection, and returns its permit for another.
-    pub(super) fn into_permit(self) -> ConnectionPermit {
-        self.permit
+    /// The stream, and the permit for a connection that replaces this one.
+    pub(super) fn into_parts(self) -> (TcpStream, ConnectionPermit) {
+        (self.stream, self.permit)
     }
 
     /// Whether nothing has arrived since the last response, neither bytes nor an end. Guards the next request against being
