--- a/crates/audit/benches/counting.rs
+++ b/crates/audit/benches/activity_counter.rs
@@ -1,6 +1,6 @@
 //! The cost of counting one attempt under the version in force.
 
-use audit::counting::{ActivityCounter, CountKind};
+use audit::activity_counter::{ActivityCounter, CountKind};
 use audit::lease::TimeInterval;
 use audit::version::Version;
 use criterion::{Criterion, criterion_group, criterion_main};
--- a/crates/audit/src/activity.rs
+++ b/crates/audit/src/activity.rs
@@ -93,7 +93,7 @@
     /// When the report was made.
     pub at: TimeInterval,
     /// The reported periods; the period in progress is the last.
-    pub pieces: Vec<ActivityPeriod>,
+    pub periods: Vec<ActivityPeriod>,
 }
 
 impl ActivityReport {
@@ -107,7 +107,9 @@
         if bytes.len() > MAX_REPORT_BYTES {
             return None;
         }
-        postcard::from_bytes(bytes).ok().filter(|report: &Self| report.pieces.len() <= MAX_PERIODS_PER_REPORT)
+        postcard::from_bytes(bytes)
+            .ok()
+            .filter(|report: &Self| report.periods.len() <= MAX_PERIODS_PER_REPORT)
     }
 }
 
--- a/crates/audit/src/lease/holders.rs
+++ b/crates/audit/src/lease/holders.rs
@@ -47,7 +47,7 @@
             return;
         }
         self.applied = revision;
-        let ends = now.saturating_add(self.settings.longer(self.settings.lease));
+        let ends = now.saturating_add(self.settings.max_elapsed(self.settings.lease));
         let roster = self.settings.roster;
         for grant in grants.iter().filter(|grant| grant.number < roster) {
             let holder = Holder { number: grant.number, incarnation: grant.incarnation };
--- a/crates/audit/src/lease/own_lease.rs
+++ b/crates/audit/src/lease/own_lease.rs
@@ -120,7 +120,7 @@
             let Some(sent) = self.sent.iter().find(|sent| sent.serial == grant.serial).copied() else {
                 continue;
             };
-            let ends = sent.at.saturating_add(self.settings.shorter(self.settings.lease));
+            let ends = sent.at.saturating_add(self.settings.min_elapsed(self.settings.lease));
             if ends > self.ends {
                 self.ends = ends;
                 self.revision = revision;
@@ -190,16 +190,16 @@
         let Anchor { stamp, requested_at, received_at, ahead } = self.anchor?;
         let stamp = stamp.saturating_add(ahead);
         Some(TimeInterval {
-            earliest: stamp.saturating_add(self.settings.shorter(now.saturating_sub(received_at))),
-            latest: stamp.saturating_add(self.settings.longer(now.saturating_sub(requested_at))),
+            earliest: stamp.saturating_add(self.settings.min_elapsed(now.saturating_sub(received_at))),
+            latest: stamp.saturating_add(self.settings.max_elapsed(now.saturating_sub(requested_at))),
         })
     }
 
     fn jittered_interval(&self) -> Micros {
-        let jitter = self.settings.ask_every / JITTER_FRACTION;
-        let shortest = self.settings.ask_every - jitter;
+        let jitter = self.settings.request_interval / JITTER_FRACTION;
+        let shortest = self.settings.request_interval - jitter;
         let mut random = fastrand::Rng::with_seed(self.incarnation.wrapping_add(self.serial));
-        // Never longer than `ask_every`, so that the planned number of requests fits into a lease.
+        // Never longer than `request_interval`, so that the planned number of requests fits into a lease.
         shortest + random.u64(0..=jitter)
     }
 }
--- a/crates/audit/src/lease/peer_grants.rs
+++ b/crates/audit/src/lease/peer_grants.rs
@@ -82,13 +82,13 @@
     pub(super) fn orphaned_until(
         &self, now: Micros, own: Option<FleetMicros>, settings: &Settings,
     ) -> Micros {
-        let margin = settings.ask_every.saturating_add(GRANT_MARGIN);
-        let latest = own.map(|stamp| stamp.saturating_add(settings.ask_every).saturating_add(margin));
+        let margin = settings.request_interval.saturating_add(GRANT_MARGIN);
+        let latest = own.map(|stamp| stamp.saturating_add(settings.request_interval).saturating_add(margin));
         let mut needed = settings.max_grant_gap();
         let mut ends = Vec::with_capacity(self.reports.len());
         for report in self.current(now, settings.report_ttl) {
             if latest.is_none() || report.granted_at > latest {
-                needed = needed.max(settings.longer(settings.lease));
+                needed = needed.max(settings.max_elapsed(settings.lease));
             }
             ends.push(report.received_at.saturating_add(settings.report_ttl));
         }
--- a/crates/audit/src/lease/settings.rs
+++ b/crates/audit/src/lease/settings.rs
@@ -28,7 +28,7 @@
     /// The rates of two clocks differ by at most one part in this many.
     pub rate_error: u64,
     /// The longest interval between two requests.
-    pub ask_every: Micros,
+    pub request_interval: Micros,
     /// How long a peer's report on its lease counts.
     pub report_ttl: Micros,
     /// The number of balancers, which are numbered from 0.
@@ -43,7 +43,7 @@
         Self {
             lease,
             rate_error: RATE_ERROR,
-            ask_every: (lease / REQUESTS_PER_LEASE).max(1),
+            request_interval: (lease / REQUESTS_PER_LEASE).max(1),
             report_ttl,
             roster,
             orphan_quorum: (roster / ROSTER_PER_REPORT).clamp(1, MAX_ORPHAN_QUORUM),
@@ -51,12 +51,12 @@
     }
 
     /// The longest duration that another clock may measure while this one measures `span`.
-    pub fn longer(&self, span: Micros) -> Micros {
+    pub fn max_elapsed(&self, span: Micros) -> Micros {
         span.saturating_add(self.error(span))
     }
 
     /// The shortest duration that another clock may measure while this one measures `span`.
-    pub fn shorter(&self, span: Micros) -> Micros {
+    pub fn min_elapsed(&self, span: Micros) -> Micros {
         span - self.error(span)
     }
 
@@ -65,7 +65,7 @@
     /// Leases end no sooner than three request intervals after the last grant, so the loss is known before the first lease
     /// ends.
     pub fn max_grant_gap(&self) -> Micros {
-        self.ask_every.saturating_mul(REQUESTS_BEFORE_LOST).max(self.report_ttl)
+        self.request_interval.saturating_mul(REQUESTS_BEFORE_LOST).max(self.report_ttl)
     }
 
     /// Rounded up, so that a short duration is never taken as exact.
--- a/crates/audit/src/ledger/account.rs
+++ b/crates/audit/src/ledger/account.rs
@@ -117,7 +117,7 @@
             }
         };
         if matches!(status, ReportStatus::Newest | ReportStatus::Late) {
-            for period in &report.pieces {
+            for period in &report.periods {
                 let entry = LedgerEntry {
                     number: report.number,
                     incarnation: report.incarnation,
--- a/crates/audit/src/ledger/mod.rs
+++ b/crates/audit/src/ledger/mod.rs
@@ -26,12 +26,12 @@
     /// Takes in a report. Reports may arrive in any order.
     pub fn record_report(&mut self, report: &ActivityReport) -> ReportStatus {
         match self.accounts.get_mut(usize::from(report.number)) {
-            Some(account) if report.pieces.len() <= MAX_PERIODS_PER_REPORT => account.record_report(report),
+            Some(account) if report.periods.len() <= MAX_PERIODS_PER_REPORT => account.record_report(report),
             _ => ReportStatus::Refused,
         }
     }
 
-    /// Takes in a period that this balancer's own [`ActivityCounter`](crate::counting::ActivityCounter) evicted.
+    /// Takes in a period that this balancer's own [`ActivityCounter`](crate::activity_counter::ActivityCounter) evicted.
     pub fn record_own_entry(&mut self, entry: LedgerEntry) {
         if let Some(account) = self.accounts.get_mut(usize::from(entry.number)) {
             account.store(entry, Persistence::Unsaved);
--- a/crates/audit/src/ledger/query.rs
+++ b/crates/audit/src/ledger/query.rs
@@ -39,7 +39,7 @@
     pub from: TimeInterval,
     /// When the period ended, or was last reported.
     pub to: TimeInterval,
-    /// Counts by [`CountKind`](crate::counting::CountKind) over the whole period.
+    /// Counts by [`CountKind`](crate::activity_counter::CountKind) over the whole period.
     pub counts: [u64; COUNT_KINDS],
     /// Digest of its topology changes.
     pub digest: u64,
--- a/crates/audit/src/lib.rs
+++ b/crates/audit/src/lib.rs
@@ -4,7 +4,7 @@
 //! and fences its balancer when its own lease has ended while others are still granted theirs. [`lease::LeaseGranter`] batches
 //! the requests at the leader; [`lease::LeaseHolders`] is the view that the rest of the fleet has of who holds a lease.
 //!
-//! [`version::Version`] identifies the state that a decision was made from. [`counting::ActivityCounter`] counts attempts,
+//! [`version::Version`] identifies the state that a decision was made from. [`activity_counter::ActivityCounter`] counts attempts,
 //! rejections and topology changes under the version in force and makes reports of them. [`ledger::Ledger`] collects the
 //! reports of the whole fleet.
 //!
@@ -14,7 +14,7 @@
 #![warn(unreachable_pub)]
 
 mod activity;
-pub mod counting;
+pub mod activity_counter;
 pub mod lease;
 pub mod ledger;
 pub mod version;
--- a/crates/audit/tests/golden.rs
+++ b/crates/audit/tests/golden.rs
@@ -1,6 +1,6 @@
 //! The encodings of reports and ledger entries on the wire and on disk, and the JSON of the queries.
 
-use audit::counting::{ActivityCounter, COUNT_KINDS, CountKind};
+use audit::activity_counter::{ActivityCounter, COUNT_KINDS, CountKind};
 use audit::lease::{LeaseGrant, LeaseRequest, TimeInterval};
 use audit::ledger::{ActivityPeriod, ActivityReport, Ledger, LedgerEntry};
 use audit::version::Version;
@@ -39,7 +39,7 @@
         incarnation: 10,
         sequence: 11,
         at: span(250),
-        pieces: vec![period(), period()],
+        periods: vec![period(), period()],
     };
     let entry = LedgerEntry { number: 300, incarnation: 10, sequence: 11, period: period() };
     assert_eq!(ActivityReport::from_bytes(&report.to_bytes()), Some(report.clone()));
@@ -95,14 +95,14 @@
         incarnation: 10,
         sequence: 1,
         at: span(250),
-        pieces: vec![period()],
+        periods: vec![period()],
     });
     ledger.record_report(&ActivityReport {
         number: 1,
         incarnation: 20,
         sequence: 4,
         at: span(260),
-        pieces: vec![old],
+        periods: vec![old],
     });
     let answers = serde_json::json!({
         "now": ledger.current_activity(),
--- a/crates/audit/tests/ledger.rs
+++ b/crates/audit/tests/ledger.rs
@@ -1,7 +1,7 @@
 //! The ledger under lost, duplicate and reordered reports.
 
 use audit::Micros;
-use audit::counting::{ActivityCounter, COUNT_KINDS, CountKind, MAX_VERSIONS};
+use audit::activity_counter::{ActivityCounter, COUNT_KINDS, CountKind, MAX_VERSIONS};
 use audit::lease::TimeInterval;
 use audit::ledger::{
     ActivityPeriod, ActivityReport, Ledger, LedgerEntry, MAX_PERIODS_PER_BALANCER, MAX_PERIODS_PER_REPORT,
@@ -59,7 +59,7 @@
     assert_eq!(
         ledger.record_report(&ActivityReport {
             sequence: 2_000,
-            pieces: vec![far_ahead.pieces[0]; MAX_PERIODS_PER_REPORT + 1],
+            periods: vec![far_ahead.periods[0]; MAX_PERIODS_PER_REPORT + 1],
             ..far_ahead
         }),
         ReportStatus::Refused
@@ -76,11 +76,11 @@
     counter.count(CountKind::ReadOk);
     counter.count_under(counter.version(), CountKind::ReadOk);
     let lost = [counter.report(at(7)), counter.report(at(8))];
-    assert!(lost.iter().all(|it| it.pieces.len() == 2));
+    assert!(lost.iter().all(|it| it.periods.len() == 2));
     let mut ledger = Ledger::new(1);
     ledger.record_report(&counter.report(at(9)));
     assert_eq!((reads(&ledger, 1), reads(&ledger, 2)), (vec![(0, 1)], vec![(0, 2)]));
-    assert_eq!(counter.report(at(10)).pieces.len(), 1, "reported three times");
+    assert_eq!(counter.report(at(10)).periods.len(), 1, "reported three times");
     counter.count_under(at_start, CountKind::ReadOk);
     ledger.record_report(&counter.report(at(11)));
     assert_eq!(reads(&ledger, 1), [(0, 2)], "reported again after a change");
@@ -145,7 +145,7 @@
         changes
             .iter()
             .for_each(|(change, accepted)| counter.record_topology_change(change.as_bytes(), *accepted));
-        let period = counter.report(at(1)).pieces[0];
+        let period = counter.report(at(1)).periods[0];
         (
             period.digest,
             period.counts[CountKind::ChangeAccepted as usize],
@@ -190,7 +190,7 @@
         incarnation: most,
         sequence: most,
         at: span,
-        pieces: vec![period; MAX_PERIODS_PER_REPORT],
+        periods: vec![period; MAX_PERIODS_PER_REPORT],
     };
     let bytes = report.to_bytes();
     assert!(bytes.len() <= MAX_REPORT_BYTES, "{} bytes", bytes.len());
@@ -198,7 +198,7 @@
     (0..bytes.len()).for_each(|cut| assert_eq!(ActivityReport::from_bytes(&bytes[..cut]), None));
     assert_eq!(
         ActivityReport::from_bytes(
-            &ActivityReport { pieces: vec![period; MAX_PERIODS_PER_REPORT + 1], ..report }.to_bytes()
+            &ActivityReport { periods: vec![period; MAX_PERIODS_PER_REPORT + 1], ..report }.to_bytes()
         ),
         None
     );
--- a/crates/audit/tests/model.rs
+++ b/crates/audit/tests/model.rs
@@ -98,7 +98,7 @@
 impl Leases {
     fn settings(&self) -> Settings {
         let mut settings = Settings::new(LEASE, 10_000, self.balancers as u16);
-        settings.ask_every = 10_000;
+        settings.request_interval = 10_000;
         if self.fault == Fault::ClockRatesAssumedEqual {
             settings.rate_error = u64::MAX;
         }
@@ -160,7 +160,7 @@
             Entry::Freeze(agreed) => Some((index, *agreed)),
             Entry::Grants(..) => None,
         })?;
-        let in_force = leader_clock(fleet.tick) >= agreed + self.settings().longer(LEASE);
+        let in_force = leader_clock(fleet.tick) >= agreed + self.settings().max_elapsed(LEASE);
         let holding = (0..self.balancers).filter(|it| self.holds(fleet, *it));
         in_force.then(|| holding.map(|it| fleet.balancers[it].applied > index).collect())
     }
--- a/crates/discovery/src/dial.rs
+++ b/crates/discovery/src/dial.rs
@@ -37,9 +37,9 @@
 /// Guards against a descriptor limit that is lower than configured. Clients and endpoints then use up all descriptors, and do not
 /// release them soon, since they may wait for the very changes that discovery would deliver.
 #[derive(Debug, Clone)]
-pub struct Dialler(Rc<RefCell<Option<File>>>);
+pub struct Dialer(Rc<RefCell<Option<File>>>);
 
-impl Dialler {
+impl Dialer {
     /// A dialler that reserves a descriptor if one is available.
     #[must_use]
     pub fn new() -> Self {
@@ -74,7 +74,7 @@
     }
 }
 
-impl Default for Dialler {
+impl Default for Dialer {
     fn default() -> Self {
         Self::new()
     }
@@ -82,7 +82,7 @@
 
 /// The reserved descriptor is in use; it is reserved again when this is dropped.
 #[derive(Debug)]
-struct DescriptorLoan(Dialler);
+struct DescriptorLoan(Dialer);
 
 impl Drop for DescriptorLoan {
     fn drop(&mut self) {
--- a/crates/discovery/src/follow.rs
+++ b/crates/discovery/src/follow.rs
@@ -3,7 +3,7 @@
 use crate::agent::Agent;
 use crate::dial::Dial;
 use crate::endpoint_history::EndpointHistory;
-use crate::pace::{RetrySchedule, Way};
+use crate::pace::{Delivery, RetrySchedule};
 use futures_util::future::OptionFuture;
 use proto::discovery::{EndpointList, WatchEvent};
 use std::net::SocketAddr;
@@ -16,8 +16,8 @@
 /// once. After the address has changed, the previous agent is followed until the new one has sent its list, since changes that
 /// the previous agent sends still apply. What it sent also takes precedence over a new agent with an older revision.
 pub async fn follow<D: Dial>(
-    mut address: watch::Receiver<SocketAddr>, known: Option<EndpointList>, way: Way, balancers: u32, dial: D,
-    publish: impl Fn(WatchEvent),
+    mut address: watch::Receiver<SocketAddr>, known: Option<EndpointList>, way: Delivery, balancers: u32,
+    dial: D, publish: impl Fn(WatchEvent),
 ) {
     let new_agent =
         |addr, revision| Agent::new(addr, revision, RetrySchedule::new(way, balancers), dial.clone());
--- a/crates/discovery/src/pace.rs
+++ b/crates/discovery/src/pace.rs
@@ -6,7 +6,7 @@
 //! | event | deadline for applying the change | how it is met |
 //! | --- | --- | --- |
 //! | a line arrived | at once | it is published at once |
-//! | push: the agent has a change | at once, also after an outage and at a start | a silent agent is contacted every [`AGAIN`] |
+//! | push: the agent has a change | at once, also after an outage and at a start | a silent agent is contacted every [`RETRY_INTERVAL`] |
 //! | a watch fell silent | 6 s | another is requested after [`RetrySchedule::silence_timeout`], which leaves time for one lost request |
 //! | a request may be queued by the service | 2 s after the queueing | it is given [`RetrySchedule::response_timeout`], and retried soon after a failure |
 //! | discovery rejected a request | 6 s after the change could be delivered | [`REJECTED_BACKOFF_MAX`] bounds the pause, whatever the number of balancers |
@@ -23,7 +23,7 @@
 const POLL_SILENCE_TIMEOUT_MAX: Duration = Duration::from_millis(2_600);
 /// How often a silent agent on this machine is contacted. Guards the end of an outage: what the agent has received by then
 /// applies at once, and no request may go to an endpoint that started draining 250 ms earlier.
-pub const AGAIN: Duration = Duration::from_millis(150);
+pub const RETRY_INTERVAL: Duration = Duration::from_millis(150);
 /// Timeout of a request to such an agent, which answers at once or not at all.
 const PUSH_RESPONSE_TIMEOUT: Duration = Duration::from_millis(1_200);
 /// Timeout of a request that may be queued: the service answers or rejects it after about 2 s.
@@ -31,7 +31,7 @@
 /// Timeout of its connection, which is established before the request is queued. A lost connection attempt is detected earlier,
 /// at no cost to the service.
 const POLL_CONNECT_TIMEOUT: Duration = Duration::from_millis(1_200);
-/// Requests in flight where they are free: one every [`AGAIN`] for as long as one may take. Bounds file descriptors.
+/// Requests in flight where they are free: one every [`RETRY_INTERVAL`] for as long as one may take. Bounds file descriptors.
 pub const MAX_REQUESTS_IN_FLIGHT: usize = 8;
 /// Open watches: the one that sent the last line, and one that was requested since and has sent no line.
 pub const MAX_WATCHES: usize = 2;
@@ -45,7 +45,7 @@
 pub const MAX_REMEMBERED_ENDPOINTS: usize = 4_096;
 /// Connections that are open at a time: to the agent, and after a move to the previous agent. The configuration reserves their
 /// descriptors, so that clients and endpoints cannot use them.
-pub const MOST_CONNECTIONS: usize = 2 * (MAX_REQUESTS_IN_FLIGHT + MAX_WATCHES);
+pub const MAX_CONNECTIONS: usize = 2 * (MAX_REQUESTS_IN_FLIGHT + MAX_WATCHES);
 /// How long after a move a broken watch of the previous agent is requested again. After that the new agent's list applies.
 pub const PREVIOUS_AGENT_RETRY_PERIOD: Duration = Duration::from_secs(4);
 /// The first pause after a failed request. Pauses double up to a maximum, and each is drawn from 0.5 to 1.5 times its value.
@@ -65,11 +65,11 @@
 
 /// How changes reach the agent, as configured.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Way {
+pub enum Delivery {
     /// They are pushed to the agent, which answers at once and at no cost.
-    Pushed,
+    Push,
     /// They are polled: each request costs a service that all balancers share, and may be queued there.
-    Asked,
+    Poll,
 }
 
 /// How a request or a watch failed.
@@ -86,7 +86,7 @@
 /// Timeouts of one way of delivery, and the backoff after failed requests.
 #[derive(Debug)]
 pub struct RetrySchedule {
-    way: Way,
+    way: Delivery,
     balancers: u32,
     backoff: Duration,
     rejected_backoff: Duration,
@@ -95,7 +95,7 @@
 impl RetrySchedule {
     /// The schedule at a start, for one of `balancers` balancers.
     #[must_use]
-    pub fn new(way: Way, balancers: u32) -> Self {
+    pub fn new(way: Delivery, balancers: u32) -> Self {
         let rejected_backoff = REJECTED_BACKOFF_PER_BALANCER
             .saturating_mul(balancers)
             .clamp(REJECTED_BACKOFF_MIN, REJECTED_BACKOFF_MAX);
@@ -106,8 +106,8 @@
     #[must_use]
     pub fn silence_timeout(&self, jitter: f64) -> Duration {
         match self.way {
-            Way::Pushed => PUSH_SILENCE_TIMEOUT,
-            Way::Asked => {
+            Delivery::Push => PUSH_SILENCE_TIMEOUT,
+            Delivery::Poll => {
                 let spread = POLL_SILENCE_TIMEOUT_MAX - POLL_SILENCE_TIMEOUT_MIN;
                 POLL_SILENCE_TIMEOUT_MIN + spread.mul_f64(jitter)
             }
@@ -118,15 +118,15 @@
     /// has answered, and the watch is one like any other. Where they cost, the retry interval continues: `None`.
     #[must_use]
     pub fn second_watch_silence_timeout(&self) -> Option<Duration> {
-        (self.way == Way::Pushed).then_some(PUSH_SILENCE_TIMEOUT)
+        (self.way == Delivery::Push).then_some(PUSH_SILENCE_TIMEOUT)
     }
 
     /// Timeout of a connection.
     #[must_use]
     pub fn connect_timeout(&self) -> Duration {
         match self.way {
-            Way::Pushed => PUSH_RESPONSE_TIMEOUT,
-            Way::Asked => POLL_CONNECT_TIMEOUT,
+            Delivery::Push => PUSH_RESPONSE_TIMEOUT,
+            Delivery::Poll => POLL_CONNECT_TIMEOUT,
         }
     }
 
@@ -134,8 +134,8 @@
     #[must_use]
     pub fn response_timeout(&self) -> Duration {
         match self.way {
-            Way::Pushed => PUSH_RESPONSE_TIMEOUT,
-            Way::Asked => POLL_RESPONSE_TIMEOUT,
+            Delivery::Push => PUSH_RESPONSE_TIMEOUT,
+            Delivery::Poll => POLL_RESPONSE_TIMEOUT,
         }
     }
 
@@ -143,8 +143,8 @@
     #[must_use]
     pub fn retry_interval(&self) -> Duration {
         match self.way {
-            Way::Pushed => AGAIN,
-            Way::Asked => POLL_RESPONSE_TIMEOUT,
+            Delivery::Push => RETRY_INTERVAL,
+            Delivery::Poll => POLL_RESPONSE_TIMEOUT,
         }
     }
 
@@ -152,8 +152,8 @@
     #[must_use]
     pub fn max_requests_in_flight(&self) -> usize {
         match self.way {
-            Way::Pushed => MAX_REQUESTS_IN_FLIGHT,
-            Way::Asked => 1,
+            Delivery::Push => MAX_REQUESTS_IN_FLIGHT,
+            Delivery::Poll => 1,
         }
     }
 
@@ -165,17 +165,19 @@
     /// The pause after a failed request that was sent `since_request` ago; `jitter` is drawn uniformly from 0 to 1.
     pub fn next_backoff(&mut self, failure: Failure, since_request: Duration, jitter: f64) -> Duration {
         match (failure, self.way) {
-            (Failure::InvalidList, _) | (Failure::Rejected, Way::Asked) => {
+            (Failure::InvalidList, _) | (Failure::Rejected, Delivery::Poll) => {
                 self.next_rejected_backoff(since_request, jitter)
             }
-            (Failure::NoResponse, _) | (Failure::Rejected, Way::Pushed) => self.next_failed_backoff(jitter),
+            (Failure::NoResponse, _) | (Failure::Rejected, Delivery::Push) => {
+                self.next_failed_backoff(jitter)
+            }
         }
     }
 
     fn next_failed_backoff(&mut self, jitter: f64) -> Duration {
         let longest = match self.way {
-            Way::Pushed => PUSH_BACKOFF_MAX,
-            Way::Asked => POLL_BACKOFF_MAX,
+            Delivery::Push => PUSH_BACKOFF_MAX,
+            Delivery::Poll => POLL_BACKOFF_MAX,
         };
         let pause = self.backoff.mul_f64(jitter + 0.5);
         self.backoff = (self.backoff * 2).min(longest);
--- a/crates/discovery/tests/agent_moves.rs
+++ b/crates/discovery/tests/agent_moves.rs
@@ -3,7 +3,7 @@
 mod fake_agent;
 mod scenario;
 
-use discovery::Way;
+use discovery::Delivery;
 use fake_agent::*;
 use rstest::rstest;
 use scenario::*;
@@ -22,7 +22,7 @@
 #[tokio::test(start_paused = true)]
 async fn lagging_list_brings_back_no_endpoint(
     #[case] phase: &str, #[case] since: u64, #[case] late: u64, #[case] up: Option<u64>,
-    #[values(Way::Pushed, Way::Asked)] way: Way,
+    #[values(Delivery::Push, Delivery::Poll)] way: Delivery,
 ) {
     for _ in 0..8 {
         run_local(async {
@@ -51,7 +51,7 @@
 #[tokio::test(start_paused = true)]
 async fn permanently_lagging_agent_is_accepted() {
     run_local(async {
-        let mut scenario = Scenario::in_state(Moved, Way::Pushed).await;
+        let mut scenario = Scenario::in_state(Moved, Delivery::Push).await;
         let mut old = scenario.watch.take().unwrap();
         old.send_draining(42).await;
         scenario.agent.expect_revision(42).await;
@@ -80,7 +80,7 @@
 #[tokio::test(start_paused = true)]
 async fn partial_line_at_move_is_read_to_its_end(#[case] moved: State) {
     run_local(async {
-        let mut scenario = Scenario::in_state(Watching, Way::Pushed).await;
+        let mut scenario = Scenario::in_state(Watching, Delivery::Push).await;
         let mut old = scenario.watch.take().unwrap();
         let line = list(42, false, "draining");
         let (first, rest) = line.split_at(20);
@@ -110,10 +110,10 @@
 
 /// Changes of the previous agent apply until 4 s after the move: its watch is requested again if it breaks by then, and not later.
 #[rstest]
-#[case::pushed(Way::Pushed)]
-#[case::asked(Way::Asked)]
+#[case::pushed(Delivery::Push)]
+#[case::asked(Delivery::Poll)]
 #[tokio::test(start_paused = true)]
-async fn previous_agent_is_retried_for_retry_period(#[case] way: Way) {
+async fn previous_agent_is_retried_for_retry_period(#[case] way: Delivery) {
     run_local(async {
         let mut scenario = Scenario::in_state(Moved, way).await;
         let moved = Instant::now();
@@ -147,7 +147,7 @@
 #[tokio::test(start_paused = true)]
 async fn move_away_and_back_keeps_connections() {
     run_local(async {
-        let mut scenario = Scenario::in_state(Watching, Way::Pushed).await;
+        let mut scenario = Scenario::in_state(Watching, Delivery::Push).await;
         scenario.agent.address.send(SECOND_ADDRESS).unwrap();
         scenario.agent.address.send(FIRST_ADDRESS).unwrap();
         assert!(scenario.agent.unanswered_requests(Duration::from_secs(2)).await.is_empty());
--- a/crates/discovery/tests/fake_agent/mod.rs
+++ b/crates/discovery/tests/fake_agent/mod.rs
@@ -1,7 +1,7 @@
 //! A discovery agent whose responses are scripted by the test, on a paused clock, with pipes in place of sockets.
 #![allow(dead_code)]
 
-use discovery::{Way, follow};
+use discovery::{Delivery, follow};
 use futures_util::FutureExt;
 use futures_util::future::LocalBoxFuture;
 use proto::discovery::{Phase, WatchEvent, parse_endpoint_list};
@@ -95,11 +95,11 @@
 }
 
 impl FakeAgent {
-    pub fn start(way: Way, known: Option<u64>) -> Self {
+    pub fn start(way: Delivery, known: Option<u64>) -> Self {
         Self::start_with_balancers(300, way, known)
     }
 
-    pub fn start_with_balancers(balancers: u32, way: Way, known: Option<u64>) -> Self {
+    pub fn start_with_balancers(balancers: u32, way: Delivery, known: Option<u64>) -> Self {
         let (requests_sender, requests) = mpsc::unbounded_channel();
         let (published_sender, published) = mpsc::unbounded_channel();
         let (address, address_receiver) = watch::channel(FIRST_ADDRESS);
--- a/crates/discovery/tests/invalid_lists.rs
+++ b/crates/discovery/tests/invalid_lists.rs
@@ -3,7 +3,7 @@
 
 mod fake_agent;
 
-use discovery::Way;
+use discovery::Delivery;
 use fake_agent::*;
 use rstest::rstest;
 use std::time::Duration;
@@ -53,7 +53,7 @@
         Defect::InvalidAddress
     )]
     defect: Defect,
-    #[values(Way::Pushed, Way::Asked)] way: Way,
+    #[values(Delivery::Push, Delivery::Poll)] way: Delivery,
 ) {
     run_local(async {
         let mut agent = FakeAgent::start(way, None);
--- a/crates/discovery/tests/retry_schedule.rs
+++ b/crates/discovery/tests/retry_schedule.rs
@@ -1,7 +1,7 @@
 //! The backoff between requests by itself: how soon, how often, and how far apart.
 
-use discovery::Way;
-use discovery::pace::{AGAIN, Failure, REJECTED_BACKOFF_MAX, RetrySchedule};
+use discovery::Delivery;
+use discovery::pace::{Failure, REJECTED_BACKOFF_MAX, RETRY_INTERVAL, RetrySchedule};
 use rstest::rstest;
 use std::time::Duration;
 
@@ -16,7 +16,7 @@
     let mut rng = fastrand::Rng::with_seed(1);
     let one = |_| {
         let (mut schedule, mut at, mut requests) =
-            (RetrySchedule::new(Way::Asked, balancers), Duration::ZERO, Vec::new());
+            (RetrySchedule::new(Delivery::Poll, balancers), Duration::ZERO, Vec::new());
         while at < Duration::from_secs(60) {
             requests.push(at);
             at += wait + schedule.next_backoff(Failure::Rejected, wait, rng.f64());
@@ -50,15 +50,18 @@
     let mut all: Vec<_> =
         requests.iter().flat_map(|one| one.iter().skip(if balancers < 100 { 4 } else { 1 })).collect();
     all.sort();
-    let most = all.iter().map(|from| all.iter().filter(|at| **at >= *from && ***at < **from + AGAIN).count());
-    let even = f64::from(balancers) * AGAIN.as_secs_f64() / wait.max(REJECTED_BACKOFF_MAX / 2).as_secs_f64();
+    let most = all
+        .iter()
+        .map(|from| all.iter().filter(|at| **at >= *from && ***at < **from + RETRY_INTERVAL).count());
+    let even = f64::from(balancers) * RETRY_INTERVAL.as_secs_f64()
+        / wait.max(REJECTED_BACKOFF_MAX / 2).as_secs_f64();
     assert!((most.max().unwrap() as f64) < 2.5 * even + 5.0, "{balancers} balancers, {even} a tenth evenly");
 }
 
 /// All times where requests cost: a watch fell silent as the change arrived, the first request is lost, the next is answered.
 #[test]
 fn silence_and_lost_request_fit_six_seconds() {
-    let mut schedule = RetrySchedule::new(Way::Asked, 300);
+    let mut schedule = RetrySchedule::new(Delivery::Poll, 300);
     let lost = schedule.response_timeout()
         + schedule.next_backoff(Failure::NoResponse, schedule.response_timeout(), 1.0);
     assert!(schedule.silence_timeout(1.0) + lost + RESPONSE_TIME < DEADLINE);
@@ -69,9 +72,9 @@
 }
 
 #[rstest]
-#[case::asked(Way::Asked, Duration::from_millis(750))]
-#[case::pushed(Way::Pushed, AGAIN)]
-fn failed_request_is_retried_soon_and_success_resets_backoff(#[case] way: Way, #[case] most: Duration) {
+#[case::asked(Delivery::Poll, Duration::from_millis(750))]
+#[case::pushed(Delivery::Push, RETRY_INTERVAL)]
+fn failed_request_is_retried_soon_and_success_resets_backoff(#[case] way: Delivery, #[case] most: Duration) {
     let mut schedule = RetrySchedule::new(way, 100);
     let first = schedule.next_backoff(Failure::NoResponse, Duration::ZERO, 0.5);
     assert!((0..50).all(|_| schedule.next_backoff(Failure::NoResponse, Duration::ZERO, 1.0) <= most));
@@ -80,12 +83,12 @@
     // An agent on this machine is not overloaded by retries: a rejection backs off as any other failure does.
     let rejected: Vec<_> =
         (0..50).map(|_| schedule.next_backoff(Failure::Rejected, Duration::ZERO, 1.0)).collect();
-    let longest = if way == Way::Pushed { AGAIN } else { REJECTED_BACKOFF_MAX.mul_f64(1.5) };
+    let longest = if way == Delivery::Push { RETRY_INTERVAL } else { REJECTED_BACKOFF_MAX.mul_f64(1.5) };
     assert!(rejected.iter().all(|pause| *pause <= longest) && rejected[0] > first);
 }
 
 #[rstest]
-fn invalid_list_is_retried_with_growing_backoff(#[values(Way::Pushed, Way::Asked)] way: Way) {
+fn invalid_list_is_retried_with_growing_backoff(#[values(Delivery::Push, Delivery::Poll)] way: Delivery) {
     let mut schedule = RetrySchedule::new(way, 1);
     let pauses: Vec<_> = (0..6)
         .map(|_| schedule.next_backoff(Failure::InvalidList, Duration::ZERO, 0.5).as_millis())
--- a/crates/discovery/tests/scenario/mod.rs
+++ b/crates/discovery/tests/scenario/mod.rs
@@ -2,7 +2,7 @@
 #![allow(dead_code, unused_imports)]
 
 use crate::fake_agent::*;
-use discovery::Way;
+use discovery::Delivery;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::time::Duration;
 use tokio::io::{AsyncWriteExt, DuplexStream};
@@ -67,7 +67,7 @@
 }
 
 impl Scenario {
-    pub async fn in_state(state: State, way: Way) -> Self {
+    pub async fn in_state(state: State, way: Delivery) -> Self {
         let known = (state != RequestingList).then_some(41);
         let (agent, second_watch_opened) = (FakeAgent::start(way, known), state == SecondWatchOpened);
         let mut it = Self {
--- a/crates/discovery/tests/state_events.rs
+++ b/crates/discovery/tests/state_events.rs
@@ -4,7 +4,7 @@
 mod fake_agent;
 mod scenario;
 
-use discovery::Way;
+use discovery::Delivery;
 use fake_agent::*;
 use rstest::rstest;
 use scenario::*;
@@ -18,7 +18,7 @@
 #[rstest]
 #[tokio::test(start_paused = true)]
 async fn every_event_in_every_state_publishes_changes_within_six_seconds(
-    #[values(Way::Pushed, Way::Asked)] way: Way,
+    #[values(Delivery::Push, Delivery::Poll)] way: Delivery,
     #[values(RequestingList, RequestingWatch, Watching, WatchSilent, SecondWatchOpened, Moved, MovedTwice)]
     state: State,
     #[values(
@@ -75,7 +75,7 @@
                     }
                     bases.push(request.path.clone());
                     spawn_local(async move {
-                        if way == Way::Asked {
+                        if way == Delivery::Poll {
                             sleep(Duration::from_secs(1)).await;
                         }
                         let open = answer(request, NEW_REVISION, false, false).await;
@@ -91,7 +91,7 @@
             scenario.known.map_or("/v1/endpoints".into(), |known| format!("/v1/endpoints?watch=1&from={known}"));
         assert_eq!(bases[0], base, "the request resumes from the known revision");
         // Where requests cost, one is in flight at a time: two can have been answered within 6 s.
-        assert!(way == Way::Pushed || bases.len() <= 3, "{bases:?}");
+        assert!(way == Delivery::Push || bases.len() <= 3, "{bases:?}");
     })
     .await;
 }
@@ -103,7 +103,7 @@
     #[values(WatchSilent, Moved, MovedTwice)] state: State,
 ) {
     run_local(async {
-        let mut scenario = Scenario::in_state(state, Way::Pushed).await;
+        let mut scenario = Scenario::in_state(state, Delivery::Push).await;
         scenario.apply_event(event).await.unwrap();
         let mut open = 0;
         for stream in &mut scenario.open_streams {
--- a/crates/discovery/tests/timing.rs
+++ b/crates/discovery/tests/timing.rs
@@ -2,7 +2,7 @@
 
 mod fake_agent;
 
-use discovery::Way;
+use discovery::Delivery;
 use discovery::pace::REJECTED_BACKOFF_MAX;
 use fake_agent::*;
 use rstest::rstest;
@@ -18,7 +18,7 @@
 async fn start_requests_at_once_and_publishes_lines_as_they_arrive(#[case] known: Option<u64>) {
     run_local(async {
         let started = Instant::now();
-        let mut agent = FakeAgent::start(Way::Pushed, known);
+        let mut agent = FakeAgent::start(Delivery::Push, known);
         if known.is_none() {
             let request = agent.next_request().await;
             assert_eq!(request.path, "/v1/endpoints");
@@ -46,7 +46,7 @@
 ) {
     for ms in [10, 2_000, 4_321, 8_000, 8_077, 20_111] {
         run_local(async {
-            let mut agent = FakeAgent::start(Way::Pushed, known);
+            let mut agent = FakeAgent::start(Delivery::Push, known);
             if known.is_some() {
                 let mut watch = agent.next_watch().await;
                 watch.send_line("").await;
@@ -76,10 +76,10 @@
 /// Row 3: changes that a silent watch misses are received within 6 s, and much earlier where requests are free. Where they cost,
 /// one request is in flight at a time.
 #[rstest]
-#[case::pushed(Way::Pushed)]
-#[case::asked(Way::Asked)]
+#[case::pushed(Delivery::Push)]
+#[case::asked(Delivery::Poll)]
 #[tokio::test(start_paused = true)]
-async fn silent_watch_is_replaced_in_time_without_losing_changes(#[case] way: Way) {
+async fn silent_watch_is_replaced_in_time_without_losing_changes(#[case] way: Delivery) {
     run_local(async {
         let mut agent = FakeAgent::start(way, Some(41));
         let mut silent = agent.next_watch().await;
@@ -106,7 +106,7 @@
 #[tokio::test(start_paused = true)]
 async fn watch_that_resumes_before_second_one_is_kept() {
     run_local(async {
-        let mut agent = FakeAgent::start(Way::Asked, Some(41));
+        let mut agent = FakeAgent::start(Delivery::Poll, Some(41));
         let mut first = agent.next_watch().await;
         let second = agent.next_request().await;
         first.send_draining(42).await;
@@ -123,7 +123,7 @@
 #[tokio::test(start_paused = true)]
 async fn queued_request_is_awaited_and_is_the_only_one_in_flight() {
     run_local(async {
-        let mut agent = FakeAgent::start(Way::Asked, None);
+        let mut agent = FakeAgent::start(Delivery::Poll, None);
         let first = agent.next_request().await;
         let beside = agent.unanswered_requests(Duration::from_millis(2_100)).await;
         assert!(beside.is_empty(), "one request is in flight at a time");
@@ -148,7 +148,7 @@
 #[tokio::test(start_paused = true)]
 async fn overloaded_service_gets_fewer_requests(#[case] balancers: u32) {
     run_local(async {
-        let mut agent = FakeAgent::start_with_balancers(balancers, Way::Asked, Some(41));
+        let mut agent = FakeAgent::start_with_balancers(balancers, Delivery::Poll, Some(41));
         for nth in 0..20 {
             agent.next_request().await.reject().await;
             let ended = Instant::now();
@@ -167,10 +167,10 @@
 
 /// Row 6: after SIGHUP the complete list is requested from the new agent at once; until it is received, the previous agent is followed.
 #[rstest]
-#[case::pushed(Way::Pushed)]
-#[case::asked(Way::Asked)]
+#[case::pushed(Delivery::Push)]
+#[case::asked(Delivery::Poll)]
 #[tokio::test(start_paused = true)]
-async fn new_agent_is_contacted_at_once_and_previous_one_followed_until_it_answers(#[case] way: Way) {
+async fn new_agent_is_contacted_at_once_and_previous_one_followed_until_it_answers(#[case] way: Delivery) {
     run_local(async {
         let mut agent = FakeAgent::start(way, Some(41));
         let mut old = agent.next_watch().await;
--- a/crates/discovery/tests/watch_replacement.rs
+++ b/crates/discovery/tests/watch_replacement.rs
@@ -3,7 +3,7 @@
 mod fake_agent;
 mod scenario;
 
-use discovery::Way;
+use discovery::Delivery;
 use fake_agent::*;
 use rstest::rstest;
 use scenario::*;
@@ -15,7 +15,7 @@
 #[rstest]
 #[tokio::test(start_paused = true)]
 async fn response_head_alone_does_not_end_previous_watch(
-    #[values(Way::Pushed, Way::Asked)] way: Way, #[values(true, false)] old_sends: bool,
+    #[values(Delivery::Push, Delivery::Poll)] way: Delivery, #[values(true, false)] old_sends: bool,
 ) {
     run_local(async {
         let mut scenario = Scenario::in_state(SecondWatchOpened, way).await;
@@ -32,10 +32,10 @@
 
 /// All times of two faults in a row: the watch fell silent, and the one requested beside it sends only its head.
 #[rstest]
-#[case::pushed(Way::Pushed)]
-#[case::asked(Way::Asked)]
+#[case::pushed(Delivery::Push)]
+#[case::asked(Delivery::Poll)]
 #[tokio::test(start_paused = true)]
-async fn silent_second_watch_is_replaced_in_time(#[case] way: Way) {
+async fn silent_second_watch_is_replaced_in_time(#[case] way: Delivery) {
     run_local(async {
         let mut scenario = Scenario::in_state(Watching, way).await;
         let silent_since = Instant::now();
@@ -59,7 +59,7 @@
 #[tokio::test(start_paused = true)]
 async fn revision_going_back_requests_complete_list() {
     run_local(async {
-        let mut scenario = Scenario::in_state(Watching, Way::Asked).await;
+        let mut scenario = Scenario::in_state(Watching, Delivery::Poll).await;
         let mut watch = scenario.watch.take().unwrap();
         watch.send_line(&list(7, false, "draining")).await;
         scenario.agent.expect_revision(7).await;
@@ -77,8 +77,8 @@
 #[rstest]
 #[tokio::test(start_paused = true)]
 async fn lines_received_on_closed_watch_are_published(
-    #[values(Way::Pushed, Way::Asked)] way: Way, #[values(WatchSilent, SecondWatchOpened)] state: State,
-    #[values(true, false)] old_sends: bool,
+    #[values(Delivery::Push, Delivery::Poll)] way: Delivery,
+    #[values(WatchSilent, SecondWatchOpened)] state: State, #[values(true, false)] old_sends: bool,
 ) {
     run_local(async {
         let mut scenario = Scenario::in_state(state, way).await;
--- a/crates/fleet/src/file.rs
+++ b/crates/fleet/src/file.rs
@@ -180,7 +180,7 @@
     pub(crate) fn lease_settings(&self) -> Settings {
         let lease = u64::try_from(self.lease.as_micros()).unwrap_or(u64::MAX);
         let settings = Settings::new(lease, lease * 2 / 5, self.balancer_count());
-        Settings { ask_every: lease / REQUESTS_PER_LEASE, ..settings }
+        Settings { request_interval: lease / REQUESTS_PER_LEASE, ..settings }
     }
 
     /// A stable hash of the fleet's name, carried by each datagram.
--- a/crates/fleet/src/replicated_state.rs
+++ b/crates/fleet/src/replicated_state.rs
@@ -36,7 +36,7 @@
 impl ReplicatedState {
     /// The state before the first entry. A freeze binds only after every lease granted without it has ended.
     pub(crate) fn new(settings: Settings) -> Self {
-        let binding_delay_ms = settings.longer(settings.lease).div_ceil(1_000) + 1;
+        let binding_delay_ms = settings.max_elapsed(settings.lease).div_ceil(1_000) + 1;
         Self { holders: LeaseHolders::new(settings), calendar: Calendar::new(binding_delay_ms) }
     }
 
--- a/crates/fleet/tests/golden.rs
+++ b/crates/fleet/tests/golden.rs
@@ -34,7 +34,7 @@
         (TimeInterval { earliest: 100, latest: 110 }, TimeInterval { earliest: 200, latest: 220 });
     let counts = std::array::from_fn(|kind| 1_000 + kind as u64);
     let piece = ActivityPeriod { serial: 8, version, from, to, counts, digest: 9 };
-    ActivityReport { number: 0, incarnation: 10, sequence: 11, at: to, pieces: vec![piece] }
+    ActivityReport { number: 0, incarnation: 10, sequence: 11, at: to, periods: vec![piece] }
 }
 
 fn recorded_run() -> Site {
--- a/crates/gateway/src/engine/fleet/activity.rs
+++ b/crates/gateway/src/engine/fleet/activity.rs
@@ -1,7 +1,7 @@
 //! Counts what this balancer does under each version, and sends the counts to the fleet thread for the ledger.
 
 use crate::fleet_link::AuditEvent;
-use audit::counting::{ActivityCounter, CountKind, VersionId};
+use audit::activity_counter::{ActivityCounter, CountKind, VersionId};
 use audit::lease::TimeInterval;
 use audit::version::Version;
 use decide::api::{Micros, Outcome};
--- a/crates/gateway/tests/fleet.rs
+++ b/crates/gateway/tests/fleet.rs
@@ -239,7 +239,7 @@
         world.engine.audit_attempt(world.engine.audited_version(true), Outcome::Ok);
         advance(Duration::from_secs(1)).await;
         world.engine.poll_fleet();
-        let periods = world.last_report().pieces;
+        let periods = world.last_report().periods;
         let counted: Vec<_> = periods
             .iter()
             .map(|it| (it.version.calendar, it.counts[3], it.counts[5], it.version.program))
@@ -289,7 +289,7 @@
                 AuditEvent::Entry(_) => {}
             }
         }
-        for period in last.unwrap().pieces {
+        for period in last.unwrap().periods {
             text += &format!("digest {:016x}, counts {:?}\n", period.digest, period.counts);
         }
         expect_test::expect_file!["golden/topology-digest.txt"].assert_eq(&text);
--- a/crates/spindlebeam/src/config.rs
+++ b/crates/spindlebeam/src/config.rs
@@ -19,8 +19,8 @@
 use std::time::Duration;
 
 /// Descriptors kept back: for the listeners, the standard streams, the runtime, the datagrams, the files and the one that
-/// [`discovery::Dialler`] keeps (15 and one to spare), and for all connections to discovery that may be open at a time.
-const RESERVED_SOCKETS: usize = 16 + discovery::pace::MOST_CONNECTIONS;
+/// [`discovery::Dialer`] keeps (15 and one to spare), and for all connections to discovery that may be open at a time.
+const RESERVED_SOCKETS: usize = 16 + discovery::pace::MAX_CONNECTIONS;
 /// The fewest descriptors that connections are left with.
 const MIN_USABLE_SOCKETS: usize = 64;
 /// Bytes in a megabyte of `limits.memory_mb`.
--- a/crates/spindlebeam/src/serve/parts.rs
+++ b/crates/spindlebeam/src/serve/parts.rs
@@ -7,7 +7,7 @@
 use crate::reload;
 use anyhow::{Result, anyhow};
 use decide::api::Discovery;
-use discovery::Way;
+use discovery::Delivery;
 use front::accept::slot_wait;
 use front::{Front, operator};
 use futures_util::FutureExt;
@@ -104,13 +104,13 @@
 fn follow_discovery(
     config: &Config, address_changes: watch::Receiver<SocketAddr>, handle: Handle,
 ) -> JoinHandle<()> {
-    let way = match config.settings.discovery {
-        Discovery::Push => Way::Pushed,
-        Discovery::Poll => Way::Asked,
+    let delivery = match config.settings.discovery {
+        Discovery::Push => Delivery::Push,
+        Discovery::Poll => Delivery::Poll,
     };
-    let dialler = ::discovery::Dialler::new();
+    let dialler = ::discovery::Dialer::new();
     let dial = move |addr| dialler.clone().connect(addr).boxed_local();
     let on_event = move |event| handle.handle_watch_event(event);
     let (known, balancers) = (config.known.clone(), config.settings.balancers);
-    spawn_local(::discovery::follow(address_changes, known, way, balancers, dial, on_event))
+    spawn_local(::discovery::follow(address_changes, known, delivery, balancers, dial, on_event))
 }
--- a/crates/spindlebeam/tests/crossings_list.rs
+++ b/crates/spindlebeam/tests/crossings_list.rs
@@ -2,7 +2,7 @@
 
 mod platform;
 
-use discovery::pace::AGAIN;
+use discovery::pace::RETRY_INTERVAL;
 use platform::*;
 use rstest::rstest;
 use serde_json::Value;
@@ -102,7 +102,7 @@
 /// How soon discovery is asked behind a call that came to nothing (`discovery::pace`): the longest pause, or for a call that is out
 /// still, at once.
 fn asked_again(way: &str) -> Duration {
-    if way == "push" { AGAIN } else { Duration::from_millis(750) }
+    if way == "push" { RETRY_INTERVAL } else { Duration::from_millis(750) }
 }
 
 /// For a machine that has other work as well.
--- a/crates/spindlebeam/tests/fleet_agreement.rs
+++ b/crates/spindlebeam/tests/fleet_agreement.rs
@@ -275,7 +275,7 @@
 }
 
 /// Kinds of the ledger that count attempts; behind them are what was refused and changes of topology.
-const TRIES: usize = audit::counting::CountKind::Refused as usize;
+const TRIES: usize = audit::activity_counter::CountKind::Refused as usize;
 
 /// What a balancer is known at another to have done: until when, and how many attempts, with their outcome.
 fn known(seen: &Value, number: u64) -> (u64, u64) {
