--- a/crates/agreement/tests/common/mod.rs
+++ b/crates/agreement/tests/common/mod.rs
@@ -1,7 +1,10 @@
 //! Balancers on a virtual clock, a network that loses, duplicates, delays and blocks messages, and a checker of all
 //! committed entries.
-#![allow(dead_code)]
-use agreement::*;
+#![allow(dead_code, unreachable_pub, reason = "shared by several test programs, each of which uses a part")]
+use agreement::{
+    Action, Agreement, MAX_MESSAGE_BYTES, MemoryStore, Message, Micros, NodeId, ProposalOutcome, Revision,
+    Settings, Store, StoreChange, StoredState, TICK_INTERVAL_US, VotingBlock,
+};
 use std::{
     cell::RefCell,
     cmp::Reverse,
--- a/crates/audit/src/activity_counter.rs
+++ b/crates/audit/src/activity_counter.rs
@@ -124,7 +124,7 @@
             incarnation: self.incarnation,
             sequence: self.sequence,
             at: now,
-            periods: periods,
+            periods,
         }
     }
 
--- a/crates/calendar/tests/support/mod.rs
+++ b/crates/calendar/tests/support/mod.rs
@@ -1,5 +1,5 @@
 //! Helpers that build freezes, calendars and instants.
-#![allow(dead_code, unreachable_pub)]
+#![allow(dead_code, unreachable_pub, reason = "shared by several test programs, each of which uses a part")]
 
 use calendar::{
     Applied, Calendar, Change, ChangeKind, Entry, Freeze, LeaseState, Millis, Override, Proposal, Scope,
--- a/crates/discovery/tests/fake_agent/mod.rs
+++ b/crates/discovery/tests/fake_agent/mod.rs
@@ -1,5 +1,5 @@
 //! A discovery agent whose responses are scripted by the test, on a paused clock, with pipes in place of sockets.
-#![allow(dead_code)]
+#![allow(dead_code, unreachable_pub, reason = "shared by several test programs, each of which uses a part")]
 
 use discovery::{Delivery, follow};
 use futures_util::FutureExt;
--- a/crates/discovery/tests/scenario/mod.rs
+++ b/crates/discovery/tests/scenario/mod.rs
@@ -1,5 +1,10 @@
 //! States of the connection to a scripted agent, and the events that can happen in them.
-#![allow(dead_code, unused_imports)]
+#![allow(
+    dead_code,
+    unused_imports,
+    unreachable_pub,
+    reason = "shared by several test programs, each of which uses a part"
+)]
 
 use crate::fake_agent::*;
 use discovery::Delivery;
--- a/crates/fleet/examples/measure_fleet/faults.rs
+++ b/crates/fleet/examples/measure_fleet/faults.rs
@@ -21,7 +21,7 @@
     Pairs(Vec<(usize, usize)>),
 }
 
-pub struct Faults {
+pub(crate) struct Faults {
     random: fastrand::Rng,
     cuts: Vec<(Micros, Cut)>,
     stops: Vec<(Micros, usize)>,
@@ -29,11 +29,11 @@
     /// When a fault of its own ended, or will.
     own: Vec<Micros>,
     proposed: u32,
-    pub told: Vec<String>,
+    pub(crate) told: Vec<String>,
 }
 
 impl Faults {
-    pub fn new(site: &mut Site) -> Self {
+    pub(crate) fn new(site: &mut Site) -> Self {
         let mut random = fastrand::Rng::with_seed(site.seed ^ 0x5eed);
         let count = site.members.len();
         for n in 0..count {
@@ -45,7 +45,7 @@
     }
 
     /// Whether one is alive, not cut off, and was not for a while.
-    pub fn faultless(&self, site: &Site, n: usize) -> bool {
+    pub(crate) fn faultless(&self, site: &Site, n: usize) -> bool {
         site.members[n].is_some() && self.own[n] + RECOVERY <= site.now
     }
 
@@ -54,7 +54,7 @@
     }
 
     /// A second's faults; those that are over end.
-    pub fn turn(&mut self, site: &mut Site, referee: &mut Referee) {
+    pub(crate) fn turn(&mut self, site: &mut Site, referee: &mut Referee) {
         self.end(site, referee, site.now);
         let count = site.members.len();
         if self.random.u32(0..10) == 0 {
@@ -204,14 +204,14 @@
     }
 
     /// All faults end.
-    pub fn end_all(&mut self, site: &mut Site, referee: &mut Referee) {
+    pub(crate) fn end_all(&mut self, site: &mut Site, referee: &mut Referee) {
         self.tell(site, "all faults end".into());
         self.end(site, referee, Micros::MAX);
         site.loss = 0.0;
     }
 
     /// Staff have a member of the council that lost its memory taken in anew.
-    pub fn renew(&mut self, site: &mut Site) {
+    pub(crate) fn renew(&mut self, site: &mut Site) {
         for n in site.blocked_voters.clone() {
             if site.members[n].as_ref().is_none_or(|it| it.is_voting()) {
                 site.blocked_voters.remove(&n);
--- a/crates/fleet/examples/measure_fleet/referee.rs
+++ b/crates/fleet/examples/measure_fleet/referee.rs
@@ -18,20 +18,20 @@
 
 /// What was agreed, by the first balancer that applied it.
 #[derive(Default)]
-pub struct Referee {
+pub(crate) struct Referee {
     book: BTreeMap<String, Noted>,
     read: u64,
-    pub looks: u64,
+    pub(crate) looks: u64,
     /// Looks at which a freeze was in force.
-    pub frozen_looks: u64,
+    pub(crate) frozen_looks: u64,
     /// Joins taken, all of them while none was.
-    pub joins: u64,
-    pub violation: Option<String>,
+    pub(crate) joins: u64,
+    pub(crate) violation: Option<String>,
 }
 
 impl Referee {
     /// What a balancer may be doing at this moment, against the book.
-    pub fn look(&mut self, site: &Site, n: usize) {
+    pub(crate) fn look(&mut self, site: &Site, n: usize) {
         self.read(site);
         self.looks += 1;
         if let Some((revision, at)) = site.diverged.first() {
@@ -98,21 +98,21 @@
     }
 
     /// Entries that are not revoked, for whoever proposes that one be.
-    pub fn open(&self) -> Vec<String> {
+    pub(crate) fn open(&self) -> Vec<String> {
         self.book.iter().filter(|(_, it)| it.revoked.is_none()).map(|(id, _)| id.clone()).collect()
     }
 }
 
 /// How many of those without a fault of their own were shut out at a time.
 #[derive(Default, Clone, Copy)]
-pub struct ShutOut {
-    pub worst: f64,
+pub(crate) struct ShutOut {
+    pub(crate) worst: f64,
     sum: f64,
     samples: u64,
 }
 
 impl ShutOut {
-    pub fn sample(&mut self, site: &Site, faultless: impl Fn(usize) -> bool) {
+    pub(crate) fn sample(&mut self, site: &Site, faultless: impl Fn(usize) -> bool) {
         let some: Vec<usize> = (0..site.members.len()).filter(|n| faultless(*n)).collect();
         let out = some.iter().filter(|n| site.lease_state(**n) == Some(LeaseState::Fenced)).count();
         let share = out as f64 / some.len().max(1) as f64;
@@ -121,18 +121,18 @@
         self.samples += 1;
     }
 
-    pub fn add(&mut self, other: &Self) {
+    pub(crate) fn add(&mut self, other: &Self) {
         self.worst = self.worst.max(other.worst);
         self.sum += other.sum;
         self.samples += other.samples;
     }
 
-    pub fn mean(&self) -> f64 {
+    pub(crate) fn mean(&self) -> f64 {
         self.sum / self.samples.max(1) as f64
     }
 }
 
 /// A span in seconds, for the table.
-pub fn seconds(span: Micros) -> String {
+pub(crate) fn seconds(span: Micros) -> String {
     format!("{:.2} s", span as f64 / SECOND as f64)
 }
--- a/crates/fleet/tests/common/mod.rs
+++ b/crates/fleet/tests/common/mod.rs
@@ -1,5 +1,5 @@
 //! A fleet on a virtual clock, with all its members and a network whose faults are drawn from a seed.
-#![allow(dead_code, reason = "each test program uses only some of it")]
+#![allow(dead_code, unreachable_pub, reason = "shared by several test programs, each of which uses a part")]
 
 use agreement::{MemoryStore, Store, StoreChange as Written, StoredState};
 use audit::lease::LeaseState;
--- a/crates/gateway/tests/support/mod.rs
+++ b/crates/gateway/tests/support/mod.rs
@@ -1,5 +1,5 @@
 //! Configurations and requests for tests of the engine.
-#![allow(dead_code)]
+#![allow(dead_code, unreachable_pub, reason = "shared by several test programs, each of which uses a part")]
 
 use bytes::Bytes;
 use decide::api::{Class, ClassId, Effect, Key, Settings, TenantId};
--- a/crates/membership/tests/common/mod.rs
+++ b/crates/membership/tests/common/mod.rs
@@ -1,6 +1,11 @@
 //! A fleet on a virtual clock, with a network that loses, delays, duplicates and cuts.
 
-#![allow(dead_code, missing_docs, reason = "each test program uses a part of it")]
+#![allow(
+    dead_code,
+    missing_docs,
+    unreachable_pub,
+    reason = "shared by several test programs, each of which uses a part"
+)]
 
 use std::cmp::Reverse;
 use std::collections::{BTreeSet, BinaryHeap};
--- a/crates/reservation/tests/world/mod.rs
+++ b/crates/reservation/tests/world/mod.rs
@@ -1,4 +1,5 @@
 //! A fleet on virtual clocks: 300 holders, a leader, a log, and a network that loses, doubles, delays and reorders.
+#![allow(dead_code, unreachable_pub, reason = "shared by several test programs, each of which uses a part")]
 
 use std::collections::{BTreeMap, HashMap};
 
--- a/crates/upstream/tests/fake_endpoint/mod.rs
+++ b/crates/upstream/tests/fake_endpoint/mod.rs
@@ -1,5 +1,5 @@
 //! An endpoint whose side of each connection is played by the test, and attempts at it.
-#![allow(dead_code)]
+#![allow(dead_code, unreachable_pub, reason = "shared by several test programs, each of which uses a part")]
 
 use bytes::Bytes;
 use proto::MAX_BUFFERED_VALUE_BYTES;
