--- a/crates/spindlebeam/benches/lists.rs
+++ b/crates/spindlebeam/benches/lists.rs
@@ -7,10 +7,10 @@
 use serde_json::json;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
+use testfleet::cache_node::CacheNodeBehaviour;
+use testfleet::discovery::{ListEncoding, Phase};
 use testfleet::fleet::Fleet;
-use testfleet::hosts::Manner;
-use testfleet::inventory::{Form, Phase};
-use testfleet::process::{descriptors, uses};
+use testfleet::process::{open_descriptors, resource_usage};
 
 /// Stand-ins for all endpoints, so that a quarter of them can drain.
 const HOSTS: usize = 8;
@@ -35,7 +35,7 @@
 fn give(core: Core, fleet: &Fleet, over: &AtomicBool) {
     let process = &fleet.balancer(0).process;
     while core == Core::Fifth && !over.load(Ordering::Relaxed) {
-        let _ = process.halt();
+        let _ = process.pause();
         std::thread::sleep(FIFTH.1); // what is measured: a process that is given a part of its time
         let _ = process.resume();
         std::thread::sleep(FIFTH.0);
@@ -46,50 +46,50 @@
 #[derive(Debug, Clone, Copy)]
 enum Told {
     Nothing,
-    Changes(Form),
+    Changes(ListEncoding),
 }
 
 fn run(program: &str, endpoints: usize, told: Told, keys: u64, core: Core) -> std::io::Result<()> {
-    let fleet = Fleet::builder(program).balancers(1).hosts(HOSTS).ids(endpoints / HOSTS).seed(40);
+    let fleet = Fleet::builder(program).balancers(1).cache_nodes(HOSTS).ids(endpoints / HOSTS).seed(40);
     let fleet = fleet.overrides(json!({"limits": {"sockets": 512}})).start()?;
-    (0..HOSTS).for_each(|number| fleet.host(number).behave(Manner::HoldsAll));
+    (0..HOSTS).for_each(|number| fleet.cache_node(number).set_behaviour(CacheNodeBehaviour::HoldsAll));
     let process = fleet.balancer(0).process.id();
-    let used = || uses(process).unwrap_or_default();
+    let used = || resource_usage(process).unwrap_or_default();
     let before = used();
-    fleet.clients().ask(testfleet::clients::Load { keys, ..fleet.load(&["read"], RATE, REQUESTS) });
-    fleet.clients().sent(BEFORE);
+    fleet.clients().start_load(testfleet::clients::Load { keys, ..fleet.load(&["read"], RATE, REQUESTS) });
+    fleet.clients().await_sent(BEFORE);
     let mut behind: Option<Instant> = None;
     let drained = HOSTS / 4;
     let over = AtomicBool::new(false);
     std::thread::scope(|scope| {
         scope.spawn(|| give(core, &fleet, &over));
         if let Told::Changes(form) = told {
-            fleet.balancer(0).agent.speak(form);
-            fleet.change_all(0..drained, Phase::Draining);
-            behind = Some(fleet.told_of(0, drained - 1, Phase::Draining));
+            fleet.balancer(0).agent.set_encoding(form);
+            fleet.set_phases(0..drained, Phase::Draining);
+            behind = Some(fleet.await_notification(0, drained - 1, Phase::Draining));
         }
-        fleet.clients().answered(REQUESTS);
+        fleet.clients().await_answered(REQUESTS);
         over.store(true, Ordering::Relaxed);
     });
     let (after, descriptors, list_bytes) =
-        (used(), descriptors(process), fleet.balancer(0).agent.list_bytes());
-    let names: Vec<&str> = (0..drained).map(|number| fleet.host(number).name()).collect();
-    let late = fleet.attempts().look(|all| {
-        let sent = all.iter().filter(|it| names.contains(&&it.host[..]));
+        (used(), open_descriptors(process), fleet.balancer(0).agent.list_bytes());
+    let names: Vec<&str> = (0..drained).map(|number| fleet.cache_node(number).name()).collect();
+    let late = fleet.attempts().with_entries(|all| {
+        let sent = all.iter().filter(|it| names.contains(&&it.endpoint[..]));
         let behind = sent.filter_map(|it| it.at.checked_duration_since(behind?));
         let late: Vec<Duration> = behind.filter(|it| *it > GRACE).collect();
         (late.len(), late.into_iter().max().unwrap_or_default())
     });
-    let made = fleet.attempts().look(|all| {
+    let made = fleet.attempts().with_entries(|all| {
         let connections: std::collections::HashSet<_> =
-            all.iter().map(|it| (&it.host, it.connection)).collect();
+            all.iter().map(|it| (&it.endpoint, it.connection)).collect();
         connections.len()
     });
-    let longest = fleet.clients().calls().look(|all| {
+    let longest = fleet.clients().calls().with_entries(|all| {
         let took = all.iter().filter_map(|it| Some(it.answers.first()?.0 - it.asked?));
         took.max().unwrap_or_default()
     });
-    let verdict = fleet.judge();
+    let verdict = fleet.verdict();
     println!(
         "{endpoints:>5} endpoints, {keys:>8} keys, {core:?} core, {told:?}: {} late, the last {:.2} s; {:.2} s of processor time, {} MB; \
          longest answer {:.3} s; {made} connections; {descriptors} descriptors; {} KB of lists; {} served, {} violations",
@@ -111,7 +111,7 @@
 fn main() -> std::io::Result<()> {
     let program = std::env::args().skip(1).find(|word| !word.starts_with("--"));
     let program = program.unwrap_or_else(|| env!("CARGO_BIN_EXE_spindlebeam").into());
-    let form = |whole, indented, piece| Told::Changes(Form { indented, whole, piece });
+    let form = |whole, indented, piece| Told::Changes(ListEncoding { indented, whole, piece });
     let cases = [
         Told::Nothing,
         form(false, false, None),
--- a/crates/spindlebeam/tests/golden.rs
+++ b/crates/spindlebeam/tests/golden.rs
@@ -160,10 +160,11 @@
 #[test]
 fn the_fleets_calendar_is_answered_in_the_same_form() {
     let builder = testfleet::fleet::Fleet::builder(env!("CARGO_BIN_EXE_spindlebeam"));
-    let builder = builder.folder(env!("CARGO_TARGET_TMPDIR")).seed(43).with_fleet(true).hosts(1).balancers(3);
+    let builder =
+        builder.folder(env!("CARGO_TARGET_TMPDIR")).seed(43).with_fleet(true).cache_nodes(1).balancers(3);
     let fleet = builder.start().unwrap();
     for balancer in 0..3 {
-        drop(fleet.balancer(balancer).process.said("fleet: lease held"));
+        drop(fleet.balancer(balancer).process.find_line_with("fleet: lease held"));
     }
     let door = fleet.balancer(0).operators;
     let freeze = json!({"add": {"freeze": {
--- a/crates/spindlebeam/tests/large_lists.rs
+++ b/crates/spindlebeam/tests/large_lists.rs
@@ -3,8 +3,8 @@
 use rstest::rstest;
 use serde_json::json;
 use std::time::Duration;
+use testfleet::discovery::{ListEncoding, Phase};
 use testfleet::fleet::Fleet;
-use testfleet::inventory::{Form, Phase};
 
 /// Cache hosts, and the ids under which each is listed: 3,200 endpoints, the most of the standing test.
 const HOSTS: usize = 16;
@@ -21,22 +21,22 @@
 ) {
     let fleet =
         Fleet::builder(env!("CARGO_BIN_EXE_spindlebeam")).folder(env!("CARGO_TARGET_TMPDIR")).seed(39);
-    let fleet = fleet.balancers(1).hosts(HOSTS).ids(IDS);
+    let fleet = fleet.balancers(1).cache_nodes(HOSTS).ids(IDS);
     let fleet = fleet.overrides(json!({"limits": {"sockets": 256}})).start().unwrap();
-    fleet.clients().ask(fleet.load(&["read"], RATE, REQUESTS));
-    fleet.clients().sent(100);
-    fleet.balancer(0).agent.speak(Form { indented, whole, piece });
+    fleet.clients().start_load(fleet.load(&["read"], RATE, REQUESTS));
+    fleet.clients().await_sent(100);
+    fleet.balancer(0).agent.set_encoding(ListEncoding { indented, whole, piece });
     let drained = HOSTS / 4;
-    fleet.change_all(0..drained, Phase::Draining);
-    let told = fleet.told_of(0, drained - 1, Phase::Draining);
-    fleet.clients().answered(REQUESTS);
-    let verdict = fleet.judge();
+    fleet.set_phases(0..drained, Phase::Draining);
+    let told = fleet.await_notification(0, drained - 1, Phase::Draining);
+    fleet.clients().await_answered(REQUESTS);
+    let verdict = fleet.verdict();
     let sent_to = |hosts: std::ops::Range<usize>| {
-        let names: Vec<&str> = hosts.map(|number| fleet.host(number).name()).collect();
+        let names: Vec<&str> = hosts.map(|number| fleet.cache_node(number).name()).collect();
         let behind = told + Duration::from_millis(300);
-        fleet
-            .attempts()
-            .look(|all| all.iter().filter(|it| it.at > behind && names.contains(&&it.host[..])).count())
+        fleet.attempts().with_entries(|all| {
+            all.iter().filter(|it| it.at > behind && names.contains(&&it.endpoint[..])).count()
+        })
     };
     assert_eq!(sent_to(0..drained), 0, "sent to draining endpoints 0.3 s behind the list: {verdict}");
     verdict.assert_clean();
--- a/crates/testfleet/examples/idle.rs
+++ b/crates/testfleet/examples/idle.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 use testfleet::fleet::Fleet;
-use testfleet::process::uses;
+use testfleet::process::resource_usage;
 
 /// How long each fleet is watched.
 const WATCHED: Duration = Duration::from_secs(10);
@@ -13,19 +13,20 @@
     for balancers in args.filter_map(|arg| arg.parse::<usize>().ok()) {
         let begun = Instant::now();
         let fleet =
-            Fleet::builder(&program).balancers(balancers).hosts(4).zones(3).with_peers(true).start()?;
+            Fleet::builder(&program).balancers(balancers).cache_nodes(4).zones(3).with_peers(true).start()?;
         let ready = begun.elapsed();
         let sum = || {
-            let each = (0..balancers).filter_map(|number| uses(fleet.balancer(number).process.id()));
+            let each =
+                (0..balancers).filter_map(|number| resource_usage(fleet.balancer(number).process.id()));
             each.fold((0, 0), |all, it| (all.0 + it.0, all.1 + it.1))
         };
-        let (before, ours) = (sum(), uses(std::process::id()).unwrap_or_default());
+        let (before, ours) = (sum(), resource_usage(std::process::id()).unwrap_or_default());
         let watched = Instant::now();
         std::thread::park_timeout(WATCHED);
-        let (after, ours_after) = (sum(), uses(std::process::id()).unwrap_or_default());
+        let (after, ours_after) = (sum(), resource_usage(std::process::id()).unwrap_or_default());
         let share = |us: u64| us as f64 / watched.elapsed().as_micros() as f64 * 100.0;
         let others = (0..balancers).flat_map(|a| (0..balancers).map(move |b| (a, b)));
-        let datagrams: u64 = others.map(|(a, b)| fleet.between().counts(a, b).went).sum();
+        let datagrams: u64 = others.map(|(a, b)| fleet.udp_relay().counts(a, b).sent).sum();
         println!(
             "{balancers} balancers: ready in {ready:?}; {} MB resident, {:.1} % of a core; the relays and stand-ins \
              {} MB; {datagrams} datagrams relayed",
--- a/crates/testfleet/src/start.rs
+++ b/crates/testfleet/src/builder.rs
@@ -1,33 +1,33 @@
-//! What a fleet is to be, and its start.
+//! Builds and starts a [`Fleet`]: relays, stand-ins, configuration files and processes.
 
-use crate::archive::{Archive, NAME};
+use crate::cache_node::{Attempt, CacheNode};
 use crate::clients::Clients;
 use crate::config::{self, Listed};
+use crate::discovery::{DiscoveryAgent, EndpointNotification, Member, Phase};
+use crate::event_log::EventLog;
 use crate::fleet::{Balancer, Fleet};
 use crate::folder::Folder;
-use crate::ground::{Ground, any_port};
-use crate::hosts::{Attempt, Host};
-use crate::inventory::{Agent, Member, Phase, Told};
-use crate::journal::Journal;
+use crate::origin::{ORIGIN_NAME, Origin};
 use crate::process::{Launch, Process};
 use crate::relay::{Callers, TcpLink, UdpRelay};
+use crate::runtime::{Runtime, any_port};
 use rustc_hash::FxHashMap;
 use serde_json::Value;
 use std::io;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// What a fleet is to be.
+/// The shape of a fleet, with defaults for everything but the program.
 #[derive(Debug, Clone)]
-pub struct Builder {
+pub struct FleetBuilder {
     program: PathBuf,
     folder: PathBuf,
     balancers: usize,
-    hosts: usize,
+    cache_nodes: usize,
     ids: usize,
     zones: usize,
     seed: u64,
-    council: usize,
+    voters: usize,
     lease: String,
     with_fleet: bool,
     with_peers: bool,
@@ -36,17 +36,24 @@
     overrides: Value,
 }
 
-impl Builder {
-    pub(crate) fn new(program: PathBuf) -> Self {
+impl Fleet {
+    /// Returns a builder for a fleet of processes of this program.
+    pub fn builder(program: impl Into<PathBuf>) -> FleetBuilder {
+        FleetBuilder::new(program.into())
+    }
+}
+
+impl FleetBuilder {
+    fn new(program: PathBuf) -> Self {
         Self {
             program,
             folder: std::env::temp_dir(),
             balancers: 3,
-            hosts: 4,
+            cache_nodes: 4,
             ids: 1,
             zones: 1,
             seed: 1,
-            council: 3,
+            voters: 3,
             lease: "2s".into(),
             with_fleet: false,
             with_peers: false,
@@ -55,68 +62,68 @@
             overrides: Value::Null,
         }
     }
-    /// Balancers; 3 unless said.
+    /// Sets the number of balancers; the default is 3.
     #[must_use]
     pub fn balancers(self, balancers: usize) -> Self {
         Self { balancers, ..self }
     }
-    /// Cache hosts; 4 unless said.
+    /// Sets the number of cache nodes; the default is 4.
     #[must_use]
-    pub fn hosts(self, hosts: usize) -> Self {
-        Self { hosts, ..self }
+    pub fn cache_nodes(self, cache_nodes: usize) -> Self {
+        Self { cache_nodes, ..self }
     }
-    /// Ids under which each cache host is listed: a stand-in for as many endpoints. One unless said.
+    /// Sets under how many endpoint ids each cache node is listed; the default is 1.
     #[must_use]
     pub fn ids(self, ids: usize) -> Self {
         Self { ids, ..self }
     }
-    /// Zones, at least one, over which balancers and hosts are dealt in turn.
+    /// Sets the number of zones, at least one. Balancers and cache nodes are assigned to them round-robin.
     #[must_use]
     pub fn zones(self, zones: usize) -> Self {
         Self { zones: zones.max(1), ..self }
     }
-    /// What all draws come from.
+    /// Sets the seed of all random draws.
     #[must_use]
     pub fn seed(self, seed: u64) -> Self {
         Self { seed, ..self }
     }
-    /// The folder for its files; that of the system for such unless said.
+    /// Sets the parent folder of the fleet's files; the default is the system's temporary folder.
     #[must_use]
     pub fn folder(self, folder: impl Into<PathBuf>) -> Self {
         Self { folder: folder.into(), ..self }
     }
-    /// Balancers of the council, the first ones; 3 unless said.
+    /// Sets how many balancers, from the first on, are voters of the quorum group; the default is 3.
     #[must_use]
-    pub fn council(self, council: usize) -> Self {
-        Self { council, ..self }
+    pub fn council(self, voters: usize) -> Self {
+        Self { voters: voters, ..self }
     }
-    /// The lease, as the fleet file words it; `2s` unless said.
+    /// Sets the lease duration in the syntax of the fleet file; the default is `2s`.
     #[must_use]
     pub fn lease(self, lease: &str) -> Self {
         Self { lease: lease.to_owned(), ..self }
     }
-    /// Whether the balancers are given a fleet file.
+    /// Sets whether the balancers get a fleet file.
     #[must_use]
     pub fn with_fleet(self, with_fleet: bool) -> Self {
         Self { with_fleet, ..self }
     }
-    /// Whether they tell one another of hosts: without a fleet file, and from ten balancers on.
+    /// Sets whether the balancers gossip about endpoints. Only used without a fleet file.
     #[must_use]
     pub fn with_peers(self, with_peers: bool) -> Self {
         Self { with_peers, ..self }
     }
-    /// A further argument of the program.
+    /// Appends an argument to the program's command line.
     #[must_use]
     pub fn arg(mut self, arg: &str) -> Self {
         self.args.push(arg.to_owned());
         self
     }
-    /// Values that go over those of the configuration, object by object.
+    /// Sets values that are merged over the configuration of each balancer, object by object.
     #[must_use]
     pub fn overrides(self, overrides: Value) -> Self {
         Self { overrides, ..self }
     }
-    /// What one balancer's clock is off by.
+    /// Sets the clock offset of one balancer.
     #[must_use]
     pub fn clock_offset_ms(mut self, balancer: usize, offset: i64) -> Self {
         self.offsets.insert(balancer, offset);
@@ -127,44 +134,50 @@
         format!("z{}", number % self.zones)
     }
 
-    /// Starts it, and waits until every balancer is ready.
+    /// Starts the fleet and waits until every balancer is ready.
     ///
     /// # Errors
-    /// When a part cannot be started; the error of the system.
+    /// Returns the system's error if a socket or process cannot be started.
     ///
     /// # Panics
-    /// When a balancer is not ready within [`crate::PATIENCE`], with its last lines.
+    /// Panics with the last log lines if a balancer is not ready within [`crate::PATIENCE`].
     pub fn start(self) -> io::Result<Fleet> {
         let folder = Folder::below(&self.folder)?;
-        let ground = Ground::start()?;
-        let handle = ground.handle();
-        let (attempts, told, callers) =
-            (Journal::<Attempt>::default(), Journal::<Told>::default(), Callers::default());
-        let host = |number| Host::start(handle, &format!("s-{number}"), callers.clone(), attempts.clone());
-        let hosts: Vec<Host> = (0..self.hosts).map(host).collect::<io::Result<_>>()?;
-        let archive = Archive::start(handle, callers.clone(), Journal::default())?;
-        let between = UdpRelay::start(handle, self.balancers, self.seed)?;
+        let runtime = Runtime::start()?;
+        let handle = runtime.handle();
+        let (attempts, notifications, callers) =
+            (EventLog::<Attempt>::default(), EventLog::<EndpointNotification>::default(), Callers::default());
+        let endpoint =
+            |number| CacheNode::start(handle, &format!("s-{number}"), callers.clone(), attempts.clone());
+        let cache_nodes: Vec<CacheNode> = (0..self.cache_nodes).map(endpoint).collect::<io::Result<_>>()?;
+        let origin = Origin::start(handle, callers.clone(), EventLog::default())?;
+        let udp_relay = UdpRelay::start(handle, self.balancers, self.seed)?;
         let addresses: Vec<_> =
-            (0..self.balancers).map(|it| between.address(it)).collect::<io::Result<_>>()?;
+            (0..self.balancers).map(|it| udp_relay.address(it)).collect::<io::Result<_>>()?;
         self.write_fleet_file(folder.path(), &addresses)?;
-        let site = Site { hosts: &hosts, archive: &archive, callers: &callers, told: &told };
+        let site = Site {
+            cache_nodes: &cache_nodes,
+            origin: &origin,
+            callers: &callers,
+            notifications: &notifications,
+        };
         let balancers: Vec<Balancer> = (0..self.balancers)
-            .map(|number| self.balancer(&ground, folder.path(), number, &addresses, &site))
+            .map(|number| self.balancer(&runtime, folder.path(), number, &addresses, &site))
             .collect::<io::Result<_>>()?;
         let clients = Clients::new(handle, balancers.iter().map(|it| it.from_clients.addr()).collect());
         let mut fleet = Fleet {
             balancers,
             clients,
-            hosts,
-            archive,
-            between,
+            cache_nodes,
+            origin,
+            udp_relay,
             attempts,
-            told,
+            notifications,
             interruptions: Vec::new(),
             in_fleet: self.with_fleet,
             with_peers: self.with_peers,
             seed: self.seed,
-            ground,
+            runtime,
             folder,
         };
         (0..self.balancers).for_each(|number| fleet.await_listening(number));
@@ -178,20 +191,21 @@
             .map(|(number, address)| Listed {
                 address: *address,
                 zone: self.zone(number),
-                council: number < self.council,
+                council: number < self.voters,
             })
             .collect();
         std::fs::write(folder.join("fleet.toml"), config::fleet_file("test", &self.lease, &listed))
     }
 
     fn balancer(
-        &self, ground: &Ground, folder: &Path, number: usize, addresses: &[SocketAddr], site: &Site<'_>,
+        &self, runtime: &Runtime, folder: &Path, number: usize, addresses: &[SocketAddr], site: &Site<'_>,
     ) -> io::Result<Balancer> {
-        let handle = ground.handle();
+        let handle = runtime.handle();
         let seed = self.seed.wrapping_add(number as u64).wrapping_mul(0x9e37_79b9_7f4a_7c15);
         let link = |target| TcpLink::start(handle, target, Some((site.callers.clone(), number)), seed);
-        let to_hosts: Vec<_> = site.hosts.iter().map(|it| link(it.addr())).collect::<io::Result<_>>()?;
-        let to_archive = link(site.archive.addr())?;
+        let to_cache_nodes: Vec<_> =
+            site.cache_nodes.iter().map(|it| link(it.addr())).collect::<io::Result<_>>()?;
+        let to_origin = link(site.origin.addr())?;
         let member = |name: &str, addr, zone, kind: &str| Member {
             name: name.to_owned(),
             addr,
@@ -199,13 +213,14 @@
             kind: kind.to_owned(),
             phase: Phase::Ready,
             weight: 1.0,
-            ids: if kind == NAME { 1 } else { self.ids },
+            ids: if kind == ORIGIN_NAME { 1 } else { self.ids },
         };
-        let hosts = site.hosts.iter().zip(&to_hosts).enumerate();
-        let mut members: Vec<_> =
-            hosts.map(|(at, (host, link))| member(host.name(), link.addr(), self.zone(at), "m")).collect();
-        members.push(member(NAME, to_archive.addr(), self.zone(0), NAME));
-        let agent = Agent::start(handle, number, members, site.told.clone())?;
+        let cache_nodes = site.cache_nodes.iter().zip(&to_cache_nodes).enumerate();
+        let mut members: Vec<_> = cache_nodes
+            .map(|(at, (node, link))| member(node.name(), link.addr(), self.zone(at), "m"))
+            .collect();
+        members.push(member(ORIGIN_NAME, to_origin.addr(), self.zone(0), ORIGIN_NAME));
+        let agent = DiscoveryAgent::start(handle, number, members, site.notifications.clone())?;
         let mut config = config::platform(&config::Balancer {
             number,
             of: self.balancers,
@@ -223,18 +238,18 @@
         if self.with_fleet {
             launch.args.extend(config::fleet_arguments(&folder.join("fleet.toml"), &home.join("disk")));
         }
-        // Aimed once the balancer has told where it listens.
+        // The target is set once the balancer has logged the address it listens on.
         let from_clients = TcpLink::start(handle, any_port(), None, seed)?;
         let process = Process::start(handle, launch, &home, &config)?;
         let (front, operators) = (any_port(), any_port());
-        Ok(Balancer { process, agent, from_clients, to_hosts, to_archive, front, operators, config })
+        Ok(Balancer { process, agent, from_clients, to_cache_nodes, to_origin, front, operators, config })
     }
 }
 
-/// What all balancers have around them.
+/// The stand-ins shared by all balancers.
 struct Site<'a> {
-    hosts: &'a [Host],
-    archive: &'a Archive,
+    cache_nodes: &'a [CacheNode],
+    origin: &'a Origin,
     callers: &'a Callers,
-    told: &'a Journal<Told>,
+    notifications: &'a EventLog<EndpointNotification>,
 }
--- a/crates/testfleet/src/hosts.rs
+++ b/crates/testfleet/src/cache_node.rs
@@ -1,8 +1,8 @@
-//! Cache hosts that speak RESP2 and record every command with who sent it, and when.
+//! A stand-in cache node that speaks RESP2 and records the sender and time of every command.
 
-use crate::ground::{any_port, listen};
-use crate::journal::Journal;
+use crate::event_log::EventLog;
 use crate::relay::{Caller, Callers};
+use crate::runtime::{any_port, listen};
 use bytes::BytesMut;
 use proto::resp::{Command, decode_command, encode_bulk};
 use rustc_hash::FxHashSet;
@@ -16,68 +16,68 @@
 use tokio::runtime::Handle;
 use tokio::sync::watch;
 
-/// Most keys that a host holds; it then begins anew, cold.
+/// The maximum number of keys of a node; it is emptied when this is reached, to bound memory.
 pub const MOST_KEYS: usize = 1_000_000;
 
-/// How a host behaves to what comes.
+/// How a cache node responds to connections and commands.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub enum Manner {
-    /// Answers.
+pub enum CacheNodeBehaviour {
+    /// Answers normally.
     #[default]
     Serves,
-    /// Turns away what is new (`-BUSY`), and answers what it has.
+    /// Rejects new commands with `-BUSY`.
     Drains,
-    /// Fails everything (`-ERR`).
+    /// Answers every command with `-ERR`.
     Fails,
-    /// Answers with a value, whatever it holds.
+    /// Answers every key with a hit.
     HoldsAll,
-    /// Answers nothing.
+    /// Does not answer.
     Hangs,
-    /// Ends connections as soon as they come.
+    /// Closes connections on accept.
     Refuses,
 }
 
-/// How an attempt ended, as its host saw it.
+/// How an attempt ended, as the receiver saw it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Ending {
-    /// It was answered.
+    /// The attempt was answered.
     Answered,
-    /// Its connection ended first.
+    /// The connection ended before the answer.
     Closed,
 }
 
-/// An attempt of a request at a host, or a run at the archive.
+/// An attempt at a cache node, or an execution at the origin.
 #[derive(Debug, Clone)]
 pub struct Attempt {
-    /// The host's name in discovery.
-    pub host: String,
-    /// The request's id.
+    /// The receiver's name in discovery.
+    pub endpoint: String,
+    /// The id of the request.
     pub id: String,
-    /// Its key.
+    /// The requested key.
     pub key: String,
-    /// Its class.
+    /// The request class.
     pub class: String,
-    /// The time that it tells.
+    /// The remaining time that the request states.
     pub time: Option<Duration>,
-    /// The balancer that sent it; none where it came past the relays.
+    /// The balancer that sent it; `None` if the connection did not come through a relay.
     pub balancer: Option<usize>,
-    /// Number of the connection at this host.
+    /// The number of the connection at this receiver.
     pub connection: u64,
-    /// When the relay had it from the balancer.
+    /// When the relay read it from the balancer.
     pub sent: Instant,
-    /// When it came here.
+    /// When the receiver read it.
     pub at: Instant,
-    /// When and how it ended.
+    /// When and how it ended; `None` while it is in flight.
     pub ended: Option<(Instant, Ending)>,
 }
 
-/// The time that a request's options tell.
+/// Parses the remaining time from a request's options.
 pub(crate) fn time_of(options: &str) -> Option<Duration> {
     let ms = options.split(',').find_map(|option| option.strip_prefix("d="))?;
     ms.parse().ok().map(Duration::from_millis)
 }
 
-/// The class that a request's options name.
+/// Parses the request class from a request's options.
 pub(crate) fn class_of(options: &str) -> String {
     options.split(',').find_map(|option| option.strip_prefix("c=")).unwrap_or_default().to_owned()
 }
@@ -85,62 +85,70 @@
 #[derive(Debug)]
 struct Shared {
     name: String,
-    manner: watch::Sender<Manner>,
-    takes: watch::Sender<Duration>,
+    behaviour: watch::Sender<CacheNodeBehaviour>,
+    latency: watch::Sender<Duration>,
     keys: Mutex<FxHashSet<String>>,
     connections: AtomicU64,
     callers: Callers,
-    attempts: Journal<Attempt>,
+    attempts: EventLog<Attempt>,
 }
 
-/// A cache host. It holds a key after its first miss.
+/// A stand-in cache node. A key is a miss the first time and a hit afterwards.
 #[derive(Debug, Clone)]
-pub struct Host {
+pub struct CacheNode {
     addr: SocketAddr,
     shared: Arc<Shared>,
 }
 
-impl Host {
-    /// One of this name that writes into this record.
+impl CacheNode {
+    /// Starts a node of this name that records attempts in `attempts`.
     ///
     /// # Errors
-    /// When the system gives no port.
+    /// Returns the system's error if no port can be bound.
     pub fn start(
-        handle: &Handle, name: &str, callers: Callers, attempts: Journal<Attempt>,
+        handle: &Handle, name: &str, callers: Callers, attempts: EventLog<Attempt>,
     ) -> io::Result<Self> {
         let listener = listen(handle, any_port())?;
         let addr = listener.local_addr()?;
-        let (manner, takes) = (watch::Sender::new(Manner::Serves), watch::Sender::new(Duration::ZERO));
+        let (behaviour, latency) =
+            (watch::Sender::new(CacheNodeBehaviour::Serves), watch::Sender::new(Duration::ZERO));
         let (keys, connections) = (Mutex::default(), AtomicU64::new(0));
-        let shared =
-            Arc::new(Shared { name: name.to_owned(), manner, takes, keys, connections, callers, attempts });
+        let shared = Arc::new(Shared {
+            name: name.to_owned(),
+            behaviour,
+            latency,
+            keys,
+            connections,
+            callers,
+            attempts,
+        });
         handle.spawn(Arc::clone(&shared).accept(listener));
         Ok(Self { addr, shared })
     }
-    /// Where it listens.
+    /// Returns the listening address.
     #[must_use]
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
-    /// Its name.
+    /// Returns the node's name in discovery.
     #[must_use]
     pub fn name(&self) -> &str {
         &self.shared.name
     }
-    /// How it behaves from now on.
-    pub fn behave(&self, manner: Manner) {
-        self.shared.manner.send_replace(manner);
+    /// Changes the behaviour of the node.
+    pub fn set_behaviour(&self, behaviour: CacheNodeBehaviour) {
+        self.shared.behaviour.send_replace(behaviour);
     }
-    /// How long an answer takes from now on.
-    pub fn take(&self, time: Duration) {
-        self.shared.takes.send_replace(time);
+    /// Sets the delay before each answer.
+    pub fn set_latency(&self, latency: Duration) {
+        self.shared.latency.send_replace(latency);
     }
-    /// Forgets all keys.
-    pub fn forget(&self) {
+    /// Removes all keys.
+    pub fn clear_keys(&self) {
         self.shared.keys().clear();
     }
-    /// Holds a key.
-    pub fn hold(&self, key: &str) {
+    /// Inserts a key.
+    pub fn insert_key(&self, key: &str) {
         self.shared.keys().insert(key.to_owned());
     }
 }
@@ -153,16 +161,16 @@
     async fn accept(self: Arc<Self>, listener: TcpListener) {
         loop {
             let Ok((stream, from)) = listener.accept().await else { continue };
-            if *self.manner.borrow() == Manner::Refuses {
+            if *self.behaviour.borrow() == CacheNodeBehaviour::Refuses {
                 continue;
             }
             let number = self.connections.fetch_add(1, Ordering::Relaxed);
-            let caller = self.callers.of(from);
+            let caller = self.callers.find(from);
             tokio::spawn(Arc::clone(&self).serve(stream, number, caller));
         }
     }
 
-    /// One command after the other; whatever ends the connection ends the attempt that is out on it.
+    /// Serves commands in order. The end of the connection ends the attempt in flight on it.
     async fn serve(self: Arc<Self>, mut stream: TcpStream, number: u64, caller: Option<Caller>) {
         let mut buffer = BytesMut::new();
         loop {
@@ -181,7 +189,7 @@
             let place = self.attempts.push(entry);
             let answered = self.answer(&mut stream, &mut buffer, &key).await;
             let ending = if answered { Ending::Answered } else { Ending::Closed };
-            self.attempts.change(place, |it| it.ended = Some((Instant::now(), ending)));
+            self.attempts.update(place, |it| it.ended = Some((Instant::now(), ending)));
             if !answered {
                 return;
             }
@@ -193,21 +201,21 @@
         let (key, id, options) = (word(1)?, word(2)?, word(3)?);
         let (class, time) = (class_of(&options), time_of(&options));
         let at = Instant::now();
-        let sent = caller.map_or(at, Caller::wrote);
-        let (host, balancer) = (self.name.clone(), caller.map(|it| it.balancer));
-        Some(Attempt { host, id, key, class, time, balancer, connection, sent, at, ended: None })
+        let sent = caller.map_or(at, Caller::last_write);
+        let (endpoint, balancer) = (self.name.clone(), caller.map(|it| it.balancer));
+        Some(Attempt { endpoint, id, key, class, time, balancer, connection, sent, at, ended: None })
     }
 
-    /// No when the connection ended before the answer.
+    /// Answers a command; returns `false` if the connection ended first.
     async fn answer(&self, stream: &mut TcpStream, buffer: &mut BytesMut, key: &str) -> bool {
-        let takes = *self.takes.borrow();
-        let mut manner = self.manner.subscribe();
+        let latency = *self.latency.borrow();
+        let mut behaviour = self.behaviour.subscribe();
         let ready = async {
-            if *manner.borrow() != Manner::Drains && !takes.is_zero() {
-                tokio::time::sleep(takes).await;
+            if *behaviour.borrow() != CacheNodeBehaviour::Drains && !latency.is_zero() {
+                tokio::time::sleep(latency).await;
             }
-            // Whoever hangs answers when it hangs no more.
-            let _ = manner.wait_for(|manner| *manner != Manner::Hangs).await;
+            // A hanging node answers once its behaviour changes.
+            let _ = behaviour.wait_for(|behaviour| *behaviour != CacheNodeBehaviour::Hangs).await;
         };
         tokio::pin!(ready);
         loop {
@@ -217,11 +225,11 @@
                 () = &mut ready => break,
             }
         }
-        let manner = *self.manner.borrow();
-        let out = match manner {
-            Manner::Fails => BytesMut::from(&b"-ERR out of order\r\n"[..]),
-            Manner::Drains => BytesMut::from(&b"-BUSY\r\n"[..]),
-            Manner::HoldsAll => hit(key),
+        let behaviour = *self.behaviour.borrow();
+        let out = match behaviour {
+            CacheNodeBehaviour::Fails => BytesMut::from(&b"-ERR out of order\r\n"[..]),
+            CacheNodeBehaviour::Drains => BytesMut::from(&b"-BUSY\r\n"[..]),
+            CacheNodeBehaviour::HoldsAll => hit(key),
             _ => self.value(key),
         };
         stream.write_all(&out).await.is_ok()
--- a/crates/testfleet/src/clients.rs
+++ b/crates/testfleet/src/clients.rs
@@ -1,6 +1,6 @@
-//! Callers that ask at their own rate whatever comes back, and record each request's final answer.
+//! An open-loop load generator: clients send at a fixed rate and record the outcome of each request.
 
-use crate::journal::Journal;
+use crate::event_log::EventLog;
 use bytes::BytesMut;
 use proto::resp::encode_command;
 use std::io;
@@ -13,116 +13,117 @@
 use tokio::runtime::Handle;
 use tokio::time::{sleep_until, timeout};
 
-/// How much longer than a request's deadline its answer is waited for.
-const GRACE: Duration = Duration::from_secs(5);
-/// The longest answer that is read.
-const LONGEST_ANSWER: usize = 1024 * 1024;
-/// Idle connections that are kept to one balancer.
-const MOST_IDLE: usize = 256;
+/// How long after its deadline a request's answer is still awaited.
+const ANSWER_GRACE: Duration = Duration::from_secs(5);
+/// The maximum length of an answer, in bytes.
+const MAX_ANSWER_BYTES: usize = 1024 * 1024;
+/// The maximum number of idle connections to one balancer.
+const MAX_IDLE_CONNECTIONS: usize = 256;
 
-/// A class of requests, as the balancers' settings name it.
+/// A request class of the balancers' settings.
 #[derive(Debug, Clone)]
 pub struct Class {
-    /// Its name.
+    /// The name of the class.
     pub name: String,
-    /// Whether its requests write.
+    /// Whether requests of the class are writes.
     pub write: bool,
 }
 
-/// What the callers ask.
+/// The load to generate.
 #[derive(Debug, Clone)]
 pub struct Load {
-    /// Requests a second, over all balancers.
+    /// Requests per second, over all balancers.
     pub per_second: f64,
-    /// Requests in all.
+    /// The total number of requests.
     pub requests: usize,
-    /// The balancers that are asked, drawn evenly.
+    /// The balancers to send to, chosen uniformly.
     pub balancers: Vec<usize>,
-    /// Classes, drawn evenly.
+    /// The request classes, chosen uniformly.
     pub classes: Vec<Class>,
-    /// Tenants, drawn evenly.
+    /// The tenants, chosen uniformly.
     pub tenants: Vec<String>,
-    /// Keys, drawn evenly from so many.
+    /// The number of distinct keys, chosen uniformly.
     pub keys: u64,
-    /// The time that a request gives.
+    /// The deadline of each request, relative to when it is written.
     pub deadline: Duration,
-    /// What all draws come from.
+    /// The seed of all random draws.
     pub seed: u64,
 }
 
-/// The final answer of a request.
+/// The outcome of a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Final {
-    /// A value or a receipt.
+pub enum Outcome {
+    /// Answered with a value or a receipt.
     Served,
-    /// To come again later.
-    Refused,
-    /// Its connection was closed without an answer, and how: to be asked again, where the close has crossed it.
+    /// Rejected, to be retried later.
+    Rejected,
+    /// The connection was closed without an answer, with this error. The client may retry if the close raced the
+    /// request.
     Closed(String),
-    /// It was never written whole.
-    NotTaken,
-    /// Its client left.
-    Left,
-    /// The balancer has no list yet.
+    /// The request was never written completely.
+    NotSent,
+    /// The client disconnected before the answer.
+    ClientDisconnected,
+    /// The balancer has no endpoint list yet.
     NotReady,
-    /// Failed, in these words.
+    /// Answered with this error.
     Failed(String),
-    /// None: the connection ended, or nothing came; why.
+    /// No answer: connecting failed, the connection ended or the wait timed out, with the reason.
     Lost(String),
 }
 
-/// The place of a request's answer on its connection: answers follow the order of the commands.
+/// The position of a request in its pipeline. Answers follow the order of the commands on a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Turn {
-    /// Nothing was owed ahead of it.
+pub enum PipelinePosition {
+    /// No earlier answer was outstanding.
     First,
-    /// Written behind others, of which one has not been answered: its answer could not come.
-    Waits,
-    /// Written behind others, the last of which was answered then.
-    Came(Instant),
+    /// An earlier request of the connection has no answer yet, so this one cannot have one.
+    Blocked,
+    /// The last earlier request of the connection was answered at this time.
+    UnblockedAt(Instant),
 }
 
-/// A request and what came of it.
+/// A request and its outcome.
 #[derive(Debug, Clone)]
 pub struct Call {
-    /// Its id.
+    /// The request id.
     pub id: String,
-    /// Its class.
+    /// The request class.
     pub class: String,
-    /// The balancer that was asked.
+    /// The balancer it was sent to.
     pub balancer: usize,
-    /// When it was begun.
+    /// When the request was started.
     pub at: Instant,
-    /// When its last byte was written; never, where that did not come about.
+    /// When the last byte was written; `None` if it was not.
     pub asked: Option<Instant>,
-    /// The time that it gave, from then on.
+    /// The deadline, relative to `asked`.
     pub deadline: Duration,
-    /// Final answers: one, unless something is wrong.
-    pub answers: Vec<(Instant, Final)>,
-    /// Its place among the answers of its connection.
-    pub turn: Turn,
-    /// When its client left, if it did before an answer.
+    /// The outcomes with their times: exactly one, unless a rule was broken.
+    pub answers: Vec<(Instant, Outcome)>,
+    /// The position in the pipeline of its connection.
+    pub pipeline_position: PipelinePosition,
+    /// When the client disconnected, if it did so before an answer.
     pub left: Option<Instant>,
 }
 
-/// A connection on which the answer to all that was asked has come, and the place of the last call.
+/// A connection without outstanding requests, and the log index of its last call.
 #[derive(Debug)]
 struct Idle(BufReader<TcpStream>, usize);
 
 #[derive(Debug)]
 struct Shared {
-    doors: Vec<SocketAddr>,
+    client_addrs: Vec<SocketAddr>,
     idle: Mutex<Vec<Vec<Idle>>>,
-    calls: Journal<Call>,
+    calls: EventLog<Call>,
     ids: AtomicU64,
 }
 
-/// The callers.
+/// A handle to the load generator.
 #[derive(Debug, Clone)]
 pub struct Clients(Arc<Shared>, Handle);
 
-/// A request before it has an id.
-pub(crate) struct Question {
+/// A request before an id is assigned.
+pub(crate) struct Request {
     pub(crate) balancer: usize,
     pub(crate) class: String,
     pub(crate) write: bool,
@@ -132,49 +133,49 @@
 }
 
 impl Clients {
-    /// Callers that reach each balancer at its door.
+    /// Creates clients that reach each balancer at one of these addresses.
     #[must_use]
-    pub fn new(handle: &Handle, doors: Vec<SocketAddr>) -> Self {
-        let idle = Mutex::new(doors.iter().map(|_| Vec::new()).collect());
-        let shared = Shared { doors, idle, calls: Journal::default(), ids: AtomicU64::new(1) };
+    pub fn new(handle: &Handle, client_addrs: Vec<SocketAddr>) -> Self {
+        let idle = Mutex::new(client_addrs.iter().map(|_| Vec::new()).collect());
+        let shared = Shared { client_addrs, idle, calls: EventLog::default(), ids: AtomicU64::new(1) };
         Self(Arc::new(shared), handle.clone())
     }
-    /// All requests so far.
+    /// Returns the log of all requests.
     #[must_use]
-    pub fn calls(&self) -> &Journal<Call> {
+    pub fn calls(&self) -> &EventLog<Call> {
         &self.0.calls
     }
-    /// Begins to ask.
-    pub fn ask(&self, load: Load) {
+    /// Starts sending a load in the background.
+    pub fn start_load(&self, load: Load) {
         let shared = Arc::clone(&self.0);
         self.1.spawn(async move {
             let start = Instant::now();
             let mut rng = fastrand::Rng::with_seed(load.seed);
             for number in 0..load.requests {
                 sleep_until((start + Duration::from_secs_f64(number as f64 / load.per_second)).into()).await;
-                let question = draw(&load, &mut rng);
-                tokio::spawn(Arc::clone(&shared).call(question));
+                let request = draw_request(&load, &mut rng);
+                tokio::spawn(Arc::clone(&shared).call(request));
             }
         });
     }
-    /// Waits until so many requests have been sent.
+    /// Waits until this many requests have been started.
     ///
     /// # Panics
-    /// This and the next: after [`crate::PATIENCE`].
-    pub fn sent(&self, requests: usize) {
+    /// This and the next method panic after [`crate::PATIENCE`].
+    pub fn await_sent(&self, requests: usize) {
         self.0.calls.wait("requests sent", |calls| (calls.len() >= requests).then_some(()));
     }
-    /// Waits until so many requests have been sent, and each has its answer.
-    pub fn answered(&self, requests: usize) {
+    /// Waits until this many requests have been started and each has an outcome.
+    pub fn await_answered(&self, requests: usize) {
         let all = |calls: &[Call]| calls.len() >= requests && calls.iter().all(|it| !it.answers.is_empty());
         self.0.calls.wait("requests answered", |calls| all(calls).then_some(()));
         self.0.collect_late();
     }
 }
 
-fn draw(load: &Load, rng: &mut fastrand::Rng) -> Question {
+fn draw_request(load: &Load, rng: &mut fastrand::Rng) -> Request {
     let class = &load.classes[rng.usize(..load.classes.len())];
-    Question {
+    Request {
         balancer: load.balancers[rng.usize(..load.balancers.len())],
         class: class.name.clone(),
         write: class.write,
@@ -192,40 +193,40 @@
         self.idle.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// An idle connection that has not ended; an answer that nobody waits for is booked with the call before it.
+    /// Takes an open idle connection. An unexpected answer on it is recorded with the previous call.
     fn connection(&self, balancer: usize) -> Option<BufReader<TcpStream>> {
         loop {
-            let Idle(reader, place) = self.idle()[balancer].pop()?;
-            if !self.late(&reader, place) {
+            let Idle(reader, index) = self.idle()[balancer].pop()?;
+            if !self.has_unexpected_input(&reader, index) {
                 return Some(reader);
             }
         }
     }
 
-    /// Whether something came that nobody waits for, or the connection ended.
-    fn late(&self, reader: &BufReader<TcpStream>, place: usize) -> bool {
+    /// Returns whether the connection has unexpected input or has ended.
+    fn has_unexpected_input(&self, reader: &BufReader<TcpStream>, index: usize) -> bool {
         let more = match reader.buffer().len() {
             0 => reader.get_ref().try_read(&mut [0; 64]),
             n => Ok(n),
         };
         if matches!(more, Ok(n) if n > 0) {
             self.calls
-                .change(place, |call| call.answers.push((Instant::now(), Final::Failed("twice".into()))));
+                .update(index, |call| call.answers.push((Instant::now(), Outcome::Failed("twice".into()))));
         }
         !matches!(&more, Err(error) if error.kind() == io::ErrorKind::WouldBlock)
     }
 
     fn collect_late(&self) {
         for idle in self.idle().iter_mut() {
-            idle.retain(|Idle(reader, place)| !self.late(reader, *place));
+            idle.retain(|Idle(reader, index)| !self.has_unexpected_input(reader, *index));
         }
     }
 
-    async fn call(self: Arc<Self>, question: Question) {
+    async fn call(self: Arc<Self>, request: Request) {
         let number = self.ids.fetch_add(1, Ordering::Relaxed);
-        let (id, balancer, class) = (format!("{number:016x}"), question.balancer, question.class.clone());
+        let (id, balancer, class) = (format!("{number:016x}"), request.balancer, request.class.clone());
         let idle = self.connection(balancer);
-        let (at, asked, deadline, answers) = (Instant::now(), None, question.deadline, Vec::new());
+        let (at, asked, deadline, answers) = (Instant::now(), None, request.deadline, Vec::new());
         let call = Call {
             id: id.clone(),
             class,
@@ -234,43 +235,43 @@
             asked,
             deadline,
             answers,
-            turn: Turn::First,
+            pipeline_position: PipelinePosition::First,
             left: None,
         };
-        let place = self.calls.push(call);
+        let index = self.calls.push(call);
         let asked = async {
             let mut reader = match idle {
                 Some(reader) => reader,
-                None => BufReader::new(TcpStream::connect(self.doors[balancer]).await?),
+                None => BufReader::new(TcpStream::connect(self.client_addrs[balancer]).await?),
             };
             reader.get_ref().set_nodelay(true)?;
-            reader.get_mut().write_all(&command(&question, &id)).await?;
-            self.calls.change(place, |call| call.asked = Some(Instant::now()));
-            let answer = read(&mut reader).await?;
+            reader.get_mut().write_all(&encode_request(&request, &id)).await?;
+            self.calls.update(index, |call| call.asked = Some(Instant::now()));
+            let answer = read_outcome(&mut reader).await?;
             io::Result::Ok((reader, answer))
         };
-        let outcome = timeout(question.deadline + GRACE, asked).await;
+        let outcome = timeout(request.deadline + ANSWER_GRACE, asked).await;
         let (connection, answer) = match outcome {
             Ok(Ok((reader, answer))) => (Some(reader), answer),
-            Ok(Err(error)) => (None, Final::Lost(error.to_string())),
-            Err(_) => (None, Final::Lost("silence".into())),
+            Ok(Err(error)) => (None, Outcome::Lost(error.to_string())),
+            Err(_) => (None, Outcome::Lost("silence".into())),
         };
-        self.calls.change(place, |call| call.answers.push((Instant::now(), answer)));
+        self.calls.update(index, |call| call.answers.push((Instant::now(), answer)));
         let mut all = self.idle();
         if let Some(connection) = connection
-            && all[balancer].len() < MOST_IDLE
+            && all[balancer].len() < MAX_IDLE_CONNECTIONS
         {
-            all[balancer].push(Idle(connection, place));
+            all[balancer].push(Idle(connection, index));
         }
     }
 }
 
-pub(crate) fn command(question: &Question, id: &str) -> BytesMut {
-    let ms = question.deadline.as_millis();
-    let mut options = format!("c={},t={},d={ms}", question.class, question.tenant);
+pub(crate) fn encode_request(request: &Request, id: &str) -> BytesMut {
+    let ms = request.deadline.as_millis();
+    let mut options = format!("c={},t={},d={ms}", request.class, request.tenant);
     let mut out = BytesMut::new();
-    let key = question.key.as_bytes();
-    if question.write {
+    let key = request.key.as_bytes();
+    if request.write {
         options.push_str(&format!(",k={id}"));
         encode_command(&mut out, &[b"CACHE.SET", key, id.as_bytes(), options.as_bytes(), b"a value"]);
     } else {
@@ -279,21 +280,21 @@
     out
 }
 
-pub(crate) async fn read(reader: &mut BufReader<TcpStream>) -> io::Result<Final> {
+pub(crate) async fn read_outcome(reader: &mut BufReader<TcpStream>) -> io::Result<Outcome> {
     let mut line = String::new();
     reader.read_line(&mut line).await?;
     let line = line.trim_end();
     Ok(match line.split_at_checked(1) {
         None => return Err(io::ErrorKind::UnexpectedEof.into()),
         Some(("$", length)) => {
-            let length: Option<usize> = length.parse().ok().filter(|length| *length < LONGEST_ANSWER);
+            let length: Option<usize> = length.parse().ok().filter(|length| *length < MAX_ANSWER_BYTES);
             let length = length.ok_or(io::ErrorKind::InvalidData)?;
             reader.read_exact(&mut vec![0; length + 2]).await?;
-            Final::Served
+            Outcome::Served
         }
-        Some(("+", _)) => Final::Served,
-        Some(("-", words)) if words.starts_with("BUSY") => Final::Refused,
-        Some(("-", words)) if words.starts_with("LOADING") => Final::NotReady,
-        Some((_, words)) => Final::Failed(words.to_owned()),
+        Some(("+", _)) => Outcome::Served,
+        Some(("-", words)) if words.starts_with("BUSY") => Outcome::Rejected,
+        Some(("-", words)) if words.starts_with("LOADING") => Outcome::NotReady,
+        Some((_, words)) => Outcome::Failed(words.to_owned()),
     })
 }
--- a/crates/testfleet/src/config.rs
+++ b/crates/testfleet/src/config.rs
@@ -1,36 +1,36 @@
-//! The files that a balancer is started with: the platform's configuration, and the fleet file.
+//! The files that a balancer is started with: its configuration and the fleet file.
 
 use serde_json::{Value, json};
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// Classes of the settings: `read` may be repeated, `keyed` writes under a key, `once` may run once at most.
+/// Request classes of the settings: `read` is idempotent, `keyed` has an idempotency key, `once` is not idempotent.
 pub const CLASSES: [(&str, &str); 3] = [("read", "retryable"), ("keyed", "dedup"), ("once", "fragile")];
-/// The tenants.
+/// The tenants of the settings.
 pub const TENANTS: [&str; 2] = ["acme", "zeta"];
-/// A request's time, by the settings.
+/// The default deadline of requests, in milliseconds.
 pub const DEADLINE_MS: u64 = 4_000;
 
-/// What makes one balancer's configuration different from another's.
+/// The values that differ between the configurations of balancers.
 #[derive(Debug, Clone)]
 pub struct Balancer {
-    /// Its number.
+    /// The number of the balancer.
     pub number: usize,
-    /// Balancers in all.
+    /// The number of balancers.
     pub of: usize,
-    /// Its agent of discovery.
+    /// The address of its discovery agent.
     pub discovery: SocketAddr,
-    /// Zones, by name.
+    /// The names of all zones.
     pub zones: Vec<String>,
-    /// Its zone's place in them.
+    /// The index of its zone.
     pub zone: usize,
-    /// Its seed.
+    /// The seed of the balancer's random draws.
     pub seed: u64,
-    /// Relay addresses of all balancers, where they are to tell one another of hosts.
+    /// The relay addresses of all balancers, if they gossip about endpoints.
     pub peers: Option<Vec<SocketAddr>>,
 }
 
-/// The platform's configuration of a balancer.
+/// Returns the configuration file of a balancer.
 #[must_use]
 pub fn platform(it: &Balancer) -> Value {
     let class = |(name, effect): (&str, &str)| {
@@ -59,7 +59,7 @@
     config
 }
 
-/// Lays values over a configuration, object by object; nothing where they are null.
+/// Merges values over a configuration, object by object. A null override changes nothing.
 pub fn lay_over(config: &mut Value, overrides: &Value) {
     match (config, overrides) {
         (_, Value::Null) => {}
@@ -72,18 +72,18 @@
     }
 }
 
-/// A line of the fleet file.
+/// A balancer in the fleet file.
 #[derive(Debug, Clone)]
 pub struct Listed {
-    /// By which all others know it.
+    /// The address at which the others reach it.
     pub address: SocketAddr,
-    /// Its zone.
+    /// The name of its zone.
     pub zone: String,
-    /// Whether it is of the council.
+    /// Whether it is a voter of the quorum group.
     pub council: bool,
 }
 
-/// The fleet file, with balancers numbered as they come.
+/// Returns the text of the fleet file. Balancers are numbered by position.
 #[must_use]
 pub fn fleet_file(name: &str, lease: &str, balancers: &[Listed]) -> String {
     let mut text = format!("[fleet]\nname = \"{name}\"\nlease = \"{lease}\"\n");
@@ -97,7 +97,7 @@
     text
 }
 
-/// Arguments that have a balancer join a fleet.
+/// Returns the command line arguments with which a balancer joins a fleet.
 #[must_use]
 pub fn fleet_arguments(file: &Path, disk: &Path) -> Vec<String> {
     let path = |path: &Path| path.to_string_lossy().into_owned();
--- a/crates/testfleet/src/inventory.rs
+++ b/crates/testfleet/src/discovery.rs
@@ -1,7 +1,8 @@
-//! The inventory: an agent of discovery for each balancer, which can be told apart from the others or silenced.
+//! A stand-in discovery agent per balancer, so that each balancer's view can be changed, delayed or silenced on its
+//! own.
 
-use crate::ground::{any_port, listen};
-use crate::journal::Journal;
+use crate::event_log::EventLog;
+use crate::runtime::{any_port, listen};
 use serde_json::{Value, json};
 use std::io;
 use std::net::SocketAddr;
@@ -14,19 +15,19 @@
 use tokio::sync::watch;
 use tokio::time::timeout;
 
-/// A watch says at least so often that nothing has changed.
+/// The interval of keep-alive lines on a watch without changes.
 const QUIET: Duration = Duration::from_secs(2);
-/// The longest line of a request that is read.
+/// The maximum length of a request line, in bytes.
 const LONGEST_LINE: u64 = 4 * 1024;
 
-/// The phase of a member.
+/// The lifecycle phase of a member.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Phase {
-    /// Takes work.
+    /// Accepts requests.
     Ready,
-    /// Completes what it has.
+    /// Completes requests in flight and accepts no new ones.
     Draining,
-    /// Removed.
+    /// Removed from the list.
     Gone,
 }
 
@@ -40,22 +41,22 @@
     }
 }
 
-/// A host or the archive, as one balancer is told of it.
+/// A cache node or the origin, as listed to one balancer.
 #[derive(Debug, Clone)]
 pub struct Member {
-    /// Its name.
+    /// The name in discovery.
     pub name: String,
-    /// Where that balancer reaches it.
+    /// The address at which that balancer reaches it.
     pub addr: SocketAddr,
-    /// Its zone.
+    /// The zone.
     pub zone: String,
-    /// Its kind: `m`, or `origin`.
+    /// The kind: `m`, or `origin`.
     pub kind: String,
-    /// Its phase.
+    /// The lifecycle phase.
     pub phase: Phase,
-    /// Its listed weight.
+    /// The listed weight.
     pub weight: f64,
-    /// Under how many ids it is listed: a stand-in for as many endpoints, which change together.
+    /// The number of endpoint ids under which it is listed. They change together.
     pub ids: usize,
 }
 
@@ -69,37 +70,37 @@
     }
 }
 
-/// A list, or a change of it, as discovery words it.
+/// Returns a complete list, or a change of it, in the form of the discovery protocol.
 fn list(revision: usize, complete: bool, members: &[Member]) -> Value {
     let members: Vec<_> = members.iter().flat_map(Member::entries).collect();
     json!({"revision": revision, "complete": complete, "members": members})
 }
 
-/// In what form an agent tells lists on its watches.
+/// How an agent writes lists on its watches.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Form {
-    /// Over several lines.
+pub struct ListEncoding {
+    /// Whether the JSON is written over several lines.
     pub indented: bool,
-    /// The whole list in place of each change.
+    /// Whether each change is written as the complete list.
     pub whole: bool,
-    /// In pieces of so many bytes; in one, where there is none.
+    /// The number of bytes per write; `None` for one write.
     pub piece: Option<usize>,
 }
 
-impl Form {
-    fn worded(self, list: &Value) -> String {
+impl ListEncoding {
+    fn encode(self, list: &Value) -> String {
         if self.indented { format!("{list:#}") } else { list.to_string() }
     }
 }
 
-/// A change that was written to a balancer, or a list with it.
+/// A member's phase that was written to a balancer, in a list or a watch event.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Told {
-    /// The balancer.
+pub struct EndpointNotification {
+    /// The number of the balancer.
     pub balancer: usize,
-    /// The member.
-    pub host: String,
-    /// What it is told.
+    /// The name of the member.
+    pub endpoint: String,
+    /// The phase that was written.
     pub phase: Phase,
     /// When it was written.
     pub at: Instant,
@@ -107,23 +108,23 @@
 
 #[derive(Debug)]
 struct State {
-    /// The list at the start.
+    /// The initial list, which is revision 1.
     first: Vec<Member>,
-    /// The first is revision 2: the list before it is revision 1.
+    /// The changes of the list; the first one makes revision 2.
     changes: Vec<Member>,
-    /// Changes from this one on are held back.
+    /// The index of the first unpublished change while updates are paused.
     held_from: Option<usize>,
-    /// Watches of a lower number say nothing any more.
+    /// Watches with a lower number are silent.
     silent_below: u64,
-    /// Watches of a lower number are reset.
+    /// Watches with a lower number are reset.
     reset_below: u64,
     watches: u64,
-    form: Form,
+    encoding: ListEncoding,
 }
 
-/// The agent of one balancer.
+/// A handle to the discovery agent of one balancer.
 #[derive(Debug, Clone)]
-pub struct Agent {
+pub struct DiscoveryAgent {
     addr: SocketAddr,
     shared: Arc<Shared>,
 }
@@ -133,21 +134,21 @@
     balancer: usize,
     state: Mutex<State>,
     changed: watch::Sender<()>,
-    asked: Journal<String>,
-    told: Journal<Told>,
-    /// Bytes of lists and changes written so far, without the heads of answers.
+    requested_paths: EventLog<String>,
+    notifications: EventLog<EndpointNotification>,
+    /// The bytes of lists and changes written so far, without HTTP heads.
     list_bytes: AtomicU64,
 }
 
-impl Agent {
-    /// The agent of this balancer, with its first list.
+impl DiscoveryAgent {
+    /// Starts the agent of a balancer with an initial list, and records in `notifications` what it writes.
     ///
     /// # Errors
-    /// When the system gives no port.
+    /// Returns the system's error if no port can be bound.
     pub fn start(
-        handle: &Handle, balancer: usize, members: Vec<Member>, told: Journal<Told>,
+        handle: &Handle, balancer: usize, members: Vec<Member>, notifications: EventLog<EndpointNotification>,
     ) -> io::Result<Self> {
-        let form = Form::default();
+        let encoding = ListEncoding::default();
         let state = State {
             first: members,
             changes: Vec::new(),
@@ -155,11 +156,13 @@
             silent_below: 0,
             reset_below: 0,
             watches: 0,
-            form,
+            encoding,
         };
-        let (state, changed, asked) = (Mutex::new(state), watch::Sender::new(()), Journal::default());
+        let (state, changed, requested_paths) =
+            (Mutex::new(state), watch::Sender::new(()), EventLog::default());
         let list_bytes = AtomicU64::new(0);
-        let shared = Arc::new(Shared { balancer, state, changed, asked, told, list_bytes });
+        let shared =
+            Arc::new(Shared { balancer, state, changed, requested_paths, notifications, list_bytes });
         let addr = Self::listen_for(handle, &shared)?;
         Ok(Self { addr, shared })
     }
@@ -171,43 +174,43 @@
         Ok(addr)
     }
 
-    /// A further address at which the same agent listens: discovery can be moved there.
+    /// Listens on an additional address, so that discovery can be moved there.
     ///
     /// # Errors
-    /// When the system gives no port.
-    pub fn further_addr(&self, handle: &Handle) -> io::Result<SocketAddr> {
+    /// Returns the system's error if no port can be bound.
+    pub fn add_listener(&self, handle: &Handle) -> io::Result<SocketAddr> {
         Self::listen_for(handle, &self.shared)
     }
-    /// Where it listens.
+    /// Returns the listening address.
     #[must_use]
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
-    /// The paths that it was asked for.
+    /// Returns the log of requested paths.
     #[must_use]
-    pub fn asked(&self) -> &Journal<String> {
-        &self.shared.asked
+    pub fn requested_paths(&self) -> &EventLog<String> {
+        &self.shared.requested_paths
     }
-    /// Bytes of lists and changes that it has written so far.
+    /// Returns the bytes of lists and changes written so far.
     #[must_use]
     pub fn list_bytes(&self) -> u64 {
         self.shared.list_bytes.load(Ordering::Relaxed)
     }
-    /// The whole list as it is now, for a balancer that is to start with one known from before.
+    /// Returns the complete published list, for a balancer that starts with a known list.
     #[must_use]
     pub fn list(&self) -> Value {
         self.shared.state().list()
     }
-    /// In what form it tells lists from now on.
-    pub fn speak(&self, form: Form) {
-        self.shared.state().form = form;
+    /// Changes how lists are written.
+    pub fn set_encoding(&self, encoding: ListEncoding) {
+        self.shared.state().encoding = encoding;
     }
     /// Changes a member's phase.
-    pub fn change(&self, name: &str, phase: Phase) {
-        self.change_all(&[name], phase);
+    pub fn set_phase(&self, name: &str, phase: Phase) {
+        self.set_phases(&[name], phase);
     }
     /// Changes the phase of several members in one list.
-    pub fn change_all(&self, names: &[&str], phase: Phase) {
+    pub fn set_phases(&self, names: &[&str], phase: Phase) {
         let mut state = self.shared.state();
         for name in names {
             state.update(name, |member| member.phase = phase);
@@ -220,26 +223,26 @@
         self.shared.state().update(name, update);
         self.shared.changed.send_replace(());
     }
-    /// Holds back what changes from now on.
-    pub fn hold_back(&self) {
+    /// Stops publishing further changes until [`Self::resume_updates`].
+    pub fn pause_updates(&self) {
         let mut state = self.shared.state();
         let from = state.changes.len();
         state.held_from.get_or_insert(from);
     }
-    /// Tells what was held back.
-    pub fn let_go(&self) {
+    /// Publishes the changes made since [`Self::pause_updates`].
+    pub fn resume_updates(&self) {
         self.shared.state().held_from = None;
         self.shared.changed.send_replace(());
     }
-    /// Resets the watches that are open now.
+    /// Resets the open watches.
     pub fn reset_watches(&self) {
         let mut state = self.shared.state();
         state.reset_below = state.watches;
         drop(state);
         self.shared.changed.send_replace(());
     }
-    /// The watches open now say nothing any more, and stay open; one begun later speaks.
-    pub fn silence(&self) {
+    /// Silences the open watches without closing them. Later watches are not affected.
+    pub fn silence_watches(&self) {
         let mut state = self.shared.state();
         state.silent_below = state.watches;
     }
@@ -247,36 +250,36 @@
 
 impl State {
     fn update(&mut self, name: &str, update: impl FnOnce(&mut Member)) {
-        let now = self.behind(self.changes.len());
+        let now = self.members_after(self.changes.len());
         if let Some(mut member) = now.into_iter().find(|member| member.name == name) {
             update(&mut member);
             self.changes.push(member);
         }
     }
-    /// Changes that may be told.
-    fn open(&self) -> usize {
+    /// Returns the number of published changes.
+    fn published_changes(&self) -> usize {
         self.held_from.unwrap_or(self.changes.len())
     }
-    /// The members behind so many changes.
-    fn behind(&self, changes: usize) -> Vec<Member> {
+    /// Returns the members after this many changes.
+    fn members_after(&self, changes: usize) -> Vec<Member> {
         let changes = &self.changes[..changes];
         let last = |member: &Member| changes.iter().rfind(|change| change.name == member.name).cloned();
         self.first.iter().map(|member| last(member).unwrap_or_else(|| member.clone())).collect()
     }
-    /// The members as far as they may be told.
-    fn shown(&self) -> Vec<Member> {
-        self.behind(self.open())
+    /// Returns the published members.
+    fn published_members(&self) -> Vec<Member> {
+        self.members_after(self.published_changes())
     }
     fn list(&self) -> Value {
-        let listed = self.shown().into_iter().filter(|it| it.phase != Phase::Gone);
-        list(self.open() + 1, true, &listed.collect::<Vec<_>>())
+        let listed = self.published_members().into_iter().filter(|it| it.phase != Phase::Gone);
+        list(self.published_changes() + 1, true, &listed.collect::<Vec<_>>())
     }
-    /// The line that a watch tells next, behind so many changes.
-    fn line(&self, news: &[Member]) -> String {
+    /// Returns the next line of a watch with these unsent changes.
+    fn watch_line(&self, news: &[Member]) -> String {
         match news {
             [] => String::new(),
-            _ if self.form.whole => self.form.worded(&self.list()),
-            _ => self.form.worded(&list(self.open() + 1, false, news)),
+            _ if self.encoding.whole => self.encoding.encode(&self.list()),
+            _ => self.encoding.encode(&list(self.published_changes() + 1, false, news)),
         }
     }
 }
@@ -285,11 +288,11 @@
     fn state(&self) -> MutexGuard<'_, State> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
-    fn tell(&self, members: &[Member]) {
+    fn record_notifications(&self, members: &[Member]) {
         let at = Instant::now();
         for member in members {
-            let (host, phase) = (member.name.clone(), member.phase);
-            self.told.push(Told { balancer: self.balancer, host, phase, at });
+            let (endpoint, phase) = (member.name.clone(), member.phase);
+            self.notifications.push(EndpointNotification { balancer: self.balancer, endpoint, phase, at });
         }
     }
 
@@ -297,7 +300,7 @@
         loop {
             if let Ok((stream, _)) = listener.accept().await {
                 let shared = Arc::clone(&self);
-                // An ended connection is all that an error tells.
+                // An error only means that the connection ended.
                 tokio::spawn(async move { drop(shared.answer(stream).await) });
             }
         }
@@ -313,13 +316,13 @@
         let Some(from) = from else {
             let (list, shown) = {
                 let state = self.state();
-                (state.form.worded(&state.list()), state.shown())
+                (state.encoding.encode(&state.list()), state.published_members())
             };
-            self.asked.push(path);
+            self.requested_paths.push(path);
             self.list_bytes.fetch_add(list.len() as u64, Ordering::Relaxed);
             let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", list.len());
             stream.write_all((head + &list).as_bytes()).await?;
-            self.tell(&shown);
+            self.record_notifications(&shown);
             return Ok(());
         };
         self.watch(stream, path, from.saturating_sub(1)).await
@@ -333,16 +336,17 @@
         };
         let mut changed = self.changed.subscribe();
         stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await?;
-        self.asked.push(path);
+        self.requested_paths.push(path);
         loop {
             let (silent, news, line, open, piece) = {
                 let state = self.state();
                 if number < state.reset_below {
                     return stream.set_zero_linger();
                 }
-                let news = state.changes[..state.open()].get(next..).unwrap_or_default().to_vec();
-                let line = state.line(&news);
-                (number < state.silent_below, news, line, state.open(), state.form.piece)
+                let news =
+                    state.changes[..state.published_changes()].get(next..).unwrap_or_default().to_vec();
+                let line = state.watch_line(&news);
+                (number < state.silent_below, news, line, state.published_changes(), state.encoding.piece)
             };
             if !silent {
                 self.list_bytes.fetch_add(line.len() as u64, Ordering::Relaxed);
@@ -350,7 +354,7 @@
                 for piece in chunk.as_bytes().chunks(piece.unwrap_or(chunk.len())) {
                     stream.write_all(piece).await?;
                 }
-                self.tell(&news);
+                self.record_notifications(&news);
                 next = next.max(open);
             }
             let mut end = [0];
--- a/crates/testfleet/src/journal.rs
+++ b/crates/testfleet/src/event_log.rs
@@ -1,82 +1,83 @@
-//! A growing record that tests wait on: what happened, in the order it was seen.
+//! An append-only log of observations that tests read and wait on.
 
 use crate::PATIENCE;
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
 use std::time::Instant;
 
-/// Most entries of one record, for memory's sake: an hour of 200 requests a second. Beyond them it counts what it leaves out.
+/// The maximum number of entries, to bound memory: an hour at 200 requests per second. Further entries are only
+/// counted.
 pub const MOST_ENTRIES: usize = 720_000;
 
 #[derive(Debug)]
 struct Entries<T> {
     kept: Vec<T>,
-    left_out: usize,
+    dropped: usize,
 }
 
-/// A record, shared between who writes it and who reads it.
+/// A log shared by its writers and readers.
 #[derive(Debug)]
-pub struct Journal<T>(Arc<(Mutex<Entries<T>>, Condvar)>);
+pub struct EventLog<T>(Arc<(Mutex<Entries<T>>, Condvar)>);
 
-impl<T> Clone for Journal<T> {
+impl<T> Clone for EventLog<T> {
     fn clone(&self) -> Self {
         Self(Arc::clone(&self.0))
     }
 }
 
-impl<T> Default for Journal<T> {
+impl<T> Default for EventLog<T> {
     fn default() -> Self {
-        Self(Arc::new((Mutex::new(Entries { kept: Vec::new(), left_out: 0 }), Condvar::new())))
+        Self(Arc::new((Mutex::new(Entries { kept: Vec::new(), dropped: 0 }), Condvar::new())))
     }
 }
 
-impl<T> Journal<T> {
+impl<T> EventLog<T> {
     fn entries(&self) -> MutexGuard<'_, Entries<T>> {
-        // A test that failed while it looked has changed nothing.
+        // Readers do not mutate entries, so a panic in one leaves them consistent.
         self.0.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Adds an entry; its place, for [`Journal::change`].
+    /// Appends an entry and returns its index, for [`EventLog::update`].
     pub fn push(&self, entry: T) -> usize {
         let mut entries = self.entries();
         let place = entries.kept.len();
         if place < MOST_ENTRIES {
             entries.kept.push(entry);
         } else {
-            entries.left_out += 1;
+            entries.dropped += 1;
         }
         drop(entries);
         self.0.1.notify_all();
         place
     }
 
-    /// Completes an entry.
-    pub fn change(&self, place: usize, change: impl FnOnce(&mut T)) {
+    /// Updates the entry at an index; does nothing if it was dropped.
+    pub fn update(&self, index: usize, update: impl FnOnce(&mut T)) {
         let mut entries = self.entries();
-        if let Some(entry) = entries.kept.get_mut(place) {
-            change(entry);
+        if let Some(entry) = entries.kept.get_mut(index) {
+            update(entry);
         }
         drop(entries);
         self.0.1.notify_all();
     }
 
-    /// Reads the entries so far.
-    pub fn look<R>(&self, look: impl FnOnce(&[T]) -> R) -> R {
-        look(&self.entries().kept)
+    /// Calls `read` with the entries so far.
+    pub fn with_entries<R>(&self, read: impl FnOnce(&[T]) -> R) -> R {
+        read(&self.entries().kept)
     }
 
-    /// Entries so far.
+    /// Returns the number of entries.
     #[must_use]
     pub fn count(&self) -> usize {
         self.entries().kept.len()
     }
 
-    /// Entries that found no room.
+    /// Returns the number of entries dropped because the log was full.
     #[must_use]
-    pub fn left_out(&self) -> usize {
-        self.entries().left_out
+    pub fn dropped(&self) -> usize {
+        self.entries().dropped
     }
 
-    /// Waits until the look finds something; `None` after [`PATIENCE`].
+    /// Waits until `look` returns a value; returns `None` after [`PATIENCE`].
     pub fn find<R>(&self, mut look: impl FnMut(&[T]) -> Option<R>) -> Option<R> {
         let until = Instant::now() + PATIENCE;
         let mut entries = self.entries();
@@ -89,17 +90,17 @@
         }
     }
 
-    /// Waits until the look finds something.
+    /// Waits until `look` returns a value.
     ///
     /// # Panics
-    /// After [`PATIENCE`], saying what was waited for.
+    /// Panics after [`PATIENCE`], naming what was awaited.
     pub fn wait<R>(&self, what: &str, look: impl FnMut(&[T]) -> Option<R>) -> R {
         self.find(look).unwrap_or_else(|| panic!("not within {PATIENCE:?}: {what}"))
     }
 }
 
-impl<T: Clone> Journal<T> {
-    /// A copy of all entries so far.
+impl<T: Clone> EventLog<T> {
+    /// Returns a copy of all entries so far.
     #[must_use]
     pub fn all(&self) -> Vec<T> {
         self.entries().kept.clone()
--- a/crates/testfleet/src/fleet.rs
+++ b/crates/testfleet/src/fleet.rs
@@ -1,123 +1,118 @@
-//! A whole fleet: the processes, and the stand-ins and relays around them.
+//! A running fleet: the balancer processes and the stand-ins and relays around them.
 
-use crate::archive::Archive;
+use crate::cache_node::{Attempt, CacheNode};
 use crate::clients::{Class, Clients, Load};
 use crate::config;
+use crate::discovery::{DiscoveryAgent, EndpointNotification, Phase};
+use crate::event_log::EventLog;
 use crate::folder::Folder;
-use crate::ground::Ground;
-use crate::hosts::{Attempt, Host};
-use crate::inventory::{Agent, Phase, Told};
-use crate::journal::Journal;
+use crate::origin::Origin;
 use crate::process::{Disk, Process};
-use crate::referee::{Evidence, Interruption, Verdict, judge};
+use crate::referee::{Evidence, Interruption, Verdict, check_evidence};
 use crate::relay::{TcpLink, UdpRelay};
-pub use crate::start::Builder;
+use crate::runtime::Runtime;
 use serde_json::Value;
 use std::io;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// One balancer with its links and its agent.
+/// A balancer with its relayed links and its discovery agent.
 #[derive(Debug)]
 pub struct Balancer {
-    /// Its process.
+    /// The balancer process.
     pub process: Process,
-    /// Its agent of discovery.
-    pub agent: Agent,
-    /// From its callers to it.
+    /// The discovery agent.
+    pub agent: DiscoveryAgent,
+    /// The link from clients to the balancer.
     pub from_clients: TcpLink,
-    /// To each cache host.
-    pub to_hosts: Vec<TcpLink>,
-    /// To the archive.
-    pub to_archive: TcpLink,
-    /// Where it takes clients, past the relay.
+    /// The links to each cache node.
+    pub to_cache_nodes: Vec<TcpLink>,
+    /// The link to the origin.
+    pub to_origin: TcpLink,
+    /// The address for clients, not relayed.
     pub front: SocketAddr,
-    /// Where operators call.
+    /// The address of the admin endpoint.
     pub operators: SocketAddr,
-    /// Its configuration.
+    /// The configuration it was last started or reloaded with.
     pub config: Value,
 }
 
-/// The fleet. Everything of it ends with it.
+/// A running fleet. Its processes, sockets and files are removed on drop.
 #[derive(Debug)]
 pub struct Fleet {
-    // In the order in which they go: processes first, the runtime behind all that lives on it, the folder last.
+    // Fields are in drop order: processes first, the runtime after all of its users, the folder last.
     pub(crate) balancers: Vec<Balancer>,
     pub(crate) clients: Clients,
-    pub(crate) hosts: Vec<Host>,
-    pub(crate) archive: Archive,
-    pub(crate) between: UdpRelay,
-    pub(crate) attempts: Journal<Attempt>,
-    pub(crate) told: Journal<Told>,
+    pub(crate) cache_nodes: Vec<CacheNode>,
+    pub(crate) origin: Origin,
+    pub(crate) udp_relay: UdpRelay,
+    pub(crate) attempts: EventLog<Attempt>,
+    pub(crate) notifications: EventLog<EndpointNotification>,
     pub(crate) interruptions: Vec<Interruption>,
     pub(crate) in_fleet: bool,
     pub(crate) with_peers: bool,
     pub(crate) seed: u64,
-    pub(crate) ground: Ground,
+    pub(crate) runtime: Runtime,
     pub(crate) folder: Folder,
 }
 
 impl Fleet {
-    /// What a fleet is to be, beginning with the program to start.
-    pub fn builder(program: impl Into<std::path::PathBuf>) -> Builder {
-        Builder::new(program.into())
-    }
-    /// What it is repeated by.
+    /// Returns the seed of all random draws.
     #[must_use]
     pub fn seed(&self) -> u64 {
         self.seed
     }
-    /// Where its files are.
+    /// Returns the folder of the fleet's files.
     #[must_use]
     pub fn folder(&self) -> &std::path::Path {
         self.folder.path()
     }
-    /// The runtime of the stand-ins.
+    /// Returns the runtime of the stand-ins.
     #[must_use]
-    pub fn ground(&self) -> &Ground {
-        &self.ground
+    pub fn runtime(&self) -> &Runtime {
+        &self.runtime
     }
-    /// A balancer.
+    /// Returns a balancer by number.
     #[must_use]
     pub fn balancer(&self, number: usize) -> &Balancer {
         &self.balancers[number]
     }
-    /// The same, to change how it is started.
+    /// Returns a balancer mutably, to change how it is started.
     pub fn balancer_mut(&mut self, number: usize) -> &mut Balancer {
         &mut self.balancers[number]
     }
-    /// A cache host.
+    /// Returns a cache node by number.
     #[must_use]
-    pub fn host(&self, number: usize) -> &Host {
-        &self.hosts[number]
+    pub fn cache_node(&self, number: usize) -> &CacheNode {
+        &self.cache_nodes[number]
     }
-    /// The archive.
+    /// Returns the origin.
     #[must_use]
-    pub fn archive(&self) -> &Archive {
-        &self.archive
+    pub fn origin(&self) -> &Origin {
+        &self.origin
     }
-    /// The callers.
+    /// Returns the load generator.
     #[must_use]
     pub fn clients(&self) -> &Clients {
         &self.clients
     }
-    /// The relay between the balancers.
+    /// Returns the UDP relay between the balancers.
     #[must_use]
-    pub fn between(&self) -> &UdpRelay {
-        &self.between
+    pub fn udp_relay(&self) -> &UdpRelay {
+        &self.udp_relay
     }
-    /// Attempts at cache hosts so far.
+    /// Returns the log of attempts at cache nodes.
     #[must_use]
-    pub fn attempts(&self) -> &Journal<Attempt> {
+    pub fn attempts(&self) -> &EventLog<Attempt> {
         &self.attempts
     }
-    /// What balancers were told so far.
+    /// Returns the log of phases written to balancers.
     #[must_use]
-    pub fn told(&self) -> &Journal<Told> {
-        &self.told
+    pub fn notifications(&self) -> &EventLog<EndpointNotification> {
+        &self.notifications
     }
 
-    /// Requests at all balancers, of these classes: so many a second, and so many in all.
+    /// Returns a load on all balancers, of these classes, with a rate and a total.
     #[must_use]
     pub fn load(&self, classes: &[&str], per_second: f64, requests: usize) -> Load {
         let class = |name: &&str| Class { name: (*name).to_owned(), write: *name != "read" };
@@ -133,57 +128,59 @@
         }
     }
 
-    /// Tells all agents that a host has changed.
-    pub fn change(&self, host: usize, phase: Phase) {
-        self.balancers.iter().for_each(|it| it.agent.change(self.hosts[host].name(), phase));
+    /// Changes the phase of a cache node at all discovery agents.
+    pub fn set_phase(&self, node: usize, phase: Phase) {
+        self.balancers.iter().for_each(|it| it.agent.set_phase(self.cache_nodes[node].name(), phase));
     }
-    /// Tells all agents that these hosts have changed, in one list.
-    pub fn change_all(&self, hosts: std::ops::Range<usize>, phase: Phase) {
-        let names: Vec<&str> = self.hosts[hosts].iter().map(Host::name).collect();
-        self.balancers.iter().for_each(|it| it.agent.change_all(&names, phase));
+    /// Changes the phase of a range of cache nodes at all discovery agents, in one list.
+    pub fn set_phases(&self, cache_nodes: std::ops::Range<usize>, phase: Phase) {
+        let names: Vec<&str> = self.cache_nodes[cache_nodes].iter().map(CacheNode::name).collect();
+        self.balancers.iter().for_each(|it| it.agent.set_phases(&names, phase));
     }
-    /// Waits until a balancer has been told so.
+    /// Waits until this phase of a cache node was written to a balancer, and returns when.
     ///
     /// # Panics
-    /// After [`crate::PATIENCE`].
-    pub fn told_of(&self, balancer: usize, host: usize, phase: Phase) -> Instant {
-        let so =
-            |it: &Told| it.balancer == balancer && it.host == self.hosts[host].name() && it.phase == phase;
-        self.told.wait("a balancer is told", |told| told.iter().find(|it| so(it)).map(|it| it.at))
+    /// Panics after [`crate::PATIENCE`].
+    pub fn await_notification(&self, balancer: usize, node: usize, phase: Phase) -> Instant {
+        let so = |it: &EndpointNotification| {
+            it.balancer == balancer && it.endpoint == self.cache_nodes[node].name() && it.phase == phase
+        };
+        self.notifications.wait("a balancer is told", |told| told.iter().find(|it| so(it)).map(|it| it.at))
     }
 
-    fn interrupt(&mut self, balancer: usize, killed: bool, from: Instant) {
+    fn record_interruption(&mut self, balancer: usize, killed: bool, from: Instant) {
         self.interruptions.push(Interruption { balancer, killed, from, until: None, restarted: None });
     }
-    fn go_on(&mut self, balancer: usize, killed: bool) {
+    fn mark_resumed(&mut self, balancer: usize, killed: bool) {
         let open = self.interruptions.iter_mut().rfind(|it| it.balancer == balancer && it.killed == killed);
         if let Some(it) = open {
             it.until.get_or_insert_with(Instant::now);
         }
     }
-    /// Its next process is started now; what was written before went to the one before.
-    fn restarts(&mut self, balancer: usize) {
+    /// Kills the process if it still runs and records that its successor starts now. What was written before went to
+    /// the old process.
+    fn mark_restarted(&mut self, balancer: usize) {
         let _ = self.balancers[balancer].process.kill();
         let open = self.interruptions.iter_mut().rfind(|it| it.balancer == balancer && it.killed);
         if let Some(it) = open {
             it.restarted.get_or_insert_with(Instant::now);
         }
     }
-    /// SIGKILL.
+    /// Kills a balancer with SIGKILL.
     ///
     /// # Errors
-    /// This and the following: when the system refuses.
+    /// This and the following methods return the system's error.
     pub fn kill(&mut self, number: usize) -> io::Result<()> {
-        self.interrupt(number, true, Instant::now());
+        self.record_interruption(number, true, Instant::now());
         self.balancers[number].process.kill()
     }
-    /// Starts a balancer that was killed, or kills and starts it, and waits until it is ready.
+    /// Restarts a balancer, killing it first if it runs, and waits until it is ready.
     #[allow(clippy::missing_errors_doc)]
     pub fn restart(&mut self, number: usize, disk: Disk) -> io::Result<()> {
         let config = self.balancers[number].config.clone();
         self.restart_with(number, disk, &config)
     }
-    /// The same with a list known from before, such as an old [`Agent::list`].
+    /// Like [`Self::restart`], with a known list in the configuration, such as an old [`DiscoveryAgent::list`].
     #[allow(clippy::missing_errors_doc)]
     pub fn restart_knowing(&mut self, number: usize, disk: Disk, list: Value) -> io::Result<()> {
         let mut config = self.balancers[number].config.clone();
@@ -194,113 +191,114 @@
         let dead =
             self.interruptions.iter().any(|it| it.balancer == number && it.killed && it.until.is_none());
         if !dead {
-            self.interrupt(number, true, Instant::now());
+            self.record_interruption(number, true, Instant::now());
         }
-        self.restarts(number);
+        self.mark_restarted(number);
         self.balancers[number].process.restart(disk, config)?;
         self.await_listening(number);
         self.await_ready(number);
-        self.go_on(number, true);
+        self.mark_resumed(number, true);
         Ok(())
     }
-    /// Starts balancers that were killed, all before the first is waited for: none of them may be ready without the others.
+    /// Restarts killed balancers. Starts all of them before it waits for any: they may need each other to become ready.
     #[allow(clippy::missing_errors_doc)]
     pub fn restart_all(&mut self, numbers: &[usize], disk: Disk) -> io::Result<()> {
         for number in numbers {
             let config = self.balancers[*number].config.clone();
-            self.restarts(*number);
+            self.mark_restarted(*number);
             self.balancers[*number].process.restart(disk, &config)?;
         }
         numbers.iter().for_each(|number| self.await_listening(*number));
         for number in numbers {
             self.await_ready(*number);
-            self.go_on(*number, true);
+            self.mark_resumed(*number, true);
         }
         Ok(())
     }
-    /// SIGSTOP.
+    /// Stops a balancer with SIGSTOP.
     #[allow(clippy::missing_errors_doc)]
-    pub fn halt(&mut self, number: usize) -> io::Result<()> {
-        self.interrupt(number, false, Instant::now());
-        self.balancers[number].process.halt()
+    pub fn pause(&mut self, number: usize) -> io::Result<()> {
+        self.record_interruption(number, false, Instant::now());
+        self.balancers[number].process.pause()
     }
-    /// SIGCONT.
+    /// Continues a stopped balancer with SIGCONT.
     #[allow(clippy::missing_errors_doc)]
     pub fn resume(&mut self, number: usize) -> io::Result<()> {
         self.balancers[number].process.resume()?;
-        self.go_on(number, false);
+        self.mark_resumed(number, false);
         Ok(())
     }
 
-    /// Waits until a balancer that was started listens, and aims the relays there.
+    /// Waits until a started balancer listens, and points the relays at its addresses.
     pub(crate) fn await_listening(&mut self, number: usize) {
         let it = &mut self.balancers[number];
-        let address = it.process.said_address(&format!("n{number}: listening on "));
-        it.operators = it.process.said_address("admin endpoint on ");
+        let address = it.process.find_address(&format!("n{number}: listening on "));
+        it.operators = it.process.find_address("admin endpoint on ");
         it.front = address;
-        it.from_clients.aim(address);
+        it.from_clients.set_target(address);
         if self.in_fleet {
-            // Before anybody is waited for: nobody is ready without a lease, nor has one without the others.
-            self.between.register(number, it.process.said_address("fleet: listening on "));
+            // Registered before any balancer is awaited: none is ready without a lease, and a lease needs the others.
+            self.udp_relay.register(number, it.process.find_address("fleet: listening on "));
         }
     }
-    /// Waits until it is ready.
+    /// Waits until a balancer is ready.
     pub(crate) fn await_ready(&mut self, number: usize) {
         let it = &mut self.balancers[number];
-        it.process.wait_for(|line| line.ends_with(" ready"));
+        it.process.next_line(|line| line.ends_with(" ready"));
         if !self.in_fleet
             && self.with_peers
             && let Some(real) = crate::process::udp_addresses(it.process.id()).first()
         {
-            self.between.register(number, *real);
+            self.udp_relay.register(number, *real);
         }
     }
-    /// Waits for a balancer to say that it has joined; this and the following: at most [`crate::PATIENCE`].
-    pub fn joined(&self, number: usize) {
-        self.balancers[number].process.said("fleet: joined");
+    /// Waits until a balancer has logged that it joined. This and the following methods panic after
+    /// [`crate::PATIENCE`].
+    pub fn await_joined(&self, number: usize) {
+        self.balancers[number].process.find_line_with("fleet: joined");
     }
-    /// Waits for a balancer to have caught up to this revision or a later one.
-    pub fn caught_up(&self, number: usize, revision: u64) {
-        self.balancers[number].process.said_if(|line| {
+    /// Waits until a balancer has caught up to this revision or a later one.
+    pub fn await_caught_up(&self, number: usize, revision: u64) {
+        self.balancers[number].process.find_line(|line| {
             let said =
                 line.split_once("fleet: caught up to revision ").and_then(|(_, n)| n.trim().parse().ok());
             said.is_some_and(|said: u64| said >= revision)
         });
     }
-    /// Waits for a balancer to say next that it holds its lease.
-    pub fn lease_held(&self, number: usize) {
-        self.balancers[number].process.logged("fleet: lease held");
+    /// Waits for the next log line that says that a balancer holds its lease.
+    pub fn await_lease(&self, number: usize) {
+        self.balancers[number].process.next_line_with("fleet: lease held");
     }
-    /// Waits for a balancer to say next that it is fenced, and why.
+    /// Waits for the next log line that says that a balancer is fenced, and returns the reason.
     #[must_use]
-    pub fn fenced(&self, number: usize) -> String {
-        why(self.balancers[number].process.logged("fleet: fenced: "), "fleet: fenced: ")
+    pub fn await_fenced(&self, number: usize) -> String {
+        reason_after(self.balancers[number].process.next_line_with("fleet: fenced: "), "fleet: fenced: ")
     }
-    /// Waits for a balancer to say next that it is orphaned, and why.
+    /// Waits for the next log line that says that a balancer is orphaned, and returns the reason.
     #[must_use]
-    pub fn orphaned(&self, number: usize) -> String {
-        why(self.balancers[number].process.logged("fleet: orphaned: "), "fleet: orphaned: ")
+    pub fn await_orphaned(&self, number: usize) -> String {
+        reason_after(self.balancers[number].process.next_line_with("fleet: orphaned: "), "fleet: orphaned: ")
     }
 
-    /// Judges what was seen so far.
+    /// Checks the records so far against the rules.
     #[must_use]
-    pub fn judge(&self) -> Verdict {
-        let records = [self.attempts.left_out(), self.told.left_out(), self.clients.calls().left_out()];
-        judge(&Evidence {
+    pub fn verdict(&self) -> Verdict {
+        let records = [self.attempts.dropped(), self.notifications.dropped(), self.clients.calls().dropped()];
+        check_evidence(&Evidence {
             seed: self.seed,
             calls: self.clients.calls().all(),
             attempts: self.attempts.all(),
-            runs: self.archive.runs().all(),
-            told: self.told.all(),
+            runs: self.origin.runs().all(),
+            notifications: self.notifications.all(),
             interruptions: self.interruptions.clone(),
-            lags: self.ground.lags().all(),
-            fragile: vec!["once".into()],
-            left_out: records.iter().sum::<usize>() + self.archive.runs().left_out(),
+            stalls: self.runtime.stalls().all(),
+            non_idempotent: vec!["once".into()],
+            dropped: records.iter().sum::<usize>() + self.origin.runs().dropped(),
         })
     }
 }
 
-fn why(line: String, behind: &str) -> String {
+fn reason_after(line: String, behind: &str) -> String {
     line.split_once(behind).map_or_else(String::new, |(_, why)| why.to_owned())
 }
 
--- a/crates/testfleet/src/folder.rs
+++ b/crates/testfleet/src/folder.rs
@@ -1,19 +1,19 @@
-//! Folders of a test's own, and whole copies of them.
+//! Temporary folders of tests, and recursive copies.
 
 use std::fs;
 use std::io;
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicU32, Ordering};
 
-/// A folder that goes with its owner; it stays where the test failed, to be looked at.
+/// A folder that is removed on drop, unless the thread is panicking, so that a failed test can be inspected.
 #[derive(Debug)]
 pub struct Folder(PathBuf);
 
 impl Folder {
-    /// A new one below this folder.
+    /// Creates a new folder below `parent`.
     ///
     /// # Errors
-    /// When it cannot be made.
+    /// Returns the system's error if it cannot be created.
     pub fn below(parent: &Path) -> io::Result<Self> {
         static COUNT: AtomicU32 = AtomicU32::new(0);
         let number = COUNT.fetch_add(1, Ordering::Relaxed);
@@ -22,7 +22,7 @@
         Ok(Self(path))
     }
 
-    /// Where it is.
+    /// Returns the path of the folder.
     #[must_use]
     pub fn path(&self) -> &Path {
         &self.0
@@ -37,10 +37,10 @@
     }
 }
 
-/// Makes a folder empty, whether it was there or not.
+/// Creates an empty folder, removing what was there.
 ///
 /// # Errors
-/// When what is there cannot be removed.
+/// Returns the system's error if the old folder cannot be removed or the new one not created.
 pub fn empty(folder: &Path) -> io::Result<()> {
     match fs::remove_dir_all(folder) {
         Err(error) if error.kind() != io::ErrorKind::NotFound => return Err(error),
@@ -49,10 +49,10 @@
     fs::create_dir_all(folder)
 }
 
-/// Makes one folder hold exactly what another holds: files and folders of files.
+/// Replaces a folder by a recursive copy of another.
 ///
 /// # Errors
-/// When something cannot be read or written.
+/// Returns the system's error if something cannot be read or written.
 pub fn copy(from: &Path, to: &Path) -> io::Result<()> {
     empty(to)?;
     for entry in fs::read_dir(from)? {
--- a/crates/testfleet/src/lib.rs
+++ b/crates/testfleet/src/lib.rs
@@ -1,29 +1,31 @@
-//! Many real balancer processes on loopback, with stand-ins for all around them and a fault relay on every link.
+//! A test harness that runs many real balancer processes on loopback, with stand-ins for everything around them and a
+//! fault-injecting relay on every link.
 //!
-//! [`fleet::Fleet`] puts the parts together: processes of the program, cache hosts, archive, inventory and callers, all
-//! reached through relays that lose, delay, double, reorder, hold or refuse. The stand-ins record what they see, and
-//! [`referee::judge`] checks the records against the rules. All sockets are on one runtime in one thread, so that
-//! hundreds of processes cost no thread each.
+//! [`fleet::Fleet`] assembles the parts: processes of the program, cache nodes, origin, discovery agents and clients,
+//! all connected through relays that lose, delay, duplicate, reorder, buffer or refuse traffic. The stand-ins record
+//! what they see, and [`referee::check_evidence`] checks the records against the rules. All sockets are on one
+//! single-threaded runtime, so that hundreds of processes need no thread each.
 //!
-//! For tests and the lab; never built for the platform. It leaves to its owner where the program is, what goes wrong
-//! and when, and what to do about a verdict. Nothing sleeps: whoever waits, waits for a record, at most [`PATIENCE`].
+//! The crate is for tests and the lab and is not part of the shipped program. It leaves to its caller where the program
+//! is, which faults happen when, and what to do about violations. Waiting never sleeps for a fixed time: it waits for a
+//! record, at most for [`PATIENCE`].
 #![forbid(unsafe_code)]
 #![warn(unreachable_pub, missing_docs)]
 
-pub mod archive;
+pub mod builder;
+pub mod cache_node;
 pub mod clients;
 pub mod config;
+pub mod discovery;
+pub mod event_log;
 pub mod fleet;
 pub mod folder;
-pub mod ground;
-pub mod hosts;
-pub mod inventory;
-pub mod journal;
+pub mod origin;
 pub mod process;
 pub mod referee;
 pub mod relay;
+pub mod runtime;
 pub mod soak;
-mod start;
 
-/// The longest that anything is waited for: it only ends a test that would wait for ever.
+/// The maximum duration of any wait. It only bounds tests that would otherwise hang.
 pub const PATIENCE: std::time::Duration = std::time::Duration::from_secs(20);
--- a/crates/testfleet/src/archive.rs
+++ b/crates/testfleet/src/origin.rs
@@ -1,9 +1,9 @@
-//! The archive: an origin that speaks HTTP/1.1 and books each run of each id.
+//! A stand-in origin that speaks HTTP/1.1 and records every execution.
 
-use crate::ground::{any_port, listen};
-use crate::hosts::{Attempt, Ending, class_of, time_of};
-use crate::journal::Journal;
+use crate::cache_node::{Attempt, Ending, class_of, time_of};
+use crate::event_log::EventLog;
 use crate::relay::{Caller, Callers};
+use crate::runtime::{any_port, listen};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
 use hyper::body::Incoming;
@@ -20,38 +20,38 @@
 use tokio::runtime::Handle;
 use tokio::sync::watch;
 
-/// Its name in discovery.
-pub const NAME: &str = "origin";
+/// The origin's name in discovery.
+pub const ORIGIN_NAME: &str = "origin";
 
-/// How the archive takes requests.
+/// How the origin responds to requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub enum Temper {
-    /// Runs them.
+pub enum OriginBehaviour {
+    /// Executes requests.
     #[default]
     Runs,
-    /// Declines them unrun.
+    /// Declines requests without executing them.
     Declines,
-    /// Runs them and answers with an error.
+    /// Executes requests and answers with an error.
     Fails,
 }
 
-/// The archive.
+/// A handle to the stand-in origin.
 #[derive(Debug, Clone)]
-pub struct Archive {
+pub struct Origin {
     addr: SocketAddr,
     shared: Arc<Shared>,
 }
 
 #[derive(Debug)]
 struct Shared {
-    temper: watch::Sender<Temper>,
-    takes: watch::Sender<Duration>,
+    behaviour: watch::Sender<OriginBehaviour>,
+    latency: watch::Sender<Duration>,
     connections: AtomicU64,
     callers: Callers,
-    runs: Journal<Attempt>,
+    runs: EventLog<Attempt>,
 }
 
-/// Books how a run ended, also where its connection ends and nobody waits any more.
+/// Records how an execution ended when dropped, which also covers a connection that ends early.
 struct Run<'a> {
     shared: &'a Shared,
     place: usize,
@@ -60,39 +60,40 @@
 
 impl Drop for Run<'_> {
     fn drop(&mut self) {
-        self.shared.runs.change(self.place, |run| run.ended = Some((Instant::now(), self.ending)));
+        self.shared.runs.update(self.place, |run| run.ended = Some((Instant::now(), self.ending)));
     }
 }
 
-impl Archive {
-    /// Starts it; it books into this record.
+impl Origin {
+    /// Starts the origin, which records executions in `runs`.
     ///
     /// # Errors
-    /// When the system gives no port.
-    pub fn start(handle: &Handle, callers: Callers, runs: Journal<Attempt>) -> io::Result<Self> {
+    /// Returns the system's error if no port can be bound.
+    pub fn start(handle: &Handle, callers: Callers, runs: EventLog<Attempt>) -> io::Result<Self> {
         let listener = listen(handle, any_port())?;
         let addr = listener.local_addr()?;
-        let (temper, takes) = (watch::Sender::new(Temper::Runs), watch::Sender::new(Duration::ZERO));
-        let shared = Arc::new(Shared { temper, takes, connections: AtomicU64::new(0), callers, runs });
+        let (behaviour, latency) =
+            (watch::Sender::new(OriginBehaviour::Runs), watch::Sender::new(Duration::ZERO));
+        let shared = Arc::new(Shared { behaviour, latency, connections: AtomicU64::new(0), callers, runs });
         handle.spawn(Arc::clone(&shared).accept(listener));
         Ok(Self { addr, shared })
     }
-    /// Where it listens.
+    /// Returns the listening address.
     #[must_use]
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
-    /// How it takes requests from now on.
-    pub fn behave(&self, temper: Temper) {
-        self.shared.temper.send_replace(temper);
+    /// Changes the behaviour of the origin.
+    pub fn set_behaviour(&self, behaviour: OriginBehaviour) {
+        self.shared.behaviour.send_replace(behaviour);
     }
-    /// How long a run takes from now on.
-    pub fn take(&self, time: Duration) {
-        self.shared.takes.send_replace(time);
+    /// Sets the duration of each execution.
+    pub fn set_latency(&self, latency: Duration) {
+        self.shared.latency.send_replace(latency);
     }
-    /// Each run of each id.
+    /// Returns the log of executions.
     #[must_use]
-    pub fn runs(&self) -> &Journal<Attempt> {
+    pub fn runs(&self) -> &EventLog<Attempt> {
         &self.shared.runs
     }
 }
@@ -102,13 +103,13 @@
         loop {
             let Ok((stream, from)) = listener.accept().await else { continue };
             let number = self.connections.fetch_add(1, Ordering::Relaxed);
-            let (shared, caller) = (Arc::clone(&self), self.callers.of(from));
+            let (shared, caller) = (Arc::clone(&self), self.callers.find(from));
             tokio::spawn(async move {
                 let serve = service_fn(|request| {
                     let (shared, caller) = (Arc::clone(&shared), caller.clone());
                     async move { Ok::<_, Infallible>(shared.answer(request, number, caller).await) }
                 });
-                // A connection that ends early is the balancer's affair: the run is booked as ended.
+                // An early end of the connection is not an error here: the execution is recorded as closed.
                 let _ = hyper::server::conn::http1::Builder::new()
                     .serve_connection(TokioIo::new(stream), serve)
                     .await;
@@ -125,9 +126,9 @@
         let (id, extra) = (header("Req-Id"), header("Req-Extra"));
         let (class, time) = (class_of(&extra), time_of(&extra));
         let key = request.uri().path().trim_start_matches('/').to_owned();
-        let temper = *self.temper.borrow();
+        let behaviour = *self.behaviour.borrow();
         let mut answer = Response::new(Full::new(Bytes::from(format!("value of {key}"))));
-        if temper == Temper::Declines {
+        if behaviour == OriginBehaviour::Declines {
             *answer.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
             answer.headers_mut().insert("Srv-Declined", hyper::header::HeaderValue::from_static("1"));
             return answer;
@@ -136,10 +137,10 @@
             return answer; // it did not come whole, and does not run
         }
         let at = Instant::now();
-        let (sent, balancer) = (caller.as_ref().map_or(at, Caller::wrote), caller.map(|it| it.balancer));
-        let host = NAME.to_owned();
+        let (sent, balancer) = (caller.as_ref().map_or(at, Caller::last_write), caller.map(|it| it.balancer));
+        let endpoint = ORIGIN_NAME.to_owned();
         let place = self.runs.push(Attempt {
-            host,
+            endpoint,
             id,
             key,
             class,
@@ -151,12 +152,12 @@
             ended: None,
         });
         let mut run = Run { shared: self, place, ending: Ending::Closed };
-        let takes = *self.takes.borrow();
-        if !takes.is_zero() {
-            tokio::time::sleep(takes).await;
+        let latency = *self.latency.borrow();
+        if !latency.is_zero() {
+            tokio::time::sleep(latency).await;
         }
         run.ending = Ending::Answered;
-        if temper == Temper::Fails {
+        if behaviour == OriginBehaviour::Fails {
             *answer.status_mut() = StatusCode::INTERNAL_SERVER_ERROR;
         }
         answer
--- a/crates/testfleet/src/process.rs
+++ b/crates/testfleet/src/process.rs
@@ -1,7 +1,7 @@
-//! A balancer as a process: started, signalled, restarted with the disk it had, an old one or none; killed on drop.
+//! A balancer process: start, signals, log lines, and restart with the same, an older or an empty disk. Killed on drop.
 
+use crate::event_log::EventLog;
 use crate::folder;
-use crate::journal::Journal;
 use rustix::process::{Pid, Signal, kill_process};
 use serde_json::Value;
 use std::fs;
@@ -15,35 +15,35 @@
 use tokio::net::unix::pipe;
 use tokio::runtime::Handle;
 
-/// Lines of the log that a failed wait shows.
+/// The number of last log lines that a failed wait prints.
 const LINES_SHOWN: usize = 20;
 
-/// What programs log unless `RUST_LOG` is set: a run that is traced sets `debug`.
+/// The log level of processes unless `RUST_LOG` is set.
 const DEFAULT_LOG_LEVEL: &str = "info";
 
-/// How the program is started.
+/// How a process is started.
 #[derive(Debug, Clone, Default)]
 pub struct Launch {
     /// The program.
     pub program: PathBuf,
-    /// Arguments behind `serve --config FILE`.
+    /// The arguments after `serve --config FILE`.
     pub args: Vec<String>,
-    /// Variables of its environment, beside those of ours.
+    /// Additional environment variables.
     pub variables: Vec<(String, String)>,
-    /// What its clock is off by: `SPINDLEBEAM_CLOCK_OFFSET_MS`.
+    /// The clock offset, passed as `SPINDLEBEAM_CLOCK_OFFSET_MS`.
     pub clock_offset_ms: i64,
 }
 
-/// What a restarted process finds on its disk.
+/// The disk of a restarted process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Disk {
-    /// What the one before has left.
+    /// The files of the previous process.
     Kept,
-    /// Nothing.
+    /// An empty folder.
     Empty,
 }
 
-/// One process, and those that came before it in its place.
+/// A process and the logs of its predecessors.
 #[derive(Debug)]
 pub struct Process {
     handle: Handle,
@@ -51,18 +51,18 @@
     folder: PathBuf,
     child: Child,
     reaped: Option<ExitStatus>,
-    lines: Journal<String>,
-    /// The logs of those that came before it, the oldest first.
-    former_lines: Vec<Journal<String>>,
-    ended: Journal<()>,
+    lines: EventLog<String>,
+    /// The logs of the previous processes, oldest first.
+    former_lines: Vec<EventLog<String>>,
+    ended: EventLog<()>,
     read: AtomicUsize,
 }
 
 impl Process {
-    /// Starts the program with this configuration in a folder of its own.
+    /// Starts the program with a configuration, in its own folder.
     ///
     /// # Errors
-    /// When the folder cannot be written or the program not started.
+    /// Returns the system's error if the folder cannot be written or the program not started.
     pub fn start(handle: &Handle, launch: Launch, folder: &Path, config: &Value) -> io::Result<Self> {
         fs::create_dir_all(folder.join("disk"))?;
         fs::write(folder.join("config.json"), config.to_string())?;
@@ -72,38 +72,38 @@
         Ok(Self { handle, launch, folder, child, reaped: None, lines, former_lines, ended, read })
     }
 
-    /// How it is started; a change counts from the next restart.
+    /// Returns the launch options; a change takes effect at the next restart.
     pub fn launch(&mut self) -> &mut Launch {
         &mut self.launch
     }
-    /// Its disk.
+    /// Returns the folder that serves as the disk.
     #[must_use]
     pub fn disk(&self) -> PathBuf {
         self.folder.join("disk")
     }
-    /// Its number with the system.
+    /// Returns the process id.
     #[must_use]
     pub fn id(&self) -> u32 {
         self.child.id()
     }
-    /// Its log.
+    /// Returns the log lines of the current process.
     #[must_use]
-    pub fn log(&self) -> &Journal<String> {
+    pub fn log(&self) -> &EventLog<String> {
         &self.lines
     }
 
-    /// All lines of its log that have this part, those of the processes before it first.
+    /// Returns all log lines that contain `part`, oldest first, including those of previous processes.
     #[must_use]
     pub fn lines_with(&self, part: &str) -> Vec<String> {
         let logs = self.former_lines.iter().chain([&self.lines]);
         logs.flat_map(|log| log.all()).filter(|line| line.contains(part)).collect()
     }
 
-    /// Waits for the next line of the log of which this is so; lines before it are passed over.
+    /// Waits for the next log line that matches, and moves the read position behind it.
     ///
     /// # Panics
-    /// When none comes within [`crate::PATIENCE`], with the last lines.
-    pub fn wait_for(&self, so: impl Fn(&str) -> bool) -> String {
+    /// Panics with the last log lines after [`crate::PATIENCE`].
+    pub fn next_line(&self, so: impl Fn(&str) -> bool) -> String {
         let found = self.lines.find(|lines| {
             let from = self.read.load(Ordering::Relaxed);
             let at = lines.iter().skip(from).position(|line| so(line));
@@ -111,69 +111,70 @@
             at.map(|at| lines[from + at].clone())
         });
         found.unwrap_or_else(|| {
-            let last = self.lines.look(|lines| lines[lines.len().saturating_sub(LINES_SHOWN)..].join("\n"));
+            let last =
+                self.lines.with_entries(|lines| lines[lines.len().saturating_sub(LINES_SHOWN)..].join("\n"));
             panic!("process {}: no such line within {:?}; the last:\n{last}", self.id(), crate::PATIENCE)
         })
     }
-    /// Waits for a line with this part.
-    pub fn logged(&self, part: &str) -> String {
-        self.wait_for(|line| line.contains(part))
+    /// Waits for the next log line that contains `part`.
+    pub fn next_line_with(&self, part: &str) -> String {
+        self.next_line(|line| line.contains(part))
     }
-    /// Waits for a line with this part, and yields the address at its end.
+    /// Waits for the next log line that contains `part`, and returns the address at its end.
     ///
     /// # Panics
-    /// When there is none.
-    pub fn logged_address(&self, part: &str) -> SocketAddr {
-        address(&self.logged(part))
+    /// Panics if the line does not end with an address.
+    pub fn next_address(&self, part: &str) -> SocketAddr {
+        address(&self.next_line_with(part))
     }
-    /// Waits until the process has said something of which this is so, now or before; no line is passed over by that.
+    /// Waits until any log line matches, already read or not. Does not move the read position.
     ///
     /// # Panics
-    /// When it has not within [`crate::PATIENCE`].
-    pub fn said_if(&self, so: impl Fn(&str) -> bool) -> String {
+    /// Panics after [`crate::PATIENCE`].
+    pub fn find_line(&self, so: impl Fn(&str) -> bool) -> String {
         let what = format!("a line of process {}", self.id());
         self.lines.wait(&what, |lines| lines.iter().find(|line| so(line)).cloned())
     }
-    /// The same for a part of a line.
-    pub fn said(&self, part: &str) -> String {
-        self.said_if(|line| line.contains(part))
+    /// Waits until any log line contains `part`. Does not move the read position.
+    pub fn find_line_with(&self, part: &str) -> String {
+        self.find_line(|line| line.contains(part))
     }
-    /// The same, and yields the address at its end.
-    pub fn said_address(&self, part: &str) -> SocketAddr {
-        address(&self.said(part))
+    /// Waits until any log line contains `part`, and returns the address at its end.
+    pub fn find_address(&self, part: &str) -> SocketAddr {
+        address(&self.find_line_with(part))
     }
 
     fn signal(&self, signal: Signal) -> io::Result<()> {
-        // Guards others: the number of a process that was waited for may be another's by now.
+        // The id of a reaped process may belong to another process by now.
         if self.reaped.is_some() {
             return Err(io::ErrorKind::NotFound.into());
         }
         Ok(kill_process(Pid::from_child(&self.child), signal)?)
     }
-    /// SIGTERM.
+    /// Sends SIGTERM.
     ///
     /// # Errors
-    /// This and the following: when it has been waited for.
+    /// This and the following methods return an error if the process was reaped.
     pub fn terminate(&self) -> io::Result<()> {
         self.signal(Signal::TERM)
     }
-    /// SIGSTOP.
+    /// Sends SIGSTOP.
     #[allow(clippy::missing_errors_doc)]
-    pub fn halt(&self) -> io::Result<()> {
+    pub fn pause(&self) -> io::Result<()> {
         self.signal(Signal::STOP)
     }
-    /// SIGCONT.
+    /// Sends SIGCONT.
     #[allow(clippy::missing_errors_doc)]
     pub fn resume(&self) -> io::Result<()> {
         self.signal(Signal::CONT)
     }
-    /// SIGHUP, with a new configuration in the file.
+    /// Writes a new configuration file and sends SIGHUP.
     #[allow(clippy::missing_errors_doc)]
     pub fn reload(&self, config: &Value) -> io::Result<()> {
         fs::write(self.folder.join("config.json"), config.to_string())?;
         self.signal(Signal::HUP)
     }
-    /// SIGKILL, and its end.
+    /// Sends SIGKILL and reaps the process.
     #[allow(clippy::missing_errors_doc)]
     pub fn kill(&mut self) -> io::Result<()> {
         if self.reaped.is_none() {
@@ -182,18 +183,18 @@
         }
         Ok(())
     }
-    /// Whether it has ended.
+    /// Returns whether the process has ended.
     #[must_use]
     pub fn has_ended(&self) -> bool {
         self.reaped.is_some() || self.ended.count() > 0
     }
-    /// Waits for its end.
+    /// Waits for the end of the process.
     ///
     /// # Errors
-    /// When the system does not say how it ended.
+    /// Returns the system's error if the exit status is not available.
     ///
     /// # Panics
-    /// When it goes on for [`crate::PATIENCE`].
+    /// Panics after [`crate::PATIENCE`].
     pub fn wait_end(&mut self) -> io::Result<ExitStatus> {
         if let Some(status) = self.reaped {
             return Ok(status);
@@ -204,10 +205,10 @@
         Ok(status)
     }
 
-    /// Starts it again with this configuration, after SIGKILL where it still runs.
+    /// Starts the program again with a configuration, killing the old process if it still runs.
     ///
     /// # Errors
-    /// When the folder cannot be written or the program not started.
+    /// Returns the system's error if the folder cannot be written or the program not started.
     pub fn restart(&mut self, disk: Disk, config: &Value) -> io::Result<()> {
         self.kill()?;
         if disk == Disk::Empty {
@@ -220,18 +221,18 @@
         (self.reaped, self.read) = (None, AtomicUsize::new(0));
         Ok(())
     }
-    /// Keeps a copy of its disk as it is now, under this name.
+    /// Saves a copy of the disk under a name.
     ///
     /// # Errors
-    /// When the disk cannot be copied.
-    pub fn keep_copy(&self, name: &str) -> io::Result<()> {
+    /// Returns the system's error if the disk cannot be copied.
+    pub fn save_disk_copy(&self, name: &str) -> io::Result<()> {
         folder::copy(&self.disk(), &self.folder.join(format!("copy-{name}")))
     }
-    /// Puts that copy in the place of its disk: for a process that is not running.
+    /// Replaces the disk of a process that is not running by a saved copy.
     ///
     /// # Errors
-    /// When it is running, or there is no such copy.
-    pub fn restore_copy(&self, name: &str) -> io::Result<()> {
+    /// Returns an error if the process is running or there is no such copy.
+    pub fn restore_disk_copy(&self, name: &str) -> io::Result<()> {
         if self.reaped.is_none() {
             return Err(io::Error::other("its process is running"));
         }
@@ -250,7 +251,7 @@
     address.unwrap_or_else(|| panic!("no address in {line:?}"))
 }
 
-/// The addresses on which a process takes datagrams, as the system tells: for one that does not say itself.
+/// Returns the bound UDP addresses of a process, read from `/proc`.
 #[must_use]
 pub fn udp_addresses(process: u32) -> Vec<SocketAddr> {
     let folder = PathBuf::from(format!("/proc/{process}"));
@@ -261,22 +262,22 @@
     let ours = |line: &str| {
         let words: Vec<&str> = line.split_whitespace().collect();
         let (addr, inode) = (words.get(1)?.split_once(':')?, words.get(9)?);
-        let host = u32::from_str_radix(addr.0, 16).ok()?.to_ne_bytes();
+        let ip = u32::from_str_radix(addr.0, 16).ok()?.to_ne_bytes();
         let port = u16::from_str_radix(addr.1, 16).ok()?;
-        sockets.contains(&format!("socket:[{inode}]")).then(|| SocketAddr::from((host, port)))
+        sockets.contains(&format!("socket:[{inode}]")).then(|| SocketAddr::from((ip, port)))
     };
     table.lines().filter_map(ours).collect()
 }
 
-/// Descriptors that a process has open.
+/// Returns the number of open file descriptors of a process.
 #[must_use]
-pub fn descriptors(process: u32) -> usize {
+pub fn open_descriptors(process: u32) -> usize {
     fs::read_dir(format!("/proc/{process}/fd")).map_or(0, Iterator::count)
 }
 
-/// Memory that a process has now, in KB, and processor time that it has had, in microseconds.
+/// Returns the resident memory of a process in KB and its used processor time in microseconds.
 #[must_use]
-pub fn uses(process: u32) -> Option<(u64, u64)> {
+pub fn resource_usage(process: u32) -> Option<(u64, u64)> {
     let status = fs::read_to_string(format!("/proc/{process}/status")).ok()?;
     let resident = status.lines().find_map(|line| line.strip_prefix("VmRSS:"))?;
     let times = fs::read_to_string(format!("/proc/{process}/schedstat")).ok()?;
@@ -286,7 +287,7 @@
 
 fn spawn(
     handle: &Handle, launch: &Launch, folder: &Path,
-) -> io::Result<(Child, Journal<String>, Journal<()>)> {
+) -> io::Result<(Child, EventLog<String>, EventLog<()>)> {
     let mut child = Command::new(&launch.program)
         .arg("serve")
         .arg("--config")
@@ -303,7 +304,7 @@
     let pipe = child.stderr.take().ok_or(io::ErrorKind::BrokenPipe)?;
     let _entered = handle.enter();
     let mut text = BufReader::new(pipe::Receiver::from_owned_fd(OwnedFd::from(pipe))?).lines();
-    let (lines, ended) = (Journal::default(), Journal::default());
+    let (lines, ended) = (EventLog::default(), EventLog::default());
     let (heard, end) = (lines.clone(), ended.clone());
     handle.spawn(async move {
         while let Ok(Some(line)) = text.next_line().await {
--- a/crates/testfleet/src/referee.rs
+++ b/crates/testfleet/src/referee.rs
@@ -1,148 +1,149 @@
-//! The referee: reads the records of a run and lists where a rule was broken.
+//! Checks the records of a run against the rules and lists the violations.
 
-use crate::clients::{Call, Final, Turn};
-use crate::ground::Lag;
-use crate::hosts::{Attempt, Ending};
-use crate::inventory::{Phase, Told};
+use crate::cache_node::{Attempt, Ending};
+use crate::clients::{Call, Outcome, PipelinePosition};
+use crate::discovery::{EndpointNotification, Phase};
+use crate::runtime::Stall;
 use rustc_hash::FxHashMap;
 use std::fmt;
 use std::time::{Duration, Instant};
 
-/// Nothing new goes to a host this long after the balancer was told that it drains or is gone.
-pub const TOLD_WITHIN: Duration = Duration::from_millis(250);
-/// An answer may come so long after a request's time.
+/// How long after a balancer was notified that an endpoint drains or is gone it may still send new requests there.
+pub const NOTIFICATION_SLACK: Duration = Duration::from_millis(250);
+/// How long after its deadline a request may be answered.
 pub const ANSWER_SLACK: Duration = Duration::from_millis(50);
-/// A close that a request crosses is seen so soon after the request's last byte was written.
-pub const CROSSING: Duration = Duration::from_millis(100);
-/// What the records of two processes on one busy machine may be off by.
+/// How long after the last byte of a request a close may be seen to count as racing it.
+pub const CLOSE_RACE_WINDOW: Duration = Duration::from_millis(100);
+/// The tolerance for records of two processes on a busy machine.
 pub const MARGIN: Duration = Duration::from_millis(50);
 
-/// A time in which a balancer could not act.
+/// A period in which a balancer was killed or stopped.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Interruption {
-    /// The balancer.
+    /// The number of the balancer.
     pub balancer: usize,
-    /// Killed, so that what it had is lost; or only stopped.
+    /// Whether it was killed and lost its state, or only stopped.
     pub killed: bool,
-    /// From when.
+    /// The start of the interruption.
     pub from: Instant,
-    /// Until when; none while it lasts.
+    /// The end; `None` while it lasts.
     pub until: Option<Instant>,
-    /// Where it was killed: when the next process in its place was started.
+    /// When the next process was started, if it was killed.
     pub restarted: Option<Instant>,
 }
 
-/// All that was seen.
+/// The records of a run.
 #[derive(Debug, Clone, Default)]
 pub struct Evidence {
-    /// What a run is repeated by.
+    /// The seed of the run.
     pub seed: u64,
-    /// Requests and their answers.
+    /// The requests with their outcomes.
     pub calls: Vec<Call>,
-    /// Attempts at cache hosts.
+    /// Attempts at cache nodes.
     pub attempts: Vec<Attempt>,
-    /// Runs at the archive.
+    /// Executions at the origin.
     pub runs: Vec<Attempt>,
-    /// What balancers were told.
-    pub told: Vec<Told>,
-    /// When balancers could not act.
+    /// Phases written to balancers.
+    pub notifications: Vec<EndpointNotification>,
+    /// When balancers were killed or stopped.
     pub interruptions: Vec<Interruption>,
-    /// When the stand-ins stood still.
-    pub lags: Vec<Lag>,
-    /// Classes that may run once at most.
-    pub fragile: Vec<String>,
-    /// Entries for which the records had no room.
-    pub left_out: usize,
+    /// When the event loop of the stand-ins was stalled.
+    pub stalls: Vec<Stall>,
+    /// Request classes that are not idempotent.
+    pub non_idempotent: Vec<String>,
+    /// The number of entries dropped because a log was full.
+    pub dropped: usize,
 }
 
-/// A broken rule.
+/// A violation of a rule. The first field is the request id, unless stated otherwise.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Violation {
-    /// A request has no final answer.
+    /// A request has no outcome.
     Unanswered(String),
-    /// A request has more than one.
+    /// A request has more than one outcome.
     AnsweredTwice(String),
-    /// A request had its answer so long after its time.
+    /// A request was answered this long after its deadline.
     AnsweredLate(String, Duration),
-    /// An attempt for a request began so long after its client had left.
-    SentForLeft(String, Duration),
-    /// An attempt told its host so much more time than was left.
-    ToldTooMuchTime(String, Duration),
-    /// A request that its connection's close had crossed was sent on all the same.
-    CrossedAndSent(String),
-    /// A client that had stopped half way was kept waiting for so long.
-    KeptWaiting(usize, Duration),
-    /// A balancer that was told to end ran on until SIGKILL.
+    /// An attempt was sent this long after the client had disconnected.
+    SentAfterDisconnect(String, Duration),
+    /// An attempt stated this much more remaining time than was left.
+    DeadlineOverstated(String, Duration),
+    /// A request was forwarded although the close of its connection raced it.
+    ForwardedAfterClose(String),
+    /// A client that stopped within a request was kept waiting by this balancer for this long.
+    PartialRequestNotClosed(usize, Duration),
+    /// This balancer was still running at SIGKILL after SIGTERM.
     StillRunning(usize),
-    /// A balancer had more memory (KB) or descriptors than it may.
+    /// This balancer exceeded its memory (KB) or descriptor limit.
     OverLimit(usize, u64, usize),
-    /// A request was lost at a balancer that nobody had killed, and how.
+    /// A request was lost at a balancer that was not killed, with the error.
     Lost(String, String),
-    /// A fragile request ran more than once: so often.
-    FragileRanAgain(String, usize),
-    /// A second attempt went out, to the second host, while the first was out.
-    TwoAttemptsAtOnce(String, [String; 2]),
-    /// A balancer sent something new to a host so long after it was told that the host drains or is gone.
-    SentToLeaving {
-        /// The request.
+    /// A request without an idempotency key was executed this many times.
+    NonIdempotentRetried(String, usize),
+    /// A second attempt was sent while the first was in flight, to these two endpoints.
+    ConcurrentAttempts(String, [String; 2]),
+    /// A balancer sent a new request to an endpoint after it was notified that the endpoint drains or is gone.
+    SentToDrainingEndpoint {
+        /// The id of the request.
         id: String,
-        /// The balancer.
+        /// The number of the balancer.
         balancer: usize,
-        /// The host.
-        host: String,
-        /// How long after.
+        /// The name of the endpoint.
+        endpoint: String,
+        /// How long after the notification.
         after: Duration,
     },
-    /// The records are not whole.
-    RecordsLeftOut(usize),
+    /// The records are incomplete by this many entries.
+    RecordsDropped(usize),
 }
 
 impl Violation {
-    /// The request that it is about, if it is about one.
+    /// Returns the id of the violating request, if there is one.
     #[must_use]
     pub fn request(&self) -> Option<&str> {
         match self {
             Self::Unanswered(id)
             | Self::AnsweredTwice(id)
             | Self::AnsweredLate(id, _)
-            | Self::SentForLeft(id, _)
-            | Self::ToldTooMuchTime(id, _)
-            | Self::CrossedAndSent(id)
+            | Self::SentAfterDisconnect(id, _)
+            | Self::DeadlineOverstated(id, _)
+            | Self::ForwardedAfterClose(id)
             | Self::Lost(id, _)
-            | Self::FragileRanAgain(id, _)
-            | Self::TwoAttemptsAtOnce(id, _)
-            | Self::SentToLeaving { id, .. } => Some(id),
-            Self::KeptWaiting(..) | Self::StillRunning(_) | Self::OverLimit(..) | Self::RecordsLeftOut(_) => {
-                None
-            }
+            | Self::NonIdempotentRetried(id, _)
+            | Self::ConcurrentAttempts(id, _)
+            | Self::SentToDrainingEndpoint { id, .. } => Some(id),
+            Self::PartialRequestNotClosed(..)
+            | Self::StillRunning(_)
+            | Self::OverLimit(..)
+            | Self::RecordsDropped(_) => None,
         }
     }
 }
 
-/// What the referee says.
+/// The result of checking a run.
 #[derive(Debug, Clone, Default)]
 pub struct Verdict {
-    /// What the run is repeated by.
+    /// The seed of the run.
     pub seed: u64,
-    /// Requests.
+    /// The number of requests.
     pub calls: usize,
-    /// Of these, served.
+    /// Requests that were served.
     pub served: usize,
-    /// Refused.
+    /// Requests that were rejected.
     pub refused: usize,
-    /// Failed.
+    /// Requests that failed.
     pub failed: usize,
-    /// Lost with a balancer that was killed.
+    /// Requests that were lost with a killed balancer.
     pub lost_with_a_killed: usize,
-    /// Not taken, or left by their clients.
+    /// Requests that were not sent completely, or whose clients disconnected.
     pub not_taken: usize,
-    /// Written within 0.1 s before their connection's end, and not read.
+    /// Requests that raced the close of their connection.
     pub crossed: usize,
-    /// Attempts at cache hosts.
+    /// Attempts at cache nodes.
     pub attempts: usize,
-    /// Runs at the archive.
+    /// Executions at the origin.
     pub runs: usize,
-    /// Broken rules.
+    /// The violations.
     pub violations: Vec<Violation>,
 }
 
@@ -161,18 +162,18 @@
 }
 
 impl Verdict {
-    /// Ends the test where a rule was broken.
+    /// Fails the test if a rule was broken.
     ///
     /// # Panics
-    /// When one was, with the seed and what was broken.
+    /// Panics with the verdict, including the seed, if there is a violation.
     pub fn assert_clean(&self) {
         assert!(self.violations.is_empty(), "{self}");
     }
 }
 
-/// Judges a run.
+/// Checks the records of a run against all rules.
 #[must_use]
-pub fn judge(evidence: &Evidence) -> Verdict {
+pub fn check_evidence(evidence: &Evidence) -> Verdict {
     let mut verdict = Verdict {
         seed: evidence.seed,
         calls: evidence.calls.len(),
@@ -180,66 +181,69 @@
         runs: evidence.runs.len(),
         ..Verdict::default()
     };
-    if evidence.left_out > 0 {
-        verdict.violations.push(Violation::RecordsLeftOut(evidence.left_out));
+    if evidence.dropped > 0 {
+        verdict.violations.push(Violation::RecordsDropped(evidence.dropped));
     }
-    answers(evidence, &mut verdict);
-    left_and_crossed(evidence, &mut verdict);
-    told_time(evidence, &mut verdict);
-    fragile(evidence, &mut verdict);
-    one_at_once(evidence, &mut verdict);
-    leaving(evidence, &mut verdict);
+    check_answers(evidence, &mut verdict);
+    check_closed_connections(evidence, &mut verdict);
+    check_remaining_time(evidence, &mut verdict);
+    check_non_idempotent(evidence, &mut verdict);
+    check_concurrent_attempts(evidence, &mut verdict);
+    check_draining_endpoints(evidence, &mut verdict);
     verdict
 }
 
-fn answers(evidence: &Evidence, verdict: &mut Verdict) {
+fn check_answers(evidence: &Evidence, verdict: &mut Verdict) {
     for call in &evidence.calls {
         match &call.answers[..] {
             [] => verdict.violations.push(Violation::Unanswered(call.id.clone())),
             [(at, answer)] => match answer {
-                Final::Served => verdict.served += 1,
-                Final::Refused | Final::NotReady => verdict.refused += 1,
-                Final::Failed(_) => verdict.failed += 1,
-                Final::NotTaken | Final::Left => verdict.not_taken += 1,
-                Final::Closed(_) if killed_during(evidence, call) => verdict.lost_with_a_killed += 1,
-                Final::Closed(_) if crossed(evidence, call) => verdict.crossed += 1,
-                Final::Lost(_) | Final::Closed(_) if was_killed(evidence, call.balancer, call.at, *at) => {
+                Outcome::Served => verdict.served += 1,
+                Outcome::Rejected | Outcome::NotReady => verdict.refused += 1,
+                Outcome::Failed(_) => verdict.failed += 1,
+                Outcome::NotSent | Outcome::ClientDisconnected => verdict.not_taken += 1,
+                Outcome::Closed(_) if killed_during(evidence, call) => verdict.lost_with_a_killed += 1,
+                Outcome::Closed(_) if raced_close(evidence, call) => verdict.crossed += 1,
+                Outcome::Lost(_) | Outcome::Closed(_)
+                    if was_dead_within(evidence, call.balancer, call.at, *at) =>
+                {
                     verdict.lost_with_a_killed += 1;
                 }
-                Final::Lost(how) | Final::Closed(how) => {
+                Outcome::Lost(how) | Outcome::Closed(how) => {
                     verdict.violations.push(Violation::Lost(call.id.clone(), how.clone()))
                 }
             },
             _ => verdict.violations.push(Violation::AnsweredTwice(call.id.clone())),
         }
-        verdict.violations.extend(late(evidence, call));
+        verdict.violations.extend(check_deadline(evidence, call));
     }
 }
 
-/// An attempt may begin so long after its client has left.
-pub const LEFT_SLACK: Duration = Duration::from_millis(100);
-/// An attempt may tell so much more time than is left.
-pub const TOLD_SLACK: Duration = Duration::from_millis(150);
+/// How long after its client disconnected an attempt may start.
+pub const DISCONNECT_SLACK: Duration = Duration::from_millis(100);
+/// How much more remaining time than is left an attempt may state.
+pub const REMAINING_TIME_SLACK: Duration = Duration::from_millis(150);
 
-/// Attempts for clients that had left, and for requests that were not to be taken.
-fn left_and_crossed(evidence: &Evidence, verdict: &mut Verdict) {
+/// Finds attempts for disconnected clients and for requests that raced a close.
+fn check_closed_connections(evidence: &Evidence, verdict: &mut Verdict) {
     let calls: FxHashMap<&str, &Call> = evidence.calls.iter().map(|it| (it.id.as_str(), it)).collect();
     for it in evidence.attempts.iter().chain(&evidence.runs) {
         let Some(call) = calls.get(it.id.as_str()) else { continue };
-        if crossed(evidence, call) && !killed_during(evidence, call) {
-            verdict.violations.push(Violation::CrossedAndSent(it.id.clone()));
+        if raced_close(evidence, call) && !killed_during(evidence, call) {
+            verdict.violations.push(Violation::ForwardedAfterClose(it.id.clone()));
         }
         let Some(left) = call.left else { continue };
-        let from = after_stops(evidence, call.balancer, left + LEFT_SLACK);
-        let after = it.sent.saturating_duration_since(from).saturating_sub(lagged(evidence, left, it.sent));
+        let from = after_stops(evidence, call.balancer, left + DISCONNECT_SLACK);
+        let after =
+            it.sent.saturating_duration_since(from).saturating_sub(stalled_within(evidence, left, it.sent));
         if after > MARGIN {
-            verdict.violations.push(Violation::SentForLeft(it.id.clone(), after));
+            verdict.violations.push(Violation::SentAfterDisconnect(it.id.clone(), after));
         }
     }
 }
 
-/// What attempts say that their balancer waits.
-fn told_time(evidence: &Evidence, verdict: &mut Verdict) {
+/// Finds attempts that state more remaining time than their request has.
+fn check_remaining_time(evidence: &Evidence, verdict: &mut Verdict) {
     let calls: FxHashMap<&str, &Call> = evidence.calls.iter().map(|it| (it.id.as_str(), it)).collect();
     for it in evidence.attempts.iter().chain(&evidence.runs) {
         let call = calls.get(it.id.as_str());
@@ -247,127 +251,134 @@
             continue;
         };
         let left = (asked + call.deadline).saturating_duration_since(it.sent);
-        let more = time.saturating_sub(left).saturating_sub(lagged(evidence, asked, it.sent));
-        // What it wrote before it was stopped is relayed as it was.
-        if more > TOLD_SLACK + MARGIN {
-            verdict.violations.push(Violation::ToldTooMuchTime(it.id.clone(), more));
+        let more = time.saturating_sub(left).saturating_sub(stalled_within(evidence, asked, it.sent));
+        // What a balancer wrote before it was stopped is relayed unchanged.
+        if more > REMAINING_TIME_SLACK + MARGIN {
+            verdict.violations.push(Violation::DeadlineOverstated(it.id.clone(), more));
         }
     }
 }
 
-/// How long the stand-ins stood still between these.
-fn lagged(evidence: &Evidence, from: Instant, until: Instant) -> Duration {
-    let within = |lag: &Lag| lag.until.min(until).saturating_duration_since(lag.from.max(from));
-    evidence.lags.iter().map(within).sum()
+/// Returns how long the event loop was stalled within a period.
+fn stalled_within(evidence: &Evidence, from: Instant, until: Instant) -> Duration {
+    let within = |stall: &Stall| stall.until.min(until).saturating_duration_since(stall.from.max(from));
+    evidence.stalls.iter().map(within).sum()
 }
 
-/// This time, or the end of a stop of the balancer in which it falls.
+/// Returns `time`, or the end of the interruption of the balancer that contains it.
 fn after_stops(evidence: &Evidence, balancer: usize, time: Instant) -> Instant {
     let stops = evidence.interruptions.iter().filter(|it| it.balancer == balancer && it.from <= time);
     stops.filter_map(|it| it.until).fold(time, Instant::max)
 }
 
-/// Whether its answer came too late. Time in which the balancer was stopped as its time ran out does not count.
-fn late(evidence: &Evidence, call: &Call) -> Option<Violation> {
+/// Checks that a request was answered in time. Time in which the balancer was stopped at the deadline does not count.
+fn check_deadline(evidence: &Evidence, call: &Call) -> Option<Violation> {
     let (answered, _) = call.answers.first()?;
     let mut until = call.asked? + call.deadline;
-    match call.turn {
-        Turn::First => {}
-        Turn::Came(turn) => until = until.max(turn),
-        Turn::Waits => return None, // what it has waited for counts for the request ahead of it
+    match call.pipeline_position {
+        PipelinePosition::First => {}
+        PipelinePosition::UnblockedAt(pipeline_position) => until = until.max(pipeline_position),
+        PipelinePosition::Blocked => return None, // the delay is attributed to the request ahead of it
     }
     for stop in evidence.interruptions.iter().filter(|it| it.balancer == call.balancer) {
         if stop.from <= until + ANSWER_SLACK {
             until = until.max(stop.until.unwrap_or(*answered));
         }
     }
-    let by = answered.saturating_duration_since(until).saturating_sub(lagged(evidence, until, *answered));
+    let by =
+        answered.saturating_duration_since(until).saturating_sub(stalled_within(evidence, until, *answered));
     (by > ANSWER_SLACK + MARGIN).then(|| Violation::AnsweredLate(call.id.clone(), by))
 }
 
-/// Whether the balancer was dead at some time between these.
-fn was_killed(evidence: &Evidence, balancer: usize, from: Instant, until: Instant) -> bool {
+/// Returns whether the balancer was dead at some time within a period.
+fn was_dead_within(evidence: &Evidence, balancer: usize, from: Instant, until: Instant) -> bool {
     let dead = evidence.interruptions.iter().filter(|it| it.killed && it.balancer == balancer);
     dead.into_iter().any(|it| it.from <= until && it.until.is_none_or(|end| from <= end))
 }
 
-/// Whether its connection was closed before its last byte was written, or so soon after it that the close has crossed it: time in which
-/// the stand-ins stood still, and could not see the close, does not count.
-fn crossed(evidence: &Evidence, call: &Call) -> bool {
-    let Some((closed, Final::Closed(_))) = call.answers.first() else { return false };
+/// Returns whether the connection was closed before the last byte was written, or so soon after it that the close
+/// raced the request. Time
+/// in which the event loop was stalled, and could not see the close, does not count.
+fn raced_close(evidence: &Evidence, call: &Call) -> bool {
+    let Some((closed, Outcome::Closed(_))) = call.answers.first() else { return false };
     let Some(asked) = call.asked else { return true };
     let seen_after = closed.saturating_duration_since(asked);
-    seen_after.saturating_sub(lagged(evidence, asked, *closed)) < CROSSING
+    seen_after.saturating_sub(stalled_within(evidence, asked, *closed)) < CLOSE_RACE_WINDOW
 }
 
-/// Whether the balancer was killed between the request's beginning and its end: the system then closed the connection, at any
-/// point of the request's life.
+/// Returns whether the balancer was killed between the start and the end of a request. The system then closes the
+/// connection at
+/// any point of the request.
 fn killed_during(evidence: &Evidence, call: &Call) -> bool {
     let Some((ended, _)) = call.answers.first() else { return false };
     let mut kills = evidence.interruptions.iter().filter(|it| it.killed && it.balancer == call.balancer);
     kills.any(|it| (call.at..=*ended).contains(&it.from))
 }
 
-fn fragile(evidence: &Evidence, verdict: &mut Verdict) {
+fn check_non_idempotent(evidence: &Evidence, verdict: &mut Verdict) {
     let mut runs: FxHashMap<&str, usize> = FxHashMap::default();
-    for run in evidence.runs.iter().filter(|run| evidence.fragile.contains(&run.class)) {
+    for run in evidence.runs.iter().filter(|run| evidence.non_idempotent.contains(&run.class)) {
         *runs.entry(&run.id).or_default() += 1;
     }
     let again = runs.into_iter().filter(|(_, times)| *times > 1);
     let mut again: Vec<_> =
-        again.map(|(id, times)| Violation::FragileRanAgain(id.to_owned(), times)).collect();
+        again.map(|(id, times)| Violation::NonIdempotentRetried(id.to_owned(), times)).collect();
     again.sort_by_key(|it| format!("{it:?}"));
     verdict.violations.append(&mut again);
 }
 
-fn one_at_once(evidence: &Evidence, verdict: &mut Verdict) {
+fn check_concurrent_attempts(evidence: &Evidence, verdict: &mut Verdict) {
     let mut all: Vec<&Attempt> = evidence.attempts.iter().chain(&evidence.runs).collect();
     all.sort_by(|a, b| (&a.id, a.at).cmp(&(&b.id, b.at)));
     for (first, second) in all.iter().zip(all.iter().skip(1)).filter(|(a, b)| a.id == b.id) {
         if first.ended.is_none_or(|(end, _)| end > second.at + MARGIN) {
-            let hosts = [first.host.clone(), second.host.clone()];
-            verdict.violations.push(Violation::TwoAttemptsAtOnce(first.id.clone(), hosts));
+            let hosts = [first.endpoint.clone(), second.endpoint.clone()];
+            verdict.violations.push(Violation::ConcurrentAttempts(first.id.clone(), hosts));
         }
     }
 }
 
-fn leaving(evidence: &Evidence, verdict: &mut Verdict) {
-    let mut told: FxHashMap<(usize, &str), Vec<&Told>> = FxHashMap::default();
-    for it in &evidence.told {
-        told.entry((it.balancer, &it.host)).or_default().push(it);
+fn check_draining_endpoints(evidence: &Evidence, verdict: &mut Verdict) {
+    let mut told: FxHashMap<(usize, &str), Vec<&EndpointNotification>> = FxHashMap::default();
+    for it in &evidence.notifications {
+        told.entry((it.balancer, &it.endpoint)).or_default().push(it);
     }
     for it in evidence.attempts.iter().chain(&evidence.runs) {
         let Some(balancer) = it.balancer else { continue };
-        let Some(told) = told.get(&(balancer, it.host.as_str())) else { continue };
-        if let Some(after) = left_before(evidence, told, balancer, it.sent)
-            && after.saturating_sub(lagged(evidence, it.sent - after, it.sent)) > TOLD_WITHIN + MARGIN
+        let Some(told) = told.get(&(balancer, it.endpoint.as_str())) else { continue };
+        if let Some(after) = draining_known_for(evidence, told, balancer, it.sent)
+            && after.saturating_sub(stalled_within(evidence, it.sent - after, it.sent))
+                > NOTIFICATION_SLACK + MARGIN
         {
-            let (id, host) = (it.id.clone(), it.host.clone());
-            verdict.violations.push(Violation::SentToLeaving { id, balancer, host, after });
+            let (id, endpoint) = (it.id.clone(), it.endpoint.clone());
+            verdict.violations.push(Violation::SentToDrainingEndpoint { id, balancer, endpoint, after });
         }
     }
 }
 
-/// How long before that instant the balancer knew that the host leaves; none where it did not, or knew better by then.
-fn left_before(evidence: &Evidence, told: &[&Told], balancer: usize, at: Instant) -> Option<Duration> {
+/// Returns for how long, at `at`, the balancer knew that the endpoint drains or is gone; `None` if it did not, or was
+/// notified otherwise since.
+fn draining_known_for(
+    evidence: &Evidence, told: &[&EndpointNotification], balancer: usize, at: Instant,
+) -> Option<Duration> {
     let here = || evidence.interruptions.iter().filter(|it| it.balancer == balancer);
-    // A process knows nothing of what the one before it was told, also where that was written as it was being killed.
+    // A process does not know what its predecessor was notified of, even if that was written while it was being killed.
     let born = here().filter(|it| it.killed && it.from <= at).map(|it| it.restarted.unwrap_or(it.from)).max();
     let mut since = None;
     for it in told.iter().filter(|it| it.at <= at && born.is_none_or(|born| it.at > born)) {
         since = if it.phase == Phase::Ready { None } else { since.or(Some(it.at)) };
     }
     let mut since = since?;
-    // What is written to a process that is stopped is read once it goes on.
+    // A stopped process reads its input once it is continued.
     for stop in here().filter(|it| !it.killed) {
-        if stop.from <= since + TOLD_WITHIN {
+        if stop.from <= since + NOTIFICATION_SLACK {
             since = since.max(stop.until.unwrap_or(at));
         }
     }
     Some(at.saturating_duration_since(since))
 }
 
-/// Whether an attempt was answered: for counts in reports.
+/// Returns whether an attempt was answered, for counts in reports.
 #[must_use]
 pub fn answered(it: &Attempt) -> bool {
     matches!(it.ended, Some((_, Ending::Answered)))
--- a/crates/testfleet/src/relay/faults.rs
+++ b/crates/testfleet/src/relay/faults.rs
@@ -1,103 +1,105 @@
-//! What goes wrong on one direction of a link, and what becomes of each datagram. Pure: drawn from a seed, no clock.
+//! The faults of one direction of a link and their effect on each datagram. Deterministic: seeded, without clock or
+//! I/O.
 
 use bytes::Bytes;
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Most datagrams that one direction holds while it is stalled; the oldest are lost beyond that.
-pub const MOST_HELD: usize = 4_096;
+/// The maximum number of datagrams buffered while a direction is stalled; the oldest are dropped beyond it.
+pub const MAX_STALLED_DATAGRAMS: usize = 4_096;
 
-/// What goes wrong. Streams know only `delay`, `jitter`, `stalled` and `cut`: TCP mends the rest by itself.
+/// The faults of a direction. Streams use only `delay`, `jitter`, `stalled` and `cut`, since TCP hides the others.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct Faults {
-    /// Chance that a datagram is lost.
+    /// The probability that a datagram is lost.
     pub lost: f64,
-    /// Chance that it comes twice.
+    /// The probability that it is duplicated.
     pub doubled: f64,
-    /// Chance that it comes behind the one after it.
+    /// The probability that it is reordered behind the next one.
     pub reordered: f64,
-    /// Comes this much later.
+    /// The fixed delay.
     pub delay: Duration,
-    /// And up to this much more.
+    /// The maximum of the random delay added to `delay`.
     pub jitter: Duration,
-    /// Is held until the fault ends.
+    /// Whether data is buffered until the fault ends.
     pub stalled: bool,
-    /// Silence: datagrams are lost, streams held.
+    /// Whether the link is partitioned: datagrams are lost, streams are buffered.
     pub cut: bool,
 }
 
-/// What has come and gone in one direction.
+/// The traffic counters of one direction.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Counts {
-    /// Datagrams that came in.
-    pub came: u64,
-    /// Datagrams that went out, doubles included.
-    pub went: u64,
-    /// Datagrams that were lost.
+    /// Datagrams received.
+    pub received: u64,
+    /// Datagrams sent, including duplicates.
+    pub sent: u64,
+    /// Datagrams lost.
     pub lost: u64,
-    /// Bytes that went out.
+    /// Bytes sent.
     pub bytes: u64,
 }
 
-/// One direction between two balancers.
+/// One direction of the link between two balancers.
 #[derive(Debug)]
 pub struct Direction {
     faults: Faults,
     rng: fastrand::Rng,
-    overtaken: Option<Bytes>,
-    held: VecDeque<Bytes>,
+    delayed_by_one: Option<Bytes>,
+    stalled_datagrams: VecDeque<Bytes>,
     counts: Counts,
 }
 
 impl Direction {
-    /// Without faults; all that is drawn comes from this seed.
+    /// Creates a direction without faults. The seed determines all random draws.
     #[must_use]
     pub fn new(seed: u64) -> Self {
         let rng = fastrand::Rng::with_seed(seed);
         Self {
             faults: Faults::default(),
             rng,
-            overtaken: None,
-            held: VecDeque::new(),
+            delayed_by_one: None,
+            stalled_datagrams: VecDeque::new(),
             counts: Counts::default(),
         }
     }
-    /// What has come and gone.
+    /// Returns the traffic counters.
     #[must_use]
     pub fn counts(&self) -> Counts {
         self.counts
     }
-    /// What goes wrong now.
+    /// Returns the current faults.
     #[must_use]
     pub fn faults(&self) -> Faults {
         self.faults
     }
 
-    /// Changes what goes wrong; yields what was held and is let go by that.
-    pub fn set(&mut self, faults: Faults) -> Vec<(Duration, Bytes)> {
+    /// Changes the faults, and returns the buffered datagrams that this releases, each with its delay.
+    pub fn set_faults(&mut self, faults: Faults) -> Vec<(Duration, Bytes)> {
         self.faults = faults;
         if faults.stalled {
             return Vec::new();
         }
-        let held = std::mem::take(&mut self.held);
-        let mut out: Vec<_> = held.into_iter().flat_map(|datagram| self.pass(datagram, true)).collect();
+        let stalled_datagrams = std::mem::take(&mut self.stalled_datagrams);
+        let mut out: Vec<_> =
+            stalled_datagrams.into_iter().flat_map(|datagram| self.apply_faults(datagram, true)).collect();
         if faults.reordered == 0.0
-            && let Some(late) = self.overtaken.take()
+            && let Some(late) = self.delayed_by_one.take()
         {
-            out.push((Duration::ZERO, self.sent(late)));
+            out.push((Duration::ZERO, self.count_sent(late)));
         }
         out
     }
 
-    /// Takes in a datagram; yields what goes out, each after its delay.
-    pub fn take(&mut self, datagram: Bytes) -> Vec<(Duration, Bytes)> {
-        self.counts.came += 1;
-        self.pass(datagram, false)
+    /// Receives a datagram, and returns the datagrams to send, each with its delay.
+    pub fn forward(&mut self, datagram: Bytes) -> Vec<(Duration, Bytes)> {
+        self.counts.received += 1;
+        self.apply_faults(datagram, false)
     }
 
-    fn pass(&mut self, datagram: Bytes, again: bool) -> Vec<(Duration, Bytes)> {
+    fn apply_faults(&mut self, datagram: Bytes, again: bool) -> Vec<(Duration, Bytes)> {
         let faults = self.faults;
-        // Drawn for each, whatever becomes of it: the same seed draws alike under every fault.
+        // Drawn for every datagram, so that the same seed makes the same draws under every fault.
         let [lost, doubled, reordered] =
             [faults.lost, faults.doubled, faults.reordered].map(|chance| self.rng.f64() < chance);
         if faults.cut || (lost && !again) {
@@ -105,27 +107,27 @@
             return Vec::new();
         }
         if faults.stalled {
-            if self.held.len() == MOST_HELD {
-                self.held.pop_front();
+            if self.stalled_datagrams.len() == MAX_STALLED_DATAGRAMS {
+                self.stalled_datagrams.pop_front();
                 self.counts.lost += 1;
             }
-            self.held.push_back(datagram);
+            self.stalled_datagrams.push_back(datagram);
             return Vec::new();
         }
-        if reordered && self.overtaken.is_none() {
-            self.overtaken = Some(datagram);
+        if reordered && self.delayed_by_one.is_none() {
+            self.delayed_by_one = Some(datagram);
             return Vec::new();
         }
         let mut all = vec![datagram.clone()];
         all.extend(doubled.then_some(datagram));
-        all.extend(self.overtaken.take());
+        all.extend(self.delayed_by_one.take());
         all.into_iter()
-            .map(|it| (faults.delay + faults.jitter.mul_f64(self.rng.f64()), self.sent(it)))
+            .map(|it| (faults.delay + faults.jitter.mul_f64(self.rng.f64()), self.count_sent(it)))
             .collect()
     }
 
-    fn sent(&mut self, datagram: Bytes) -> Bytes {
-        self.counts.went += 1;
+    fn count_sent(&mut self, datagram: Bytes) -> Bytes {
+        self.counts.sent += 1;
         self.counts.bytes += datagram.len() as u64;
         datagram
     }
--- a/crates/testfleet/src/relay/mod.rs
+++ b/crates/testfleet/src/relay/mod.rs
@@ -1,4 +1,4 @@
-//! Relays between all parts: every byte goes through one, which does to it what a network may do.
+//! Relays between all parts of a fleet, which inject network faults.
 
 pub mod faults;
 pub mod tcp;
--- a/crates/testfleet/src/relay/tcp.rs
+++ b/crates/testfleet/src/relay/tcp.rs
@@ -1,7 +1,7 @@
-//! A relay for the streams to one address: holds, delays, resets or refuses them.
+//! A TCP relay to one address that can buffer, delay, reset or refuse connections.
 
 use super::faults::Faults;
-use crate::ground::{any_port, listen};
+use crate::runtime::{any_port, listen};
 use bytes::{Bytes, BytesMut};
 use rustc_hash::FxHashMap;
 use std::io;
@@ -16,46 +16,46 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::sleep_until;
 
-/// Pieces of one direction of a stream that are under way; its sender waits beyond that.
-const MOST_PIECES: usize = 64;
-/// Bytes of a piece.
-const PIECE: usize = 16 * 1024;
+/// The maximum number of queued chunks of one direction of a stream; beyond it, reading pauses.
+const MAX_QUEUED_CHUNKS: usize = 64;
+/// The maximum size of a chunk, in bytes.
+const CHUNK_BYTES: usize = 16 * 1024;
 
-/// Who is at the other end of a relayed connection, and when it last wrote.
+/// The balancer behind a relayed connection, and when it last wrote.
 #[derive(Debug, Clone)]
 pub struct Caller {
-    /// The balancer that called.
+    /// The number of the balancer.
     pub balancer: usize,
     wrote: Arc<Mutex<Instant>>,
 }
 
 impl Caller {
-    /// When the relay last read something from it: however long the relay has held that.
+    /// Returns when the relay last read from it, no matter how long the relay buffered that.
     #[must_use]
-    pub fn wrote(&self) -> Instant {
+    pub fn last_write(&self) -> Instant {
         *self.wrote.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// The callers behind the addresses that relays call from: by this a host tells balancers apart.
+/// The balancers by the local address of their relayed connection, so that a stand-in can identify its peer.
 #[derive(Debug, Clone, Default)]
 pub struct Callers(Arc<Mutex<FxHashMap<SocketAddr, Caller>>>);
 
 impl Callers {
-    /// Who calls from there.
+    /// Returns the balancer behind an address.
     #[must_use]
-    pub fn of(&self, addr: SocketAddr) -> Option<Caller> {
+    pub fn find(&self, addr: SocketAddr) -> Option<Caller> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner).get(&addr).cloned()
     }
-    fn enter(&self, addr: SocketAddr, caller: Caller) -> Entered {
+    fn register(&self, addr: SocketAddr, caller: Caller) -> CallerRegistration {
         self.0.lock().unwrap_or_else(PoisonError::into_inner).insert(addr, caller);
-        Entered(self.clone(), addr)
+        CallerRegistration(self.clone(), addr)
     }
 }
 
-struct Entered(Callers, SocketAddr);
+struct CallerRegistration(Callers, SocketAddr);
 
-impl Drop for Entered {
+impl Drop for CallerRegistration {
     fn drop(&mut self) {
         self.0.0.lock().unwrap_or_else(PoisonError::into_inner).remove(&self.1);
     }
@@ -77,7 +77,7 @@
     back: AtomicU64,
 }
 
-/// The link. Its streams end with it.
+/// A relayed link. Its connections end when it is dropped.
 #[derive(Debug)]
 pub struct TcpLink {
     addr: SocketAddr,
@@ -85,7 +85,7 @@
     counts: Arc<Counts>,
 }
 
-/// What every connection of a link knows.
+/// The state shared by the connections of a link.
 #[derive(Debug, Clone)]
 struct Link {
     state: watch::Receiver<State>,
@@ -94,14 +94,14 @@
 }
 
 impl TcpLink {
-    /// To this address. With callers, each connection is entered as one of that balancer.
+    /// Starts a relay to an address. With `callers`, each connection is registered for that balancer.
     ///
     /// # Errors
-    /// When the system gives no port.
+    /// Returns the system's error if no port can be bound.
     pub fn start(
         handle: &Handle, target: SocketAddr, callers: Option<(Callers, usize)>, seed: u64,
     ) -> io::Result<Self> {
-        // Bound as long as the link lives, and never listened on: the port stays ours while calls are refused.
+        // This socket is bound but never listens, so that the port stays reserved while connections are refused.
         let guard = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None)?;
         guard.set_reuse_address(true)?;
         guard.bind(&any_port().into())?;
@@ -130,51 +130,51 @@
         Ok(Self { addr, state, counts })
     }
 
-    /// Where to call.
+    /// Returns the listening address.
     #[must_use]
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
-    /// New connections go there from now on.
-    pub fn aim(&self, target: SocketAddr) {
+    /// Changes the target of new connections.
+    pub fn set_target(&self, target: SocketAddr) {
         self.state.send_modify(|state| state.target = target);
     }
-    /// What goes wrong on the way there, and back. Bytes are held while a way is stalled or cut; that a caller has gone
-    /// passes even so, and then what was held never arrives.
-    pub fn set(&self, to: Faults, back: Faults) {
+    /// Changes the faults of both directions. Bytes are buffered while a direction is stalled or cut. If the client
+    /// disconnects meanwhile, they are discarded.
+    pub fn set_faults(&self, to: Faults, back: Faults) {
         self.state.send_modify(|state| (state.to, state.back) = (to, back));
     }
-    /// Both ways silent: nothing passes, and new connections get no further than the relay.
+    /// Partitions the link: nothing passes, and new connections get no further than the relay.
     pub fn cut(&self) {
         let faults = Faults { cut: true, ..Faults::default() };
-        self.set(faults, faults);
+        self.set_faults(faults, faults);
     }
-    /// Calls are refused, as where nobody listens, until [`TcpLink::heal`]; connections that are open go on.
+    /// Refuses new connections until [`TcpLink::heal`]. Open connections continue.
     pub fn refuse(&self) {
         self.state.send_modify(|state| state.refused = true);
     }
-    /// Ends every open connection with a reset.
+    /// Resets every open connection.
     pub fn reset(&self) {
         self.state.send_modify(|state| state.resets += 1);
     }
-    /// Ends all faults.
+    /// Removes all faults.
     pub fn heal(&self) {
         self.state.send_modify(|state| state.refused = false);
-        self.set(Faults::default(), Faults::default());
+        self.set_faults(Faults::default(), Faults::default());
     }
-    /// Connections so far.
+    /// Returns the number of connections so far.
     #[must_use]
     pub fn connections(&self) -> u64 {
         self.counts.connections.load(Ordering::Relaxed)
     }
-    /// Bytes that have gone there, and back.
+    /// Returns the bytes relayed to the target, and back.
     #[must_use]
     pub fn bytes(&self) -> (u64, u64) {
         (self.counts.to.load(Ordering::Relaxed), self.counts.back.load(Ordering::Relaxed))
     }
 }
 
-/// Accepts until calls are to be refused; no when the link is gone.
+/// Accepts until connections are to be refused; returns `false` if the link was dropped.
 async fn accept_on(listener: TcpListener, link: Link, mut rng: fastrand::Rng) -> bool {
     let mut state = link.state.clone();
     loop {
@@ -192,13 +192,13 @@
     let mut state = link.state.clone();
     let resets = state.borrow().resets;
     tokio::select! {
-        // What is left of an ended connection goes without a reset only where both sides have ended it.
-        _ = relayed(near, link, rng) => {}
+        // The connection ends without a reset only if both sides have shut it down.
+        _ = relay_connection(near, link, rng) => {}
         _ = state.wait_for(|state| state.resets != resets) => {}
     }
 }
 
-/// The writing half of a stream that is reset where it is dropped before its time: the half by itself would end it well.
+/// The write half of a stream that resets the connection on drop; the plain half would shut it down cleanly.
 struct Writer(Option<OwnedWriteHalf>);
 
 impl Writer {
@@ -220,10 +220,10 @@
     Ok((reader, Writer(Some(writer))))
 }
 
-async fn relayed(near: TcpStream, link: Link, mut rng: fastrand::Rng) -> io::Result<()> {
+async fn relay_connection(near: TcpStream, link: Link, mut rng: fastrand::Rng) -> io::Result<()> {
     near.set_zero_linger()?;
     let mut state = link.state.clone();
-    // What is written while the link is cut lies unread in our system: it was written when it came there.
+    // Data written while the link is cut stays unread in the socket buffer: its write time is when it became readable.
     let mut came = None;
     let target = loop {
         tokio::select! {
@@ -238,59 +238,59 @@
         }
     };
     let socket = TcpSocket::new_v4()?;
-    socket.bind(any_port())?; // before the call, so that who is called knows at once who calls
+    socket.bind(any_port())?; // before connecting, so that the target can identify the balancer at once
     let wrote = Arc::new(Mutex::new(Instant::now()));
-    let _entered = match &link.callers {
+    let _registration = match &link.callers {
         Some((callers, balancer)) => {
             let caller = Caller { balancer: *balancer, wrote: Arc::clone(&wrote) };
-            Some(callers.enter(socket.local_addr()?, caller))
+            Some(callers.register(socket.local_addr()?, caller))
         }
         None => None,
     };
     let far = socket.connect(target).await?;
     let ((near_read, near_write), (far_read, far_write)) = (split(near)?, split(far)?);
-    let to = Way { link: &link, pick: |state| state.to, count: &link.counts.to, rng: rng.fork() };
-    let back = Way { link: &link, pick: |state| state.back, count: &link.counts.back, rng };
-    let there = to.pass(near_read, far_write, Some((&wrote, came)));
-    let (there, back) = tokio::try_join!(there, back.pass(far_read, near_write, None))?;
+    let to = StreamDirection { link: &link, pick: |state| state.to, count: &link.counts.to, rng: rng.fork() };
+    let back = StreamDirection { link: &link, pick: |state| state.back, count: &link.counts.back, rng };
+    let there = to.copy(near_read, far_write, Some((&wrote, came)));
+    let (there, back) = tokio::try_join!(there, back.copy(far_read, near_write, None))?;
     for stream in [there.0.as_ref(), back.0.as_ref()] {
-        // Both have ended it well: what one of them has not read yet must still reach it.
+        // Both sides have shut down: unread data must still be delivered.
         socket2::SockRef::from(stream).set_linger(None)?;
     }
     Ok(())
 }
 
-/// One way of one connection.
-struct Way<'a> {
+/// One direction of a connection.
+struct StreamDirection<'a> {
     link: &'a Link,
     pick: fn(&State) -> Faults,
     count: &'a AtomicU64,
     rng: fastrand::Rng,
 }
 
-impl Way<'_> {
-    async fn pass(
+impl StreamDirection<'_> {
+    async fn copy(
         self, reader: OwnedReadHalf, writer: Writer, wrote: Option<(&Mutex<Instant>, Option<Instant>)>,
     ) -> io::Result<(OwnedReadHalf, Writer)> {
-        let (pieces, taken) = mpsc::channel(MOST_PIECES);
+        let (chunks, taken) = mpsc::channel(MAX_QUEUED_CHUNKS);
         let (over, ended) = watch::channel(false);
         let (state, pick, count) = (self.link.state.clone(), self.pick, self.count);
-        let reads = self.read(reader, pieces, over, wrote);
+        let reads = self.read(reader, chunks, over, wrote);
         tokio::try_join!(reads, write(writer, taken, ended, state, pick, count))
     }
 
     async fn read(
-        mut self, mut reader: OwnedReadHalf, pieces: mpsc::Sender<(Instant, Bytes)>,
+        mut self, mut reader: OwnedReadHalf, chunks: mpsc::Sender<(Instant, Bytes)>,
         over: watch::Sender<bool>, mut wrote: Option<(&Mutex<Instant>, Option<Instant>)>,
     ) -> io::Result<OwnedReadHalf> {
         let mut buffer = BytesMut::new();
         let mut last = Instant::now();
         loop {
-            buffer.reserve(PIECE);
+            buffer.reserve(CHUNK_BYTES);
             let n = reader.read_buf(&mut buffer).await.unwrap_or_default();
             if n == 0 {
                 over.send_replace(true);
-                drop(pieces);
+                drop(chunks);
                 return Ok(reader);
             }
             let now = Instant::now();
@@ -299,7 +299,7 @@
             }
             let faults = (self.pick)(&self.link.state.borrow());
             last = last.max(now + faults.delay + faults.jitter.mul_f64(self.rng.f64()));
-            if pieces.send((last, buffer.split().freeze())).await.is_err() {
+            if chunks.send((last, buffer.split().freeze())).await.is_err() {
                 return Err(io::ErrorKind::BrokenPipe.into());
             }
         }
@@ -307,10 +307,10 @@
 }
 
 async fn write(
-    mut writer: Writer, mut pieces: mpsc::Receiver<(Instant, Bytes)>, mut ended: watch::Receiver<bool>,
+    mut writer: Writer, mut chunks: mpsc::Receiver<(Instant, Bytes)>, mut ended: watch::Receiver<bool>,
     mut state: watch::Receiver<State>, pick: fn(&State) -> Faults, count: &AtomicU64,
 ) -> io::Result<Writer> {
-    while let Some((due, piece)) = pieces.recv().await {
+    while let Some((due, chunk)) = chunks.recv().await {
         if due > Instant::now() {
             sleep_until(due.into()).await;
         }
@@ -318,12 +318,12 @@
         if held(&state.borrow_and_update()) {
             tokio::select! {
                 free = state.wait_for(|state| !held(state)) => { free.map_err(|_| io::ErrorKind::BrokenPipe)?; }
-                // It has given up: what it wrote must not arrive later, as a thing that it does now.
+                // The sender has disconnected: its data must not arrive later as if it were new.
                 _ = ended.wait_for(|ended| *ended) => return Err(io::ErrorKind::ConnectionReset.into()),
             }
         }
-        writer.io()?.write_all(&piece).await?;
-        count.fetch_add(piece.len() as u64, Ordering::Relaxed);
+        writer.io()?.write_all(&chunk).await?;
+        count.fetch_add(chunk.len() as u64, Ordering::Relaxed);
     }
     writer.io()?.shutdown().await?;
     Ok(writer)
--- a/crates/testfleet/src/relay/udp.rs
+++ b/crates/testfleet/src/relay/udp.rs
@@ -1,10 +1,11 @@
-//! The relay between balancers: one socket per balancer, which all others know as that balancer's address.
+//! The UDP relay between balancers: one socket per balancer, which the others know as that balancer's address.
 //!
-//! A datagram that reaches the socket of *b* from the real address of *a* goes on to the real address of *b* out of the
+//! A datagram that reaches the socket of *b* from the real address of *a* is forwarded to the real address of *b* from
+//! the
 //! socket of *a*: both ends see relay addresses only.
 
 use super::faults::{Counts, Direction, Faults};
-use crate::ground::any_port;
+use crate::runtime::any_port;
 use bytes::Bytes;
 use rustc_hash::FxHashMap;
 use std::io;
@@ -15,18 +16,18 @@
 use tokio::net::UdpSocket;
 use tokio::runtime::Handle;
 
-/// The longest datagram.
-const LONGEST: usize = 65_535;
-/// Most datagrams under way with a delay, over all links; more are lost.
-const MOST_UNDER_WAY: usize = 100_000;
+/// The maximum size of a datagram, in bytes.
+const MAX_DATAGRAM_BYTES: usize = 65_535;
+/// The maximum number of delayed datagrams over all links; more are dropped.
+const MAX_DELAYED_DATAGRAMS: usize = 100_000;
 
 #[derive(Debug)]
 struct Table {
     seed: u64,
-    real: Vec<Option<SocketAddr>>,
+    real_addresses: Vec<Option<SocketAddr>>,
     numbers: FxHashMap<SocketAddr, usize>,
     links: FxHashMap<(usize, usize), Direction>,
-    strangers: u64,
+    unregistered_senders: u64,
 }
 
 impl Table {
@@ -40,18 +41,18 @@
 struct Shared {
     sockets: Vec<UdpSocket>,
     table: Mutex<Table>,
-    under_way: AtomicUsize,
+    delayed_datagrams: AtomicUsize,
 }
 
-/// The relay. Its tasks end with the runtime.
+/// A handle to the relay, whose tasks end with the runtime.
 #[derive(Debug, Clone)]
 pub struct UdpRelay(Arc<Shared>, Handle);
 
 impl UdpRelay {
-    /// Between so many balancers.
+    /// Starts a relay between this many balancers.
     ///
     /// # Errors
-    /// When the system gives no sockets.
+    /// Returns the system's error if no socket can be bound.
     pub fn start(handle: &Handle, balancers: usize, seed: u64) -> io::Result<Self> {
         let bind = || {
             let _entered = handle.enter();
@@ -61,8 +62,10 @@
         };
         let sockets = (0..balancers).map(|_| bind()).collect::<io::Result<_>>()?;
         let (numbers, links) = (FxHashMap::default(), FxHashMap::default());
-        let table = Table { seed, real: vec![None; balancers], numbers, links, strangers: 0 };
-        let shared = Arc::new(Shared { sockets, table: Mutex::new(table), under_way: AtomicUsize::new(0) });
+        let table =
+            Table { seed, real_addresses: vec![None; balancers], numbers, links, unregistered_senders: 0 };
+        let shared =
+            Arc::new(Shared { sockets, table: Mutex::new(table), delayed_datagrams: AtomicUsize::new(0) });
         let relay = Self(shared, handle.clone());
         (0..balancers).for_each(|number| {
             handle.spawn(relay.clone().serve(number));
@@ -74,67 +77,67 @@
         self.0.table.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The address by which all others know this balancer.
+    /// Returns the address by which the others know a balancer.
     ///
     /// # Errors
-    /// When the system does not tell.
+    /// Returns the system's error if the address is not available.
     pub fn address(&self, number: usize) -> io::Result<SocketAddr> {
         self.0.sockets[number].local_addr()
     }
-    /// Where that balancer really listens and sends from, since its last start.
+    /// Sets the real address of a balancer, after each start.
     pub fn register(&self, number: usize, real: SocketAddr) {
         let mut table = self.table();
-        if let Some(old) = table.real[number].replace(real) {
+        if let Some(old) = table.real_addresses[number].replace(real) {
             table.numbers.remove(&old);
         }
         table.numbers.insert(real, number);
     }
-    /// What goes wrong from one to another, from now on.
-    pub fn set(&self, from: usize, to: usize, faults: Faults) {
-        let released = self.table().link(from, to).set(faults);
+    /// Sets the faults of one direction.
+    pub fn set_faults(&self, from: usize, to: usize, faults: Faults) {
+        let released = self.table().link(from, to).set_faults(faults);
         self.send(from, to, released);
     }
-    /// Changes a part of what goes wrong on all links from some to some others.
-    pub fn change(&self, from: &[usize], to: &[usize], change: impl Fn(&mut Faults)) {
+    /// Updates the faults of all directions from one set of balancers to another.
+    pub fn update_faults(&self, from: &[usize], to: &[usize], change: impl Fn(&mut Faults)) {
         for (from, to) in from.iter().flat_map(|a| to.iter().map(move |b| (*a, *b))).filter(|(a, b)| a != b) {
             let mut faults = self.table().link(from, to).faults();
             change(&mut faults);
-            self.set(from, to, faults);
+            self.set_faults(from, to, faults);
         }
     }
-    /// Nothing passes between the two sets, in either direction.
+    /// Partitions two sets of balancers, in both directions.
     pub fn cut(&self, one: &[usize], other: &[usize]) {
-        self.change(one, other, |faults| faults.cut = true);
-        self.change(other, one, |faults| faults.cut = true);
+        self.update_faults(one, other, |faults| faults.cut = true);
+        self.update_faults(other, one, |faults| faults.cut = true);
     }
-    /// Ends all faults; what was stalled goes on.
+    /// Removes all faults and sends what was stalled.
     pub fn heal(&self) {
         let links: Vec<_> = self.table().links.keys().copied().collect();
-        links.into_iter().for_each(|(from, to)| self.set(from, to, Faults::default()));
+        links.into_iter().for_each(|(from, to)| self.set_faults(from, to, Faults::default()));
     }
-    /// What has come and gone from one to another.
+    /// Returns the traffic counters of one direction.
     #[must_use]
     pub fn counts(&self, from: usize, to: usize) -> Counts {
         self.table().link(from, to).counts()
     }
-    /// Datagrams from addresses that nobody has registered.
+    /// Returns the number of datagrams from unregistered addresses.
     #[must_use]
-    pub fn strangers(&self) -> u64 {
-        self.table().strangers
+    pub fn unregistered_senders(&self) -> u64 {
+        self.table().unregistered_senders
     }
 
     async fn serve(self, to: usize) {
-        let mut buffer = vec![0; LONGEST];
+        let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
         loop {
-            // An error tells that an earlier datagram of ours found nobody: what a network does not tell.
+            // An error reports that an earlier datagram was refused, which a network would not report.
             let Ok((n, sender)) = self.0.sockets[to].recv_from(&mut buffer).await else { continue };
             let (from, out) = {
                 let mut table = self.table();
                 let Some(from) = table.numbers.get(&sender).copied() else {
-                    table.strangers += 1;
+                    table.unregistered_senders += 1;
                     continue;
                 };
-                (from, table.link(from, to).take(Bytes::copy_from_slice(&buffer[..n])))
+                (from, table.link(from, to).forward(Bytes::copy_from_slice(&buffer[..n])))
             };
             self.send(from, to, out);
         }
@@ -144,23 +147,23 @@
         for (delay, datagram) in out {
             if delay.is_zero() {
                 self.deliver(from, to, &datagram);
-            } else if self.0.under_way.fetch_add(1, Ordering::Relaxed) < MOST_UNDER_WAY {
+            } else if self.0.delayed_datagrams.fetch_add(1, Ordering::Relaxed) < MAX_DELAYED_DATAGRAMS {
                 let relay = self.clone();
                 self.1.spawn(async move {
                     tokio::time::sleep(delay).await;
-                    relay.0.under_way.fetch_sub(1, Ordering::Relaxed);
+                    relay.0.delayed_datagrams.fetch_sub(1, Ordering::Relaxed);
                     relay.deliver(from, to, &datagram);
                 });
             } else {
-                self.0.under_way.fetch_sub(1, Ordering::Relaxed);
+                self.0.delayed_datagrams.fetch_sub(1, Ordering::Relaxed);
             }
         }
     }
 
     fn deliver(&self, from: usize, to: usize, datagram: &[u8]) {
-        let real = self.table().real[to];
+        let real = self.table().real_addresses[to];
         if let Some(real) = real {
-            // One that does not go out is lost, as on a network.
+            // A datagram that cannot be sent is lost, as on a network.
             let _ = self.0.sockets[from].try_send_to(datagram, real);
         }
     }
--- a/crates/testfleet/src/ground.rs
+++ b/crates/testfleet/src/runtime.rs
@@ -1,6 +1,6 @@
-//! The one runtime, on a thread of its own, that all stand-ins and relays live on.
+//! The single-threaded runtime of all stand-ins and relays.
 
-use crate::journal::Journal;
+use crate::event_log::EventLog;
 use std::future::Future;
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -10,35 +10,35 @@
 use tokio::runtime::{Builder, Handle};
 use tokio::sync::oneshot;
 
-/// Connections that may wait to be accepted: more than all balancers open at once.
+/// The accept backlog: more than all balancers open at once.
 const BACKLOG: u32 = 1024;
 
-/// How often it is looked whether the thread keeps up, and from what delay on it does not.
+/// The interval of the stall monitor.
 const LOOKED: (Duration, Duration) = (Duration::from_millis(5), Duration::from_millis(10));
 
-/// A time in which the thread of the stand-ins stood still: what they did and saw then is booked at its end.
+/// A period in which the event loop was stalled. What the stand-ins did in it is recorded with the time of its end.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Lag {
-    /// From when.
+pub struct Stall {
+    /// The start of the stall.
     pub from: Instant,
-    /// Until when.
+    /// The end of the stall.
     pub until: Instant,
 }
 
-/// The runtime; what lives on it ends with it.
+/// The runtime. Its tasks end when it is dropped.
 #[derive(Debug)]
-pub struct Ground {
+pub struct Runtime {
     handle: Handle,
-    lags: Journal<Lag>,
+    stalls: EventLog<Stall>,
     end: Option<oneshot::Sender<()>>,
     thread: Option<JoinHandle<()>>,
 }
 
-impl Ground {
-    /// Starts it.
+impl Runtime {
+    /// Starts the runtime on its own thread.
     ///
     /// # Errors
-    /// When the system gives no thread or no poller.
+    /// Returns the system's error if no thread or poller is available.
     pub fn start() -> io::Result<Self> {
         let runtime = Builder::new_current_thread().enable_all().build()?;
         let handle = runtime.handle().clone();
@@ -47,58 +47,58 @@
             let _ = runtime.block_on(ended);
             runtime.shutdown_background();
         })?;
-        let lags = Journal::default();
-        handle.spawn(look_for_lags(lags.clone()));
-        Ok(Self { handle, lags, end: Some(end), thread: Some(thread) })
+        let stalls = EventLog::default();
+        handle.spawn(look_for_lags(stalls.clone()));
+        Ok(Self { handle, stalls, end: Some(end), thread: Some(thread) })
     }
 
-    /// Where tasks are spawned.
+    /// Returns the handle to spawn tasks on.
     #[must_use]
     pub fn handle(&self) -> &Handle {
         &self.handle
     }
 
-    /// When the thread stood still.
+    /// Returns the log of event-loop stalls.
     #[must_use]
-    pub fn lags(&self) -> &Journal<Lag> {
-        &self.lags
+    pub fn stalls(&self) -> &EventLog<Stall> {
+        &self.stalls
     }
 
-    /// Leaves a task to the runtime.
+    /// Spawns a task.
     pub fn spawn(&self, task: impl Future<Output = ()> + Send + 'static) {
         self.handle.spawn(task);
     }
 }
 
-async fn look_for_lags(lags: Journal<Lag>) {
+async fn look_for_lags(stalls: EventLog<Stall>) {
     let (each, late) = LOOKED;
     loop {
         let from = Instant::now();
         tokio::time::sleep(each).await;
         let until = Instant::now();
         if until - from >= each + late {
-            lags.push(Lag { from, until });
+            stalls.push(Stall { from, until });
         }
     }
 }
 
-impl Drop for Ground {
+impl Drop for Runtime {
     fn drop(&mut self) {
         let _ = self.end.take().map(|end| end.send(()));
         let _ = self.thread.take().map(JoinHandle::join);
     }
 }
 
-/// The loopback address with a port that the system picks.
+/// Returns the loopback address with port 0, for which the system picks a free port.
 #[must_use]
 pub fn any_port() -> SocketAddr {
     (Ipv4Addr::LOCALHOST, 0).into()
 }
 
-/// Listens there; an address that was listened on before can be taken again.
+/// Listens on an address, with `SO_REUSEADDR` so that it can be bound again.
 ///
 /// # Errors
-/// When the address is taken.
+/// Returns the system's error if the address is in use.
 pub fn listen(handle: &Handle, at: SocketAddr) -> io::Result<TcpListener> {
     let _entered = handle.enter();
     let socket = TcpSocket::new_v4()?;
--- a/crates/testfleet/src/soak/mod.rs
+++ b/crates/testfleet/src/soak/mod.rs
@@ -1,16 +1,16 @@
-//! A soak of real processes under faults: one seed draws a run of some seconds, plays it, and has the referee judge it.
+//! Soak runs of real processes under faults: a seed determines a run of some seconds, whose records are checked.
 //!
-//! [`Plan::draw`] says what is played, [`run`] plays it on the stand-ins of a [`Fleet`] and yields a [`Report`], whose line
-//! names seed, plan and verdict. The same seed draws the same plan; what the processes make of it may differ.
+//! [`Plan::draw`] draws what happens, [`run`] executes it on a [`Fleet`] and returns a [`Report`], whose line
+//! names seed, plan and verdict. The same seed draws the same plan; the timing of the processes may differ.
 
 mod callers;
 mod plan;
 mod report;
 
+use crate::cache_node::CacheNodeBehaviour;
 use crate::config::CLASSES;
 use crate::fleet::Fleet;
-use crate::hosts::Manner;
-use crate::process::{descriptors, uses};
+use crate::process::{open_descriptors, resource_usage};
 use crate::referee::Violation;
 use callers::{Callers, Front};
 pub use plan::{Crowd, Event, Plan, RUN, Series};
@@ -26,36 +26,36 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How long a hold-up lasts: what the standing page allows for.
-const HELD_UP: Duration = Duration::from_millis(150);
-/// How long a host or a link is in trouble.
-const TROUBLE: Duration = Duration::from_millis(1_200);
-/// New connections keep coming for this long after SIGTERM.
-const STILL_DIALLED: Duration = Duration::from_millis(400);
-/// Between two signals or orders of a series.
-const BETWEEN: Duration = Duration::from_millis(150);
-/// How long an order of operators may take.
-const ORDER_TIME: Duration = Duration::from_secs(5);
-/// Memory of a process, in KB, as its configuration states it.
+/// How long a balancer is stopped.
+const PAUSE_DURATION: Duration = Duration::from_millis(150);
+/// How long a fault of a cache node or a link lasts.
+const FAULT_DURATION: Duration = Duration::from_millis(1_200);
+/// How long after SIGTERM clients still connect.
+const DIAL_AFTER_TERMINATE: Duration = Duration::from_millis(400);
+/// The interval between two steps of a series.
+const SERIES_INTERVAL: Duration = Duration::from_millis(150);
+/// The timeout of an admin command.
+const ADMIN_TIMEOUT: Duration = Duration::from_secs(5);
+/// The memory limit of a process, in KB, as configured.
 const MEMORY_KB: u64 = 192 * 1024;
-/// Requests at fault whose records a report has.
-const RECORDS: usize = 8;
-/// What the callers of a run are given beyond it to have their answers.
-const LAST_ANSWERS: Duration = Duration::from_secs(1);
+/// The maximum number of violating requests whose records are in a report.
+const MAX_RECORDS: usize = 8;
+/// How long clients may wait for their last answers after the run.
+const FINAL_ANSWERS_GRACE: Duration = Duration::from_secs(1);
 
-/// What is to be done at a time.
+/// A scheduled step of a run.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Step {
     Event(Event),
     Reload(usize),
     Terminate(usize),
-    Order(usize, &'static str),
+    AdminCommand(usize, &'static str),
     Resume(usize),
-    /// SIGKILL for one that was told to end, and its restart.
-    EndOf(usize),
+    /// SIGKILL after SIGTERM, and a restart.
+    KillAndRestart(usize),
     Serve(usize),
     Heal(usize, usize),
-    Speak(usize),
+    ResumeUpdates(usize),
 }
 
 struct Run {
@@ -63,20 +63,20 @@
     fleet: Fleet,
     callers: Arc<Callers>,
     steps: VecDeque<(Instant, Step)>,
-    /// Balancers that were told to end, until they are restarted.
+    /// Whether each balancer was sent SIGTERM and not restarted yet.
     ending: Vec<bool>,
     violations: Vec<Violation>,
     begun: Instant,
 }
 
-/// Plays the run of a plan with this program; its files are below this folder.
+/// Executes a plan with a program; the files are below `folder`.
 ///
 /// # Errors
-/// When the system refuses a process or a socket.
+/// Returns the system's error if a process or socket cannot be created.
 pub fn run(program: &Path, folder: &Path, plan: Plan) -> io::Result<Report> {
     let fleet = Fleet::builder(program).folder(folder).seed(plan.seed).balancers(plan.balancers);
-    let fleet = fleet.hosts(plan.hosts).ids(plan.ids).overrides(plan.overrides()).start()?;
-    (0..plan.balancers).for_each(|it| fleet.balancer(it).agent.speak(plan.form));
+    let fleet = fleet.cache_nodes(plan.cache_nodes).ids(plan.ids).overrides(plan.overrides()).start()?;
+    (0..plan.balancers).for_each(|it| fleet.balancer(it).agent.set_encoding(plan.encoding));
     let busy: Vec<BusyProcess> =
         (0..plan.busy_processes).map(|_| BusyProcess::start()).collect::<Result<_, _>>()?;
     let begun = Instant::now();
@@ -87,7 +87,7 @@
     let callers = Arc::new(Callers {
         fronts: Mutex::new(fronts.collect()),
         calls: fleet.clients().calls().clone(),
-        kept_waiting: crate::journal::Journal::default(),
+        kept_waiting: crate::event_log::EventLog::default(),
         ids: AtomicU64::new(1),
         classes: classes.collect(),
         until: begun + RUN,
@@ -95,16 +95,16 @@
     for balancer in 0..plan.balancers {
         for number in 0..plan.callers {
             let seed = plan.seed ^ ((balancer * 64 + number) as u64) << 32;
-            fleet.ground().spawn(Arc::clone(&callers).ask_on(balancer, seed, false));
+            fleet.runtime().spawn(Arc::clone(&callers).run(balancer, seed, false));
         }
     }
     match plan.crowd {
         Crowd::None => {}
         Crowd::Idle(many) => (0..many as u64).for_each(|number| {
-            fleet.ground().spawn(Arc::clone(&callers).rest(0, plan.seed ^ number << 48));
+            fleet.runtime().spawn(Arc::clone(&callers).run_idle(0, plan.seed ^ number << 48));
         }),
         Crowd::Busy(many) => (0..many as u64).for_each(|number| {
-            fleet.ground().spawn(Arc::clone(&callers).ask_on(0, plan.seed ^ number << 48, true));
+            fleet.runtime().spawn(Arc::clone(&callers).run(0, plan.seed ^ number << 48, true));
         }),
     }
     let steps = plan.events.iter().map(|(at, event)| (begun + *at, Step::Event(*event))).collect();
@@ -118,88 +118,90 @@
 impl Run {
     fn play(&mut self) -> io::Result<()> {
         let longest = self.plan.deadlines_ms.into_iter().max().unwrap_or_default();
-        let over = self.begun + RUN + Duration::from_millis(longest) + LAST_ANSWERS;
+        let over = self.begun + RUN + Duration::from_millis(longest) + FINAL_ANSWERS_GRACE;
         while let Some((at, step)) = self.steps.pop_front() {
             wait_until(at);
-            self.take(step)?;
+            self.run_step(step)?;
         }
         (0..self.plan.balancers).for_each(|balancer| self.check_limits(balancer));
         wait_until(over);
         Ok(())
     }
 
-    fn later(&mut self, after: Duration, step: Step) {
+    fn schedule(&mut self, after: Duration, step: Step) {
         let at = Instant::now() + after;
         let place = self.steps.partition_point(|(other, _)| *other <= at);
         self.steps.insert(place, (at, step));
     }
 
-    fn take(&mut self, step: Step) -> io::Result<()> {
+    fn run_step(&mut self, step: Step) -> io::Result<()> {
         match step {
-            Step::Event(event) => return self.happens(event),
+            Step::Event(event) => return self.apply_event(event),
             Step::Reload(it) if !self.ending[it] => {
                 let config = self.fleet.balancer(it).config.clone();
                 self.fleet.balancer(it).process.reload(&config)?;
             }
             Step::Terminate(it) => self.terminate(it)?,
-            Step::Order(it, path) if !self.ending[it] => order(&self.fleet, it, path)?,
-            Step::Reload(_) | Step::Order(..) => {}
+            Step::AdminCommand(it, path) if !self.ending[it] => post_admin_command(&self.fleet, it, path)?,
+            Step::Reload(_) | Step::AdminCommand(..) => {}
             Step::Resume(it) => self.fleet.resume(it)?,
-            Step::EndOf(it) => self.end_of(it)?,
-            Step::Serve(host) => self.fleet.host(host).behave(Manner::Serves),
-            Step::Heal(it, host) => self.fleet.balancer(it).to_hosts[host].heal(),
-            Step::Speak(it) => self.fleet.balancer(it).agent.let_go(),
+            Step::KillAndRestart(it) => self.kill_and_restart(it)?,
+            Step::Serve(endpoint) => {
+                self.fleet.cache_node(endpoint).set_behaviour(CacheNodeBehaviour::Serves)
+            }
+            Step::Heal(it, endpoint) => self.fleet.balancer(it).to_cache_nodes[endpoint].heal(),
+            Step::ResumeUpdates(it) => self.fleet.balancer(it).agent.resume_updates(),
         }
         Ok(())
     }
 
-    fn happens(&mut self, event: Event) -> io::Result<()> {
+    fn apply_event(&mut self, event: Event) -> io::Result<()> {
         match event {
-            Event::Signals(it, series) => self.signals(it, series),
-            Event::HoldUp(it) if !self.ending[it] => {
-                self.fleet.halt(it)?;
-                self.later(HELD_UP, Step::Resume(it));
+            Event::Series(it, series) => self.schedule_series(it, series),
+            Event::Pause(it) if !self.ending[it] => {
+                self.fleet.pause(it)?;
+                self.schedule(PAUSE_DURATION, Step::Resume(it));
             }
             Event::Kill(it) if !self.ending[it] => {
                 self.fleet.kill(it)?;
                 self.restart(it)?;
             }
             Event::MoveDiscovery(it) if !self.ending[it] => self.move_discovery(it)?,
-            Event::HoldUp(_) | Event::Kill(_) | Event::MoveDiscovery(_) => {}
-            Event::ResetWatch(it) => self.fleet.balancer(it).agent.reset_watches(),
-            Event::Listed(host, phase) => self.fleet.change(host, phase),
-            Event::Hang(host) => self.in_trouble(host, Manner::Hangs),
-            Event::Fail(host) => self.in_trouble(host, Manner::Fails),
-            Event::Refuse(host) => self.in_trouble(host, Manner::Refuses),
-            Event::Forget(host) => self.fleet.host(host).forget(),
-            Event::Cut(it, host) => {
-                self.fleet.balancer(it).to_hosts[host].cut();
-                self.later(TROUBLE, Step::Heal(it, host));
+            Event::Pause(_) | Event::Kill(_) | Event::MoveDiscovery(_) => {}
+            Event::ResetWatches(it) => self.fleet.balancer(it).agent.reset_watches(),
+            Event::ChangePhase(endpoint, phase) => self.fleet.set_phase(endpoint, phase),
+            Event::Hang(endpoint) => self.inject_fault(endpoint, CacheNodeBehaviour::Hangs),
+            Event::Fail(endpoint) => self.inject_fault(endpoint, CacheNodeBehaviour::Fails),
+            Event::Refuse(endpoint) => self.inject_fault(endpoint, CacheNodeBehaviour::Refuses),
+            Event::ClearKeys(endpoint) => self.fleet.cache_node(endpoint).clear_keys(),
+            Event::Cut(it, endpoint) => {
+                self.fleet.balancer(it).to_cache_nodes[endpoint].cut();
+                self.schedule(FAULT_DURATION, Step::Heal(it, endpoint));
             }
-            Event::Reset(it, host) => self.fleet.balancer(it).to_hosts[host].reset(),
-            Event::SilentWatch(it) => self.fleet.balancer(it).agent.silence(),
-            Event::HoldBack(it) => {
-                self.fleet.balancer(it).agent.hold_back();
-                self.later(TROUBLE, Step::Speak(it));
+            Event::Reset(it, endpoint) => self.fleet.balancer(it).to_cache_nodes[endpoint].reset(),
+            Event::SilenceWatches(it) => self.fleet.balancer(it).agent.silence_watches(),
+            Event::PauseUpdates(it) => {
+                self.fleet.balancer(it).agent.pause_updates();
+                self.schedule(FAULT_DURATION, Step::ResumeUpdates(it));
             }
         }
         Ok(())
     }
 
     fn move_discovery(&mut self, it: usize) -> io::Result<()> {
-        let addr = self.fleet.balancer(it).agent.further_addr(self.fleet.ground().handle())?;
+        let addr = self.fleet.balancer(it).agent.add_listener(self.fleet.runtime().handle())?;
         let balancer = self.fleet.balancer_mut(it);
         balancer.config["discovery"] = addr.to_string().into();
         balancer.process.reload(&balancer.config)
     }
 
-    fn in_trouble(&mut self, host: usize, manner: Manner) {
-        self.fleet.host(host).behave(manner);
-        self.later(TROUBLE, Step::Serve(host));
+    fn inject_fault(&mut self, endpoint: usize, behaviour: CacheNodeBehaviour) {
+        self.fleet.cache_node(endpoint).set_behaviour(behaviour);
+        self.schedule(FAULT_DURATION, Step::Serve(endpoint));
     }
 
-    fn signals(&mut self, it: usize, series: Series) {
-        let (drain, undrain) = (Step::Order(it, "/drain"), Step::Order(it, "/undrain"));
+    fn schedule_series(&mut self, it: usize, series: Series) {
+        let (drain, undrain) = (Step::AdminCommand(it, "/drain"), Step::AdminCommand(it, "/undrain"));
         let steps = match series {
             Series::ReloadTwice => vec![Step::Reload(it), Step::Reload(it)],
             Series::ReloadTerminate => vec![Step::Reload(it), Step::Terminate(it)],
@@ -209,11 +211,11 @@
             Series::DrainUndrain => vec![drain, undrain],
         };
         for (number, step) in (0..).zip(steps) {
-            self.later(BETWEEN * number, step);
+            self.schedule(SERIES_INTERVAL * number, step);
         }
     }
 
-    /// SIGTERM. The first is followed by SIGKILL at the earliest that the page allows.
+    /// Sends SIGTERM. The first one is followed by SIGKILL at the earliest time that the protocol allows.
     fn terminate(&mut self, it: usize) -> io::Result<()> {
         let told = Instant::now();
         if std::mem::replace(&mut self.ending[it], true) {
@@ -224,12 +226,12 @@
         }
         self.check_limits(it);
         self.fleet.balancer(it).process.terminate()?;
-        self.fronts()[it].dialled_until = Some(told + STILL_DIALLED);
-        self.later(self.plan.killed_after(), Step::EndOf(it));
+        self.fronts()[it].dialled_until = Some(told + DIAL_AFTER_TERMINATE);
+        self.schedule(self.plan.killed_after(), Step::KillAndRestart(it));
         Ok(())
     }
 
-    fn end_of(&mut self, it: usize) -> io::Result<()> {
+    fn kill_and_restart(&mut self, it: usize) -> io::Result<()> {
         if !self.fleet.balancer(it).process.has_ended() {
             self.violations.push(Violation::StillRunning(it));
         }
@@ -250,18 +252,18 @@
 
     fn check_limits(&mut self, it: usize) {
         let process = self.fleet.balancer(it).process.id();
-        let (kb, sockets) = (uses(process).map_or(0, |(kb, _)| kb), descriptors(process));
+        let (kb, sockets) = (resource_usage(process).map_or(0, |(kb, _)| kb), open_descriptors(process));
         if kb > MEMORY_KB || sockets as u64 > self.plan.sockets {
             self.violations.push(Violation::OverLimit(it, kb, sockets));
         }
     }
 
     fn report(mut self) -> Report {
-        let mut verdict = self.fleet.judge();
+        let mut verdict = self.fleet.verdict();
         verdict.violations.append(&mut self.violations);
         let kept = self.callers.kept_waiting.all().into_iter();
-        verdict.violations.extend(kept.map(|(it, time)| Violation::KeptWaiting(it, time)));
-        let at_fault = verdict.violations.iter().filter_map(Violation::request).take(RECORDS);
+        verdict.violations.extend(kept.map(|(it, time)| Violation::PartialRequestNotClosed(it, time)));
+        let at_fault = verdict.violations.iter().filter_map(Violation::request).take(MAX_RECORDS);
         let records = Records { fleet: &self.fleet, calls: &self.callers.calls, begun: self.begun };
         let mut records_at_fault: Vec<String> = at_fault.map(|id| records.of_request(id)).collect();
         if !verdict.violations.is_empty() {
@@ -271,7 +273,7 @@
     }
 }
 
-/// A process that keeps a processor busy beside the run.
+/// A process that keeps a core busy during the run.
 struct BusyProcess(Child);
 
 impl BusyProcess {
@@ -293,10 +295,10 @@
     }
 }
 
-/// An order of operators; one that is not answered any more, since the process is ending, is none.
-fn order(fleet: &Fleet, it: usize, path: &str) -> io::Result<()> {
+/// Sends an admin command. An error, also one because the process is ending, is returned.
+fn post_admin_command(fleet: &Fleet, it: usize, path: &str) -> io::Result<()> {
     let mut stream = TcpStream::connect(fleet.balancer(it).operators)?;
-    stream.set_read_timeout(Some(ORDER_TIME))?;
+    stream.set_read_timeout(Some(ADMIN_TIMEOUT))?;
     write!(stream, "POST {path} HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")?;
     stream.read_to_string(&mut String::new()).map(drop)
 }
