--- a/crates/testfleet/src/soak/plan.rs
+++ b/crates/testfleet/src/soak/plan.rs
@@ -1,39 +1,39 @@
-//! What a soak run is to be: shape, callers and events, all drawn from one seed. Pure: no clock, no socket.
+//! The plan of a soak run: shape, clients and events, all drawn from one seed. No clock, no I/O.
 
-use crate::inventory::{Form, Phase};
+use crate::discovery::{ListEncoding, Phase};
 use serde_json::{Value, json};
 use std::fmt;
 use std::time::Duration;
 
-/// How long callers ask.
+/// How long clients send requests.
 pub const RUN: Duration = Duration::from_secs(6);
-/// Cache hosts; each is listed under as many ids as the endpoints need.
-const HOSTS: usize = 12;
-/// Endpoints of a run: from a small fleet to sixteen times a usual one.
+/// The number of cache nodes; each is listed under as many ids as the number of endpoints needs.
+const CACHE_NODES: usize = 12;
+/// The possible numbers of listed endpoints: from a small fleet to sixteen times a usual one.
 const ENDPOINTS: [usize; 5] = [12, 48, 204, 804, 3_204];
-/// The time that requests give, in milliseconds.
+/// The possible deadlines of requests, in milliseconds.
 const DEADLINES_MS: [u64; 6] = [80, 180, 400, 900, 3_000, 8_000];
-/// Sockets of a process: those that bind leave 40 connection slots.
+/// The possible socket limits of a process; the lower one leaves 40 connection slots.
 const SOCKETS: [u64; 2] = [100, 512];
-/// Clients beyond the slots, where there is a crowd.
+/// The number of clients of a crowd, more than there are connection slots.
 const CROWD: usize = 120;
-/// Events of a run.
+/// The number of events of a run.
 const EVENTS: std::ops::Range<usize> = 3..9;
-/// When the first and the last of them come, in milliseconds.
+/// When events happen, in milliseconds from the start.
 const EVENTS_AT_MS: std::ops::Range<u64> = 500..5_000;
 
-/// A crowd at one balancer.
+/// Additional clients at one balancer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Crowd {
-    /// None.
+    /// No additional clients.
     None,
-    /// Connections on which nothing is asked.
+    /// Idle connections.
     Idle(usize),
-    /// Connections on which requests are asked without a pause.
+    /// Clients that send requests without pauses.
     Busy(usize),
 }
 
-/// Signals and orders that follow one another at one balancer.
+/// Signals and admin commands that follow one another at one balancer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Series {
     /// SIGHUP twice.
@@ -44,76 +44,76 @@
     Terminate,
     /// SIGTERM twice.
     TerminateTwice,
-    /// A drain by operators, its end, a drain again, and SIGTERM.
+    /// A drain, its end, another drain, then SIGTERM.
     DrainUndrainDrainTerminate,
     /// A drain and its end.
     DrainUndrain,
 }
 
-/// Something that happens.
+/// An event of a run. Balancers and cache nodes are given by number.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Event {
-    /// Signals and orders at a balancer; one that ends is started again.
-    Signals(usize, Series),
-    /// SIGSTOP, and SIGCONT 0.15 s later.
-    HoldUp(usize),
-    /// SIGKILL and a restart.
+    /// Signals and admin commands at a balancer, which is restarted if it ends.
+    Series(usize, Series),
+    /// SIGSTOP, and SIGCONT 0.15 s later, at a balancer.
+    Pause(usize),
+    /// SIGKILL and a restart of a balancer.
     Kill(usize),
-    /// A host's endpoints are listed so.
-    Listed(usize, Phase),
-    /// A host hangs for a while.
+    /// The endpoints of a cache node are listed with this phase.
+    ChangePhase(usize, Phase),
+    /// A cache node hangs for a while.
     Hang(usize),
-    /// A host fails everything for a while.
+    /// A cache node fails every command for a while.
     Fail(usize),
-    /// A host ends connections as they come, for a while.
+    /// A cache node closes connections on accept for a while.
     Refuse(usize),
-    /// A host forgets its keys.
-    Forget(usize),
-    /// The link of a balancer to a host is cut for a while.
+    /// A cache node loses its keys.
+    ClearKeys(usize),
+    /// The link of a balancer to a cache node is cut for a while.
     Cut(usize, usize),
-    /// The connections of a balancer to a host are reset.
+    /// The connections of a balancer to a cache node are reset.
     Reset(usize, usize),
-    /// The open watches of a balancer fall silent.
-    SilentWatch(usize),
-    /// Discovery learns nothing new for a while.
-    HoldBack(usize),
-    /// The open watches of a balancer are reset.
-    ResetWatch(usize),
-    /// Discovery moves: SIGHUP, with a new address in the configuration.
+    /// The open discovery watches of a balancer are silenced.
+    SilenceWatches(usize),
+    /// The discovery agent of a balancer publishes no changes for a while.
+    PauseUpdates(usize),
+    /// The open discovery watches of a balancer are reset.
+    ResetWatches(usize),
+    /// Discovery moves: SIGHUP with a new address in the configuration.
     MoveDiscovery(usize),
 }
 
-/// A run.
+/// The plan of a run.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Plan {
-    /// What it was drawn from.
+    /// The seed it was drawn from.
     pub seed: u64,
-    /// Balancers.
+    /// The number of balancers.
     pub balancers: usize,
-    /// Cache hosts.
-    pub hosts: usize,
-    /// Ids of each.
+    /// The number of cache nodes.
+    pub cache_nodes: usize,
+    /// The number of endpoint ids of each cache node.
     pub ids: usize,
-    /// The time that requests give, by class.
+    /// The deadline of requests by class, in milliseconds.
     pub deadlines_ms: [u64; 3],
-    /// Sockets of each process.
+    /// The socket limit of each process.
     pub sockets: u64,
-    /// Whether lists are pushed to the agents; else they are asked for.
+    /// Whether balancers watch the endpoint list; otherwise they poll it.
     pub pushed: bool,
     /// In what form lists come.
-    pub form: Form,
-    /// Callers at each balancer.
+    pub encoding: ListEncoding,
+    /// The number of clients at each balancer.
     pub callers: usize,
-    /// A crowd at the first balancer.
+    /// Additional clients at the first balancer.
     pub crowd: Crowd,
-    /// Busy processes beside it.
+    /// The number of busy processes on the same machine.
     pub busy_processes: usize,
-    /// What happens, and when.
+    /// The events with their times from the start.
     pub events: Vec<(Duration, Event)>,
 }
 
 impl Plan {
-    /// The run of this seed.
+    /// Draws the plan of a seed.
     #[must_use]
     pub fn draw(seed: u64) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed);
@@ -126,7 +126,7 @@
         };
         let deadlines_ms = [(); 3].map(|()| DEADLINES_MS[rng.usize(..DEADLINES_MS.len())]);
         let piece = rng.bool().then(|| 1 << rng.u32(6..14));
-        let form = Form { indented: rng.bool(), whole: rng.bool(), piece };
+        let encoding = ListEncoding { indented: rng.bool(), whole: rng.bool(), piece };
         let mut events: Vec<_> = (0..rng.usize(EVENTS))
             .map(|_| (Duration::from_millis(rng.u64(EVENTS_AT_MS)), event(&mut rng, balancers)))
             .collect();
@@ -134,12 +134,12 @@
         Self {
             seed,
             balancers,
-            hosts: HOSTS,
-            ids: endpoints / HOSTS,
+            cache_nodes: CACHE_NODES,
+            ids: endpoints / CACHE_NODES,
             deadlines_ms,
             sockets: SOCKETS[usize::from(crowd == Crowd::None && rng.bool())],
             pushed: rng.bool(),
-            form,
+            encoding,
             callers: rng.usize(3..=8),
             crowd,
             busy_processes: if rng.u8(..4) == 0 { 3 } else { 0 },
@@ -147,17 +147,17 @@
         }
     }
 
-    /// The run of this seed with a busy crowd at the first balancer, which is told to end in the middle of it.
+    /// Draws the plan of a seed, with a busy crowd at the first balancer and SIGTERM to it in the middle of the run.
     #[must_use]
     pub fn draw_with_crowd(seed: u64) -> Self {
         const TERMINATED: Duration = Duration::from_millis(2_000);
         let mut plan = Self { crowd: Crowd::Busy(CROWD), sockets: SOCKETS[0], ..Self::draw(seed) };
-        plan.events.push((TERMINATED, Event::Signals(0, Series::Terminate)));
+        plan.events.push((TERMINATED, Event::Series(0, Series::Terminate)));
         plan.events.sort_by_key(|(at, _)| *at);
         plan
     }
 
-    /// What goes over the configuration of each balancer.
+    /// Returns the overrides of each balancer's configuration.
     #[must_use]
     pub fn overrides(&self) -> Value {
         let classes = crate::config::CLASSES.iter().zip(self.deadlines_ms);
@@ -170,7 +170,7 @@
                "settings": {"profiles": classes.map(class).collect::<Vec<_>>(), "discovery": discovery}})
     }
 
-    /// When SIGKILL follows SIGTERM, at the earliest that the protocol page allows.
+    /// Returns how long after SIGTERM SIGKILL follows: the earliest time that the protocol allows.
     #[must_use]
     pub fn killed_after(&self) -> Duration {
         const LONGEST_COUNTED_MS: u64 = 3_000;
@@ -181,34 +181,38 @@
 }
 
 fn event(rng: &mut fastrand::Rng, balancers: usize) -> Event {
-    let (balancer, host) = (rng.usize(..balancers), rng.usize(..HOSTS));
+    let (balancer, endpoint) = (rng.usize(..balancers), rng.usize(..CACHE_NODES));
     match rng.u8(..18) {
-        0 => Event::Signals(balancer, Series::ReloadTwice),
-        1 => Event::Signals(balancer, Series::ReloadTerminate),
-        2 => Event::Signals(balancer, Series::Terminate),
-        3 => Event::Signals(balancer, Series::TerminateTwice),
-        4 => Event::Signals(balancer, Series::DrainUndrainDrainTerminate),
-        5 => Event::Signals(balancer, Series::DrainUndrain),
-        6 => Event::HoldUp(balancer),
+        0 => Event::Series(balancer, Series::ReloadTwice),
+        1 => Event::Series(balancer, Series::ReloadTerminate),
+        2 => Event::Series(balancer, Series::Terminate),
+        3 => Event::Series(balancer, Series::TerminateTwice),
+        4 => Event::Series(balancer, Series::DrainUndrainDrainTerminate),
+        5 => Event::Series(balancer, Series::DrainUndrain),
+        6 => Event::Pause(balancer),
         7 => Event::Kill(balancer),
-        8 | 9 => Event::Listed(host, Phase::Draining),
-        10 => Event::Listed(host, Phase::Gone),
-        11 => Event::Hang(host),
-        12 => [Event::Fail(host), Event::Refuse(host)][rng.usize(..2)],
-        13 => [Event::Forget(host), Event::Reset(balancer, host)][rng.usize(..2)],
-        14 => Event::Cut(balancer, host),
-        15 => [Event::SilentWatch(balancer), Event::HoldBack(balancer)][rng.usize(..2)],
-        16 => Event::ResetWatch(balancer),
+        8 | 9 => Event::ChangePhase(endpoint, Phase::Draining),
+        10 => Event::ChangePhase(endpoint, Phase::Gone),
+        11 => Event::Hang(endpoint),
+        12 => [Event::Fail(endpoint), Event::Refuse(endpoint)][rng.usize(..2)],
+        13 => [Event::ClearKeys(endpoint), Event::Reset(balancer, endpoint)][rng.usize(..2)],
+        14 => Event::Cut(balancer, endpoint),
+        15 => [Event::SilenceWatches(balancer), Event::PauseUpdates(balancer)][rng.usize(..2)],
+        16 => Event::ResetWatches(balancer),
         _ => Event::MoveDiscovery(balancer),
     }
 }
 
 impl fmt::Display for Plan {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Self { seed, balancers, hosts, ids, deadlines_ms, sockets, .. } = self;
-        write!(f, "seed {seed}: {balancers} balancers, {} endpoints, {deadlines_ms:?} ms, ", hosts * ids)?;
+        let Self { seed, balancers, cache_nodes, ids, deadlines_ms, sockets, .. } = self;
+        write!(
+            f,
+            "seed {seed}: {balancers} balancers, {} endpoints, {deadlines_ms:?} ms, ",
+            cache_nodes * ids
+        )?;
         write!(f, "{sockets} sockets, {}, ", if self.pushed { "pushed" } else { "asked for" })?;
-        write!(f, "{:?}, {} callers, crowd {:?}, ", self.form, self.callers, self.crowd)?;
+        write!(f, "{:?}, {} callers, crowd {:?}, ", self.encoding, self.callers, self.crowd)?;
         write!(f, "{} busy processes", self.busy_processes)?;
         self.events.iter().try_for_each(|(at, event)| write!(f, "; {:.3} s {event:?}", at.as_secs_f64()))
     }
--- a/crates/testfleet/src/soak/report.rs
+++ b/crates/testfleet/src/soak/report.rs
@@ -1,26 +1,26 @@
-//! What came of a soak run, and the records that tell why a rule was broken.
+//! The report of a soak run, with the records that explain its violations.
 
 use super::plan::Plan;
 use crate::clients::Call;
+use crate::event_log::EventLog;
 use crate::fleet::Fleet;
-use crate::journal::Journal;
 use crate::referee::Verdict;
 use std::fmt;
 use std::time::Instant;
 
-/// Lines of the balancer's log about a request at fault.
+/// The maximum number of log lines per violating request.
 const LINES_OF_REQUEST: usize = 40;
-/// Requests beside one at fault whose records a report has too.
+/// The maximum number of concurrent requests reported with a violating one.
 const BESIDE: usize = 24;
 
-/// What came of a run.
+/// The report of a run.
 #[derive(Debug)]
 pub struct Report {
-    /// What was played.
+    /// The executed plan.
     pub plan: Plan,
-    /// What the referee says.
+    /// The verdict of the referee.
     pub verdict: Verdict,
-    /// The records of requests at fault, and the last lines of each log, where a rule was broken.
+    /// The records of violating requests and the last lines of each log; empty without violations.
     pub records: Vec<String>,
 }
 
@@ -31,18 +31,18 @@
     }
 }
 
-/// Where the records of a run are.
+/// Access to the records of a run.
 #[derive(Debug)]
 pub(super) struct Records<'a> {
     pub(super) fleet: &'a Fleet,
-    pub(super) calls: &'a Journal<Call>,
+    pub(super) calls: &'a EventLog<Call>,
     pub(super) begun: Instant,
 }
 
 impl Records<'_> {
-    /// What callers and hosts recorded of a request, in seconds from the start of the run.
+    /// Returns the records of a request, with times in seconds from the start of the run.
     pub(super) fn of_request(&self, id: &str) -> String {
-        let call = self.calls.look(|calls| calls.iter().find(|it| it.id == id).cloned());
+        let call = self.calls.with_entries(|calls| calls.iter().find(|it| it.id == id).cloned());
         let Some(call) = call else { return format!("{id}: no record") };
         let beside = self.calls_beside(&call).into_iter().map(|call| self.record_of(&call));
         let record = beside.fold(self.record_of(&call), |text, call| format!("{text}\n    beside {call}"));
@@ -50,8 +50,9 @@
         lines.fold(record, |text, line| format!("{text}\n    {line}"))
     }
 
-    /// What its balancer logged of a request: at `debug` the line that takes it in names its client's id and the number by which
-    /// all others know it.
+    /// Returns the log lines of a request. At `debug`, the line that accepts it names the client's id and the internal
+    /// number
+    /// that the other lines use.
     fn log_lines_of(&self, call: &Call) -> Vec<String> {
         let process = &self.fleet.balancer(call.balancer).process;
         let mut lines = process.lines_with(&call.id);
@@ -63,7 +64,8 @@
         lines
     }
 
-    /// Others at the same balancer that were open at the same time: they tell whether one connection or the process stood still.
+    /// Returns requests at the same balancer that overlapped in time. They show whether one connection or the whole
+    /// process stalled.
     fn calls_beside(&self, call: &Call) -> Vec<Call> {
         let ended = |call: &Call| call.answers.first().map(|(at, _)| *at);
         let beside = |other: &&Call| {
@@ -72,10 +74,10 @@
                 && ended(call).is_none_or(|end| other.at <= end)
                 && ended(other).is_none_or(|end| end >= call.at)
         };
-        self.calls.look(|calls| calls.iter().filter(beside).take(BESIDE).cloned().collect())
+        self.calls.with_entries(|calls| calls.iter().filter(beside).take(BESIDE).cloned().collect())
     }
 
-    /// What callers and hosts recorded of one request, in a line.
+    /// Returns the records of one request in a line.
     fn record_of(&self, call: &Call) -> String {
         let since = |at: Instant| at.saturating_duration_since(self.begun).as_secs_f64();
         let mut text = format!(
@@ -91,10 +93,10 @@
             text += &format!(", {answer:?} {:.3}", since(*at));
         }
         let mut attempts = self.fleet.attempts().all();
-        attempts.append(&mut self.fleet.archive().runs().all());
+        attempts.append(&mut self.fleet.origin().runs().all());
         for it in attempts.iter().filter(|it| it.id == call.id) {
             let ended = it.ended.map_or_else(String::new, |(at, how)| format!(" {how:?} {:.3}", since(at)));
-            text += &format!("; {} sent {:.3}{ended}", it.host, since(it.sent));
+            text += &format!("; {} sent {:.3}{ended}", it.endpoint, since(it.sent));
         }
         for it in self.fleet.interruptions.iter().filter(|it| it.balancer == call.balancer) {
             let how = if it.killed { "killed" } else { "stopped" };
@@ -102,18 +104,20 @@
             text += &format!("; n{} {how} {:.3}{until}", call.balancer, since(it.from));
         }
         let ended = call.answers.first().map_or_else(Instant::now, |(at, _)| *at);
-        for lag in
-            self.fleet.ground().lags().all().iter().filter(|it| it.until >= call.at && it.from <= ended)
+        for stall in
+            self.fleet.runtime().stalls().all().iter().filter(|it| it.until >= call.at && it.from <= ended)
         {
-            text += &format!("; stand-ins stood still {:.3} to {:.3}", since(lag.from), since(lag.until));
+            text += &format!("; stand-ins stood still {:.3} to {:.3}", since(stall.from), since(stall.until));
         }
         text
     }
 
-    /// The last lines of a balancer's log.
+    /// Returns the last log lines of a balancer.
     pub(super) fn last_lines(&self, it: usize) -> String {
         const LINES: usize = 12;
         let log = self.fleet.balancer(it).process.log();
-        log.look(|lines| format!("n{it}:\n    {}", lines[lines.len().saturating_sub(LINES)..].join("\n    ")))
+        log.with_entries(|lines| {
+            format!("n{it}:\n    {}", lines[lines.len().saturating_sub(LINES)..].join("\n    "))
+        })
     }
 }
--- a/crates/testfleet/tests/process.rs
+++ b/crates/testfleet/tests/process.rs
@@ -7,8 +7,8 @@
 use testfleet::config::{Listed, fleet_file};
 use testfleet::fleet::Fleet;
 use testfleet::folder::Folder;
-use testfleet::ground::Ground;
 use testfleet::process::{Disk, Launch, Process};
+use testfleet::runtime::Runtime;
 
 /// Says what a balancer of a fleet says, and its arguments; then stays until a signal ends it.
 const SCRIPT: &str = r#"#!/bin/sh
@@ -47,40 +47,40 @@
 
 #[test]
 fn a_restarted_process_finds_the_disk_it_had_none_or_an_old_one() {
-    let (folder, ground) = (Folder::below(&std::env::temp_dir()).unwrap(), Ground::start().unwrap());
+    let (folder, runtime) = (Folder::below(&std::env::temp_dir()).unwrap(), Runtime::start().unwrap());
     let launch = Launch { program: script(folder.path()), clock_offset_ms: -30_000, ..Launch::default() };
     let mut process =
-        Process::start(ground.handle(), launch, &folder.path().join("n0"), &json!({"a": 1})).unwrap();
-    assert!(process.logged("offset").contains("offset -30000, disk , arguments serve --config "));
+        Process::start(runtime.handle(), launch, &folder.path().join("n0"), &json!({"a": 1})).unwrap();
+    assert!(process.next_line_with("offset").contains("offset -30000, disk , arguments serve --config "));
     let memory = process.disk().join("memory");
     fs::write(&memory, "old").unwrap();
-    process.keep_copy("early").unwrap();
+    process.save_disk_copy("early").unwrap();
     fs::write(&memory, "new").unwrap();
     process.restart(Disk::Kept, &json!({})).unwrap();
-    assert!(process.logged("offset").contains("disk new,"));
-    assert!(process.restore_copy("early").is_err(), "it runs");
+    assert!(process.next_line_with("offset").contains("disk new,"));
+    assert!(process.restore_disk_copy("early").is_err(), "it runs");
     process.kill().unwrap();
-    process.restore_copy("early").unwrap();
+    process.restore_disk_copy("early").unwrap();
     process.restart(Disk::Kept, &json!({})).unwrap();
-    assert!(process.logged("offset").contains("disk old,"));
+    assert!(process.next_line_with("offset").contains("disk old,"));
     process.restart(Disk::Empty, &json!({})).unwrap();
-    assert!(process.logged("offset").contains("disk ,"));
+    assert!(process.next_line_with("offset").contains("disk ,"));
 }
 
 #[test]
 fn signals_stop_and_end_the_process_and_none_is_sent_to_a_number_that_was_given_back() {
-    let (folder, ground) = (Folder::below(&std::env::temp_dir()).unwrap(), Ground::start().unwrap());
+    let (folder, runtime) = (Folder::below(&std::env::temp_dir()).unwrap(), Runtime::start().unwrap());
     let launch = Launch { program: script(folder.path()), ..Launch::default() };
     let home = folder.path().join("n0");
-    let mut process = Process::start(ground.handle(), launch, &home, &json!({})).unwrap();
-    process.logged("offset");
-    process.halt().unwrap();
+    let mut process = Process::start(runtime.handle(), launch, &home, &json!({})).unwrap();
+    process.next_line_with("offset");
+    process.pause().unwrap();
     until(|| state(&process) == 'T');
     process.resume().unwrap();
     until(|| state(&process) != 'T');
     process.terminate().unwrap();
     assert!(!process.wait_end().unwrap().success());
-    let refused = [process.terminate(), process.halt()].map(|it| it.unwrap_err().raw_os_error());
+    let refused = [process.terminate(), process.pause()].map(|it| it.unwrap_err().raw_os_error());
     assert_eq!(refused, [None, None], "by us, before the system is asked");
     let number = process.id();
     process.restart(Disk::Kept, &json!({})).unwrap();
@@ -93,19 +93,19 @@
 #[test]
 fn a_fleet_is_started_with_its_file_and_what_its_balancers_say_is_waited_for() {
     let folder = Folder::below(&std::env::temp_dir()).unwrap();
-    let builder = Fleet::builder(script(folder.path())).folder(folder.path()).balancers(1).hosts(1);
+    let builder = Fleet::builder(script(folder.path())).folder(folder.path()).balancers(1).cache_nodes(1);
     let fleet = builder.with_fleet(true).clock_offset_ms(0, 250).start().unwrap();
-    fleet.caught_up(0, 7);
-    fleet.joined(0); // said before, and waited for all the same
-    fleet.lease_held(0);
-    assert_eq!(fleet.fenced(0), "the lease ran out");
-    let said = fleet.balancer(0).process.logged("offset 250");
+    fleet.await_caught_up(0, 7);
+    fleet.await_joined(0); // said before, and waited for all the same
+    fleet.await_lease(0);
+    assert_eq!(fleet.await_fenced(0), "the lease ran out");
+    let said = fleet.balancer(0).process.next_line_with("offset 250");
     let file = fleet.folder().join("fleet.toml");
     assert!(
         said.contains(&format!("--fleet {} --fleet-listen 127.0.0.1:0 --keep ", file.display())),
         "{said}"
     );
-    let address = fleet.between().address(0).unwrap();
+    let address = fleet.udp_relay().address(0).unwrap();
     let listed = [Listed { address, zone: "z0".into(), council: true }];
     assert_eq!(fs::read_to_string(file).unwrap(), fleet_file("test", "2s", &listed));
 }
--- a/crates/testfleet/tests/referee.rs
+++ b/crates/testfleet/tests/referee.rs
@@ -1,11 +1,11 @@
 //! The referee: each rule, kept and broken.
 
 use std::time::{Duration, Instant};
-use testfleet::clients::{Call, Final, Turn};
-use testfleet::ground::Lag;
-use testfleet::hosts::{Attempt, Ending};
-use testfleet::inventory::{Phase, Told};
-use testfleet::referee::{Evidence, Interruption, Violation, judge};
+use testfleet::cache_node::{Attempt, Ending};
+use testfleet::clients::{Call, Outcome, PipelinePosition};
+use testfleet::discovery::{EndpointNotification, Phase};
+use testfleet::referee::{Evidence, Interruption, Violation, check_evidence};
+use testfleet::runtime::Stall;
 
 const fn ms(n: u64) -> Duration {
     Duration::from_millis(n)
@@ -14,18 +14,28 @@
 /// The time that calls give.
 const DEADLINE: Duration = ms(1_000);
 
-fn call(id: &str, at: Instant, answers: &[(u64, Final)]) -> Call {
+fn call(id: &str, at: Instant, answers: &[(u64, Outcome)]) -> Call {
     let answers = answers.iter().map(|(after, answer)| (at + ms(*after), answer.clone())).collect();
     let (asked, deadline) = (Some(at), DEADLINE);
     let (id, class) = (id.into(), "once".into());
-    Call { id, class, balancer: 1, at, asked, deadline, answers, turn: Turn::First, left: None }
+    Call {
+        id,
+        class,
+        balancer: 1,
+        at,
+        asked,
+        deadline,
+        answers,
+        pipeline_position: PipelinePosition::First,
+        left: None,
+    }
 }
 
-fn attempt(id: &str, host: &str, at: Instant, took: Option<u64>) -> Attempt {
+fn attempt(id: &str, endpoint: &str, at: Instant, took: Option<u64>) -> Attempt {
     let ended = took.map(|took| (at + ms(took), Ending::Answered));
     let (key, class) = ("7f".into(), "once".into());
     Attempt {
-        host: host.into(),
+        endpoint: endpoint.into(),
         id: id.into(),
         key,
         class,
@@ -38,12 +48,12 @@
     }
 }
 
-fn closed() -> Final {
-    Final::Closed("end".into())
+fn closed() -> Outcome {
+    Outcome::Closed("end".into())
 }
 
-fn told(at: Instant, phase: Phase) -> Told {
-    Told { balancer: 1, host: "s-0".into(), phase, at }
+fn told(at: Instant, phase: Phase) -> EndpointNotification {
+    EndpointNotification { balancer: 1, endpoint: "s-0".into(), phase, at }
 }
 
 fn interruption(killed: bool, from: Instant, until: Option<Instant>) -> Interruption {
@@ -51,17 +61,17 @@
 }
 
 fn violations(evidence: &Evidence) -> Vec<Violation> {
-    judge(&Evidence { fragile: vec!["once".into()], ..evidence.clone() }).violations
+    check_evidence(&Evidence { non_idempotent: vec!["once".into()], ..evidence.clone() }).violations
 }
 
 #[test]
 fn a_request_has_one_answer_and_is_lost_with_a_killed_balancer_only() {
     let at = Instant::now();
-    let lost = Final::Lost("ended".into());
+    let lost = Outcome::Lost("ended".into());
     let calls = vec![
-        call("good", at, &[(5, Final::Served)]),
+        call("good", at, &[(5, Outcome::Served)]),
         call("none", at, &[]),
-        call("two", at, &[(5, Final::Refused), (6, Final::Served)]),
+        call("two", at, &[(5, Outcome::Rejected), (6, Outcome::Served)]),
         call("lost", at, &[(10, lost)]),
     ];
     let mut evidence = Evidence { calls, ..Evidence::default() };
@@ -87,7 +97,7 @@
         let run = |at| Attempt { class: class.into(), ..attempt("x", "origin", at, Some(1)) };
         Evidence { runs: vec![run(at), run(at + ms(500))], ..Evidence::default() }
     };
-    assert_eq!(violations(&again("once")), [Violation::FragileRanAgain("x".into(), 2)]);
+    assert_eq!(violations(&again("once")), [Violation::NonIdempotentRetried("x".into(), 2)]);
     assert!(violations(&again("read")).is_empty());
 }
 
@@ -100,7 +110,7 @@
         ..Evidence::default()
     };
     let hosts = ["s-1".to_owned(), "origin".to_owned()];
-    let found = [Violation::TwoAttemptsAtOnce("x".into(), hosts)];
+    let found = [Violation::ConcurrentAttempts("x".into(), hosts)];
     assert_eq!(violations(&pair(None)), found);
     assert_eq!(violations(&pair(Some(260))), found);
     assert!(violations(&pair(Some(230))).is_empty(), "within what records are off by");
@@ -110,18 +120,21 @@
 fn an_attempt_at_a_leaving_host_counts_from_when_that_process_could_know() {
     let at = Instant::now();
     let sent = |after| vec![attempt("x", "s-0", at + ms(after), Some(1))];
-    let mut evidence =
-        Evidence { told: vec![told(at, Phase::Draining)], attempts: sent(301), ..Evidence::default() };
+    let mut evidence = Evidence {
+        notifications: vec![told(at, Phase::Draining)],
+        attempts: sent(301),
+        ..Evidence::default()
+    };
     let found = |after| {
-        let (id, host) = ("x".into(), "s-0".into());
-        [Violation::SentToLeaving { id, balancer: 1, host, after: ms(after) }]
+        let (id, endpoint) = ("x".into(), "s-0".into());
+        [Violation::SentToDrainingEndpoint { id, balancer: 1, endpoint, after: ms(after) }]
     };
     assert_eq!(violations(&evidence), found(301));
-    evidence.told.push(told(at + ms(200), Phase::Gone));
+    evidence.notifications.push(told(at + ms(200), Phase::Gone));
     assert_eq!(violations(&evidence), found(301), "told more does not give more time");
-    evidence.told.push(told(at + ms(250), Phase::Ready));
+    evidence.notifications.push(told(at + ms(250), Phase::Ready));
     assert!(violations(&evidence).is_empty(), "ready again");
-    evidence.told.truncate(1);
+    evidence.notifications.truncate(1);
     evidence.interruptions = vec![interruption(false, at + ms(100), Some(at + ms(900)))];
     evidence.attempts = sent(1_100);
     assert!(violations(&evidence).is_empty(), "it read that only once it went on");
@@ -136,14 +149,16 @@
 
 #[test]
 fn records_that_are_not_whole_are_no_proof() {
-    assert_eq!(violations(&Evidence { left_out: 3, ..Evidence::default() }), [Violation::RecordsLeftOut(3)]);
+    assert_eq!(violations(&Evidence { dropped: 3, ..Evidence::default() }), [Violation::RecordsDropped(3)]);
 }
 
 #[test]
 fn an_answer_after_its_time_is_late_unless_the_balancer_was_stopped_then() {
     let at = Instant::now();
-    let calls =
-        vec![call("in time", at, &[(1_090, Final::Refused)]), call("late", at, &[(1_400, Final::Refused)])];
+    let calls = vec![
+        call("in time", at, &[(1_090, Outcome::Rejected)]),
+        call("late", at, &[(1_400, Outcome::Rejected)]),
+    ];
     let mut evidence = Evidence { calls, ..Evidence::default() };
     let late = |by| vec![Violation::AnsweredLate("late".into(), ms(by))];
     assert_eq!(violations(&evidence), late(400));
@@ -161,11 +176,11 @@
     let killed = Interruption { restarted: Some(at + ms(50)), ..interruption(true, at, Some(at + ms(200))) };
     let attempts = vec![attempt("7f", "s-0", at + ms(1_020), Some(5))];
     let told_at = |after| told(at + ms(after), Phase::Draining);
-    let judged = |told| {
+    let judged = |notifications| {
         violations(&Evidence {
             interruptions: vec![killed],
             attempts: attempts.clone(),
-            told,
+            notifications,
             ..Evidence::default()
         })
     };
@@ -176,14 +191,14 @@
 #[test]
 fn attempts_for_clients_that_left_or_were_told_to_come_again_are_found() {
     let at = Instant::now();
-    let left = Call { left: Some(at + ms(10)), ..call("left", at, &[(10, Final::Left)]) };
+    let left = Call { left: Some(at + ms(10)), ..call("left", at, &[(10, Outcome::ClientDisconnected)]) };
     let evidence = |after| Evidence {
         calls: vec![left.clone()],
         attempts: vec![attempt("left", "s-1", at + ms(after), Some(1))],
         ..Evidence::default()
     };
     assert_eq!(violations(&evidence(160)), []);
-    assert_eq!(violations(&evidence(210)), [Violation::SentForLeft("left".into(), ms(100))]);
+    assert_eq!(violations(&evidence(210)), [Violation::SentAfterDisconnect("left".into(), ms(100))]);
     let held_up = vec![interruption(false, at, Some(at + ms(150)))];
     assert_eq!(violations(&Evidence { interruptions: held_up, ..evidence(190) }), []);
     let crossed = Evidence {
@@ -191,43 +206,46 @@
         attempts: vec![attempt("x", "s-1", at, Some(1))],
         ..Evidence::default()
     };
-    assert_eq!(violations(&crossed), [Violation::CrossedAndSent("x".into())]);
+    assert_eq!(violations(&crossed), [Violation::ForwardedAfterClose("x".into())]);
 }
 
 #[test]
 fn an_attempt_that_tells_more_time_than_is_left_is_found() {
     let at = Instant::now();
     let told = |time| Evidence {
-        calls: vec![call("x", at, &[(10, Final::Served)])],
+        calls: vec![call("x", at, &[(10, Outcome::Served)])],
         attempts: vec![Attempt { time: Some(ms(time)), ..attempt("x", "s-1", at + ms(400), Some(1)) }],
         ..Evidence::default()
     };
     assert_eq!(violations(&told(800)), []);
-    assert_eq!(violations(&told(850)), [Violation::ToldTooMuchTime("x".into(), ms(250))]);
+    assert_eq!(violations(&told(850)), [Violation::DeadlineOverstated("x".into(), ms(250))]);
 }
 
 #[test]
 fn time_in_which_the_stand_ins_stood_still_counts_for_nobody() {
     let at = Instant::now();
-    let calls = vec![call("late", at, &[(1_400, Final::Refused)])];
-    let lag = |from, until| vec![Lag { from: at + ms(from), until: at + ms(until) }];
-    let evidence = |lags| Evidence { calls: calls.clone(), lags, ..Evidence::default() };
-    assert_eq!(violations(&evidence(lag(0, 900))).len(), 1, "it was over by then");
-    assert_eq!(violations(&evidence(lag(1_200, 1_250))).len(), 1, "shorter than the delay");
-    assert_eq!(violations(&evidence(lag(900, 1_350))), []);
+    let calls = vec![call("late", at, &[(1_400, Outcome::Rejected)])];
+    let stall = |from, until| vec![Stall { from: at + ms(from), until: at + ms(until) }];
+    let evidence = |stalls| Evidence { calls: calls.clone(), stalls, ..Evidence::default() };
+    assert_eq!(violations(&evidence(stall(0, 900))).len(), 1, "it was over by then");
+    assert_eq!(violations(&evidence(stall(1_200, 1_250))).len(), 1, "shorter than the delay");
+    assert_eq!(violations(&evidence(stall(900, 1_350))), []);
 }
 
 #[test]
 fn time_spent_behind_the_answers_ahead_does_not_count() {
     let at = Instant::now();
-    let judged = |turn| {
-        let calls = vec![Call { turn, ..call("late", at, &[(1_400, Final::Served)]) }];
+    let judged = |pipeline_position| {
+        let calls = vec![Call { pipeline_position, ..call("late", at, &[(1_400, Outcome::Served)]) }];
         violations(&Evidence { calls, ..Evidence::default() })
     };
-    assert_eq!(judged(Turn::Came(at + ms(1_390))), []);
-    assert_eq!(judged(Turn::Came(at + ms(1_200))), [Violation::AnsweredLate("late".into(), ms(200))]);
-    assert_eq!(judged(Turn::First), [Violation::AnsweredLate("late".into(), ms(400))]);
-    assert_eq!(judged(Turn::Waits), [], "the one ahead of it is late");
+    assert_eq!(judged(PipelinePosition::UnblockedAt(at + ms(1_390))), []);
+    assert_eq!(
+        judged(PipelinePosition::UnblockedAt(at + ms(1_200))),
+        [Violation::AnsweredLate("late".into(), ms(200))]
+    );
+    assert_eq!(judged(PipelinePosition::First), [Violation::AnsweredLate("late".into(), ms(400))]);
+    assert_eq!(judged(PipelinePosition::Blocked), [], "the one ahead of it is late");
 }
 
 #[test]
@@ -235,10 +253,10 @@
     let at = Instant::now();
     let mut evidence = Evidence { calls: vec![call("x", at, &[(138, closed())])], ..Evidence::default() };
     assert_eq!(violations(&evidence), [Violation::Lost("x".into(), "end".into())]);
-    evidence.lags = vec![Lag { from: at + ms(10), until: at + ms(60) }];
-    assert_eq!(judge(&evidence).crossed, 1);
+    evidence.stalls = vec![Stall { from: at + ms(10), until: at + ms(60) }];
+    assert_eq!(check_evidence(&evidence).crossed, 1);
     assert_eq!(violations(&evidence), []);
-    evidence.lags = vec![Lag { from: at + ms(10), until: at + ms(40) }];
+    evidence.stalls = vec![Stall { from: at + ms(10), until: at + ms(40) }];
     assert_eq!(violations(&evidence), [Violation::Lost("x".into(), "end".into())], "0.11 s are left");
 }
 
@@ -250,9 +268,9 @@
         runs: vec![attempt("x", "origin", at + ms(6), Some(1))],
         ..Evidence::default()
     };
-    let crossed = [Violation::CrossedAndSent("x".into())];
+    let crossed = [Violation::ForwardedAfterClose("x".into())];
     evidence.interruptions = vec![interruption(true, at + ms(5), Some(at + ms(300)))];
-    let verdict = judge(&evidence);
+    let verdict = check_evidence(&evidence);
     assert_eq!(verdict.violations, []);
     assert_eq!((verdict.lost_with_a_killed, verdict.crossed), (1, 0));
     evidence.interruptions = vec![interruption(true, at + ms(8), Some(at + ms(300)))];
--- a/crates/testfleet/tests/relay.rs
+++ b/crates/testfleet/tests/relay.rs
@@ -5,9 +5,9 @@
 use std::thread;
 use std::time::{Duration, Instant};
 use testfleet::PATIENCE;
-use testfleet::ground::Ground;
 use testfleet::relay::faults::{Direction, Faults};
 use testfleet::relay::{Callers, TcpLink, UdpRelay};
+use testfleet::runtime::Runtime;
 
 fn until(mut so: impl FnMut() -> bool) {
     let end = Instant::now() + PATIENCE;
@@ -20,16 +20,16 @@
 #[test]
 fn what_is_lost_doubled_and_overtaken_is_drawn_from_the_seed() {
     let run = |seed| {
-        let mut way = Direction::new(seed);
-        way.set(Faults { lost: 0.3, doubled: 0.1, reordered: 0.2, ..Faults::default() });
-        let took = |n: u32| way.take(n.to_be_bytes().to_vec().into());
+        let mut direction = Direction::new(seed);
+        direction.set_faults(Faults { lost: 0.3, doubled: 0.1, reordered: 0.2, ..Faults::default() });
+        let took = |n: u32| direction.forward(n.to_be_bytes().to_vec().into());
         let out: Vec<_> = (0..10_000).flat_map(took).map(|(_, it)| it).collect();
-        (out, way.counts())
+        (out, direction.counts())
     };
     let (out, counts) = run(7);
     assert_eq!((out.clone(), counts), run(7), "the same again");
     assert_ne!(out, run(8).0);
-    assert_eq!((counts.came, counts.lost, counts.went), (10_000, 3_056, 7_533));
+    assert_eq!((counts.received, counts.lost, counts.sent), (10_000, 3_056, 7_533));
     let behind = out.windows(2).filter(|pair| pair[0] > pair[1]).count();
     let twice = out.windows(2).filter(|pair| pair[0] == pair[1]).count();
     assert!((400..1_600).contains(&behind) && (400..700).contains(&twice), "{behind} {twice}");
@@ -37,11 +37,11 @@
 
 #[test]
 fn a_stalled_way_holds_what_comes_and_a_delay_is_drawn_within_its_bounds() {
-    let mut way = Direction::new(1);
-    way.set(Faults { stalled: true, ..Faults::default() });
-    assert!(way.take("a".into()).is_empty() && way.take("b".into()).is_empty());
+    let mut direction = Direction::new(1);
+    direction.set_faults(Faults { stalled: true, ..Faults::default() });
+    assert!(direction.forward("a".into()).is_empty() && direction.forward("b".into()).is_empty());
     let (delay, jitter) = (Duration::from_millis(20), Duration::from_millis(5));
-    let out = way.set(Faults { delay, jitter, ..Faults::default() });
+    let out = direction.set_faults(Faults { delay, jitter, ..Faults::default() });
     assert_eq!(out.iter().map(|it| &it.1[..]).collect::<Vec<_>>(), [b"a", b"b"]);
     assert!(out.iter().all(|it| it.0 >= delay && it.0 <= delay + jitter) && out[0].0 != out[1].0);
 }
@@ -68,14 +68,14 @@
 
 #[test]
 fn balancers_see_relay_addresses_only_and_a_cut_is_one_way_where_it_is_made_so() {
-    let ground = Ground::start().unwrap();
-    let relay = UdpRelay::start(ground.handle(), 3, 1).unwrap();
+    let runtime = Runtime::start().unwrap();
+    let relay = UdpRelay::start(runtime.handle(), 3, 1).unwrap();
     let ends = [0, 1, 2].map(|number| End::register(&relay, number));
     let at = [0, 1, 2].map(|number| relay.address(number).unwrap());
     ends[0].send("hello", at[1]);
     assert_eq!(ends[1].next(), ("hello".into(), at[0]));
 
-    relay.change(&[0], &[1], |faults| faults.cut = true);
+    relay.update_faults(&[0], &[1], |faults| faults.cut = true);
     ends[0].send("unheard", at[1]);
     until(|| relay.counts(0, 1).lost == 1);
     ends[1].send("back", at[0]);
@@ -94,27 +94,27 @@
 
     let stranger = UdpSocket::bind("127.0.0.1:0").unwrap();
     stranger.send_to(b"who?", at[0]).unwrap();
-    until(|| relay.strangers() == 1);
+    until(|| relay.unregistered_senders() == 1);
 }
 
 #[test]
 fn a_balancer_that_was_started_again_is_reached_at_its_new_address() {
-    let ground = Ground::start().unwrap();
-    let relay = UdpRelay::start(ground.handle(), 2, 1).unwrap();
+    let runtime = Runtime::start().unwrap();
+    let relay = UdpRelay::start(runtime.handle(), 2, 1).unwrap();
     let (one, old) = (End::register(&relay, 0), End::register(&relay, 1));
     let new = End::register(&relay, 1);
     one.send("hello", relay.address(1).unwrap());
     assert_eq!(new.next().0, "hello");
     old.send("ghost", relay.address(0).unwrap());
-    until(|| relay.strangers() == 1);
+    until(|| relay.unregistered_senders() == 1);
 }
 
 /// A link to a listener of ours.
-fn link(ground: &Ground) -> (TcpLink, TcpListener, Callers) {
+fn link(runtime: &Runtime) -> (TcpLink, TcpListener, Callers) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let callers = Callers::default();
     let known = Some((callers.clone(), 5));
-    (TcpLink::start(ground.handle(), listener.local_addr().unwrap(), known, 1).unwrap(), listener, callers)
+    (TcpLink::start(runtime.handle(), listener.local_addr().unwrap(), known, 1).unwrap(), listener, callers)
 }
 
 fn connect(link: &TcpLink) -> TcpStream {
@@ -131,18 +131,18 @@
 
 #[test]
 fn a_cut_stream_is_silent_both_ways_and_goes_on_once_healed() {
-    let ground = Ground::start().unwrap();
-    let (link, listener, callers) = link(&ground);
+    let runtime = Runtime::start().unwrap();
+    let (link, listener, callers) = link(&runtime);
     let mut near = connect(&link);
     let (mut far, from) = listener.accept().unwrap();
     far.set_read_timeout(Some(PATIENCE)).unwrap();
-    assert_eq!(callers.of(from).unwrap().balancer, 5);
+    assert_eq!(callers.find(from).unwrap().balancer, 5);
     near.write_all(b"one").unwrap();
     assert_eq!(read(&mut far, 3), "one");
-    let before = callers.of(from).unwrap().wrote();
+    let before = callers.find(from).unwrap().last_write();
     link.cut();
     near.write_all(b"two").unwrap();
-    until(|| callers.of(from).unwrap().wrote() > before);
+    until(|| callers.find(from).unwrap().last_write() > before);
     far.set_nonblocking(true).unwrap();
     assert_eq!(far.peek(&mut [0]).unwrap_err().kind(), ErrorKind::WouldBlock);
     assert_eq!(link.bytes(), (3, 0));
@@ -155,17 +155,17 @@
 
 #[test]
 fn what_a_caller_that_gave_up_has_written_into_a_stall_never_arrives() {
-    let ground = Ground::start().unwrap();
-    let (link, listener, callers) = link(&ground);
+    let runtime = Runtime::start().unwrap();
+    let (link, listener, callers) = link(&runtime);
     let mut near = connect(&link);
     let (mut far, from) = listener.accept().unwrap();
     far.set_read_timeout(Some(PATIENCE)).unwrap();
-    let before = callers.of(from).unwrap().wrote();
-    link.set(Faults { stalled: true, ..Faults::default() }, Faults::default());
+    let before = callers.find(from).unwrap().last_write();
+    link.set_faults(Faults { stalled: true, ..Faults::default() }, Faults::default());
     near.write_all(b"late").unwrap();
-    until(|| callers.of(from).is_none_or(|it| it.wrote() > before));
+    until(|| callers.find(from).is_none_or(|it| it.last_write() > before));
     drop(near);
-    until(|| callers.of(from).is_none());
+    until(|| callers.find(from).is_none());
     link.heal();
     let mut all = Vec::new();
     let ended = far.read_to_end(&mut all);
@@ -174,8 +174,8 @@
 
 #[test]
 fn calls_are_refused_until_healed_and_a_reset_ends_what_is_open() {
-    let ground = Ground::start().unwrap();
-    let (link, listener, _) = link(&ground);
+    let runtime = Runtime::start().unwrap();
+    let (link, listener, _) = link(&runtime);
     let mut near = connect(&link);
     let _far = listener.accept().unwrap();
     link.refuse();
--- a/crates/testfleet/tests/stand_ins.rs
+++ b/crates/testfleet/tests/stand_ins.rs
@@ -4,13 +4,13 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::{Duration, Instant};
 use testfleet::PATIENCE;
-use testfleet::archive::{Archive, Temper};
-use testfleet::clients::{Class, Clients, Final, Load};
-use testfleet::ground::Ground;
-use testfleet::hosts::{Ending, Host, Manner};
-use testfleet::inventory::{Agent, Member, Phase};
-use testfleet::journal::Journal;
+use testfleet::cache_node::{CacheNode, CacheNodeBehaviour, Ending};
+use testfleet::clients::{Class, Clients, Load, Outcome};
+use testfleet::discovery::{DiscoveryAgent, Member, Phase};
+use testfleet::event_log::EventLog;
+use testfleet::origin::{Origin, OriginBehaviour};
 use testfleet::relay::Callers;
+use testfleet::runtime::Runtime;
 
 fn connect(addr: SocketAddr) -> BufReader<TcpStream> {
     let stream = TcpStream::connect(addr).unwrap();
@@ -32,34 +32,34 @@
 
 #[test]
 fn a_host_misses_then_holds_turns_away_fails_hangs_and_refuses_and_records_each_try() {
-    let (ground, attempts) = (Ground::start().unwrap(), Journal::default());
-    let host = Host::start(ground.handle(), "s-0", Callers::default(), attempts.clone()).unwrap();
-    let mut client = connect(host.addr());
+    let (runtime, attempts) = (Runtime::start().unwrap(), EventLog::default());
+    let endpoint = CacheNode::start(runtime.handle(), "s-0", Callers::default(), attempts.clone()).unwrap();
+    let mut client = connect(endpoint.addr());
     let mut lines = |id: &str, n: usize| {
         get(&mut client, id);
         (0..n).map(|_| line(&mut client)).collect::<Vec<_>>()
     };
     assert_eq!(lines("a", 5), ["*3", "$-1", "$4", "miss", "$-1"]);
     assert_eq!(lines("b", 6)[1..3], ["$11", "value of 7f"]);
-    host.forget();
+    endpoint.clear_keys();
     assert_eq!(lines("c", 5)[3], "miss");
-    host.behave(Manner::Drains);
+    endpoint.set_behaviour(CacheNodeBehaviour::Drains);
     assert_eq!(lines("d", 1), ["-BUSY"]);
-    host.behave(Manner::Fails);
+    endpoint.set_behaviour(CacheNodeBehaviour::Fails);
     assert_eq!(lines("e", 1), ["-ERR out of order"]);
-    host.behave(Manner::Serves);
-    host.take(Duration::from_millis(30));
+    endpoint.set_behaviour(CacheNodeBehaviour::Serves);
+    endpoint.set_latency(Duration::from_millis(30));
     let asked = Instant::now();
     lines("f", 6);
     assert!(asked.elapsed() >= Duration::from_millis(30));
-    host.behave(Manner::Hangs);
+    endpoint.set_behaviour(CacheNodeBehaviour::Hangs);
     get(&mut client, "g");
     attempts.wait("the attempt", |attempts| (attempts.len() == 7).then_some(()));
     drop(client);
     let ended = attempts.wait("its end", |attempts| attempts[6].ended).1;
     assert_eq!(ended, Ending::Closed);
-    host.behave(Manner::Refuses);
-    assert!(!connect(host.addr()).read(&mut [0]).is_ok_and(|n| n > 0));
+    endpoint.set_behaviour(CacheNodeBehaviour::Refuses);
+    assert!(!connect(endpoint.addr()).read(&mut [0]).is_ok_and(|n| n > 0));
     let all = attempts.all();
     assert_eq!(all.iter().map(|it| &it.id[..]).collect::<String>(), "abcdefg");
     assert!(all[..6].iter().all(|it| it.ended.is_some_and(|it| it.1 == Ending::Answered)));
@@ -68,9 +68,9 @@
 
 #[test]
 fn the_archive_books_a_run_also_where_it_fails_and_none_where_it_declines() {
-    let ground = Ground::start().unwrap();
-    let archive = Archive::start(ground.handle(), Callers::default(), Journal::default()).unwrap();
-    let mut client = connect(archive.addr());
+    let runtime = Runtime::start().unwrap();
+    let origin = Origin::start(runtime.handle(), Callers::default(), EventLog::default()).unwrap();
+    let mut client = connect(origin.addr());
     let mut put = |id: &str| {
         let head = format!("PUT /7f HTTP/1.1\r\nHost: x\r\nReq-Id: {id}\r\nReq-Extra: c=once,t=acme\r\n");
         client.get_mut().write_all(format!("{head}Content-Length: 1\r\n\r\nv").as_bytes()).unwrap();
@@ -82,11 +82,11 @@
         (status[9..12].to_owned(), head.iter().any(|it| it == "srv-declined: 1"))
     };
     assert_eq!(put("a"), ("200".into(), false));
-    archive.behave(Temper::Declines);
+    origin.set_behaviour(OriginBehaviour::Declines);
     assert_eq!(put("b"), ("503".into(), true));
-    archive.behave(Temper::Fails);
+    origin.set_behaviour(OriginBehaviour::Fails);
     assert_eq!(put("c"), ("500".into(), false));
-    let runs = archive.runs().all();
+    let runs = origin.runs().all();
     assert_eq!(
         runs.iter().map(|it| (&it.id[..], &it.class[..])).collect::<Vec<_>>(),
         [("a", "once"), ("c", "once")]
@@ -105,7 +105,7 @@
 
 #[test]
 fn news_that_are_held_back_are_in_no_list_and_come_once_let_go() {
-    let (ground, told) = (Ground::start().unwrap(), Journal::default());
+    let (runtime, told) = (Runtime::start().unwrap(), EventLog::default());
     let member = Member {
         name: "s-0".into(),
         addr: ([127, 0, 0, 1], 9).into(),
@@ -115,17 +115,17 @@
         weight: 1.0,
         ids: 1,
     };
-    let agent = Agent::start(ground.handle(), 4, vec![member], told.clone()).unwrap();
+    let agent = DiscoveryAgent::start(runtime.handle(), 4, vec![member], told.clone()).unwrap();
     let mut watch = connect(agent.addr());
     watch.get_mut().write_all(b"GET /v1/endpoints?watch=1&from=1 HTTP/1.1\r\n\r\n").unwrap();
-    agent.change("s-0", Phase::Draining);
+    agent.set_phase("s-0", Phase::Draining);
     assert!(news(&mut watch).contains("draining"));
-    agent.hold_back();
+    agent.pause_updates();
     agent.update("s-0", |member| member.weight = 9.0);
-    agent.change("s-0", Phase::Gone);
+    agent.set_phase("s-0", Phase::Gone);
     let list = agent.list();
     assert_eq!((&list["revision"], &list["members"][0]["size"]), (&2.into(), &1.0.into()));
-    agent.let_go();
+    agent.resume_updates();
     let both = news(&mut watch);
     assert!(both.contains("9.0") && both.contains("gone") && both.contains("\"revision\":4"), "{both}");
     assert_eq!(agent.list()["members"].as_array().unwrap().len(), 0);
@@ -134,14 +134,14 @@
         phases.iter().map(|it| it.phase).collect::<Vec<_>>(),
         [Phase::Draining, Phase::Draining, Phase::Gone]
     );
-    assert!(phases.iter().all(|it| it.balancer == 4 && it.host == "s-0"));
+    assert!(phases.iter().all(|it| it.balancer == 4 && it.endpoint == "s-0"));
 }
 
 #[test]
 fn callers_book_each_answer_also_one_too_many_and_a_connection_that_ends() {
-    let ground = Ground::start().unwrap();
+    let runtime = Runtime::start().unwrap();
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let clients = Clients::new(ground.handle(), vec![listener.local_addr().unwrap()]);
+    let clients = Clients::new(runtime.handle(), vec![listener.local_addr().unwrap()]);
     let load = |seed| Load {
         per_second: 1_000.0,
         requests: 1,
@@ -153,24 +153,24 @@
         seed,
     };
     let mut buffer = [0; 4096];
-    clients.ask(load(1));
+    clients.start_load(load(1));
     let (mut first, _) = listener.accept().unwrap();
     let n = first.read(&mut buffer).unwrap();
     assert!(String::from_utf8_lossy(&buffer[..n]).contains("c=once,t=acme,d=60000,k=0000000000000001"));
     first.write_all(b"$1\r\nv\r\n$1\r\nw\r\n").unwrap();
-    clients.answered(1);
-    clients.ask(load(2));
+    clients.await_answered(1);
+    clients.start_load(load(2));
     let (mut second, _) = listener.accept().unwrap(); // the connection with an answer too many is used no more
     second.read(&mut buffer).map(drop).unwrap();
     second.write_all(b"-BUSY 20\r\n").unwrap();
-    clients.answered(2);
-    clients.ask(load(3));
+    clients.await_answered(2);
+    clients.start_load(load(3));
     second.read(&mut buffer).map(drop).unwrap();
     drop(second);
-    clients.answered(3);
+    clients.await_answered(3);
     let answers = clients.calls().all().into_iter().map(|call| call.answers);
-    let answers: Vec<Vec<Final>> = answers.map(|all| all.into_iter().map(|it| it.1).collect()).collect();
-    assert_eq!((answers[0].len(), &answers[0][0]), (2, &Final::Served));
-    assert_eq!(answers[1], [Final::Refused]);
-    assert!(matches!(answers[2][..], [Final::Lost(_)]));
+    let answers: Vec<Vec<Outcome>> = answers.map(|all| all.into_iter().map(|it| it.1).collect()).collect();
+    assert_eq!((answers[0].len(), &answers[0][0]), (2, &Outcome::Served));
+    assert_eq!(answers[1], [Outcome::Rejected]);
+    assert!(matches!(answers[2][..], [Outcome::Lost(_)]));
 }
