--- a/crates/decide/tests/common/mod.rs
+++ b/crates/decide/tests/common/mod.rs
@@ -1,5 +1,5 @@
 //! A hand-driven router: tests feed events and look at the actions.
-#![allow(dead_code)]
+#![allow(dead_code, unreachable_pub, reason = "shared by several test programs, each of which uses a part")]
 
 use decide::api::*;
 use decide::policy::Router;
