--- a/crates/testfleet/src/builder.rs
+++ b/crates/testfleet/src/builder.rs
@@ -95,7 +95,7 @@
     /// Sets how many balancers, from the first on, are voters of the quorum group; the default is 3.
     #[must_use]
     pub fn council(self, voters: usize) -> Self {
-        Self { voters: voters, ..self }
+        Self { voters, ..self }
     }
     /// Sets the lease duration in the syntax of the fleet file; the default is `2s`.
     #[must_use]
