--- /dev/null
+++ b/crates/discovery/tests/state_events.rs
@@ -0,0 +1,117 @@
+//! Every event in every state (`docs/design/crossings-list.md`). From then on discovery can be reached and answers within 1 s what
+//! is new to it: its changes must be published within 6 s, whatever happened before.
+
+mod fake_agent;
+mod scenario;
+
+use discovery::Delivery;
+use fake_agent::*;
+use rstest::rstest;
+use scenario::*;
+use std::time::Duration;
+use tokio::io::AsyncReadExt;
+use tokio::task::spawn_local;
+use tokio::time::{Instant, sleep, sleep_until};
+
+const NEW_REVISION: u64 = 99;
+
+#[rstest]
+#[tokio::test(start_paused = true)]
+async fn every_event_in_every_state_publishes_changes_within_six_seconds(
+    #[values(Delivery::Push, Delivery::Poll)] way: Delivery,
+    #[values(RequestingList, RequestingWatch, Watching, WatchSilent, SecondWatchOpened, Moved, MovedTwice)]
+    state: State,
+    #[values(
+        WatchChange,
+        WatchKeepAlive,
+        WatchPartialLine,
+        WatchTrickles,
+        WatchCutChunk,
+        WatchReset,
+        WatchListBack,
+        WatchChangeBack,
+        RequestHead,
+        RequestAnswer,
+        RequestPartial,
+        RequestRejected,
+        RequestRejectedLate,
+        RequestReset,
+        RequestHangs,
+        RequestDialHangs,
+        RequestDialRefused,
+        RequestListBack,
+        Sighup
+    )]
+    event: Event,
+) {
+    run_local(async {
+        let mut scenario = Scenario::in_state(state, way).await;
+        let Some(published) = scenario.apply_event(event).await else {
+            assert!(matches!(state, RequestingList | RequestingWatch | Watching), "the event can happen in this state");
+            return;
+        };
+        sleep(Duration::from_millis(1)).await;
+        let mut received = Vec::new();
+        while let Ok((revision, _)) = scenario.agent.published.try_recv() {
+            received.push(revision);
+        }
+        assert_eq!(received, published);
+        // Requests sent before are never answered; those from now on are, within a second.
+        while let Ok(request) = scenario.agent.requests.try_recv() {
+            scenario.open_streams.push(request.stream);
+        }
+        let (since, mut bases) = (Instant::now(), Vec::new());
+        let at = loop {
+            tokio::select! {
+                event = scenario.agent.published.recv() => match event.unwrap() {
+                    (NEW_REVISION, at) => break at,
+                    (other, _) => panic!("revision {other} was not sent by the agent"),
+                },
+                request = scenario.agent.requests.recv() => {
+                    let request = request.unwrap();
+                    if request.to != scenario.at {
+                        scenario.open_streams.push(request.stream); // the previous agent stays silent
+                        continue;
+                    }
+                    bases.push(request.path.clone());
+                    spawn_local(async move {
+                        if way == Delivery::Poll {
+                            sleep(Duration::from_secs(1)).await;
+                        }
+                        let open = answer(request, NEW_REVISION, false, false).await;
+                        std::future::pending::<()>().await;
+                        drop(open);
+                    });
+                }
+                () = sleep_until(since + DEADLINE) => panic!("nothing published within {DEADLINE:?}; requested {bases:?}"),
+            }
+        };
+        assert!(at - since < DEADLINE, "{:?}", at - since);
+        let base =
+            scenario.known.map_or("/v1/endpoints".into(), |known| format!("/v1/endpoints?watch=1&from={known}"));
+        assert_eq!(bases[0], base, "the request resumes from the known revision");
+        // Where requests cost, one is in flight at a time: two can have been answered within 6 s.
+        assert!(way == Delivery::Push || bases.len() <= 3, "{bases:?}");
+    })
+    .await;
+}
+/// However long discovery stays in a state, the number of open connections is bounded.
+#[rstest]
+#[tokio::test(start_paused = true)]
+async fn open_connections_are_bounded(
+    #[values(RequestHead, RequestPartial, RequestHangs)] event: Event,
+    #[values(WatchSilent, Moved, MovedTwice)] state: State,
+) {
+    run_local(async {
+        let mut scenario = Scenario::in_state(state, Delivery::Push).await;
+        scenario.apply_event(event).await.unwrap();
+        let mut open = 0;
+        for stream in &mut scenario.open_streams {
+            let ended = tokio::time::timeout(Duration::from_millis(0), stream.read(&mut [0])).await;
+            open += usize::from(ended.is_err());
+        }
+        let most = discovery::pace::MAX_REQUESTS_IN_FLIGHT + discovery::pace::MAX_WATCHES;
+        assert!(open <= most && open > 0, "{open} open");
+    })
+    .await;
+}
--- a/crates/fleet/tests/golden.rs
+++ b/crates/fleet/tests/golden.rs
@@ -34,19 +34,19 @@
         (TimeInterval { earliest: 100, latest: 110 }, TimeInterval { earliest: 200, latest: 220 });
     let counts = std::array::from_fn(|kind| 1_000 + kind as u64);
     let piece = ActivityPeriod { serial: 8, version, from, to, counts, digest: 9 };
-    ActivityReport { number: 0, incarnation: 10, sequence: 11, at: to, pieces: vec![piece] }
+    ActivityReport { number: 0, incarnation: 10, sequence: 11, at: to, periods: vec![piece] }
 }
 
-fn played() -> Site {
-    let mut site = Site::start(5, 3, "4s", 43);
+fn recorded_run() -> Site {
+    let mut site = Site::new(5, 3, "4s", 43);
     site.run(5 * SECOND);
     let now = site.now;
-    site.parts[4].as_mut().unwrap().propose(now, freeze("deadline").into()).unwrap();
-    site.parts[0].as_mut().unwrap().report(now, report());
+    site.members[4].as_mut().unwrap().propose(now, freeze("deadline").into()).unwrap();
+    site.members[0].as_mut().unwrap().publish_report(now, report());
     site.run(3 * SECOND);
     let revoke = calendar::Revoke { id: "deadline".into(), asked_by: "ada".into(), reason: "over".into() };
     let now = site.now;
-    site.parts[1].as_mut().unwrap().propose(now, Proposal::Revoke(revoke).into()).unwrap();
+    site.members[1].as_mut().unwrap().propose(now, Proposal::Revoke(revoke).into()).unwrap();
     site.kill(3);
     site.run(10 * SECOND);
     site
@@ -54,18 +54,18 @@
 
 #[test]
 fn datagrams_keep_their_form() {
-    let site = played();
+    let site = recorded_run();
     let mut kinds: BTreeMap<&str, Vec<&Vec<u8>>> = BTreeMap::new();
     for datagram in &site.recorded {
-        let envelope = Envelope::read(datagram).unwrap();
-        assert_eq!(envelope.write().as_ref(), Some(datagram));
+        let envelope = Envelope::decode(datagram).unwrap();
+        assert_eq!(envelope.encode().as_ref(), Some(datagram));
         let kind = match envelope.body {
             Body::Membership(_) => "membership",
             Body::Agreement(_) => "agreement",
-            Body::Ask(_) => "ask",
-            Body::Word(None) => "word without a grant",
-            Body::Word(Some(_)) => "word",
-            Body::Report(_) => "report",
+            Body::LeaseRequest(_) => "ask",
+            Body::Heartbeat(None) => "word without a grant",
+            Body::Heartbeat(Some(_)) => "word",
+            Body::ActivityReport(_) => "report",
         };
         let seen = kinds.entry(kind).or_default();
         if seen.len() < PER_KIND && !seen.contains(&datagram) {
@@ -82,14 +82,14 @@
 
 #[test]
 fn the_answer_of_get_fleet_keeps_its_form() {
-    let site = played();
-    let view = site.parts[0].as_ref().unwrap().view(site.local(0));
+    let site = recorded_run();
+    let view = site.members[0].as_ref().unwrap().view(site.local(0));
     expect_file!["golden/view.json"].assert_eq(&format!("{view:#}\n"));
 }
 
 #[test]
 fn stored_values_keep_their_form() {
-    let mut site = played();
+    let mut site = recorded_run();
     site.run(300 * SECOND); // past the first snapshot
     let stored = site.disk(0).load().unwrap();
     let mut text = String::new();
--- a/crates/reservation/tests/fleet.rs
+++ b/crates/reservation/tests/fleet.rs
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn whatever_is_lost_doubled_reordered_stalled_or_ended_slices_never_sum_up_to_more_than_is_booked() {
+fn usable_slices_never_exceed_the_booking_under_mixed_faults() {
     for seed in 0..6 {
         let mut world = booked_world(seed, 0.25, 120_000);
         let mut hot = vec![3, 77, 201];
@@ -55,15 +55,15 @@
                 let proposal = Proposal::Book(request(id, 12_000, 1_200, &[(from, from + 3_000 * SECOND)]));
                 world.propose(proposal.clone());
                 world.propose(proposal);
-                rebooked = matches!(world.answers[&id], Answer::Granted { .. }).then_some(BookingId(id));
+                rebooked = matches!(world.answers[&id], Outcome::Granted { .. }).then_some(BookingId(id));
             }
             world.step();
             stir(&mut world, &mut hot);
             let all = [Some(A), rebooked].into_iter().flatten().map(|id| world.usable(id));
-            let sum = all.fold(Rate::default(), |sum, rate| sum.with(rate, |a, b| a + b));
+            let sum = all.fold(Rate::default(), |sum, rate| sum.zip_with(rate, |a, b| a + b));
             most = most.max(sum.reads);
             assert!(
-                sum.fits(Two { reads: 12_000_000, fetches: 1_200_000 }),
+                sum.fits(PerKind { reads: 12_000_000, fetches: 1_200_000 }),
                 "seed {seed}, step {step}: {sum:?}"
             );
             let (truth, time) = (&world.truth, world.fleet_now());
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn traffic_at_three_of_three_hundred_gets_what_is_booked_within_seconds() {
+fn traffic_at_3_of_300_balancers_gets_the_booked_rate_within_seconds() {
     let mut world = booked_world(1, 0.0, 40_000);
     (0..300).for_each(|_| world.step());
     let first = time_to_reach(&mut world, [5, 150, 280]);
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn after_a_fall_of_capacity_all_use_no_more_than_is_left_once_a_lease_has_gone_by() {
+fn usable_rate_respects_reduced_capacity_after_a_lease() {
     let mut world = booked_world(4, 0.25, 120_000);
     let mut hot = vec![1, 2, 3];
     (0..500).for_each(|_| {
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn a_booking_that_nobody_uses_is_given_up_and_one_in_use_is_not() {
+fn unused_booking_is_released_and_used_one_is_not() {
     for used in [false, true] {
         let mut world = World::new(9, 5, 0.0, 40_000);
         world.propose(capacity(0, 16_000, 1_600));
@@ -145,7 +145,7 @@
                 world.reads(2, 20);
             }
         }
-        let left = world.truth.promised_at(world.fleet_now());
+        let left = world.truth.granted_at(world.fleet_now());
         assert_eq!(left.reads, if used { 12_000_000 } else { 0 });
     }
 }
