--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -1,24 +1,24 @@
-//! A site in a box: models of all that surrounds gateways, days that they play, and a referee of the rules.
+//! Models of everything around the gateways, a simulation that runs them, and a referee that checks the rules.
 //!
-//! The models do no I/O, read no clock and draw chance only from the generator they are handed: [`station`] (a bounded
-//! queue before a few servers), [`node`] (a cache node), [`archive`] (the slow origin, with a ledger of what it ran),
-//! [`callers`] (who asks what, and when) and [`scenario`] (a day, as a file tells it). [`day`] plays them with the
-//! decision module on a virtual clock: a seed is a whole day, and the same day each time. [`referee`] sees every message
-//! of both sides and holds them against the rules. [`score`] reckons what the day was worth.
+//! The models do no I/O, read no clock and draw random numbers only from the generator they are given: [`station`] (a
+//! bounded queue before a few workers), [`node`] (a cache node), [`origin`] (the slow origin, with a ledger of its
+//! executions), [`clients`] (open-loop load) and [`scenario`] (scenario files). [`simulation`] runs them with the decision
+//! module on a virtual clock: the same scenario and seed give the same day. [`referee`] observes every message and checks
+//! it against the rules. [`score`] computes the score of a day.
 #![forbid(unsafe_code)]
 #![warn(unreachable_pub)]
 
-pub mod archive;
-pub mod callers;
-pub mod day;
+pub mod clients;
 pub mod node;
+pub mod origin;
 pub mod referee;
 pub mod scenario;
 pub mod score;
+pub mod simulation;
 pub mod station;
 
-/// Microseconds on the day's clock, from its first instant.
+/// Microseconds on the virtual clock, from the start of the simulation.
 pub type Micros = u64;
 
-/// One second.
+/// One second, in microseconds.
 pub const SECOND: Micros = 1_000_000;
--- a/crates/emulator/src/node.rs
+++ b/crates/emulator/src/node.rs
@@ -1,59 +1,59 @@
-//! A cache node: cores and their speed, a waiting room, the objects it keeps, and how it warms up or falls over.
+//! The model of a cache node: cores and their speed, a bounded queue, cached objects, slow start and overload.
 
 use crate::scenario::{Fleet, micros};
-use crate::station::{Station, Taken};
+use crate::station::{Admission, Station};
 use crate::{Micros, SECOND};
 use decide::api::Key;
 use hashlink::LruCache;
 use rustc_hash::FxBuildHasher;
 
-/// Spans of a second over which what a cold node is sent is summed.
-const SPANS: usize = 10;
+/// The number of buckets per second in which the load of a cold node is summed.
+const RATE_BUCKETS: usize = 10;
 
-/// What a node is doing.
+/// The state of a node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum State {
-    /// It takes work.
+    /// Accepts requests.
     Up,
-    /// It finishes what it has and turns the rest away.
+    /// Finishes accepted requests and rejects new ones.
     Draining,
-    /// Its process is gone: connections are refused.
+    /// The process is stopped: connections are refused.
     Down,
-    /// Its machine says nothing.
+    /// The machine does not respond.
     Silent,
-    /// It was pushed over and stays down.
-    Fallen,
+    /// Stopped by overload during slow start.
+    Overloaded,
 }
 
-/// A read at a node, named by the driver.
+/// A read at a node.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Job<T> {
-    /// Whose it is.
+    /// The caller's identifier of the job.
     pub tag: T,
-    /// What is read.
+    /// The key that is read.
     pub key: Key,
     /// Its work on one core of speed 1, in microseconds.
     pub work_us: f64,
 }
 
-/// What came of offering a job.
+/// The result of offering a job to a node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Offered {
-    /// Begun: it ends after so many microseconds.
-    Ends(Micros),
-    /// It waits; it is handed out when another has ended.
-    Waits,
-    /// Turned away.
-    TurnedAway,
-    /// Nobody is there: connections are refused.
-    Refused,
-    /// Nothing comes back, ever.
-    Silence,
-    /// The same as turned away, and the node has just been pushed over.
-    FellOver,
+pub enum NodeAdmission {
+    /// Started; it ends after this many microseconds.
+    Started(Micros),
+    /// Queued until another job ends.
+    Queued,
+    /// Rejected.
+    Rejected,
+    /// The connection is refused.
+    ConnectionRefused,
+    /// There is no response.
+    NoResponse,
+    /// The job overloaded the node, which has just stopped.
+    Overloaded,
 }
 
-/// A cache node.
+/// The model of a cache node.
 #[derive(Debug)]
 pub struct Node<T> {
     cores: usize,
@@ -62,19 +62,19 @@
     cold_for: Micros,
     falls_at: f64,
     miss_work: f64,
-    /// What it is doing.
+    /// The current state.
     pub state: State,
-    /// Its last start; 0 for long ago.
+    /// The time of the last start; 0 if it has been warm since before the simulation.
     pub started: Micros,
-    /// Counts starts, so that work begun before one is told from work after it.
-    pub life: u32,
+    /// The incarnation, increased by each start and stop, which identifies outdated jobs.
+    pub incarnation: u32,
     station: Station<Job<T>>,
-    kept: LruCache<Key, (), FxBuildHasher>,
-    sent: [(Micros, f64); SPANS],
+    cached: LruCache<Key, (), FxBuildHasher>,
+    sent: [(Micros, f64); RATE_BUCKETS],
 }
 
 impl<T: Copy> Node<T> {
-    /// Node number `n` of a fleet, warm since long ago.
+    /// Creates node number `n` of a fleet, fully warm.
     #[must_use]
     pub fn new(n: usize, fleet: &Fleet) -> Self {
         let (cores, speed) = if n.is_multiple_of(2) { (1, fleet.one_core) } else { (2, fleet.two_cores) };
@@ -87,14 +87,14 @@
             miss_work: fleet.miss_work,
             state: State::Up,
             started: 0,
-            life: 0,
+            incarnation: 0,
             station: Station::new(cores, fleet.room),
-            kept: LruCache::with_hasher(fleet.keeps, FxBuildHasher),
-            sent: [(0, 0.0); SPANS],
+            cached: LruCache::with_hasher(fleet.keeps, FxBuildHasher),
+            sent: [(0, 0.0); RATE_BUCKETS],
         }
     }
 
-    /// The part of its full capacity that it has now.
+    /// Returns the fraction of its full capacity that is available now.
     #[must_use]
     pub fn warmth(&self, now: Micros) -> f64 {
         let age = now.saturating_sub(self.started);
@@ -104,100 +104,105 @@
         self.slow_start_fraction + (1.0 - self.slow_start_fraction) * age as f64 / self.cold_for as f64
     }
 
-    /// Its capacity now, in microseconds of work a microsecond.
+    /// Returns its current capacity, in microseconds of work per microsecond.
     #[must_use]
     pub fn capacity(&self, now: Micros) -> f64 {
         self.cores as f64 * self.speed * self.warmth(now)
     }
 
-    /// It starts, cold and empty.
+    /// Starts the node, cold and empty.
     pub fn start(&mut self, now: Micros) {
-        (self.state, self.started, self.life) = (State::Up, now.max(1), self.life + 1);
-        (self.sent, _) = ([(0, 0.0); SPANS], self.kept.clear());
+        (self.state, self.started, self.incarnation) = (State::Up, now.max(1), self.incarnation + 1);
+        (self.sent, _) = ([(0, 0.0); RATE_BUCKETS], self.cached.clear());
         self.station.clear();
     }
 
-    /// It dies, or its machine falls silent: what it had is lost.
+    /// Stops the node into this state; its jobs are lost.
     pub fn stop(&mut self, state: State) {
-        (self.state, self.life) = (state, self.life + 1);
+        (self.state, self.incarnation) = (state, self.incarnation + 1);
         self.station.clear();
     }
 
-    /// A read arrives.
-    pub fn offer(&mut self, now: Micros, job: Job<T>) -> Offered {
+    /// Offers a read to the node.
+    pub fn offer(&mut self, now: Micros, job: Job<T>) -> NodeAdmission {
         match self.state {
-            State::Down | State::Fallen => return Offered::Refused,
-            State::Silent => return Offered::Silence,
+            State::Down | State::Overloaded => return NodeAdmission::ConnectionRefused,
+            State::Silent => return NodeAdmission::NoResponse,
             State::Up | State::Draining => {}
         }
-        if self.warmth(now) < 1.0 && self.pushed(now, self.work(&job)) {
-            self.stop(State::Fallen);
-            return Offered::FellOver;
+        if self.warmth(now) < 1.0 && self.exceeds_slow_start_budget(now, self.work(&job)) {
+            self.stop(State::Overloaded);
+            return NodeAdmission::Overloaded;
         }
         if self.state == State::Draining {
-            return Offered::TurnedAway;
+            return NodeAdmission::Rejected;
         }
         match self.station.offer(job) {
-            (Taken::Begun, Some(job)) => Offered::Ends(self.time(now, &job)),
-            (Taken::Waits, _) => Offered::Waits,
-            _ => Offered::TurnedAway,
+            (Admission::Started, Some(job)) => NodeAdmission::Started(self.time(now, &job)),
+            (Admission::Queued, _) => NodeAdmission::Queued,
+            _ => NodeAdmission::Rejected,
         }
     }
 
-    /// A job begun in this life has ended: whether it found its key, and the next that has begun, with its time.
-    pub fn ended(&mut self, now: Micros, key: Key) -> (bool, Option<(Job<T>, Micros)>) {
-        let found = self.kept.get(&key).is_some();
-        let next = self.station.ended().map(|job| (job, self.time(now, &job)));
+    /// Finishes a job of this incarnation. Returns whether its key was cached, and the next job that starts, with its
+    /// duration.
+    pub fn finish(&mut self, now: Micros, key: Key) -> (bool, Option<(Job<T>, Micros)>) {
+        let found = self.cached.get(&key).is_some();
+        let next = self.station.finish().map(|job| (job, self.time(now, &job)));
         (found, next)
     }
 
-    /// Keeps an object.
+    /// Caches an object.
     pub fn store(&mut self, key: Key) {
         if matches!(self.state, State::Up | State::Draining) {
-            self.kept.insert(key, ());
+            self.cached.insert(key, ());
         }
     }
 
-    /// Drops an object, if it is kept.
-    pub fn void(&mut self, key: Key) {
-        self.kept.remove(&key);
+    /// Invalidates an object.
+    pub fn invalidate(&mut self, key: Key) {
+        self.cached.remove(&key);
     }
 
-    /// Drops the objects that `goes` picks.
-    pub fn flush(&mut self, mut goes: impl FnMut() -> bool) {
-        self.kept.retain(|_, ()| !goes());
+    /// Drops the cached objects that `is_dropped` selects.
+    pub fn flush(&mut self, mut is_dropped: impl FnMut() -> bool) {
+        self.cached.retain(|_, ()| !is_dropped());
     }
 
-    /// Objects kept.
+    /// Returns the number of cached objects.
     #[must_use]
-    pub fn kept(&self) -> usize {
-        self.kept.len()
+    pub fn cached(&self) -> usize {
+        self.cached.len()
     }
 
-    /// Reads begun or waiting.
+    /// Returns the number of started or queued reads.
     #[must_use]
-    pub fn held(&self) -> usize {
-        self.station.held()
+    pub fn in_flight(&self) -> usize {
+        self.station.in_flight()
     }
 
-    /// A miss is found out early, and costs only a part of the work.
+    /// Returns the work of a job. A miss costs only a fraction of it.
     fn work(&self, job: &Job<T>) -> f64 {
-        job.work_us * if self.kept.peek(&job.key).is_some() { 1.0 } else { self.miss_work }
+        job.work_us * if self.cached.peek(&job.key).is_some() { 1.0 } else { self.miss_work }
     }
 
     fn time(&self, now: Micros, job: &Job<T>) -> Micros {
         (self.work(job) / (self.speed * self.warmth(now))).ceil() as Micros
     }
 
-    /// Books what is sent; true when a second's worth of it is beyond what a cold node bears.
-    fn pushed(&mut self, now: Micros, work_us: f64) -> bool {
-        let span = now / (SECOND / SPANS as u64);
-        let place = &mut self.sent[(span % SPANS as u64) as usize];
-        if place.0 != span {
-            *place = (span, 0.0);
+    /// Adds the work to the load and returns whether the load of the last second exceeds the slow-start budget.
+    fn exceeds_slow_start_budget(&mut self, now: Micros, work_us: f64) -> bool {
+        let bucket_number = now / (SECOND / RATE_BUCKETS as u64);
+        let bucket = &mut self.sent[(bucket_number % RATE_BUCKETS as u64) as usize];
+        if bucket.0 != bucket_number {
+            *bucket = (bucket_number, 0.0);
         }
-        place.1 += work_us;
-        let lately = self.sent.iter().filter(|(at, _)| at + (SPANS as u64) > span).map(|(_, work)| work);
+        bucket.1 += work_us;
+        let lately = self
+            .sent
+            .iter()
+            .filter(|(at, _)| at + (RATE_BUCKETS as u64) > bucket_number)
+            .map(|(_, work)| work);
         lately.sum::<f64>() > self.falls_at * self.capacity(now) * SECOND as f64
     }
 }
--- /dev/null
+++ b/crates/emulator/src/referee/mod.rs
@@ -0,0 +1,262 @@
+//! The referee: records every message of clients, gateways and nodes, and checks them against the rules.
+//!
+//! Executions are taken from the origin's ledger and attempts from the wire. The referee knows nothing of a gateway's
+//! state, except when the decision module abandoned a request, since the client must be answered then.
+
+mod observation;
+
+use crate::Micros;
+use decide::api::{Effect, EndpointId, Outcome, Presence, RequestId};
+pub use observation::{Answer, Finding, Observation, Rule, Slack};
+use rustc_hash::{FxHashMap, FxHasher};
+use std::hash::{Hash, Hasher};
+
+/// The maximum number of recorded findings; further ones are only counted.
+const MAX_FINDINGS: usize = 50;
+
+/// An attempt of a request.
+#[derive(Debug)]
+struct Attempt {
+    number: u16,
+    sent: Micros,
+    outcome: Option<Outcome>,
+}
+
+/// A request that may still violate a rule.
+#[derive(Debug)]
+struct Request {
+    effect: Effect,
+    client_deadline: Micros,
+    abandoned_at: Option<Micros>,
+    answered: bool,
+    attempts: Vec<Attempt>,
+}
+
+/// The referee of one simulation.
+pub struct Referee {
+    slack: Slack,
+    open: FxHashMap<RequestId, Request>,
+    /// When a gateway was notified that an endpoint drains or is gone.
+    draining_since: FxHashMap<(usize, EndpointId), Micros>,
+    findings: Vec<Finding>,
+    broken: usize,
+    digest: FxHasher,
+    observations: u64,
+}
+
+impl Referee {
+    /// Creates a referee without observations.
+    #[must_use]
+    pub fn new(slack: Slack) -> Self {
+        Self {
+            slack,
+            open: FxHashMap::default(),
+            draining_since: FxHashMap::default(),
+            findings: Vec::new(),
+            broken: 0,
+            digest: FxHasher::default(),
+            observations: 0,
+        }
+    }
+
+    /// Records an observation and checks it.
+    pub fn record(&mut self, now: Micros, observation: Observation) {
+        self.observations += 1;
+        (now, self.observations).hash(&mut self.digest);
+        match observation {
+            Observation::Accepted { request, effect, client_deadline, .. } => {
+                let (abandoned_at, answered, attempts) = (None, false, Vec::new());
+                self.open
+                    .insert(request, Request { effect, client_deadline, abandoned_at, answered, attempts });
+            }
+            Observation::Notified { gateway, endpoint, presence } => match presence {
+                Presence::Ready => drop(self.draining_since.remove(&(gateway, endpoint))),
+                _ => drop(self.draining_since.entry((gateway, endpoint)).or_insert(now)),
+            },
+            Observation::Sent { gateway, request, attempt, endpoint } => {
+                self.check_sent(now, gateway, request, attempt, endpoint)
+            }
+            Observation::Ended { request, attempt, outcome } => {
+                (request.0, attempt, outcome as u8).hash(&mut self.digest);
+                if let Some(open) = self.open.get_mut(&request) {
+                    let ended = open.attempts.iter_mut().find(|a| a.number == attempt);
+                    ended.into_iter().for_each(|a| a.outcome = Some(outcome));
+                }
+                self.forget_completed(request);
+            }
+            Observation::Abandoned { request } => {
+                if let Some(open) = self.open.get_mut(&request) {
+                    open.abandoned_at.get_or_insert(now);
+                }
+            }
+            Observation::Answered { request, answer } => self.check_answered(now, request, answer),
+            Observation::Executed { request, times } => {
+                (request.0, times).hash(&mut self.digest);
+                let non_idempotent =
+                    self.open.get(&request).is_none_or(|open| open.effect == Effect::NonIdempotent);
+                if times > 1 && non_idempotent {
+                    self.report(Rule::NoSecondRun, now, Some(request), format!("it has run {times} times"));
+                }
+            }
+            Observation::Overloaded { endpoint } => {
+                self.report(Rule::ColdNode, now, None, format!("node {} was pushed over", endpoint.0));
+            }
+        }
+    }
+
+    /// Ends a request whose client deadline, with the tolerance, has passed.
+    pub fn expire_request(&mut self, now: Micros, request: RequestId) {
+        let unanswered = self.open.get_mut(&request).filter(|open| !open.answered);
+        if let Some(open) = unanswered {
+            open.answered = true;
+            self.report(
+                Rule::OneAnswer,
+                now,
+                Some(request),
+                "no final answer when its client gave up".into(),
+            );
+        }
+        self.forget_completed(request);
+    }
+
+    /// Ends the simulation: open requests have no answer.
+    pub fn finish(&mut self, now: Micros) {
+        let mut open: Vec<RequestId> =
+            self.open.iter().filter(|(_, o)| !o.answered).map(|(id, _)| *id).collect();
+        open.sort_unstable();
+        open.into_iter().for_each(|request| self.expire_request(now, request));
+    }
+
+    /// Returns the first violations.
+    #[must_use]
+    pub fn findings(&self) -> &[Finding] {
+        &self.findings
+    }
+
+    /// Returns the number of violations.
+    #[must_use]
+    pub fn broken(&self) -> usize {
+        self.broken
+    }
+
+    /// Returns a digest that is equal for simulations with the same observations at the same times.
+    #[must_use]
+    pub fn digest(&self) -> u64 {
+        self.digest.finish()
+    }
+
+    /// Returns the number of observations.
+    #[must_use]
+    pub fn observations(&self) -> u64 {
+        self.observations
+    }
+
+    fn check_sent(
+        &mut self, now: Micros, gateway: usize, request: RequestId, attempt: u16, endpoint: EndpointId,
+    ) {
+        (request.0, attempt, endpoint.0).hash(&mut self.digest);
+        if let Some(since) = self.draining_since.get(&(gateway, endpoint)).copied()
+            && now > since + self.slack.drain
+        {
+            let seen = format!(
+                "sent to {} {} ms after gateway {gateway} was told",
+                endpoint.0,
+                (now - since) / 1_000
+            );
+            self.report(Rule::OrderlyDrain, now, Some(request), seen);
+        }
+        let Some(open) = self.open.get_mut(&request) else {
+            return self.report(
+                Rule::OneAnswer,
+                now,
+                Some(request),
+                "sent though it was never taken, or is over".into(),
+            );
+        };
+        let out = open.attempts.iter().any(|a| a.outcome.is_none());
+        let repeats = open.attempts.iter().filter(|a| may_have_run(a.outcome)).map(|a| a.sent).min();
+        let allowed = match (open.effect, repeats) {
+            (_, None) | (Effect::Idempotent, _) => true,
+            (Effect::NonIdempotent, Some(_)) => false,
+            (Effect::IdempotentWithKey { span_us, .. }, Some(first)) => now < first + span_us,
+        };
+        open.attempts.push(Attempt { number: attempt, sent: now, outcome: None });
+        if out {
+            self.report(
+                Rule::OneAttempt,
+                now,
+                Some(request),
+                format!("attempt {attempt} while another is out"),
+            );
+        }
+        if !allowed {
+            self.report(
+                Rule::NoSecondRun,
+                now,
+                Some(request),
+                format!("attempt {attempt}, an earlier one may have run"),
+            );
+        }
+    }
+
+    fn check_answered(&mut self, now: Micros, request: RequestId, answer: Answer) {
+        (request.0, answer).hash(&mut self.digest);
+        let slack = self.slack.answer;
+        let Some(open) = self.open.get_mut(&request).filter(|open| !open.answered) else {
+            return self.report(Rule::OneAnswer, now, Some(request), format!("a second answer: {answer:?}"));
+        };
+        open.answered = true;
+        let (client_deadline, abandoned_at) = (open.client_deadline, open.abandoned_at);
+        let ran = open.attempts.iter().any(|a| may_have_run(a.outcome));
+        let non_idempotent = open.effect == Effect::NonIdempotent;
+        if now > client_deadline + slack {
+            let late = (now - client_deadline) / 1_000;
+            self.report(
+                Rule::OneAnswer,
+                now,
+                Some(request),
+                format!("answered {late} ms after its client gave up"),
+            );
+        }
+        if let Some(at) = abandoned_at.filter(|at| now > at + slack) {
+            let held = (now - at) / 1_000;
+            self.report(
+                Rule::NotHeldBack,
+                now,
+                Some(request),
+                format!("given up {held} ms before its client heard"),
+            );
+        }
+        match answer {
+            Answer::Refused if non_idempotent && ran => {
+                self.report(Rule::NoSecondRun, now, Some(request), "called refused, and may have run".into());
+            }
+            Answer::Served { made_for } if made_for != request => {
+                let seen = format!("served with what was made for {:x}", made_for.0);
+                self.report(Rule::OwnValue, now, Some(request), seen);
+            }
+            _ => {}
+        }
+        self.forget_completed(request);
+    }
+
+    /// Drops answered requests without attempts in flight, to bound memory. Only requests that are not idempotent can
+    /// still violate a rule.
+    fn forget_completed(&mut self, request: RequestId) {
+        let over = |open: &Request| open.answered && open.attempts.iter().all(|a| a.outcome.is_some());
+        if self.open.get(&request).is_some_and(|open| over(open) && open.effect != Effect::NonIdempotent) {
+            self.open.remove(&request);
+        }
+    }
+
+    fn report(&mut self, rule: Rule, at: Micros, request: Option<RequestId>, seen: String) {
+        self.broken += 1;
+        if self.findings.len() < MAX_FINDINGS {
+            self.findings.push(Finding { rule, at, request: request.map(|id| id.0), seen });
+        }
+    }
+}
+
+fn may_have_run(outcome: Option<Outcome>) -> bool {
+    outcome.is_none_or(|outcome| !outcome.proves_never_ran())
+}
--- a/crates/emulator/src/scenario.rs
+++ b/crates/emulator/src/scenario/mod.rs
@@ -1,4 +1,4 @@
-//! A day as a file tells it: the fleet, the archive, the gateways, the callers, and the troubles as they fall.
+//! Scenario files: the fleet, the origin, the gateways, the clients and the scheduled faults of a simulated day.
 
 mod validate;
 
@@ -9,7 +9,7 @@
 use thiserror::Error;
 use validate::InvalidValue;
 
-/// Why a scenario cannot be played.
+/// Why a scenario is not usable.
 #[derive(Debug, Error)]
 pub enum ScenarioError {
     /// The file cannot be read.
@@ -17,7 +17,7 @@
     Unreadable {
         /// The file.
         file: PathBuf,
-        /// Why.
+        /// The cause.
         source: std::io::Error,
     },
     /// Not TOML, an unknown field, or a value of the wrong type; the text names line, column and field.
@@ -25,76 +25,76 @@
     Form {
         /// The file.
         file: PathBuf,
-        /// The place and what was wrong.
+        /// The position and the error.
         text: String,
     },
-    /// A value that makes no sense.
+    /// A value is out of range.
     #[error("{file}: {field}: {wrong}")]
     Value {
         /// The file.
         file: PathBuf,
-        /// The field, by its path.
+        /// The path of the field.
         field: String,
-        /// What was wrong, and what is allowed.
+        /// The allowed values.
         wrong: String,
     },
 }
 
-/// A day.
+/// A simulated day.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
-    /// One line on what the day is about.
+    /// A one-line description.
     pub about: String,
-    /// How long callers come.
+    /// How long clients arrive.
     #[serde(with = "humantime_serde")]
     pub lasts: Duration,
-    /// Cache nodes.
+    /// The cache nodes.
     #[serde(default)]
     pub fleet: Fleet,
     /// The origin.
     #[serde(default)]
-    pub archive: Archive,
-    /// Gateways.
+    pub archive: Origin,
+    /// The gateways.
     #[serde(default)]
     pub gateways: Gateways,
-    /// Who asks.
+    /// The clients.
     #[serde(default)]
-    pub callers: Callers,
-    /// What is asked; the classes of the first site if none are given.
+    pub callers: Clients,
+    /// The request classes; a default set if none are given.
     #[serde(default = "classes", rename = "class")]
     pub classes: Vec<Class>,
-    /// For whom; the municipios of the first site if none are given.
+    /// The municipios (tenants); a default set if none are given.
     #[serde(default = "municipios", rename = "municipio")]
     pub municipios: Vec<Municipio>,
-    /// What goes wrong, in any order.
+    /// The scheduled faults, in any order.
     #[serde(default, rename = "trouble")]
-    pub troubles: Vec<Trouble>,
+    pub troubles: Vec<ScheduledFault>,
 }
 
-/// Cache nodes.
+/// The cache nodes.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Fleet {
-    /// How many.
+    /// The number of them.
     pub nodes: usize,
-    /// Every other node has one core of this speed (the yardstick is 1) ...
+    /// The speed of the single core of every other node; the reference is 1.
     pub one_core: f64,
-    /// ... and the rest two of this.
+    /// The speed of both cores of the remaining nodes.
     pub two_cores: f64,
-    /// Requests that wait at a node before it turns more away.
+    /// The queue capacity of a node; further requests are rejected.
     pub room: usize,
-    /// Objects that a node keeps; those used longest ago go first.
+    /// The number of objects that a node caches; the least recently used are evicted.
     pub keeps: usize,
-    /// The part of its work that a node which has just started can do.
+    /// The fraction of its capacity that a node has right after its start.
     #[serde(rename = "cold_from")]
     pub slow_start_fraction: f64,
-    /// From then on it warms evenly over this time.
+    /// The duration of slow start, over which the capacity grows linearly.
     #[serde(with = "humantime_serde")]
     pub cold_for: Duration,
-    /// A cold node falls over when it is sent more than this multiple of its present capacity for a second.
+    /// A cold node stops when its load exceeds this multiple of its current capacity for a second.
     pub falls_at: f64,
-    /// The part of a read's work that a miss costs.
+    /// The fraction of a read's work that a miss costs.
     pub miss_work: f64,
 }
 
@@ -117,36 +117,36 @@
 /// The origin.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Archive {
-    /// Fetches and writes that it works on at a time.
+pub struct Origin {
+    /// The number of concurrent fetches and writes.
     pub workers: usize,
-    /// Mean time for one.
+    /// The mean service time.
     #[serde(with = "humantime_serde")]
     pub service: Duration,
-    /// Spread of the times: sigma of a log-normal distribution.
+    /// The sigma of the log-normal distribution of service times.
     pub spread: f64,
-    /// Requests that wait before it declines more (503: it never ran).
+    /// The queue capacity; further requests are declined (503, not executed).
     pub room: usize,
-    /// The part of requests that end in 500: they have run.
+    /// The fraction of requests that are executed and answered with 500.
     pub errors: f64,
 }
 
-impl Default for Archive {
+impl Default for Origin {
     fn default() -> Self {
         Self { workers: 4, service: Duration::from_millis(60), spread: 0.3, room: 200, errors: 0.0 }
     }
 }
 
-/// Gateways.
+/// The gateways.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Gateways {
-    /// How many.
+    /// The number of them.
     pub count: usize,
-    /// The longest that the inventory's news take to a gateway; each takes a part of it.
+    /// The maximum delay of discovery notifications to a gateway.
     #[serde(with = "humantime_serde")]
     pub told_within: Duration,
-    /// One way between any two machines; each message takes from half to one and a half of it.
+    /// The mean one-way network delay; each message takes 0.5 to 1.5 times this.
     #[serde(with = "humantime_serde")]
     pub one_way: Duration,
 }
@@ -157,26 +157,26 @@
     }
 }
 
-/// Who asks.
+/// The clients.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Callers {
-    /// First tries a second, by a Poisson process that waits for no answer.
+pub struct Clients {
+    /// The rate of the Poisson arrivals, per second.
     pub per_second: f64,
-    /// Different keys.
+    /// The number of distinct keys.
     pub keys: u64,
-    /// Exponent of their popularity, by Zipf's law.
+    /// The Zipf exponent of their popularity.
     pub zipf: f64,
-    /// Retries of a try that was refused or failed, as its class allows.
+    /// The maximum number of retries of a rejected or failed request, if its class allows them.
     pub retries: u32,
-    /// After this time; at once if zero.
+    /// The delay before a retry.
     #[serde(with = "humantime_serde")]
     pub retry_after: Duration,
-    /// The least part of a class's deadline for which a caller waits; each draws its own from there to the whole.
+    /// The minimum timeout of a client, as a fraction of the class's deadline; drawn uniformly from there to 1.
     pub patience: f64,
 }
 
-impl Default for Callers {
+impl Default for Clients {
     fn default() -> Self {
         Self {
             per_second: 160.0,
@@ -189,15 +189,15 @@
     }
 }
 
-/// What a repeat of a request may do.
+/// Whether a request may be executed more than once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Effect {
-    /// A read.
+    /// Idempotent: a read.
     SafeToRepeat,
-    /// A write that carries a key; repeats are dropped for 4 s.
+    /// A write with an idempotency key; duplicates are dropped for 4 s.
     Keyed,
-    /// A write that must never run twice.
+    /// A write that is not idempotent.
     NeverTwice,
 }
 
@@ -205,119 +205,119 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Class {
-    /// Its name.
+    /// The name.
     pub name: String,
-    /// Its part of the requests; the parts are weighed against each other.
+    /// The relative share of requests.
     pub part: f64,
-    /// Mean work of one on one core of speed 1; each draws from 0.7 to 1.3 of it.
+    /// The mean work on one core of speed 1; each request takes 0.7 to 1.3 times this.
     #[serde(with = "humantime_serde")]
     pub work: Duration,
-    /// An answer after this is worth nothing.
+    /// The latency objective: later answers count nothing.
     #[serde(with = "humantime_serde")]
     pub wanted: Duration,
-    /// The longest that a caller waits.
+    /// The maximum timeout of a client.
     #[serde(with = "humantime_serde")]
     pub deadline: Duration,
-    /// What one is worth.
+    /// The priority weight of a request.
     pub worth: f64,
-    /// What a repeat may do.
+    /// Whether a request may be executed more than once.
     pub effect: Effect,
 }
 
-/// A municipio.
+/// A municipio, the tenant of the service.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Municipio {
-    /// Its name.
+    /// The name.
     pub name: String,
-    /// Its share of the service; what it asks beyond is worth a fifth.
+    /// The quota as a relative share; requests beyond it have a fifth of the weight.
     pub share: f64,
-    /// Its part of the requests, as a multiple of its share.
+    /// The rate of its requests, as a multiple of its share.
     #[serde(default = "one")]
     pub asks: f64,
 }
 
-/// Something that goes wrong.
+/// A fault at a time.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Trouble {
-    /// When.
+pub struct ScheduledFault {
+    /// The time.
     #[serde(with = "humantime_serde")]
     pub at: Duration,
-    /// What.
+    /// The fault.
     #[serde(flatten)]
-    pub what: What,
+    pub what: Fault,
 }
 
-/// What goes wrong.
+/// A fault.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "kebab-case", deny_unknown_fields)]
-pub enum What {
-    /// A part of the nodes dies at once and comes back cold and empty.
+pub enum Fault {
+    /// A fraction of the nodes crashes at once and restarts cold and empty.
     Crash {
-        /// Which part.
+        /// The affected fraction.
         part: f64,
-        /// After how long.
+        /// The time until they restart.
         #[serde(with = "humantime_serde")]
         back_after: Duration,
     },
-    /// A part of the machines says nothing any more, and comes back cold and empty.
+    /// A fraction of the machines stops responding, and restarts cold and empty.
     Vanish {
-        /// Which part.
+        /// The affected fraction.
         part: f64,
-        /// After how long.
+        /// The time until they restart.
         #[serde(with = "humantime_serde")]
         back_after: Duration,
     },
-    /// Nodes drain, go 2 s later, and come back cold and empty.
+    /// Nodes drain, stop 2 s later, and restart cold and empty.
     Drain {
-        /// How many.
+        /// The number of them.
         nodes: usize,
-        /// After how long.
+        /// The time until they restart.
         #[serde(with = "humantime_serde")]
         back_after: Duration,
     },
-    /// A few keys draw a part of all reads.
+    /// A fraction of all reads is for a few keys.
     HotKeys {
-        /// How many keys.
+        /// The number of keys.
         keys: u64,
-        /// Which part.
+        /// The affected fraction.
         part: f64,
-        /// For how long.
+        /// The duration.
         #[serde(with = "humantime_serde")]
         lasts: Duration,
     },
-    /// The archive takes so many times as long.
+    /// The origin is slower by a factor.
     ArchiveSlow {
-        /// How many.
+        /// The number of them.
         times: f64,
-        /// For how long.
+        /// The duration.
         #[serde(with = "humantime_serde")]
         lasts: Duration,
     },
-    /// A part of all kept copies goes void.
+    /// A fraction of all cached objects is invalidated.
     Flush {
-        /// Which part.
+        /// The affected fraction.
         part: f64,
     },
-    /// A part of the nodes' answers is spoilt: the request has run, and nothing can be made of the answer.
+    /// A fraction of the nodes' answers is corrupt: the request was executed, but the answer is not usable.
     SpoiltAnswers {
-        /// Which part.
+        /// The affected fraction.
         part: f64,
-        /// For how long.
+        /// The duration.
         #[serde(with = "humantime_serde")]
         lasts: Duration,
     },
-    /// Callers come at so many times their rate.
+    /// Clients arrive faster by a factor.
     Surge {
-        /// How many.
+        /// The number of them.
         times: f64,
-        /// For how long.
+        /// The duration.
         #[serde(with = "humantime_serde")]
         lasts: Duration,
     },
-    /// More nodes are switched on, cold and empty.
+    /// Nodes are added, cold and empty.
     Grow {
-        /// How many.
+        /// The number of them.
         nodes: usize,
     },
 }
@@ -361,27 +361,27 @@
     .into()
 }
 
-/// A span in microseconds.
+/// Returns a duration in microseconds.
 #[must_use]
 pub fn micros(span: Duration) -> Micros {
     u64::try_from(span.as_micros()).unwrap_or(u64::MAX)
 }
 
 impl Scenario {
-    /// Reads a day from a file.
+    /// Reads a scenario from a file.
     ///
     /// # Errors
-    /// When it cannot be read or played; the error names file, place and field.
+    /// Returns an error with file, position and field if it cannot be read or is not valid.
     pub fn read(file: &Path) -> Result<Self, ScenarioError> {
         let text = std::fs::read_to_string(file)
             .map_err(|source| ScenarioError::Unreadable { file: file.to_owned(), source })?;
         Self::parse(&text, file)
     }
 
-    /// Reads a day from its text; `file` is for errors.
+    /// Parses a scenario; `file` is used in errors.
     ///
     /// # Errors
-    /// As [`Scenario::read`].
+    /// Returns the errors of [`Scenario::read`], except for reading.
     pub fn parse(text: &str, file: &Path) -> Result<Self, ScenarioError> {
         let scenario: Self = toml::from_str(text)
             .map_err(|error| ScenarioError::Form { file: file.to_owned(), text: error.to_string() })?;
--- a/crates/emulator/src/scenario/validate.rs
+++ b/crates/emulator/src/scenario/validate.rs
@@ -1,33 +1,33 @@
-//! Checks the values of a scenario, field by field in the order of the file.
+//! Validates the values of a scenario, in the order of the file.
 
-use super::{Callers, Class, Fleet, Municipio, Scenario, What};
+use super::{Class, Clients, Fault, Fleet, Municipio, Scenario};
 use std::time::Duration;
 
-/// The longest day.
+/// The maximum duration of a scenario.
 const MAX_DAY: Duration = Duration::from_secs(3_600);
-/// Cache nodes at most, at the start and switched on later.
+/// The maximum number of cache nodes, at the start and added later.
 const MAX_NODES: usize = 100_000;
-/// Gateways at most.
+/// The maximum number of gateways.
 const MAX_GATEWAYS: usize = 1_000;
-/// Requests a second at most.
+/// The maximum number of requests per second.
 const MAX_RATE: f64 = 1e6;
-/// Retries of a client at most.
+/// The maximum number of retries of a client.
 const MAX_RETRIES: u32 = 10;
-/// Classes at most: their numbers have eight bits.
+/// The maximum number of classes, whose numbers have eight bits.
 const MAX_CLASSES: usize = 255;
-/// The largest spread of the archive's times.
+/// The maximum spread of the origin's service times.
 const MAX_SPREAD: f64 = 3.0;
 
-/// A value that cannot be played.
+/// An invalid value.
 #[derive(Debug)]
 pub(super) struct InvalidValue {
-    /// The field, by its path.
+    /// The path of the field.
     pub(super) field: String,
-    /// What would be allowed.
+    /// The allowed values.
     pub(super) wrong: String,
 }
 
-/// Checks a scenario.
+/// Validates a scenario.
 pub(super) fn scenario(scenario: &Scenario) -> Result<(), InvalidValue> {
     let lasts = scenario.lasts;
     require(!lasts.is_zero() && lasts <= MAX_DAY, "lasts", "from 1us to 1h")?;
@@ -58,7 +58,7 @@
     require(is_part(fleet.miss_work), "fleet.miss_work", "from 0 to 1")
 }
 
-fn callers(callers: &Callers) -> Result<(), InvalidValue> {
+fn callers(callers: &Clients) -> Result<(), InvalidValue> {
     let rate = callers.per_second;
     require(is_positive(rate) && rate <= MAX_RATE, "callers.per_second", "above 0, to 1000000")?;
     require(callers.keys > 0, "callers.keys", "at least 1")?;
@@ -89,21 +89,21 @@
     Ok(())
 }
 
-/// Checks the values of one fault; `n` is its place in the file.
-fn fault(n: usize, what: &What) -> Result<(), InvalidValue> {
+/// Validates a fault; `n` is its index in the file.
+fn fault(n: usize, what: &Fault) -> Result<(), InvalidValue> {
     let field = |name: &str| format!("trouble[{n}].{name}");
     match *what {
-        What::Crash { part, .. }
-        | What::Vanish { part, .. }
-        | What::Flush { part }
-        | What::SpoiltAnswers { part, .. } => require(is_part(part), &field("part"), "from 0 to 1"),
-        What::HotKeys { part, keys, .. } => {
+        Fault::Crash { part, .. }
+        | Fault::Vanish { part, .. }
+        | Fault::Flush { part }
+        | Fault::SpoiltAnswers { part, .. } => require(is_part(part), &field("part"), "from 0 to 1"),
+        Fault::HotKeys { part, keys, .. } => {
             require(is_part(part) && keys > 0, &field("part or keys"), "from 0 to 1; 1 at least")
         }
-        What::ArchiveSlow { times, .. } | What::Surge { times, .. } => {
+        Fault::ArchiveSlow { times, .. } | Fault::Surge { times, .. } => {
             require(is_positive(times), &field("times"), "above 0")
         }
-        What::Drain { nodes, .. } | What::Grow { nodes } => {
+        Fault::Drain { nodes, .. } | Fault::Grow { nodes } => {
             require(nodes <= MAX_NODES, &field("nodes"), "100000 at most")
         }
     }
--- a/crates/emulator/src/score.rs
+++ b/crates/emulator/src/score.rs
@@ -1,73 +1,78 @@
-//! What a day was worth: the worth answered within the wanted time over the worth asked for.
+//! The score of a simulation: the weight of requests answered within their objective over the weight of all requests.
 
-use crate::callers::Intent;
+use crate::clients::Intent;
 use crate::scenario::{Scenario, micros};
 use crate::{Micros, SECOND};
 use hdrhistogram::Histogram;
 use serde::Serialize;
 
-/// What a request beyond its municipio's share is worth, as a part of the usual.
-const OVER_SHARE: f64 = 0.2;
-/// Weights of the whole day, its worst 10 s, its worst class and its worst municipio.
+/// The factor of the weight of a request beyond its municipio's quota.
+const OVER_QUOTA_WEIGHT: f64 = 0.2;
+/// The weights of the whole day, its worst window, its worst class and its worst municipio.
 const WEIGHTS: [f64; 4] = [0.6, 0.1, 0.2, 0.1];
-/// Seconds in the window of which the worst counts.
-const WINDOW: usize = 10;
-/// Points for work wasted as much as was asked for, and for all failing only after the wanted time.
-const PRICES: [f64; 2] = [0.056, 0.035];
+/// The length of the windows, in seconds.
+const WORST_WINDOW_SECONDS: usize = 10;
+/// The reported quantiles of response times.
+const QUANTILES: [f64; 3] = [0.5, 0.99, 0.999];
+/// The longest response time that is recorded exactly.
+const MAX_RECORDED_TIME: Micros = 600 * SECOND;
+/// The maximum penalties for wasted work and for failures after the latency objective.
+const PENALTY_WEIGHTS: [f64; 2] = [0.056, 0.035];
 
-/// How an intent ended.
+/// The outcome of an intent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum End {
-    /// Served within its wanted time.
+pub enum IntentOutcome {
+    /// Served within its latency objective.
     InTime,
-    /// Served after it.
+    /// Served later.
     Late,
-    /// Its last try was refused.
+    /// The last attempt was rejected.
     Refused,
-    /// Its last try failed.
+    /// The last attempt failed.
     Failed,
-    /// Nothing came.
+    /// There was no answer.
     Unanswered,
 }
 
-/// Counts of one class or municipio.
+/// The score of a class or municipio.
 #[derive(Debug, Default, Clone, Serialize)]
-pub struct Row {
-    /// Its name.
+pub struct GroupScore {
+    /// The name of the class or municipio.
     pub name: String,
-    /// First tries.
+    /// The number of intents.
     pub asked: u64,
-    /// Served in time, late, refused, failed, unanswered.
+    /// The numbers of intents served in time, served late, rejected, failed and unanswered.
     pub ends: [u64; 5],
-    /// Worth served in time over worth asked, within its share.
+    /// The weight served in time over the weight requested, within the quota.
     pub served: f64,
-    /// Times of those served, from the first try on, in microseconds: median, 99th and 99.9th percentile. Arrivals wait
-    /// for no answer, so that no wait is left out.
+    /// Response times since the first attempt, in microseconds: median, 99th and 99.9th percentile. Arrivals are
+    /// open-loop,
+    /// so that there is no coordinated omission.
     pub times_us: [u64; 3],
 }
 
-/// What came of a day.
+/// The score of a simulation.
 #[derive(Debug, Clone, Serialize)]
 pub struct Score {
-    /// The weighed result, less the prices.
+    /// The weighted result, less the penalties.
     pub g: f64,
-    /// Worth served in time over worth asked: the whole day.
+    /// The weight served in time over the weight requested, for the whole day.
     pub whole: f64,
-    /// Its worst 10 s.
+    /// The same for the worst window.
     pub worst_window: f64,
-    /// When these began, in seconds.
+    /// The start of the worst window, in seconds.
     pub worst_from_s: usize,
-    /// Its worst class.
+    /// The same for the worst class.
     pub worst_class: f64,
-    /// Its worst municipio.
+    /// The same for the worst municipio.
     pub worst_municipio: f64,
-    /// The price for wasted work, and for failing late.
+    /// The penalties for wasted work and for late failures.
     pub prices: [f64; 2],
-    /// By class.
-    pub classes: Vec<Row>,
-    /// By municipio.
-    pub municipios: Vec<Row>,
+    /// The scores by class.
+    pub classes: Vec<GroupScore>,
+    /// The scores by municipio.
+    pub municipios: Vec<GroupScore>,
 }
 
 #[derive(Debug, Default, Clone, Copy)]
@@ -86,72 +91,116 @@
     }
 }
 
-/// Reckons a day from its intents, how and when each ended, and the part of nodes' work that served no answer.
-#[must_use]
-pub fn reckon(scenario: &Scenario, intents: &[(Intent, End, Micros)], wasted: f64) -> Score {
-    let seconds = usize::try_from(micros(scenario.lasts).div_ceil(SECOND)).unwrap_or(usize::MAX);
-    let (mut whole, mut by_second) = (Worth::default(), vec![Worth::default(); seconds + 1]);
-    let mut classes =
-        vec![(Worth::default(), Worth::default(), Row::default(), histogram()); scenario.classes.len()];
-    let mut municipios =
-        vec![(Worth::default(), Worth::default(), Row::default(), histogram()); scenario.municipios.len()];
-    let mut failed_late = Worth::default();
-    for (intent, end, at) in intents {
+/// The score of a class or municipio in progress.
+#[derive(Clone)]
+struct Group {
+    all: Worth,
+    within_quota: Worth,
+    score: GroupScore,
+    times: Histogram<u64>,
+}
+
+impl Group {
+    fn new(name: &str) -> Self {
+        // Three digits up to the longest deadline of a class; longer times are recorded as that.
+        let times = Histogram::new_with_max(MAX_RECORDED_TIME, 3).expect("valid histogram bounds");
+        let score = GroupScore { name: name.to_owned(), ..GroupScore::default() };
+        Self { all: Worth::default(), within_quota: Worth::default(), score, times }
+    }
+
+    fn record(&mut self, intent: &Intent, outcome: IntentOutcome, worth: f64, took: Micros) {
+        let in_time = outcome == IntentOutcome::InTime;
+        self.all.add(worth, in_time);
+        if !intent.over_quota {
+            self.within_quota.add(worth, in_time);
+        }
+        self.score.asked += 1;
+        self.score.ends[outcome as usize] += 1;
+        if matches!(outcome, IntentOutcome::InTime | IntentOutcome::Late) {
+            self.times.saturating_record(took.max(1));
+        }
+    }
+
+    fn finish(mut self) -> GroupScore {
+        self.score.served = self.within_quota.part();
+        self.score.times_us = QUANTILES.map(|quantile| self.times.value_at_quantile(quantile));
+        self.score
+    }
+}
+
+/// The score of a day in progress.
+struct Totals {
+    whole: Worth,
+    by_second: Vec<Worth>,
+    failed_late: Worth,
+    classes: Vec<Group>,
+    municipios: Vec<Group>,
+}
+
+impl Totals {
+    fn new(scenario: &Scenario) -> Self {
+        let seconds = usize::try_from(micros(scenario.lasts).div_ceil(SECOND)).unwrap_or(usize::MAX);
+        Self {
+            whole: Worth::default(),
+            by_second: vec![Worth::default(); seconds + 1],
+            failed_late: Worth::default(),
+            classes: scenario.classes.iter().map(|class| Group::new(&class.name)).collect(),
+            municipios: scenario.municipios.iter().map(|municipio| Group::new(&municipio.name)).collect(),
+        }
+    }
+
+    fn record(&mut self, scenario: &Scenario, intent: &Intent, outcome: IntentOutcome, at: Micros) {
         let class = &scenario.classes[intent.class];
-        let worth = class.worth * if intent.over { OVER_SHARE } else { 1.0 };
-        let in_time = *end == End::InTime;
+        let worth = class.worth * if intent.over_quota { OVER_QUOTA_WEIGHT } else { 1.0 };
+        let in_time = outcome == IntentOutcome::InTime;
         let took = at.saturating_sub(intent.at);
-        whole.add(worth, in_time);
-        by_second[(intent.at / SECOND) as usize].add(worth, in_time);
-        failed_late.add(worth, !in_time && took > micros(class.wanted));
-        for (all, within, row, times) in [&mut classes[intent.class], &mut municipios[intent.municipio]] {
-            all.add(worth, in_time);
-            if !intent.over {
-                within.add(worth, in_time);
-            }
-            row.asked += 1;
-            row.ends[*end as usize] += 1;
-            if matches!(end, End::InTime | End::Late) {
-                times.saturating_record(took.max(1));
-            }
+        self.whole.add(worth, in_time);
+        self.by_second[(intent.at / SECOND) as usize].add(worth, in_time);
+        self.failed_late.add(worth, !in_time && took > micros(class.wanted));
+        self.classes[intent.class].record(intent, outcome, worth, took);
+        self.municipios[intent.municipio].record(intent, outcome, worth, took);
+    }
+
+    fn finish(self, wasted: f64) -> Score {
+        let worst_class = self.classes.iter().map(|group| group.all.part()).fold(1.0, f64::min);
+        let worst_municipio =
+            self.municipios.iter().map(|group| group.within_quota.part()).fold(1.0, f64::min);
+        let seconds = self.by_second.len() - 1;
+        let (worst_window, worst_from_s) = worst_window_of(&self.by_second[..seconds]);
+        let any_failed = f64::from(self.failed_late.asked > 0.0);
+        let prices =
+            [PENALTY_WEIGHTS[0] * wasted.min(1.0), PENALTY_WEIGHTS[1] * self.failed_late.part() * any_failed];
+        let parts = [self.whole.part(), worst_window, worst_class, worst_municipio];
+        let g = WEIGHTS.iter().zip(parts).map(|(weight, part)| weight * part).sum::<f64>()
+            - prices.iter().sum::<f64>();
+        Score {
+            g,
+            whole: self.whole.part(),
+            worst_window,
+            worst_from_s,
+            worst_class,
+            worst_municipio,
+            prices,
+            classes: self.classes.into_iter().map(Group::finish).collect(),
+            municipios: self.municipios.into_iter().map(Group::finish).collect(),
         }
     }
-    let rows = |all: &mut Vec<(Worth, Worth, Row, Histogram<u64>)>, names: Vec<&str>| -> Vec<Row> {
-        let named = all.drain(..).zip(names);
-        named
-            .map(|((_, within, mut row, times), name)| {
-                row.name = name.to_owned();
-                row.served = within.part();
-                row.times_us = [0.5, 0.99, 0.999].map(|q| times.value_at_quantile(q));
-                row
-            })
-            .collect()
-    };
-    let worst_class = classes.iter().map(|(all, ..)| all.part()).fold(1.0, f64::min);
-    let worst_municipio = municipios.iter().map(|(_, within, ..)| within.part()).fold(1.0, f64::min);
-    let classes = rows(&mut classes, scenario.classes.iter().map(|c| &*c.name).collect());
-    let municipios = rows(&mut municipios, scenario.municipios.iter().map(|m| &*m.name).collect());
-    let (worst_window, worst_from_s) = worst(&by_second[..seconds]);
-    let prices =
-        [PRICES[0] * wasted.min(1.0), PRICES[1] * failed_late.part() * f64::from(failed_late.asked > 0.0)];
-    let parts = [whole.part(), worst_window, worst_class, worst_municipio];
-    let g = WEIGHTS.iter().zip(parts).map(|(weight, part)| weight * part).sum::<f64>()
-        - prices.iter().sum::<f64>();
-    Score {
-        g,
-        whole: whole.part(),
-        worst_window,
-        worst_from_s,
-        worst_class,
-        worst_municipio,
-        prices,
-        classes,
-        municipios,
+}
+
+/// Computes the score of a day from its intents, how and when each ended, and the fraction of the nodes' work that
+/// served no answer.
+#[must_use]
+pub fn compute_score(scenario: &Scenario, intents: &[(Intent, IntentOutcome, Micros)], wasted: f64) -> Score {
+    let mut totals = Totals::new(scenario);
+    for (intent, outcome, at) in intents {
+        totals.record(scenario, intent, *outcome, *at);
     }
+    totals.finish(wasted)
 }
 
-fn worst(by_second: &[Worth]) -> (f64, usize) {
-    let span = WINDOW.min(by_second.len()).max(1);
+/// Returns the lowest score of any window, and the second in which it starts.
+fn worst_window_of(by_second: &[Worth]) -> (f64, usize) {
+    let span = WORST_WINDOW_SECONDS.min(by_second.len()).max(1);
     by_second
         .windows(span)
         .enumerate()
@@ -164,8 +213,3 @@
         })
         .fold((1.0, 0), |worst, window| if window.0 < worst.0 { window } else { worst })
 }
-
-fn histogram() -> Histogram<u64> {
-    // Three digits up to the longest deadline that a class may name; longer times are counted at the end.
-    Histogram::new_with_max(600 * SECOND, 3).expect("bounds that a histogram may have")
-}
--- /dev/null
+++ b/crates/emulator/src/simulation/gateway_events.rs
@@ -0,0 +1,174 @@
+//! The events at gateways: requests, the actions they decide on, and the ends of attempts.
+
+use super::settings::decision_effect;
+use super::state::{ORIGIN, RequestContext, Simulation};
+use super::timeline::{ClientAttempt, SimEvent, Tag};
+use crate::Micros;
+use crate::referee::{Answer, Observation, Slack};
+use crate::scenario::Effect;
+use crate::score::IntentOutcome;
+use crate::{node, origin};
+use decide::api::{Action, ClassId, EndpointId, Event, Outcome, Reason, Request, RequestId, TenantId};
+use std::collections::VecDeque;
+
+impl Simulation<'_> {
+    pub(super) fn arrive_at_gateway(&mut self, gateway: usize, this: ClientAttempt) {
+        let intent = self.intents[this.intent].0;
+        let effect = decision_effect(self.scenario.classes[intent.class].effect);
+        let deadline = self.now + intent.timeout;
+        let request = Request {
+            id: this.request,
+            class: ClassId(intent.class as u8),
+            tenant: TenantId(intent.municipio as u32),
+            key: Some(intent.key),
+            write: self.scenario.classes[intent.class].effect != Effect::SafeToRepeat,
+            remaining_us: intent.timeout,
+        };
+        self.referee.record(
+            self.now,
+            Observation::Accepted { gateway, request: this.request, effect, client_deadline: deadline },
+        );
+        let context = RequestContext {
+            this,
+            deadline,
+            answered: false,
+            attempts_in_flight: Vec::new(),
+            missed: Vec::new(),
+        };
+        self.gateways[gateway].open_requests.insert(this.request, context);
+        self.schedule(deadline + Slack::VIRTUAL.answer, SimEvent::TimeIsUp(gateway, this.request));
+        self.deliver(gateway, Event::Request(request));
+    }
+
+    /// Delivers an event to a gateway and executes its actions, until there are no further events.
+    pub(super) fn deliver(&mut self, gateway: usize, event: Event) {
+        let (mut events, mut actions) = (VecDeque::from([event]), Vec::new());
+        while let Some(event) = events.pop_front() {
+            self.gateways[gateway].balancer.handle(self.now, event, &mut actions);
+            for action in actions.drain(..) {
+                self.execute(gateway, action, &mut events);
+            }
+        }
+    }
+
+    fn execute(&mut self, gateway: usize, action: Action, events: &mut VecDeque<Event>) {
+        match action {
+            Action::Forward { id, endpoint, timeout_us } => self.send(gateway, id, endpoint, timeout_us),
+            Action::Reject { id, retry_after_us, reason } => {
+                self.abandon(gateway, id, Answer::Refused, retry_after_us, reason);
+            }
+            Action::Fail { id, reason } => self.abandon(gateway, id, Answer::Failed, 0, reason),
+            Action::Cancel { id, attempt } => {
+                let tag = Tag { gateway, request: id, attempt };
+                events.extend(self.end_attempt(tag, Outcome::Cancelled));
+            }
+            Action::Timer { delay_us, token } => {
+                self.schedule(self.now + delay_us, SimEvent::Timer(gateway, token))
+            }
+            Action::CloseIdle(_) | Action::Watch | Action::PublishLoad(_) => {}
+        }
+    }
+
+    fn abandon(
+        &mut self, gateway: usize, request: RequestId, answer: Answer, retry_after: Micros, why: Reason,
+    ) {
+        *self.reasons.entry(why.label()).or_default() += 1;
+        self.referee.record(self.now, Observation::Abandoned { request });
+        self.answer(gateway, request, answer, retry_after);
+    }
+
+    fn answer(&mut self, gateway: usize, request: RequestId, answer: Answer, retry_after: Micros) {
+        self.referee.record(self.now, Observation::Answered { request, answer });
+        let Some(context) = self.gateways[gateway].open_requests.get_mut(&request) else { return };
+        let first = !std::mem::replace(&mut context.answered, true);
+        let this = context.this;
+        self.remove_completed(gateway, request);
+        if first {
+            let at = self.now + self.network_delay();
+            self.schedule(at, SimEvent::AtClient(this, answer, retry_after));
+        }
+    }
+
+    fn send(&mut self, gateway: usize, request: RequestId, endpoint: EndpointId, timeout_us: Micros) {
+        let n = if endpoint == ORIGIN { self.nodes.len() } else { endpoint.0 as usize - 1 };
+        let Some(context) = self.gateways[gateway].open_requests.get_mut(&request) else { return };
+        let attempt = context.attempts_in_flight.len() as u16;
+        context.attempts_in_flight.push(Some((n, self.now)));
+        let until = match timeout_us {
+            0 => context.deadline,
+            us => context.deadline.min(self.now + us),
+        };
+        let intent = self.intents[context.this.intent].0;
+        self.attempts += 1;
+        self.referee.record(self.now, Observation::Sent { gateway, request, attempt, endpoint });
+        let tag = Tag { gateway, request, attempt };
+        self.schedule(until.max(self.now), SimEvent::TimesOut(tag));
+        let at = self.now + self.network_delay();
+        let key = intent.key;
+        if endpoint == ORIGIN {
+            let effect = self.scenario.classes[intent.class].effect;
+            let write = effect != Effect::SafeToRepeat;
+            let idempotency_key = (effect == Effect::Keyed)
+                .then_some(self.gateways[gateway].open_requests[&request].this.intent as u64);
+            self.schedule(at, SimEvent::AtArchive(origin::Job { tag, request, key, write, idempotency_key }));
+        } else {
+            self.schedule(at, SimEvent::AtNode(n, node::Job { tag, key, work_us: intent.work_us }));
+        }
+    }
+
+    /// Handles the end of an attempt, with or without an answer, at its gateway.
+    pub(super) fn return_to_gateway(&mut self, tag: Tag, outcome: Outcome, made_for: RequestId, work: f64) {
+        let context = self.gateways[tag.gateway].open_requests.get_mut(&tag.request);
+        let out = context.and_then(|context| {
+            let (n, _) = (*context.attempts_in_flight.get(tag.attempt as usize)?)?;
+            let key = self.intents[context.this.intent].0.key;
+            if outcome == Outcome::Miss {
+                context.missed.push(n);
+            }
+            Some((n, key, context.missed.clone()))
+        });
+        // Work is wasted if nobody waits for it any more or its answer is corrupt.
+        self.node_work[0] += work;
+        self.node_work[1] += if out.is_none() || outcome == Outcome::Error { work } else { 0.0 };
+        let Some((n, key, missed)) = out else { return };
+        if outcome == Outcome::Ok && n == self.nodes.len() {
+            missed.iter().take(2).for_each(|&n| self.nodes[n].store(key));
+        }
+        let Some(event) = self.end_attempt(tag, outcome) else { return };
+        if outcome == Outcome::Ok {
+            self.answer(tag.gateway, tag.request, Answer::Served { made_for }, 0);
+        }
+        self.deliver(tag.gateway, event);
+    }
+
+    /// Ends an attempt in flight and returns the event for its gateway.
+    pub(super) fn end_attempt(&mut self, tag: Tag, outcome: Outcome) -> Option<Event> {
+        let Tag { gateway, request, attempt } = tag;
+        let context = self.gateways[gateway].open_requests.get_mut(&request)?;
+        let (_, sent) = context.attempts_in_flight.get_mut(attempt as usize)?.take()?;
+        let finished = context.answered || outcome == Outcome::Ok;
+        self.referee.record(self.now, Observation::Ended { request, attempt, outcome });
+        self.remove_completed(gateway, request);
+        let (id, latency_us, fetch_pending, stale) = (request, self.now - sent, false, false);
+        Some(Event::Outcome { id, attempt, outcome, latency_us, finished, fetch_pending, stale })
+    }
+
+    fn remove_completed(&mut self, gateway: usize, request: RequestId) {
+        let open = &mut self.gateways[gateway].open_requests;
+        if open.get(&request).is_some_and(|c| c.answered && c.attempts_in_flight.iter().all(Option::is_none))
+        {
+            open.remove(&request);
+        }
+    }
+
+    pub(super) fn expire_request(&mut self, gateway: usize, request: RequestId) {
+        self.referee.expire_request(self.now, request);
+        let Some(context) = self.gateways[gateway].open_requests.get_mut(&request) else { return };
+        if !std::mem::replace(&mut context.answered, true) {
+            let this = context.this;
+            self.intents[this.intent].1 = Some((IntentOutcome::Unanswered, self.now));
+            self.deliver(gateway, Event::ClientLeft(request));
+            self.remove_completed(gateway, request);
+        }
+    }
+}
--- /dev/null
+++ b/crates/emulator/src/simulation/mod.rs
@@ -0,0 +1,116 @@
+//! A simulated day on a virtual clock: the models, the decision module of each gateway, and the referee between them.
+//!
+//! The same scenario and seed give the same day, to the microsecond. A gateway is represented by a [`Balancer`]: the
+//! decision module, or anything else that handles its events and returns its actions.
+
+mod balancer;
+mod client_events;
+mod faults;
+mod gateway_events;
+mod node_events;
+mod report;
+mod settings;
+mod state;
+mod timeline;
+
+use crate::Micros;
+use crate::clients::Intent;
+use crate::node::State;
+use crate::scenario::Scenario;
+use crate::score::{self, IntentOutcome};
+pub use balancer::Balancer;
+use decide::api::{Event, Outcome, Presence};
+use decide::policy::Router;
+pub use report::Report;
+pub use settings::settings;
+pub use state::ORIGIN;
+use state::Simulation;
+use timeline::{ScheduledEvent, SimEvent};
+
+/// Simulates a scenario with the decision module in each gateway.
+#[must_use]
+pub fn run(scenario: &Scenario, seed: u64) -> Report {
+    let settings = settings(scenario);
+    run_with(scenario, seed, |gateway| Box::new(Router::new(settings.clone(), seed ^ gateway as u64, 0)))
+}
+
+/// Simulates a scenario with the balancer that `balancer` returns for each gateway number.
+#[must_use]
+pub fn run_with(scenario: &Scenario, seed: u64, balancer: impl Fn(usize) -> Box<dyn Balancer>) -> Report {
+    let mut simulation = Simulation::new(scenario, seed, balancer);
+    simulation.run_to_end();
+    simulation.report()
+}
+
+impl Simulation<'_> {
+    fn run_to_end(&mut self) {
+        while let Some(ScheduledEvent { at, event, .. }) = self.timeline.pop() {
+            self.now = at;
+            self.handle_event(event);
+        }
+        self.referee.finish(self.now);
+    }
+
+    fn handle_event(&mut self, event: SimEvent) {
+        match event {
+            SimEvent::Arrival => self.next_arrival(),
+            SimEvent::Retry(intent, number) => self.send_try(intent, number),
+            SimEvent::Reaches(gateway, this) => self.arrive_at_gateway(gateway, this),
+            SimEvent::AtNode(n, job) => self.arrive_at_node(n, job),
+            SimEvent::NodeEnds(n, incarnation, job) => self.finish_at_node(n, incarnation, &job),
+            SimEvent::AtArchive(job) => self.arrive_at_origin(job),
+            SimEvent::ArchiveEnds(job) => self.finish_at_origin(&job),
+            SimEvent::Comes(tag, outcome, made_for, work) => {
+                self.return_to_gateway(tag, outcome, made_for, work)
+            }
+            SimEvent::TimesOut(tag) => self.return_to_gateway(tag, Outcome::Timeout, tag.request, 0.0),
+            SimEvent::TimeIsUp(gateway, request) => self.expire_request(gateway, request),
+            SimEvent::AtClient(this, answer, retry_after) => self.answer_at_client(this, answer, retry_after),
+            SimEvent::Timer(gateway, token) => self.deliver(gateway, Event::Timer(token)),
+            SimEvent::Told(gateway, n, version, entry) => self.notified(gateway, n, version, entry),
+            SimEvent::Falls(n) => self.start_fault(n),
+            SimEvent::Passes(n) => self.end_fault(n),
+            SimEvent::Goes(n) => {
+                if self.nodes[n].state == State::Draining {
+                    self.nodes[n].stop(State::Down);
+                    self.announce(n, Presence::Gone);
+                }
+            }
+            SimEvent::Returns(n, incarnation) => {
+                if self.nodes[n].incarnation == incarnation {
+                    self.nodes[n].start(self.now);
+                    self.announce(n, Presence::Ready);
+                }
+            }
+        }
+    }
+
+    fn report(self) -> Report {
+        let end = |end: Option<(IntentOutcome, Micros)>, at| end.unwrap_or((IntentOutcome::Unanswered, at));
+        let intents: Vec<(Intent, IntentOutcome, Micros)> = self
+            .intents
+            .iter()
+            .map(|(intent, ended)| {
+                let (how, at) = end(*ended, self.now);
+                (*intent, how, at)
+            })
+            .collect();
+        let wasted = if self.node_work[0] > 0.0 { self.node_work[1] / self.node_work[0] } else { 0.0 };
+        Report {
+            seed: self.seed,
+            score: score::compute_score(self.scenario, &intents, wasted),
+            findings: self.referee.findings().to_vec(),
+            broken: self.referee.broken(),
+            digest: self.referee.digest(),
+            tries: self.requests,
+            attempts: self.attempts,
+            misses: self.misses,
+            fetches: self.origin.ledger.reads,
+            writes: self.origin.ledger.writes_run,
+            dropped: self.origin.ledger.dropped,
+            wasted,
+            reasons: self.reasons,
+            troubles: self.troubles,
+        }
+    }
+}
--- /dev/null
+++ b/crates/emulator/src/simulation/node_events.rs
@@ -0,0 +1,89 @@
+//! The events at cache nodes and the origin: arrivals and ends of jobs.
+
+use super::state::Simulation;
+use super::timeline::{SimEvent, Tag};
+use crate::Micros;
+use crate::node::{self, NodeAdmission};
+use crate::origin;
+use crate::referee::Observation;
+use decide::api::{EndpointId, Outcome, Presence};
+use rand::Rng;
+
+/// How long connecting to an unresponsive machine takes to fail.
+const CONNECT_TIMEOUT: Micros = 100_000;
+
+impl Simulation<'_> {
+    pub(super) fn arrive_at_node(&mut self, n: usize, job: node::Job<Tag>) {
+        let offered = self.nodes[n].offer(self.now, job);
+        let back = |outcome| SimEvent::Comes(job.tag, outcome, job.tag.request, 0.0);
+        match offered {
+            NodeAdmission::Started(after) => {
+                let incarnation = self.nodes[n].incarnation;
+                self.schedule(self.now + after, SimEvent::NodeEnds(n, incarnation, job));
+            }
+            NodeAdmission::Queued => {}
+            NodeAdmission::NoResponse => {
+                self.schedule(self.now + CONNECT_TIMEOUT, back(Outcome::ConnectFailed))
+            }
+            NodeAdmission::Rejected | NodeAdmission::ConnectionRefused | NodeAdmission::Overloaded => {
+                let fell = offered == NodeAdmission::Overloaded;
+                if fell {
+                    self.referee
+                        .record(self.now, Observation::Overloaded { endpoint: EndpointId(n as u64 + 1) });
+                    self.announce(n, Presence::Gone);
+                }
+                let outcome = if offered == NodeAdmission::Rejected {
+                    Outcome::Rejected
+                } else {
+                    Outcome::ConnectFailed
+                };
+                let at = self.now + self.network_delay();
+                self.schedule(at, back(outcome));
+            }
+        }
+    }
+
+    pub(super) fn finish_at_node(&mut self, n: usize, incarnation: u32, job: &node::Job<Tag>) {
+        if self.nodes[n].incarnation != incarnation {
+            return; // it has died since; its connections are reset
+        }
+        let (found, next) = self.nodes[n].finish(self.now, job.key);
+        if let Some((next, after)) = next {
+            self.schedule(self.now + after, SimEvent::NodeEnds(n, incarnation, next));
+        }
+        let corrupt_fraction = self.corrupt_fraction > 0.0 && self.rng.random_bool(self.corrupt_fraction);
+        let outcome = match (found, corrupt_fraction) {
+            (_, true) => Outcome::Error,
+            (true, _) => Outcome::Ok,
+            (false, _) => Outcome::Miss,
+        };
+        self.misses += u64::from(!found);
+        let at = self.now + self.network_delay();
+        self.schedule(at, SimEvent::Comes(job.tag, outcome, job.tag.request, job.work_us));
+    }
+
+    pub(super) fn arrive_at_origin(&mut self, job: origin::Job<Tag>) {
+        match self.origin.offer(job, &mut self.rng) {
+            Ok(Some((job, after))) => self.schedule(self.now + after, SimEvent::ArchiveEnds(job)),
+            Ok(None) => {}
+            Err(origin::Declined) => {
+                let at = self.now + self.network_delay();
+                self.schedule(at, SimEvent::Comes(job.tag, Outcome::Rejected, job.request, 0.0));
+            }
+        }
+    }
+
+    pub(super) fn finish_at_origin(&mut self, job: &origin::Job<Tag>) {
+        let (ended, runs, next) = self.origin.finish(self.now, job, &mut self.rng);
+        if let Some((next, after)) = next {
+            self.schedule(self.now + after, SimEvent::ArchiveEnds(next));
+        }
+        if job.write {
+            self.referee.record(self.now, Observation::Executed { request: job.request, times: runs });
+            self.nodes.iter_mut().for_each(|node| node.invalidate(job.key));
+        }
+        let outcome = if ended == origin::JobOutcome::Served { Outcome::Ok } else { Outcome::Error };
+        let at = self.now + self.network_delay();
+        self.schedule(at, SimEvent::Comes(job.tag, outcome, job.request, 0.0));
+    }
+}
--- a/crates/emulator/src/day/settings.rs
+++ b/crates/emulator/src/simulation/settings.rs
@@ -1,10 +1,17 @@
-//! What a scenario's gateways are told.
+//! The settings of the simulated gateways.
 
-use super::{
-    ATTEMPTS, Class, DedupScope, Effect, HOLD_OFF, KEYED_SPAN, Mode, Scenario, Settings, Tenant, micros,
-};
+use crate::scenario::{Effect, Scenario, micros};
+use crate::{Micros, SECOND};
+use decide::api::{Class, DedupScope, Mode, Settings, Tenant};
 
-/// The settings that a scenario's gateways are told.
+/// How long the origin deduplicates writes with an idempotency key.
+pub(super) const DEDUP_WINDOW: Micros = 4_000_000;
+/// The maximum number of attempts of a request.
+const MAX_ATTEMPTS: u32 = 5;
+/// The longest Retry-After that clients are sent.
+const MAX_RETRY_AFTER: Micros = SECOND;
+
+/// Returns the settings of the gateways of a scenario.
 #[must_use]
 pub fn settings(scenario: &Scenario) -> Settings {
     let class = |class: &crate::scenario::Class| Class {
@@ -12,7 +19,7 @@
         deadline_us: micros(class.deadline),
         priority_weight: class.worth,
         late_weight: 0.0,
-        effect: repeat(class.effect),
+        effect: decision_effect(class.effect),
     };
     let total: f64 = scenario.municipios.iter().map(|m| m.share).sum();
     let tenant = |share: f64| Tenant { quota_per_s: share / total * scenario.callers.per_second * 1.05 };
@@ -23,9 +30,9 @@
         over_quota_weight: 0.2,
         mode: Mode::CacheAside,
         origin_kind: Some(1),
-        max_attempts: ATTEMPTS,
+        max_attempts: MAX_ATTEMPTS,
         cancel: true,
-        max_retry_after_us: HOLD_OFF,
+        max_retry_after_us: MAX_RETRY_AFTER,
         weights_are_lasting: true,
         slow_start_fraction: scenario.fleet.slow_start_fraction,
         slow_start_us: micros(scenario.fleet.cold_for),
@@ -34,12 +41,12 @@
     }
 }
 
-/// A class's effect as gateways are told it.
-pub(super) fn repeat(effect: Effect) -> decide::api::Effect {
+/// Converts the effect of a request class.
+pub(super) fn decision_effect(effect: Effect) -> decide::api::Effect {
     match effect {
         Effect::SafeToRepeat => decide::api::Effect::Idempotent,
         Effect::Keyed => {
-            decide::api::Effect::IdempotentWithKey { scope: DedupScope::All, span_us: KEYED_SPAN }
+            decide::api::Effect::IdempotentWithKey { scope: DedupScope::All, span_us: DEDUP_WINDOW }
         }
         Effect::NeverTwice => decide::api::Effect::NonIdempotent,
     }
--- /dev/null
+++ b/crates/emulator/src/simulation/state.rs
@@ -0,0 +1,164 @@
+//! The state of a simulation and its start.
+
+use super::balancer::Balancer;
+use super::settings::settings;
+use super::timeline::{ClientAttempt, ScheduledEvent, SimEvent, Tag};
+use crate::clients::{Clients, Intent};
+use crate::node::Node;
+use crate::origin::Origin;
+use crate::referee::{Referee, Slack};
+use crate::scenario::{Scenario, micros};
+use crate::score::IntentOutcome;
+use crate::{Micros, SECOND};
+use decide::api::{
+    Action, CellId, ClassId, EndpointEntry, EndpointId, Event, ListKind, Outcome, Presence, Request,
+    RequestId, TenantId, ZoneId,
+};
+use decide::policy::Router;
+use rand::{Rng, SeedableRng};
+use rand_pcg::Pcg64;
+use rustc_hash::FxHashMap;
+use std::collections::{BTreeMap, BinaryHeap};
+
+/// The endpoint id of the origin.
+pub const ORIGIN: EndpointId = EndpointId(1 << 32);
+
+/// A request at a gateway.
+#[derive(Debug)]
+pub(super) struct RequestContext {
+    pub(super) this: ClientAttempt,
+    pub(super) deadline: Micros,
+    pub(super) answered: bool,
+    /// By attempt: its node (the origin is past the last) and when it was sent; `None` once it has ended.
+    pub(super) attempts_in_flight: Vec<Option<(usize, Micros)>>,
+    pub(super) missed: Vec<usize>,
+}
+
+/// A simulated gateway.
+pub(super) struct Gateway {
+    pub(super) balancer: Box<dyn Balancer>,
+    pub(super) open_requests: FxHashMap<RequestId, RequestContext>,
+    pub(super) versions: Vec<u32>,
+}
+
+/// The state of a simulation in progress.
+pub(super) struct Simulation<'a> {
+    pub(super) scenario: &'a Scenario,
+    pub(super) seed: u64,
+    pub(super) now: Micros,
+    pub(super) next_order: u64,
+    pub(super) timeline: BinaryHeap<ScheduledEvent>,
+    pub(super) rng: Pcg64,
+    pub(super) clients: Clients,
+    pub(super) nodes: Vec<Node<Tag>>,
+    pub(super) versions: Vec<u32>,
+    pub(super) origin: Origin<Tag>,
+    pub(super) gateways: Vec<Gateway>,
+    pub(super) referee: Referee,
+    pub(super) intents: Vec<(Intent, Option<(IntentOutcome, Micros)>)>,
+    pub(super) corrupt_fraction: f64,
+    pub(super) requests: u64,
+    pub(super) attempts: u64,
+    pub(super) misses: u64,
+    pub(super) node_work: [f64; 2],
+    pub(super) reasons: BTreeMap<&'static str, u64>,
+    pub(super) troubles: Vec<(Micros, String)>,
+}
+
+impl<'a> Simulation<'a> {
+    pub(super) fn new(
+        scenario: &'a Scenario, seed: u64, balancer: impl Fn(usize) -> Box<dyn Balancer>,
+    ) -> Self {
+        let nodes = (0..scenario.fleet.nodes).map(|n| Node::new(n, &scenario.fleet)).collect();
+        let gateway = |n| Gateway {
+            balancer: balancer(n),
+            open_requests: FxHashMap::default(),
+            versions: vec![0; scenario.fleet.nodes],
+        };
+        let mut simulation = Self {
+            scenario,
+            seed,
+            now: 0,
+            next_order: 0,
+            timeline: BinaryHeap::new(),
+            rng: Pcg64::seed_from_u64(seed),
+            clients: Clients::new(scenario),
+            nodes,
+            versions: vec![0; scenario.fleet.nodes],
+            origin: Origin::new(&scenario.archive),
+            gateways: (0..scenario.gateways.count).map(gateway).collect(),
+            referee: Referee::new(Slack::VIRTUAL),
+            intents: Vec::new(),
+            corrupt_fraction: 0.0,
+            requests: 0,
+            attempts: 0,
+            misses: 0,
+            node_work: [0.0; 2],
+            reasons: BTreeMap::new(),
+            troubles: Vec::new(),
+        };
+        simulation.prefill_caches();
+        let mut list: Vec<EndpointEntry> =
+            (0..simulation.nodes.len()).map(|n| simulation.entry(n, Presence::Ready)).collect();
+        list.push(EndpointEntry { id: ORIGIN, kind: 1, ..list[0] });
+        for gateway in 0..simulation.gateways.len() {
+            simulation.deliver(gateway, Event::EndpointList(ListKind::Full, list.clone()));
+        }
+        for (n, trouble) in scenario.troubles.iter().enumerate() {
+            simulation.schedule(micros(trouble.at), SimEvent::Falls(n));
+        }
+        simulation.schedule(0, SimEvent::Arrival);
+        simulation
+    }
+
+    /// Fills the caches with the popular keys that each node would have been asked for before the simulation.
+    pub(super) fn prefill_caches(&mut self) {
+        let mut finder = Router::new(settings(self.scenario), 0, 0);
+        let list = (0..self.nodes.len()).map(|n| self.entry(n, Presence::Ready)).collect();
+        let mut actions = Vec::new();
+        finder.handle(0, Event::EndpointList(ListKind::Full, list), &mut actions);
+        let reads = self.scenario.fleet.keeps * self.nodes.len() * 4;
+        for n in 0..reads as u64 {
+            actions.clear();
+            let intent = self.clients.next_intent(0, self.scenario, &mut self.rng);
+            let (id, class, key) = (RequestId(n), ClassId(0), Some(intent.key));
+            let remaining_us = SECOND;
+            let request = Request { id, class, tenant: TenantId(0), key, write: false, remaining_us };
+            // Spread in time, so that no key is detected as hot.
+            finder.handle(n * 20_000, Event::Request(request), &mut actions);
+            if let Some(Action::Forward { endpoint, .. }) = actions.first() {
+                self.nodes[endpoint.0 as usize - 1].store(intent.key);
+            }
+            let (outcome, finished) = (Outcome::Ok, true);
+            let (fetch_pending, stale) = (false, false);
+            let ended =
+                Event::Outcome { id, attempt: 0, outcome, latency_us: 1, finished, fetch_pending, stale };
+            finder.handle(n * 20_000, ended, &mut actions);
+        }
+        self.clients = Clients::new(self.scenario);
+    }
+
+    pub(super) fn entry(&self, n: usize, presence: Presence) -> EndpointEntry {
+        let node = &self.nodes[n];
+        let warm = Node::<Tag>::new(n, &self.scenario.fleet).capacity(0);
+        EndpointEntry {
+            id: EndpointId(n as u64 + 1),
+            presence,
+            kind: 0,
+            weight: warm,
+            cell: CellId(0),
+            zone: ZoneId(0),
+            online_since: node.started,
+        }
+    }
+
+    pub(super) fn schedule(&mut self, at: Micros, event: SimEvent) {
+        self.next_order += 1;
+        self.timeline.push(ScheduledEvent { at, order: self.next_order, event });
+    }
+
+    pub(super) fn network_delay(&mut self) -> Micros {
+        let mean = micros(self.scenario.gateways.one_way) as f64;
+        (mean * self.rng.random_range(0.5..1.5)) as Micros
+    }
+}
--- a/crates/emulator/src/station.rs
+++ b/crates/emulator/src/station.rs
@@ -1,66 +1,67 @@
-//! A few servers behind one bounded queue: the part that cache nodes and the archive share.
+//! A few workers behind a bounded queue, shared by the models of cache nodes and the origin.
 
 use std::collections::VecDeque;
 
-/// What becomes of a job on arrival.
+/// The result of offering a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Taken {
-    /// Begun at once.
-    Begun,
-    /// It waits.
-    Waits,
-    /// No room: turned away unseen.
-    TurnedAway,
+pub enum Admission {
+    /// Started at once.
+    Started,
+    /// Queued.
+    Queued,
+    /// Rejected, because the queue is full.
+    Rejected,
 }
 
-/// `servers` that work on one job each, and room for others to wait. What is begun or waits is never taken back: a
-/// cancel or a time-out stops nothing.
+/// Workers that process one job each, and a bounded queue. Started and queued jobs are never withdrawn: a cancellation
+/// or
+/// a timeout does not stop them.
 #[derive(Debug, Clone)]
 pub struct Station<J> {
-    servers: usize,
-    room: usize,
+    workers: usize,
+    queue_capacity: usize,
     busy: usize,
-    waiting: VecDeque<J>,
+    queue: VecDeque<J>,
 }
 
 impl<J> Station<J> {
-    /// An idle station.
+    /// Creates an idle station.
     #[must_use]
-    pub fn new(servers: usize, room: usize) -> Self {
-        Self { servers, room, busy: 0, waiting: VecDeque::new() }
+    pub fn new(workers: usize, queue_capacity: usize) -> Self {
+        Self { workers, queue_capacity, busy: 0, queue: VecDeque::new() }
     }
 
-    /// Takes in a job. One that has begun is handed back with the verdict, for its time to be reckoned.
-    pub fn offer(&mut self, job: J) -> (Taken, Option<J>) {
-        if self.busy < self.servers {
+    /// Offers a job. A job that starts is returned, so that the caller can compute its duration.
+    pub fn offer(&mut self, job: J) -> (Admission, Option<J>) {
+        if self.busy < self.workers {
             self.busy += 1;
-            return (Taken::Begun, Some(job));
+            return (Admission::Started, Some(job));
         }
-        if self.waiting.len() >= self.room {
-            return (Taken::TurnedAway, None);
+        if self.queue.len() >= self.queue_capacity {
+            return (Admission::Rejected, None);
         }
-        self.waiting.push_back(job);
-        (Taken::Waits, None)
+        self.queue.push_back(job);
+        (Admission::Queued, None)
     }
 
-    /// A job has ended; the next one, if any waits, has begun.
-    pub fn ended(&mut self) -> Option<J> {
-        let next = self.waiting.pop_front();
+    /// Finishes a job and returns the queued job that starts now, if any.
+    pub fn finish(&mut self) -> Option<J> {
+        let next = self.queue.pop_front();
         if next.is_none() {
             self.busy -= 1;
         }
         next
     }
 
-    /// Forgets all that was begun or waits.
+    /// Discards all started and queued jobs.
     pub fn clear(&mut self) {
         self.busy = 0;
-        self.waiting.clear();
+        self.queue.clear();
     }
 
-    /// Jobs begun or waiting.
+    /// Returns the number of started or queued jobs.
     #[must_use]
-    pub fn held(&self) -> usize {
-        self.busy + self.waiting.len()
+    pub fn in_flight(&self) -> usize {
+        self.busy + self.queue.len()
     }
 }
--- a/crates/emulator/tests/cold_hosts.rs
+++ b/crates/emulator/tests/cold_hosts.rs
@@ -1,9 +1,9 @@
-//! What a whole fleet of balancers sends to hosts that warm up, against what the settings allow these.
+//! Fault a whole fleet of balancers sends to hosts that warm up, against what the settings allow these.
 
 use decide::api::{Action, EndpointEntry, EndpointId, Event, ListKind, Settings};
 use decide::policy::Router;
-use emulator::day::{self, ARCHIVE, Balancer};
-use emulator::scenario::{Scenario, Trouble, What};
+use emulator::scenario::{Fault, Scenario, ScheduledFault};
+use emulator::simulation::{self, Balancer, ORIGIN};
 use emulator::{Micros, SECOND};
 use rstest::rstest;
 use std::cell::RefCell;
@@ -43,7 +43,7 @@
         self.router.handle(now, event, out);
         for action in &out[before..] {
             if let Action::Forward { endpoint: server, .. } = action
-                && *server != ARCHIVE
+                && *server != ORIGIN
                 && self.list[server].online_since > 0
             {
                 let start = (*server, self.list[server].online_since);
@@ -53,7 +53,7 @@
     }
 }
 
-/// What a deployment's settings say of hosts that warm up.
+/// Fault a deployment's settings say of hosts that warm up.
 #[derive(Debug, Clone, Copy)]
 struct Site {
     hedged_requests: bool,
@@ -129,29 +129,29 @@
     let mut scenario = Scenario::parse(&text, Path::new("cold.toml")).unwrap();
     let warming = |part: f64| Duration::from_secs_f64(3.0 + part * site.cold_for as f64);
     let lasts = |part: f64| Duration::from_secs_f64(part * site.cold_for as f64);
-    let mut trouble = |at, what| scenario.troubles.push(Trouble { at, what });
+    let mut trouble = |at, what| scenario.troubles.push(ScheduledFault { at, what });
     let back_after = Duration::from_micros(BACK - GOES);
     let part = if play == Play::MassAndTwoKeys { 0.6 } else { 0.3 };
-    trouble(Duration::from_micros(GOES), What::Crash { part, back_after });
+    trouble(Duration::from_micros(GOES), Fault::Crash { part, back_after });
     match play {
         Play::Steady | Play::Restarts => {}
         Play::HotKeys => {
             let keys = (nodes as u64).div_ceil(4);
-            trouble(warming(0.4), What::HotKeys { keys, part: 0.6, lasts: lasts(0.2) });
+            trouble(warming(0.4), Fault::HotKeys { keys, part: 0.6, lasts: lasts(0.2) });
         }
         Play::MassAndTwoKeys => {
-            trouble(warming(0.15), What::HotKeys { keys: 2, part: 0.2, lasts: lasts(0.3) });
+            trouble(warming(0.15), Fault::HotKeys { keys: 2, part: 0.2, lasts: lasts(0.3) });
         }
         Play::Waiters => {
-            trouble(warming(0.0), What::ArchiveSlow { times: 2.0, lasts: lasts(1.0) });
-            trouble(warming(0.05), What::HotKeys { keys: 1, part: 0.5, lasts: lasts(0.5) });
+            trouble(warming(0.0), Fault::ArchiveSlow { times: 2.0, lasts: lasts(1.0) });
+            trouble(warming(0.05), Fault::HotKeys { keys: 1, part: 0.5, lasts: lasts(0.5) });
         }
         Play::BurstAtTheReturn => {
-            trouble(warming(0.0), What::Surge { times: 2.5 / 0.6, lasts: lasts(0.5) });
+            trouble(warming(0.0), Fault::Surge { times: 2.5 / 0.6, lasts: lasts(0.5) });
         }
         Play::BurstAfterIdle => {
-            trouble(warming(0.2), What::Surge { times: 0.1, lasts: lasts(0.2) });
-            trouble(warming(0.41), What::Surge { times: 2.0, lasts: lasts(0.1) });
+            trouble(warming(0.2), Fault::Surge { times: 0.1, lasts: lasts(0.2) });
+            trouble(warming(0.41), Fault::Surge { times: 2.0, lasts: lasts(0.1) });
         }
     }
     let settings = Settings {
@@ -159,10 +159,10 @@
         slow_start_fraction: site.slow_start_fraction,
         overload_multiple: site.overload_multiple,
         overload_window_us: site.tip_after,
-        ..day::settings(&scenario)
+        ..simulation::settings(&scenario)
     };
     let ledger = Ledger::default();
-    let report = day::play_with(&scenario, seed, |n| {
+    let report = simulation::run_with(&scenario, seed, |n| {
         let router = |life: u64| Router::new(settings.clone(), seed << 20 | life << 10 | n as u64, 0);
         let restart = BACK + 1_000_000 + site.cold_for * SECOND / 10;
         let restart = (play == Play::Restarts && n % 10 != 0).then(|| (restart, router(1)));
--- a/crates/emulator/tests/days.rs
+++ b/crates/emulator/tests/days.rs
@@ -1,7 +1,7 @@
 //! Days on the virtual clock, as the scenario files tell them.
 
-use emulator::day;
 use emulator::scenario::Scenario;
+use emulator::simulation;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
@@ -21,7 +21,7 @@
         let mut scenario = Scenario::read(&file).unwrap();
         scenario.fleet.keeps = scenario.fleet.keeps.min(300); // a shorter warming up, for time's sake
         for seed in [1, 2, 3] {
-            let (first, second) = (day::play(&scenario, seed), day::play(&scenario, seed));
+            let (first, second) = (simulation::run(&scenario, seed), simulation::run(&scenario, seed));
             let name = file.display();
             assert_eq!(first.digest, second.digest, "{name}, seed {seed}");
             assert_eq!(first.score.g.to_bits(), second.score.g.to_bits(), "{name}, seed {seed}");
@@ -35,7 +35,7 @@
 fn another_seed_is_another_day() {
     let scenario = Scenario { lasts: Duration::from_secs(2), ..Scenario::read(&scenarios()[1]).unwrap() };
     let scenario = Scenario { troubles: Vec::new(), ..scenario };
-    assert_ne!(day::play(&scenario, 1).digest, day::play(&scenario, 2).digest);
+    assert_ne!(simulation::run(&scenario, 1).digest, simulation::run(&scenario, 2).digest);
 }
 
 #[test]
--- a/crates/emulator/tests/referee.rs
+++ b/crates/emulator/tests/referee.rs
@@ -2,9 +2,9 @@
 
 use decide::api::*;
 use decide::policy::Router;
-use emulator::day::{self, ARCHIVE, Balancer};
-use emulator::referee::{Answer, Fact, Referee, Rule, Slack};
+use emulator::referee::{Answer, Observation, Referee, Rule, Slack};
 use emulator::scenario::Scenario;
+use emulator::simulation::{self, Balancer, ORIGIN};
 use emulator::{Micros, SECOND};
 use std::path::Path;
 
@@ -37,8 +37,8 @@
 where
     F: FnMut(Micros, &Event, &mut Vec<Action>) + 'static,
 {
-    let settings = day::settings(scenario);
-    let report = day::play_with(scenario, 7, |n| {
+    let settings = simulation::settings(scenario);
+    let report = simulation::run_with(scenario, 7, |n| {
         Box::new(Bent { router: Router::new(settings.clone(), n as u64, 0), bend: bend() })
     });
     assert_eq!(report.broken > 0, !report.findings.is_empty());
@@ -95,13 +95,13 @@
 fn a_folio_sent_again_after_it_may_have_run_is_found() {
     let mut failing = short();
     failing.archive.errors = 0.5;
-    let settings = day::settings(&failing);
+    let settings = simulation::settings(&failing);
     let again = || {
         |_, event: &Event, actions: &mut Vec<Action>| {
             for action in actions {
                 let Action::Fail { id, .. } = *action else { continue };
                 if matches!(event, Event::Outcome { outcome: Outcome::Error, .. }) {
-                    *action = Action::Forward { id, endpoint: ARCHIVE, timeout_us: 0 };
+                    *action = Action::Forward { id, endpoint: ORIGIN, timeout_us: 0 };
                 }
             }
         }
@@ -120,7 +120,7 @@
             if matches!(event, Event::Request(_)) {
                 for action in actions {
                     if let Action::Forward { endpoint: server, .. } = action
-                        && *server != ARCHIVE
+                        && *server != ORIGIN
                     {
                         *server = EndpointId(1 + server.0 % 6);
                     }
@@ -146,7 +146,7 @@
             }
             for action in actions {
                 if let (Action::Forward { endpoint: server, .. }, Some(cold)) = (action, cold)
-                    && *server != ARCHIVE
+                    && *server != ORIGIN
                 {
                     *server = cold;
                 }
@@ -157,26 +157,29 @@
     assert_eq!(broken(&scenario(text), || |_, _: &Event, _: &mut Vec<Action>| {}), []);
 }
 
-/// What a referee finds in one request's life.
-fn found(facts: &[(Micros, Fact)]) -> Vec<Rule> {
+/// Fault a referee finds in one request's life.
+fn found(facts: &[(Micros, Observation)]) -> Vec<Rule> {
     let mut referee = Referee::new(Slack::VIRTUAL);
-    facts.iter().for_each(|(at, fact)| referee.see(*at, *fact));
-    referee.end(10 * SECOND);
+    facts.iter().for_each(|(at, fact)| referee.record(*at, *fact));
+    referee.finish(10 * SECOND);
     referee.findings().iter().map(|finding| finding.rule).collect()
 }
 
 #[test]
 fn answers_held_back_made_for_others_or_late_are_found_and_no_instant_before() {
     let request = RequestId(1);
-    let taken = (0, Fact::Taken { gateway: 0, request, effect: Effect::NonIdempotent, gives_up: SECOND });
-    let sent = (1, Fact::Sent { gateway: 0, request, attempt: 0, server: EndpointId(1) });
-    let ended = |outcome| (2, Fact::Ended { request, attempt: 0, outcome });
-    let answered = |at, answer| (at, Fact::Answered { request, answer });
+    let taken = (
+        0,
+        Observation::Accepted { gateway: 0, request, effect: Effect::NonIdempotent, client_deadline: SECOND },
+    );
+    let sent = (1, Observation::Sent { gateway: 0, request, attempt: 0, endpoint: EndpointId(1) });
+    let ended = |outcome| (2, Observation::Ended { request, attempt: 0, outcome });
+    let answered = |at, answer| (at, Observation::Answered { request, answer });
     let own = Answer::Served { made_for: request };
     assert_eq!(found(&[taken, sent, ended(Outcome::Ok), answered(3, own)]), []);
     let other = Answer::Served { made_for: RequestId(2) };
     assert_eq!(found(&[taken, sent, ended(Outcome::Ok), answered(3, other)]), [Rule::OwnValue]);
-    let gave_up = (10, Fact::GaveUp { request });
+    let gave_up = (10, Observation::Abandoned { request });
     assert_eq!(found(&[taken, gave_up, answered(10_010, Answer::Refused)]), []);
     assert_eq!(found(&[taken, gave_up, answered(10_011, Answer::Refused)]), [Rule::NotHeldBack]);
     assert_eq!(found(&[taken, answered(SECOND + 10_000, Answer::Failed)]), []);
@@ -186,7 +189,7 @@
         [Rule::NoSecondRun]
     );
     assert_eq!(found(&[taken, sent, ended(Outcome::Rejected), answered(3, Answer::Refused)]), []);
-    let ran = |times| (5, Fact::Ran { request, times });
+    let ran = |times| (5, Observation::Executed { request, times });
     assert_eq!(found(&[taken, sent, ran(1), ended(Outcome::Ok), answered(3, own)]), []);
     assert_eq!(found(&[taken, sent, ran(2), ended(Outcome::Ok), answered(3, own)]), [Rule::NoSecondRun]);
     assert_eq!(found(&[taken]), [Rule::OneAnswer]);
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -5,8 +5,8 @@
 
 use anyhow::{Context, Result};
 use clap::{Parser, Subcommand};
-use emulator::day;
 use emulator::scenario::Scenario;
+use emulator::simulation;
 use std::path::PathBuf;
 use std::process::ExitCode;
 use std::time::Instant;
@@ -62,7 +62,7 @@
     let mut reports = Vec::new();
     for seed in (0..days).map(|n| seed.wrapping_add(n)) {
         let began = Instant::now();
-        let report = day::play(&scenario, seed);
+        let report = simulation::run(&scenario, seed);
         let took = began.elapsed().as_secs_f64();
         if reports.is_empty() {
             table::print(&report);
--- a/crates/lab/src/table.rs
+++ b/crates/lab/src/table.rs
@@ -1,8 +1,8 @@
 //! A day's report as tables.
 
 use comfy_table::{CellAlignment, Table, presets};
-use emulator::day::Report;
-use emulator::score::Row;
+use emulator::score::GroupScore;
+use emulator::simulation::Report;
 
 /// Prints a report.
 pub(crate) fn print(report: &Report) {
@@ -42,7 +42,7 @@
     }
 }
 
-fn rows(what: &str, rows: &[Row]) {
+fn rows(what: &str, rows: &[GroupScore]) {
     let mut table = Table::new();
     table.load_preset(presets::NOTHING).set_header([
         what,
