--- a/crates/emulator/src/origin.rs
+++ b/crates/emulator/src/origin.rs
@@ -69,6 +69,17 @@
     Error,
 }
 
+/// The result of finishing a job.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub struct FinishedJob<T> {
+    /// How it ended.
+    pub outcome: JobOutcome,
+    /// How often its request has been executed.
+    pub executions: u32,
+    /// The next job that starts, with its duration.
+    pub next: Option<(Job<T>, Micros)>,
+}
+
 /// The model of the origin.
 #[derive(Debug)]
 pub struct Origin<T> {
@@ -111,19 +122,16 @@
         }
     }
 
-    /// Finishes a job and records its execution. Returns the outcome, the number of executions of its request, and the
-    /// next job that starts.
-    pub fn finish(
-        &mut self, now: Micros, job: &Job<T>, rng: &mut impl Rng,
-    ) -> (JobOutcome, u32, Option<(Job<T>, Micros)>) {
-        let runs = self.ledger.record_execution(now, job);
-        let ended = if self.errors > 0.0 && rng.random_bool(self.errors) {
+    /// Finishes a job and records its execution.
+    pub fn finish(&mut self, now: Micros, job: &Job<T>, rng: &mut impl Rng) -> FinishedJob<T> {
+        let executions = self.ledger.record_execution(now, job);
+        let outcome = if self.errors > 0.0 && rng.random_bool(self.errors) {
             JobOutcome::Error
         } else {
             JobOutcome::Served
         };
         let next = self.station.finish().map(|job| (job, self.draw_service_time(rng)));
-        (ended, runs, next)
+        FinishedJob { outcome, executions, next }
     }
 
     /// Returns the number of started or queued jobs.
--- a/crates/emulator/src/score.rs
+++ b/crates/emulator/src/score.rs
@@ -35,6 +35,17 @@
     Unanswered,
 }
 
+/// An intent with its outcome.
+#[derive(Debug, Clone, Copy)]
+pub struct EndedIntent {
+    /// The intent.
+    pub intent: Intent,
+    /// Its outcome.
+    pub outcome: IntentOutcome,
+    /// When it ended.
+    pub at: Micros,
+}
+
 /// The score of a class or municipio.
 #[derive(Debug, Default, Clone, Serialize)]
 pub struct GroupScore {
@@ -149,16 +160,17 @@
         }
     }
 
-    fn record(&mut self, scenario: &Scenario, intent: &Intent, outcome: IntentOutcome, at: Micros) {
+    fn record(&mut self, scenario: &Scenario, ended: &EndedIntent) {
+        let EndedIntent { intent, outcome, at } = ended;
         let class = &scenario.classes[intent.class];
         let worth = class.worth * if intent.over_quota { OVER_QUOTA_WEIGHT } else { 1.0 };
-        let in_time = outcome == IntentOutcome::InTime;
+        let in_time = *outcome == IntentOutcome::InTime;
         let took = at.saturating_sub(intent.at);
         self.whole.add(worth, in_time);
         self.by_second[(intent.at / SECOND) as usize].add(worth, in_time);
         self.failed_late.add(worth, !in_time && took > micros(class.wanted));
-        self.classes[intent.class].record(intent, outcome, worth, took);
-        self.municipios[intent.municipio].record(intent, outcome, worth, took);
+        self.classes[intent.class].record(intent, *outcome, worth, took);
+        self.municipios[intent.municipio].record(intent, *outcome, worth, took);
     }
 
     fn finish(self, wasted: f64) -> Score {
@@ -190,10 +202,10 @@
 /// Computes the score of a day from its intents, how and when each ended, and the fraction of the nodes' work that
 /// served no answer.
 #[must_use]
-pub fn compute_score(scenario: &Scenario, intents: &[(Intent, IntentOutcome, Micros)], wasted: f64) -> Score {
+pub fn compute_score(scenario: &Scenario, intents: &[EndedIntent], wasted: f64) -> Score {
     let mut totals = Totals::new(scenario);
-    for (intent, outcome, at) in intents {
-        totals.record(scenario, intent, *outcome, *at);
+    for ended in intents {
+        totals.record(scenario, ended);
     }
     totals.finish(wasted)
 }
--- a/crates/emulator/src/simulation/client_events.rs
+++ b/crates/emulator/src/simulation/client_events.rs
@@ -11,22 +11,22 @@
 use rand::Rng;
 
 impl Simulation<'_> {
-    pub(super) fn next_arrival(&mut self) {
+    pub(super) fn handle_arrival(&mut self) {
         let next = self.now + self.clients.next_pause(&mut self.rng);
         if next < micros(self.scenario.lasts) {
             self.schedule(next, SimEvent::Arrival);
         }
         let intent = self.clients.next_intent(self.now, self.scenario, &mut self.rng);
         self.intents.push((intent, None));
-        self.send_try(self.intents.len() - 1, 0);
+        self.send_request(self.intents.len() - 1, 0);
     }
 
-    pub(super) fn send_try(&mut self, intent: usize, number: u32) {
+    pub(super) fn send_request(&mut self, intent: usize, number: u32) {
         self.requests += 1;
         let this = ClientAttempt { request: RequestId(self.requests), intent, number };
         let gateway = self.rng.random_range(0..self.gateways.len());
         let at = self.now + self.network_delay();
-        self.schedule(at, SimEvent::Reaches(gateway, this));
+        self.schedule(at, SimEvent::ArriveAtGateway(gateway, this));
     }
 
     pub(super) fn answer_at_client(&mut self, this: ClientAttempt, answer: Answer, retry_after: Micros) {
--- a/crates/emulator/src/simulation/faults.rs
+++ b/crates/emulator/src/simulation/faults.rs
@@ -1,12 +1,12 @@
 //! The faults of a scenario, and how gateways are notified of the nodes that they change.
 
 use super::state::Simulation;
-use super::timeline::{SimEvent, Tag};
+use super::timeline::{Notification, Response, SimEvent, Tag};
 use crate::node::{Node, State};
 use crate::referee::Observation;
 use crate::scenario::{Fault, micros};
 use crate::{Micros, SECOND};
-use decide::api::{EndpointEntry, Event, ListKind, Outcome, Presence};
+use decide::api::{Event, ListKind, Outcome, Presence};
 use rand::Rng;
 use rand::seq::SliceRandom;
 use std::time::Duration;
@@ -15,11 +15,13 @@
 const DRAIN_DURATION: Micros = 2 * SECOND;
 
 impl Simulation<'_> {
-    pub(super) fn notified(&mut self, gateway: usize, n: usize, version: u32, entry: EndpointEntry) {
-        if version <= self.gateways[gateway].versions[n] {
-            return; // newer news overtook it
+    /// Notifies a gateway of a changed node, unless it knows a newer version.
+    pub(super) fn notify_gateway(&mut self, notification: Notification) {
+        let Notification { gateway, node, version, entry } = notification;
+        if version <= self.gateways[gateway].versions[node] {
+            return;
         }
-        self.gateways[gateway].versions[n] = version;
+        self.gateways[gateway].versions[node] = version;
         self.referee.record(
             self.now,
             Observation::Notified { gateway, endpoint: entry.id, presence: entry.presence },
@@ -34,7 +36,7 @@
         let longest = micros(self.scenario.gateways.told_within);
         for gateway in 0..self.gateways.len() {
             let at = self.now + self.rng.random_range(longest / 5..=longest);
-            self.schedule(at, SimEvent::Told(gateway, n, version, entry));
+            self.schedule(at, SimEvent::Notify(Notification { gateway, node: n, version, entry }));
         }
     }
 
@@ -54,12 +56,12 @@
             Fault::Drain { nodes, back_after } => self.drain_nodes(*nodes, *back_after),
             Fault::HotKeys { keys, part, lasts } => {
                 self.clients.hot_keys = Some((*keys, *part));
-                self.schedule(self.now + micros(*lasts), SimEvent::Passes(number));
+                self.schedule(self.now + micros(*lasts), SimEvent::FaultEnd(number));
                 format!("{keys} keys draw {:.0}% of reads", 100.0 * part)
             }
             Fault::ArchiveSlow { times, lasts } => {
                 self.origin.slowdown = *times;
-                self.schedule(self.now + micros(*lasts), SimEvent::Passes(number));
+                self.schedule(self.now + micros(*lasts), SimEvent::FaultEnd(number));
                 format!("the archive is {times} times slower")
             }
             Fault::Flush { part } => {
@@ -69,12 +71,12 @@
             }
             Fault::SpoiltAnswers { part, lasts } => {
                 self.corrupt_fraction = *part;
-                self.schedule(self.now + micros(*lasts), SimEvent::Passes(number));
+                self.schedule(self.now + micros(*lasts), SimEvent::FaultEnd(number));
                 format!("{:.0}% of answers are spoilt", 100.0 * part)
             }
             Fault::Surge { times, lasts } => {
                 self.clients.surge = *times;
-                self.schedule(self.now + micros(*lasts), SimEvent::Passes(number));
+                self.schedule(self.now + micros(*lasts), SimEvent::FaultEnd(number));
                 format!("callers come at {times} times their rate")
             }
             Fault::Grow { nodes } => self.add_nodes(*nodes),
@@ -91,7 +93,7 @@
             self.reset(n, silent);
             self.announce(n, Presence::Gone);
             let incarnation = self.nodes[n].incarnation;
-            self.schedule(self.now + micros(back_after), SimEvent::Returns(n, incarnation));
+            self.schedule(self.now + micros(back_after), SimEvent::RestartNode(n, incarnation));
         }
         format!("{} nodes {}", stopped.len(), if silent { "fall silent" } else { "die" })
     }
@@ -103,8 +105,11 @@
             self.nodes[n].state = State::Draining;
             self.announce(n, Presence::Draining);
             let incarnation = self.nodes[n].incarnation + 1;
-            self.schedule(self.now + DRAIN_DURATION, SimEvent::Goes(n));
-            self.schedule(self.now + DRAIN_DURATION + micros(back_after), SimEvent::Returns(n, incarnation));
+            self.schedule(self.now + DRAIN_DURATION, SimEvent::StopDrained(n));
+            self.schedule(
+                self.now + DRAIN_DURATION + micros(back_after),
+                SimEvent::RestartNode(n, incarnation),
+            );
         }
         format!("{} nodes drain", drained.len())
     }
@@ -163,7 +168,15 @@
         tags.sort_unstable_by_key(|tag| (tag.request, tag.attempt));
         for tag in tags {
             let at = self.now + self.network_delay();
-            self.schedule(at, SimEvent::Comes(tag, Outcome::Reset, tag.request, 0.0));
+            self.schedule(
+                at,
+                SimEvent::Response(Response {
+                    tag,
+                    outcome: Outcome::Reset,
+                    made_for: tag.request,
+                    work_us: 0.0,
+                }),
+            );
         }
     }
 }
--- a/crates/emulator/src/simulation/gateway_events.rs
+++ b/crates/emulator/src/simulation/gateway_events.rs
@@ -2,7 +2,7 @@
 
 use super::settings::decision_effect;
 use super::state::{ORIGIN, RequestContext, Simulation};
-use super::timeline::{ClientAttempt, SimEvent, Tag};
+use super::timeline::{ClientAttempt, Response, SimEvent, Tag};
 use crate::Micros;
 use crate::referee::{Answer, Observation, Slack};
 use crate::scenario::Effect;
@@ -36,7 +36,7 @@
             missed: Vec::new(),
         };
         self.gateways[gateway].open_requests.insert(this.request, context);
-        self.schedule(deadline + Slack::VIRTUAL.answer, SimEvent::TimeIsUp(gateway, this.request));
+        self.schedule(deadline + Slack::VIRTUAL.answer, SimEvent::ClientDeadline(gateway, this.request));
         self.deliver(gateway, Event::Request(request));
     }
 
@@ -85,7 +85,7 @@
         self.remove_completed(gateway, request);
         if first {
             let at = self.now + self.network_delay();
-            self.schedule(at, SimEvent::AtClient(this, answer, retry_after));
+            self.schedule(at, SimEvent::AnswerAtClient(this, answer, retry_after));
         }
     }
 
@@ -102,7 +102,7 @@
         self.attempts += 1;
         self.referee.record(self.now, Observation::Sent { gateway, request, attempt, endpoint });
         let tag = Tag { gateway, request, attempt };
-        self.schedule(until.max(self.now), SimEvent::TimesOut(tag));
+        self.schedule(until.max(self.now), SimEvent::AttemptTimeout(tag));
         let at = self.now + self.network_delay();
         let key = intent.key;
         if endpoint == ORIGIN {
@@ -110,14 +110,18 @@
             let write = effect != Effect::SafeToRepeat;
             let idempotency_key = (effect == Effect::Keyed)
                 .then_some(self.gateways[gateway].open_requests[&request].this.intent as u64);
-            self.schedule(at, SimEvent::AtArchive(origin::Job { tag, request, key, write, idempotency_key }));
+            self.schedule(
+                at,
+                SimEvent::ArriveAtOrigin(origin::Job { tag, request, key, write, idempotency_key }),
+            );
         } else {
-            self.schedule(at, SimEvent::AtNode(n, node::Job { tag, key, work_us: intent.work_us }));
+            self.schedule(at, SimEvent::ArriveAtNode(n, node::Job { tag, key, work_us: intent.work_us }));
         }
     }
 
     /// Handles the end of an attempt, with or without an answer, at its gateway.
-    pub(super) fn return_to_gateway(&mut self, tag: Tag, outcome: Outcome, made_for: RequestId, work: f64) {
+    pub(super) fn return_to_gateway(&mut self, response: Response) {
+        let Response { tag, outcome, made_for, work_us } = response;
         let context = self.gateways[tag.gateway].open_requests.get_mut(&tag.request);
         let out = context.and_then(|context| {
             let (n, _) = (*context.attempts_in_flight.get(tag.attempt as usize)?)?;
@@ -128,8 +132,8 @@
             Some((n, key, context.missed.clone()))
         });
         // Work is wasted if nobody waits for it any more or its answer is corrupt.
-        self.node_work[0] += work;
-        self.node_work[1] += if out.is_none() || outcome == Outcome::Error { work } else { 0.0 };
+        self.node_work.total_us += work_us;
+        self.node_work.wasted_us += if out.is_none() || outcome == Outcome::Error { work_us } else { 0.0 };
         let Some((n, key, missed)) = out else { return };
         if outcome == Outcome::Ok && n == self.nodes.len() {
             missed.iter().take(2).for_each(|&n| self.nodes[n].store(key));
--- a/crates/emulator/src/simulation/mod.rs
+++ b/crates/emulator/src/simulation/mod.rs
@@ -13,11 +13,9 @@
 mod state;
 mod timeline;
 
-use crate::Micros;
-use crate::clients::Intent;
 use crate::node::State;
 use crate::scenario::Scenario;
-use crate::score::{self, IntentOutcome};
+use crate::score::{self, EndedIntent, IntentOutcome};
 pub use balancer::Balancer;
 use decide::api::{Event, Outcome, Presence};
 use decide::policy::Router;
@@ -25,7 +23,7 @@
 pub use settings::settings;
 pub use state::ORIGIN;
 use state::Simulation;
-use timeline::{ScheduledEvent, SimEvent};
+use timeline::{Response, ScheduledEvent, SimEvent};
 
 /// Simulates a scenario with the decision module in each gateway.
 #[must_use]
@@ -53,30 +51,35 @@
 
     fn handle_event(&mut self, event: SimEvent) {
         match event {
-            SimEvent::Arrival => self.next_arrival(),
-            SimEvent::Retry(intent, number) => self.send_try(intent, number),
-            SimEvent::Reaches(gateway, this) => self.arrive_at_gateway(gateway, this),
-            SimEvent::AtNode(n, job) => self.arrive_at_node(n, job),
-            SimEvent::NodeEnds(n, incarnation, job) => self.finish_at_node(n, incarnation, &job),
-            SimEvent::AtArchive(job) => self.arrive_at_origin(job),
-            SimEvent::ArchiveEnds(job) => self.finish_at_origin(&job),
-            SimEvent::Comes(tag, outcome, made_for, work) => {
-                self.return_to_gateway(tag, outcome, made_for, work)
+            SimEvent::Arrival => self.handle_arrival(),
+            SimEvent::Retry(intent, number) => self.send_request(intent, number),
+            SimEvent::ArriveAtGateway(gateway, this) => self.arrive_at_gateway(gateway, this),
+            SimEvent::ArriveAtNode(n, job) => self.arrive_at_node(n, job),
+            SimEvent::FinishAtNode(n, incarnation, job) => self.finish_at_node(n, incarnation, &job),
+            SimEvent::ArriveAtOrigin(job) => self.arrive_at_origin(job),
+            SimEvent::FinishAtOrigin(job) => self.finish_at_origin(&job),
+            SimEvent::Response(response) => self.return_to_gateway(response),
+            SimEvent::AttemptTimeout(tag) => self.return_to_gateway(Response {
+                tag,
+                outcome: Outcome::Timeout,
+                made_for: tag.request,
+                work_us: 0.0,
+            }),
+            SimEvent::ClientDeadline(gateway, request) => self.expire_request(gateway, request),
+            SimEvent::AnswerAtClient(this, answer, retry_after) => {
+                self.answer_at_client(this, answer, retry_after)
             }
-            SimEvent::TimesOut(tag) => self.return_to_gateway(tag, Outcome::Timeout, tag.request, 0.0),
-            SimEvent::TimeIsUp(gateway, request) => self.expire_request(gateway, request),
-            SimEvent::AtClient(this, answer, retry_after) => self.answer_at_client(this, answer, retry_after),
             SimEvent::Timer(gateway, token) => self.deliver(gateway, Event::Timer(token)),
-            SimEvent::Told(gateway, n, version, entry) => self.notified(gateway, n, version, entry),
-            SimEvent::Falls(n) => self.start_fault(n),
-            SimEvent::Passes(n) => self.end_fault(n),
-            SimEvent::Goes(n) => {
+            SimEvent::Notify(notification) => self.notify_gateway(notification),
+            SimEvent::FaultStart(n) => self.start_fault(n),
+            SimEvent::FaultEnd(n) => self.end_fault(n),
+            SimEvent::StopDrained(n) => {
                 if self.nodes[n].state == State::Draining {
                     self.nodes[n].stop(State::Down);
                     self.announce(n, Presence::Gone);
                 }
             }
-            SimEvent::Returns(n, incarnation) => {
+            SimEvent::RestartNode(n, incarnation) => {
                 if self.nodes[n].incarnation == incarnation {
                     self.nodes[n].start(self.now);
                     self.announce(n, Presence::Ready);
@@ -86,16 +89,15 @@
     }
 
     fn report(self) -> Report {
-        let end = |end: Option<(IntentOutcome, Micros)>, at| end.unwrap_or((IntentOutcome::Unanswered, at));
-        let intents: Vec<(Intent, IntentOutcome, Micros)> = self
+        let intents: Vec<EndedIntent> = self
             .intents
             .iter()
             .map(|(intent, ended)| {
-                let (how, at) = end(*ended, self.now);
-                (*intent, how, at)
+                let (outcome, at) = ended.unwrap_or((IntentOutcome::Unanswered, self.now));
+                EndedIntent { intent: *intent, outcome, at }
             })
             .collect();
-        let wasted = if self.node_work[0] > 0.0 { self.node_work[1] / self.node_work[0] } else { 0.0 };
+        let wasted = self.node_work.wasted();
         Report {
             seed: self.seed,
             score: score::compute_score(self.scenario, &intents, wasted),
--- a/crates/emulator/src/simulation/node_events.rs
+++ b/crates/emulator/src/simulation/node_events.rs
@@ -1,10 +1,10 @@
 //! The events at cache nodes and the origin: arrivals and ends of jobs.
 
 use super::state::Simulation;
-use super::timeline::{SimEvent, Tag};
+use super::timeline::{Response, SimEvent, Tag};
 use crate::Micros;
 use crate::node::{self, NodeAdmission};
-use crate::origin;
+use crate::origin::{self, FinishedJob};
 use crate::referee::Observation;
 use decide::api::{EndpointId, Outcome, Presence};
 use rand::Rng;
@@ -15,11 +15,13 @@
 impl Simulation<'_> {
     pub(super) fn arrive_at_node(&mut self, n: usize, job: node::Job<Tag>) {
         let offered = self.nodes[n].offer(self.now, job);
-        let back = |outcome| SimEvent::Comes(job.tag, outcome, job.tag.request, 0.0);
+        let back = |outcome| {
+            SimEvent::Response(Response { tag: job.tag, outcome, made_for: job.tag.request, work_us: 0.0 })
+        };
         match offered {
             NodeAdmission::Started(after) => {
                 let incarnation = self.nodes[n].incarnation;
-                self.schedule(self.now + after, SimEvent::NodeEnds(n, incarnation, job));
+                self.schedule(self.now + after, SimEvent::FinishAtNode(n, incarnation, job));
             }
             NodeAdmission::Queued => {}
             NodeAdmission::NoResponse => {
@@ -49,7 +51,7 @@
         }
         let (found, next) = self.nodes[n].finish(self.now, job.key);
         if let Some((next, after)) = next {
-            self.schedule(self.now + after, SimEvent::NodeEnds(n, incarnation, next));
+            self.schedule(self.now + after, SimEvent::FinishAtNode(n, incarnation, next));
         }
         let corrupt_fraction = self.corrupt_fraction > 0.0 && self.rng.random_bool(self.corrupt_fraction);
         let outcome = match (found, corrupt_fraction) {
@@ -59,31 +61,50 @@
         };
         self.misses += u64::from(!found);
         let at = self.now + self.network_delay();
-        self.schedule(at, SimEvent::Comes(job.tag, outcome, job.tag.request, job.work_us));
+        self.schedule(
+            at,
+            SimEvent::Response(Response {
+                tag: job.tag,
+                outcome,
+                made_for: job.tag.request,
+                work_us: job.work_us,
+            }),
+        );
     }
 
     pub(super) fn arrive_at_origin(&mut self, job: origin::Job<Tag>) {
         match self.origin.offer(job, &mut self.rng) {
-            Ok(Some((job, after))) => self.schedule(self.now + after, SimEvent::ArchiveEnds(job)),
+            Ok(Some((job, after))) => self.schedule(self.now + after, SimEvent::FinishAtOrigin(job)),
             Ok(None) => {}
             Err(origin::Declined) => {
                 let at = self.now + self.network_delay();
-                self.schedule(at, SimEvent::Comes(job.tag, Outcome::Rejected, job.request, 0.0));
+                self.schedule(
+                    at,
+                    SimEvent::Response(Response {
+                        tag: job.tag,
+                        outcome: Outcome::Rejected,
+                        made_for: job.request,
+                        work_us: 0.0,
+                    }),
+                );
             }
         }
     }
 
     pub(super) fn finish_at_origin(&mut self, job: &origin::Job<Tag>) {
-        let (ended, runs, next) = self.origin.finish(self.now, job, &mut self.rng);
+        let FinishedJob { outcome, executions, next } = self.origin.finish(self.now, job, &mut self.rng);
         if let Some((next, after)) = next {
-            self.schedule(self.now + after, SimEvent::ArchiveEnds(next));
+            self.schedule(self.now + after, SimEvent::FinishAtOrigin(next));
         }
         if job.write {
-            self.referee.record(self.now, Observation::Executed { request: job.request, times: runs });
+            self.referee.record(self.now, Observation::Executed { request: job.request, times: executions });
             self.nodes.iter_mut().for_each(|node| node.invalidate(job.key));
         }
-        let outcome = if ended == origin::JobOutcome::Served { Outcome::Ok } else { Outcome::Error };
+        let outcome = if outcome == origin::JobOutcome::Served { Outcome::Ok } else { Outcome::Error };
         let at = self.now + self.network_delay();
-        self.schedule(at, SimEvent::Comes(job.tag, outcome, job.request, 0.0));
+        self.schedule(
+            at,
+            SimEvent::Response(Response { tag: job.tag, outcome, made_for: job.request, work_us: 0.0 }),
+        );
     }
 }
--- a/crates/emulator/src/simulation/state.rs
+++ b/crates/emulator/src/simulation/state.rs
@@ -34,6 +34,21 @@
     pub(super) missed: Vec<usize>,
 }
 
+/// The work that nodes have spent.
+#[derive(Debug, Default, Clone, Copy)]
+pub(super) struct NodeWork {
+    pub(super) total_us: f64,
+    /// The part that served no answer.
+    pub(super) wasted_us: f64,
+}
+
+impl NodeWork {
+    /// Returns the wasted fraction.
+    pub(super) fn wasted(self) -> f64 {
+        if self.total_us > 0.0 { self.wasted_us / self.total_us } else { 0.0 }
+    }
+}
+
 /// A simulated gateway.
 pub(super) struct Gateway {
     pub(super) balancer: Box<dyn Balancer>,
@@ -60,7 +75,7 @@
     pub(super) requests: u64,
     pub(super) attempts: u64,
     pub(super) misses: u64,
-    pub(super) node_work: [f64; 2],
+    pub(super) node_work: NodeWork,
     pub(super) reasons: BTreeMap<&'static str, u64>,
     pub(super) troubles: Vec<(Micros, String)>,
 }
@@ -93,7 +108,7 @@
             requests: 0,
             attempts: 0,
             misses: 0,
-            node_work: [0.0; 2],
+            node_work: NodeWork::default(),
             reasons: BTreeMap::new(),
             troubles: Vec::new(),
         };
@@ -105,7 +120,7 @@
             simulation.deliver(gateway, Event::EndpointList(ListKind::Full, list.clone()));
         }
         for (n, trouble) in scenario.troubles.iter().enumerate() {
-            simulation.schedule(micros(trouble.at), SimEvent::Falls(n));
+            simulation.schedule(micros(trouble.at), SimEvent::FaultStart(n));
         }
         simulation.schedule(0, SimEvent::Arrival);
         simulation
--- a/crates/emulator/src/simulation/timeline.rs
+++ b/crates/emulator/src/simulation/timeline.rs
@@ -22,26 +22,47 @@
     pub(super) number: u32,
 }
 
+/// The end of an attempt, as it reaches the gateway.
+#[derive(Debug, Clone, Copy)]
+pub(super) struct Response {
+    pub(super) tag: Tag,
+    pub(super) outcome: Outcome,
+    /// The request that the answer was made for.
+    pub(super) made_for: RequestId,
+    /// The work that the node has spent on it.
+    pub(super) work_us: f64,
+}
+
+/// A changed endpoint, as discovery reports it to a gateway.
+#[derive(Debug, Clone, Copy)]
+pub(super) struct Notification {
+    pub(super) gateway: usize,
+    pub(super) node: usize,
+    /// The version of the node's entry, by which an outdated notification is recognized.
+    pub(super) version: u32,
+    pub(super) entry: EndpointEntry,
+}
+
 /// An event of the simulation. Gateways, nodes, intents and faults are given by number.
 #[derive(Debug)]
 pub(super) enum SimEvent {
     Arrival,
     Retry(usize, u32),
-    Reaches(usize, ClientAttempt),
-    AtNode(usize, node::Job<Tag>),
-    NodeEnds(usize, u32, node::Job<Tag>),
-    AtArchive(origin::Job<Tag>),
-    ArchiveEnds(origin::Job<Tag>),
-    Comes(Tag, Outcome, RequestId, f64),
-    TimesOut(Tag),
-    TimeIsUp(usize, RequestId),
-    AtClient(ClientAttempt, Answer, Micros),
+    ArriveAtGateway(usize, ClientAttempt),
+    ArriveAtNode(usize, node::Job<Tag>),
+    FinishAtNode(usize, u32, node::Job<Tag>),
+    ArriveAtOrigin(origin::Job<Tag>),
+    FinishAtOrigin(origin::Job<Tag>),
+    Response(Response),
+    AttemptTimeout(Tag),
+    ClientDeadline(usize, RequestId),
+    AnswerAtClient(ClientAttempt, Answer, Micros),
     Timer(usize, Token),
-    Told(usize, usize, u32, EndpointEntry),
-    Falls(usize),
-    Passes(usize),
-    Goes(usize),
-    Returns(usize, u32),
+    Notify(Notification),
+    FaultStart(usize),
+    FaultEnd(usize),
+    StopDrained(usize),
+    RestartNode(usize, u32),
 }
 
 /// An event with its time; events at the same time happen in the order they were scheduled.
--- a/crates/emulator/tests/cold_hosts.rs
+++ b/crates/emulator/tests/cold_hosts.rs
@@ -1,4 +1,4 @@
-//! Fault a whole fleet of balancers sends to hosts that warm up, against what the settings allow these.
+//! What a fleet of balancers sends to nodes in slow start, against the budget of the settings.
 
 use decide::api::{Action, EndpointEntry, EndpointId, Event, ListKind, Settings};
 use decide::policy::Router;
@@ -196,7 +196,7 @@
 #[rstest]
 #[case::pushed(PUSHED)]
 #[case::asked(ASKED)]
-fn hosts_that_warm_up_are_not_sent_more_than_they_bear_by_however_many_balancers(
+fn warming_nodes_stay_within_slow_start_budget_for_any_number_of_balancers(
     #[case] site: Site, #[values(1, 6, 30, 300)] balancers: usize,
 ) {
     let plays = [
--- a/crates/emulator/tests/days.rs
+++ b/crates/emulator/tests/days.rs
@@ -1,4 +1,4 @@
-//! Days on the virtual clock, as the scenario files tell them.
+//! Simulations of the scenario files: deterministic, without violations; errors of invalid scenarios.
 
 use emulator::scenario::Scenario;
 use emulator::simulation;
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn one_seed_is_one_day_to_the_microsecond_and_no_rule_is_broken() {
+fn same_seed_gives_same_simulation_without_violations() {
     for file in scenarios() {
         let mut scenario = Scenario::read(&file).unwrap();
         scenario.fleet.keeps = scenario.fleet.keeps.min(300); // a shorter warming up, for time's sake
@@ -32,14 +32,14 @@
 }
 
 #[test]
-fn another_seed_is_another_day() {
+fn different_seeds_give_different_simulations() {
     let scenario = Scenario { lasts: Duration::from_secs(2), ..Scenario::read(&scenarios()[1]).unwrap() };
     let scenario = Scenario { troubles: Vec::new(), ..scenario };
     assert_ne!(simulation::run(&scenario, 1).digest, simulation::run(&scenario, 2).digest);
 }
 
 #[test]
-fn a_scenario_that_cannot_be_played_names_the_place() {
+fn invalid_scenario_error_names_the_position() {
     let error = |text: &str| Scenario::parse(text, Path::new("day.toml")).unwrap_err().to_string();
     let head = "about = \"x\"\nlasts = \"5s\"\n";
     for (text, place) in [
--- a/crates/emulator/tests/referee.rs
+++ b/crates/emulator/tests/referee.rs
@@ -1,4 +1,4 @@
-//! The referee catches each broken rule, and passes a clean day: gateways that break just one, in a day that is played.
+//! The referee finds each violated rule and none in a correct simulation, with gateways that violate one rule on purpose.
 
 use decide::api::*;
 use decide::policy::Router;
@@ -49,12 +49,12 @@
 }
 
 #[test]
-fn a_day_of_the_module_itself_is_clean() {
+fn decision_module_violates_no_rule() {
     assert_eq!(broken(&short(), || |_, _: &Event, _: &mut Vec<Action>| {}), []);
 }
 
 #[test]
-fn an_answer_that_never_comes_is_found() {
+fn missing_answer_is_found() {
     let swallow = || {
         |_, _: &Event, actions: &mut Vec<Action>| {
             actions.retain(|action| !matches!(action, Action::Reject { .. }));
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn a_second_answer_is_found() {
+fn second_answer_is_found() {
     let twice = || {
         |_, event: &Event, actions: &mut Vec<Action>| {
             if let Event::Outcome { id, outcome: Outcome::Ok, .. } = event {
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn two_attempts_at_once_are_found() {
+fn concurrent_attempts_are_found() {
     let twice = || {
         |_, event: &Event, actions: &mut Vec<Action>| {
             if let (Event::Request(_), Some(Action::Forward { id, timeout_us, .. })) =
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn a_folio_sent_again_after_it_may_have_run_is_found() {
+fn retry_of_non_idempotent_request_that_may_have_run_is_found() {
     let mut failing = short();
     failing.archive.errors = 0.5;
     let settings = simulation::settings(&failing);
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn a_send_to_a_drained_node_is_found() {
+fn request_to_drained_node_is_found() {
     let text = "about = \"drain\"\nlasts = \"8s\"\n[fleet]\nnodes = 6\nkeeps = 50\n[gateways]\ntold_within = \"500ms\"\n\
                 [[trouble]]\nat = \"2s\"\nkind = \"drain\"\nnodes = 5\nback_after = \"20s\"\n";
     let deaf = || {
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn a_cold_node_pushed_over_is_found() {
+fn overload_in_slow_start_is_found() {
     let text = "about = \"cold\"\nlasts = \"8s\"\n[fleet]\nnodes = 4\nkeeps = 50\n[callers]\nper_second = 100.0\n\
                 [gateways]\ntold_within = \"500ms\"\n\
                 [[trouble]]\nat = \"1s\"\nkind = \"crash\"\npart = 0.25\nback_after = \"1s\"\n";
@@ -166,7 +166,7 @@
 }
 
 #[test]
-fn answers_held_back_made_for_others_or_late_are_found_and_no_instant_before() {
+fn late_delayed_or_foreign_answers_are_found_at_exact_limits() {
     let request = RequestId(1);
     let taken = (
         0,
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -1,4 +1,4 @@
-//! Plays days on a site in a box, and tells what they were worth.
+//! Command line tool that simulates scenario files and prints their scores.
 #![forbid(unsafe_code)]
 
 mod table;
@@ -11,10 +11,10 @@
 use std::process::ExitCode;
 use std::time::Instant;
 
-/// A rule was broken.
-const BROKEN: u8 = 1;
-/// The scenario cannot be played.
-const UNUSABLE: u8 = 2;
+/// Exit code: a rule was violated.
+const EXIT_VIOLATION: u8 = 1;
+/// Exit code: the scenario is not usable.
+const EXIT_UNUSABLE: u8 = 2;
 
 /// Plays days on a site in a box: cache nodes, archive, inventory, callers and gateways.
 #[derive(Parser)]
@@ -47,15 +47,15 @@
     let Command::Run { scenario, seed, days, json } = Arguments::parse().command;
     match run(&scenario, seed, days, json) {
         Ok(0) => ExitCode::SUCCESS,
-        Ok(_) => ExitCode::from(BROKEN),
+        Ok(_) => ExitCode::from(EXIT_VIOLATION),
         Err(error) => {
             eprintln!("spindlebeam-lab: {error:#}");
-            ExitCode::from(UNUSABLE)
+            ExitCode::from(EXIT_UNUSABLE)
         }
     }
 }
 
-/// Returns how often rules were broken.
+/// Simulates the scenario and returns the number of violations.
 fn run(file: &std::path::Path, seed: u64, days: u64, json: Option<PathBuf>) -> Result<usize> {
     let scenario = Scenario::read(file)?;
     println!("{}: {}", file.display(), scenario.about);
--- a/crates/lab/src/table.rs
+++ b/crates/lab/src/table.rs
@@ -1,4 +1,4 @@
-//! A day's report as tables.
+//! Prints a report as tables.
 
 use comfy_table::{CellAlignment, Table, presets};
 use emulator::score::GroupScore;
