--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -1,20 +1,20 @@
-//! Plays days on a site in a box, and tells what they were worth.
+//! Command line tool that simulates scenario files and prints their scores.
 #![forbid(unsafe_code)]
 
 mod table;
 
 use anyhow::{Context, Result};
 use clap::{Parser, Subcommand};
-use emulator::day;
 use emulator::scenario::Scenario;
+use emulator::simulation;
 use std::path::PathBuf;
 use std::process::ExitCode;
 use std::time::Instant;
 
-/// A rule was broken.
-const BROKEN: u8 = 1;
-/// The scenario cannot be played.
-const UNUSABLE: u8 = 2;
+/// Exit code: a rule was violated.
+const EXIT_VIOLATION: u8 = 1;
+/// Exit code: the scenario is not usable.
+const EXIT_UNUSABLE: u8 = 2;
 
 /// Plays days on a site in a box: cache nodes, archive, inventory, callers and gateways.
 #[derive(Parser)]
@@ -47,22 +47,22 @@
     let Command::Run { scenario, seed, days, json } = Arguments::parse().command;
     match run(&scenario, seed, days, json) {
         Ok(0) => ExitCode::SUCCESS,
-        Ok(_) => ExitCode::from(BROKEN),
+        Ok(_) => ExitCode::from(EXIT_VIOLATION),
         Err(error) => {
             eprintln!("spindlebeam-lab: {error:#}");
-            ExitCode::from(UNUSABLE)
+            ExitCode::from(EXIT_UNUSABLE)
         }
     }
 }
 
-/// Returns how often rules were broken.
+/// Simulates the scenario and returns the number of violations.
 fn run(file: &std::path::Path, seed: u64, days: u64, json: Option<PathBuf>) -> Result<usize> {
     let scenario = Scenario::read(file)?;
     println!("{}: {}", file.display(), scenario.about);
     let mut reports = Vec::new();
     for seed in (0..days).map(|n| seed.wrapping_add(n)) {
         let began = Instant::now();
-        let report = day::play(&scenario, seed);
+        let report = simulation::run(&scenario, seed);
         let took = began.elapsed().as_secs_f64();
         if reports.is_empty() {
             table::print(&report);
