--- a/crates/front/src/accept.rs
+++ b/crates/front/src/accept.rs
@@ -200,7 +200,7 @@
 
     /// Waits after a failed accept, so that EMFILE causes no busy loop; the client stays in the queue meanwhile.
     async fn handle_accept_error(&self, error: &io::Error) {
-        if let Some(suppressed) = self.lines.accept_failed.line() {
+        if let Some(suppressed) = self.lines.accept_failed.admit_line() {
             log::warn!("front: accept failed: {error}{suppressed}");
         }
         self.update_slots(|slots, now| slots.evict(now));
@@ -214,7 +214,7 @@
                 return SlotGrant::Denied;
             }
             if self.all_slots_busy()
-                && let Some(suppressed) = self.lines.all_slots_busy.line()
+                && let Some(suppressed) = self.lines.all_slots_busy.admit_line()
             {
                 log::warn!("front: all {} client connections are busy{suppressed}", self.max_connections);
             }
--- a/crates/front/src/client/commands.rs
+++ b/crates/front/src/client/commands.rs
@@ -84,7 +84,7 @@
 
     /// Ends the connection with an error.
     fn reject_malformed(&mut self, error: ProtoError) -> Reply {
-        if let Some(suppressed) = self.front.lines.malformed_command.line() {
+        if let Some(suppressed) = self.front.lines.malformed_command.admit_line() {
             log::info!("front: client {}: {error}{suppressed}", self.id.0);
         }
         self.is_ending = true;
--- a/crates/front/src/client/reply.rs
+++ b/crates/front/src/client/reply.rs
@@ -31,8 +31,8 @@
         match answer {
             Answer::Served(value) => resp::encode_bulk(&mut encoded, &value),
             Answer::Streamed(streamed) => return Reply::Streamed(streamed),
-            Answer::Refused(0) => encoded.put_slice(BUSY.as_bytes()),
-            Answer::Refused(ms) => encoded.put_slice(format!("-BUSY {ms}\r\n").as_bytes()),
+            Answer::Rejected(0) => encoded.put_slice(BUSY.as_bytes()),
+            Answer::Rejected(ms) => encoded.put_slice(format!("-BUSY {ms}\r\n").as_bytes()),
             Answer::Failed => encoded.put_slice(b"-ERR failed\r\n"),
         }
         Reply::Ready(encoded)
--- a/crates/front/src/client/serve.rs
+++ b/crates/front/src/client/serve.rs
@@ -209,7 +209,7 @@
     fn fail_pending_replies(&mut self) {
         for reply in &mut self.replies {
             if let Reply::Pending(ticket) = reply {
-                let answer = ticket.now_or_never().unwrap_or_else(|| ticket.give_up());
+                let answer = ticket.now_or_never().unwrap_or_else(|| ticket.abandon());
                 *reply = Reply::encode(answer);
             }
         }
@@ -222,14 +222,14 @@
         let mut header = BytesMut::with_capacity(HEADER_BYTES);
         resp::encode_bulk_header(&mut header, streamed.length());
         write(&self.stream, &header).await?;
-        while !streamed.done() {
+        while !streamed.is_finished() {
             let bytes = tokio::select! {
-                bytes = streamed.next() => bytes?,
+                bytes = streamed.next_chunk() => bytes?,
                 () = client_left(&self.stream) => return Err(io::ErrorKind::ConnectionAborted.into()),
             };
             let written = bytes.len();
             write(&self.stream, bytes).await?;
-            streamed.take(written);
+            streamed.consume(written);
         }
         write(&self.stream, b"\r\n").await
     }
--- a/crates/front/src/front.rs
+++ b/crates/front/src/front.rs
@@ -178,7 +178,7 @@
     }
 
     /// Waits until no client connection is open.
-    pub async fn emptied(&self) {
+    pub async fn wait_until_empty(&self) {
         while self.slots.borrow().open_connections() + self.slotless.get() > 0 {
             self.connection_ended.notified().await;
         }
--- a/crates/front/src/operator.rs
+++ b/crates/front/src/operator.rs
@@ -21,7 +21,7 @@
 
 /// Connections at a time. Beyond it the one that has been silent for longest is closed for a new one, so that silent callers
 /// keep nobody out. The configuration reserves as many descriptors.
-pub const MOST_CALLERS: usize = 16;
+pub const MAX_CALLERS: usize = 16;
 /// The wait after a failed accept, when descriptors may have run out.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
@@ -64,11 +64,11 @@
 impl AdminEndpoint {
     /// Waits until a further connection may be accepted, and closes the oldest silent one for it.
     async fn wait_for_capacity(&self) {
-        while self.callers.borrow().len() >= MOST_CALLERS {
+        while self.callers.borrow().len() >= MAX_CALLERS {
             match self.remove_oldest_silent() {
                 Some(caller) => {
                     caller.task.abort();
-                    if let Some(suppressed) = self.silent_closed.line() {
+                    if let Some(suppressed) = self.silent_closed.admit_line() {
                         log::warn!("operators: closed a silent connection for a new one{suppressed}");
                     }
                 }
@@ -99,7 +99,7 @@
     }
 
     async fn handle_accept_error(&self, error: &io::Error) {
-        if let Some(suppressed) = self.accept_failed.line() {
+        if let Some(suppressed) = self.accept_failed.admit_line() {
             log::warn!("operators: accept failed: {error}{suppressed}");
         }
         sleep(ACCEPT_RETRY_DELAY).await;
--- a/crates/gateway/src/engine/gossip.rs
+++ b/crates/gateway/src/engine/gossip.rs
@@ -29,7 +29,7 @@
     pub(super) async fn next_datagram(&self) -> Datagram {
         match &self.transport {
             Some(transport) => {
-                let (bytes, from) = transport.next().await;
+                let (bytes, from) = transport.receive().await;
                 Datagram { bytes, from }
             }
             None => pending().await,
@@ -39,24 +39,24 @@
     /// Applies a datagram.
     pub(super) fn handle_datagram(&mut self, now: Micros, datagram: &Datagram) {
         if let Some(transport) = &mut self.transport {
-            transport.take(now, &datagram.bytes, datagram.from);
+            transport.handle_datagram(now, &datagram.bytes, datagram.from);
         }
     }
 
     /// The delay until the next load report; `None` without a transport.
     pub(super) fn next_publish_delay(&mut self) -> Option<Duration> {
-        self.transport.as_mut().map(GossipTransport::pause)
+        self.transport.as_mut().map(GossipTransport::next_interval)
     }
 
     /// Publishes load reports, and returns what the reports of all balancers amount to.
     pub(super) fn publish(&mut self, now: Micros, reports: &[LoadReport]) -> Option<Event> {
-        self.transport.as_mut().map(|transport| transport.tell(now, reports))
+        self.transport.as_mut().map(|transport| transport.publish(now, reports))
     }
 
     /// Logs how many datagrams were exchanged.
     pub(super) fn log_counts(&self) {
         if let Some(transport) = &self.transport {
-            log::info!("gossip: since the start {:?}", transport.counts());
+            log::info!("gossip: since the start {:?}", transport.counters());
         }
     }
 }
--- a/crates/gateway/src/engine/handle.rs
+++ b/crates/gateway/src/engine/handle.rs
@@ -91,7 +91,7 @@
         let awaited = Rc::new(Cell::new(true));
         if self.open_requests.is_full() {
             self.counters.borrow_mut().count_rejected_unseen(incoming.class, Reason::NoCapacity);
-            let _ = sender.send(Answer::Refused(0)); // its receiver is alive
+            let _ = sender.send(Answer::Rejected(0)); // its receiver is alive
         } else {
             // If the engine is gone, the sender is dropped with the input, and the ticket resolves to a failure.
             let slot = AnswerSlot { sender, awaited: awaited.clone() };
--- a/crates/gateway/src/engine/phases/attempts.rs
+++ b/crates/gateway/src/engine/phases/attempts.rs
@@ -86,7 +86,7 @@
         let id = attempt.request;
         let Some(context) = self.requests.get_mut(&id) else { return };
         context.is_streaming = true;
-        self.handle.open_requests.record_answer_size(value.window());
+        self.handle.open_requests.record_answer_size(value.read_ahead_bytes());
         self.send_answer(id, Answer::Streamed(value));
         self.events.push_back(Event::Outcome {
             id,
--- a/crates/gateway/src/engine/phases/requests.rs
+++ b/crates/gateway/src/engine/phases/requests.rs
@@ -83,7 +83,7 @@
     fn reject_unseen(&mut self, incoming: &IncomingRequest, slot: AnswerSlot, reason: Reason) {
         self.audit_rejected();
         self.handle.counters.borrow_mut().count_rejected_unseen(incoming.class, reason);
-        let _ = slot.sender.send(Answer::Refused(0)); // the client may just have left
+        let _ = slot.sender.send(Answer::Rejected(0)); // the client may just have left
     }
 
     /// Passes events to the decision module and executes its actions, until no event is left.
@@ -133,7 +133,7 @@
         self.handle.counters.borrow_mut().count_rejected(reason);
         self.audit_rejected();
         log::debug!("request {}: rejected ({}), retry after {retry_after_us} us", id.0, reason.label());
-        self.send_answer(id, Answer::Refused(retry_after_us.div_ceil(1_000)));
+        self.send_answer(id, Answer::Rejected(retry_after_us.div_ceil(1_000)));
         self.remove_if_finished(id);
     }
 
@@ -146,7 +146,7 @@
         log::debug!("request {}: class {} {} after {us} us", id.0, class.0, answer.word());
         let late = context.deadline.elapsed();
         if late >= LATE_ANSWER
-            && let Some(more) = self.throttles.late.line()
+            && let Some(more) = self.throttles.late.admit_line()
         {
             let client_id = String::from_utf8_lossy(&context.call.id);
             log::warn!("request {client_id}: {} {late:?} after its deadline{more}", answer.word());
--- a/crates/gateway/src/engine/ticket.rs
+++ b/crates/gateway/src/engine/ticket.rs
@@ -26,7 +26,7 @@
 
 impl Ticket {
     /// Fails the request for its front, which can wait for no answer any more.
-    pub fn give_up(&mut self) -> Answer {
+    pub fn abandon(&mut self) -> Answer {
         self.answered = true;
         self.awaited.set(false);
         let _ = self.inputs.send(Input::Abandoned(self.id));
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -61,9 +61,9 @@
         let Some(answers) = self.classes.get_mut(usize::from(class.0)) else { return };
         *match answer {
             Answer::Served(_) => &mut answers.served,
-            Answer::Streamed(streamed) if streamed.whole() => &mut answers.served,
+            Answer::Streamed(streamed) if streamed.is_complete() => &mut answers.served,
             Answer::Streamed(_) => return, // counted by `count_streamed` at its end
-            Answer::Refused(_) => &mut answers.refused,
+            Answer::Rejected(_) => &mut answers.refused,
             Answer::Failed => &mut answers.failed,
         } += 1;
     }
@@ -104,7 +104,7 @@
     /// Counts a request that is rejected before the decision module knows of it, and its answer.
     pub fn count_rejected_unseen(&mut self, class: ClassId, reason: Reason) {
         self.count_rejected(reason);
-        self.count_answer(class, &Answer::Refused(0));
+        self.count_answer(class, &Answer::Rejected(0));
     }
 
     /// Counts why a request is failed.
--- a/crates/gateway/src/stall_monitor.rs
+++ b/crates/gateway/src/stall_monitor.rs
@@ -78,7 +78,7 @@
         yield_now().await;
         let late = monitor.record_run(Instant::now());
         if late >= LOGGED_STALL
-            && let Some(more) = monitor.log_throttle.line()
+            && let Some(more) = monitor.log_throttle.admit_line()
         {
             log::info!("stall monitor: the event loop stalled for {late:?}{more}");
         }
--- a/crates/gateway/tests/fleet.rs
+++ b/crates/gateway/tests/fleet.rs
@@ -138,7 +138,7 @@
     let run = async {
         let mut world = joined();
         world.engine.skip_first_list();
-        assert!(matches!(final_answer(world.submit(1).await).await, Answer::Refused(0)));
+        assert!(matches!(final_answer(world.submit(1).await).await, Answer::Rejected(0)));
         let counters = world.engine.counters();
         assert!(counters.contains("1 rejected (fenced 1)"), "{counters}");
         world.grant_lease();
@@ -148,7 +148,7 @@
         assert_eq!(world.engine.requests(), 1, "accepted under the lease");
         advance(LEASE).await;
         assert!(!world.handle.ready(), "also before the engine has run");
-        assert!(matches!(final_answer(world.submit(3).await).await, Answer::Refused(0)));
+        assert!(matches!(final_answer(world.submit(3).await).await, Answer::Rejected(0)));
         let counters = world.engine.counters();
         assert!(counters.contains("2 rejected (fenced 2)"), "{counters}");
         world.engine.update_readiness();
--- a/crates/gateway/tests/queued_requests.rs
+++ b/crates/gateway/tests/queued_requests.rs
@@ -84,6 +84,6 @@
     let expired = support::submit(&handle, 1, "expired", Instant::now() - MINUTE);
     let tasks = LocalSet::new();
     tasks.spawn_local(engine.run());
-    assert!(matches!(tasks.run_until(expired).await, Answer::Refused(0)));
+    assert!(matches!(tasks.run_until(expired).await, Answer::Rejected(0)));
     assert!(host.accept().is_err(), "the endpoint is not connected to");
 }
--- a/crates/gateway/tests/timers.rs
+++ b/crates/gateway/tests/timers.rs
@@ -13,7 +13,7 @@
     for n in 0..1_000 {
         let ticket = submit(&handle, n, &format!("{n:x}"), Instant::now());
         engine.handle_next_input().await;
-        assert!(matches!(ticket.await, Answer::Refused(0)), "there is no endpoint");
+        assert!(matches!(ticket.await, Answer::Rejected(0)), "there is no endpoint");
     }
     assert_eq!(engine.timers(), 0, "each would be kept for a minute");
     let counters = engine.counters();
--- a/crates/gossip-transport/src/lib.rs
+++ b/crates/gossip-transport/src/lib.rs
@@ -88,7 +88,7 @@
     }
 
     /// Receives the next datagram. Errors are not returned: after one the socket is read again later.
-    pub async fn next(&self) -> (Vec<u8>, SocketAddr) {
+    pub async fn receive(&self) -> (Vec<u8>, SocketAddr) {
         let mut buffer = [0; MAX_BYTES + 1]; // one byte more, so that a longer datagram is detected
         loop {
             match self.socket.recv_from(&mut buffer).await {
@@ -99,35 +99,35 @@
     }
 
     /// How long to wait before the next report.
-    pub fn pause(&mut self) -> Duration {
-        Duration::from_micros(self.state.pause(self.rng.f64()))
+    pub fn next_interval(&mut self) -> Duration {
+        Duration::from_micros(self.state.next_interval(self.rng.f64()))
     }
 
     /// Handles a datagram that was received from an address.
-    pub fn take(&mut self, now: Micros, datagram: &[u8], from: SocketAddr) {
+    pub fn handle_datagram(&mut self, now: Micros, datagram: &[u8], from: SocketAddr) {
         match self.numbers.get(&from) {
-            Some(&number) => self.state.hear(now, number, datagram),
+            Some(&number) => self.state.handle_datagram(now, number, datagram),
             None => self.state.count_unknown_sender(),
         }
     }
 
     /// Publishes this balancer's loads, and returns the weight factors that follow from all reports.
-    pub fn tell(&mut self, now: Micros, loads: &[LoadReport]) -> Event {
-        let turn = self.state.turn(now, loads);
+    pub fn publish(&mut self, now: Micros, loads: &[LoadReport]) -> Event {
+        let turn = self.state.publish(now, loads);
         for destination in &self.destinations {
             // A report that cannot be sent is lost; the next one follows soon.
             if let Err(error) = self.socket.try_send_to(&turn.datagram, *destination)
-                && let Some(suppressed) = self.send_errors.line()
+                && let Some(suppressed) = self.send_errors.admit_line()
             {
                 log::warn!("gossip: sending a report to {destination} failed: {error}{suppressed}");
             }
         }
-        Event::WeightFactors(turn.parts)
+        Event::WeightFactors(turn.weight_factors)
     }
 
     /// The counters of reports and datagrams since the start.
     #[must_use]
-    pub fn counts(&self) -> GossipCounters {
+    pub fn counters(&self) -> GossipCounters {
         self.state.counters()
     }
 }
--- a/crates/gossip/src/lib.rs
+++ b/crates/gossip/src/lib.rs
@@ -13,7 +13,7 @@
 //! The crate does no I/O, reads no clock and draws no random numbers. It leaves to its owner the socket, the time, the
 //! mapping of senders to their numbers, and the waiting between turns ([`GossipState::pause`]). At each turn the owner
 //! passes [`decide::api::Event::PublishLoad`] to the decision module, and the loads of the
-//! [`decide::api::Action::PublishLoad`] that it returns to [`GossipState::turn`].
+//! [`decide::api::Action::PublishLoad`] that it returns to [`GossipState::publish`].
 #![forbid(unsafe_code)]
 #![warn(unreachable_pub)]
 
@@ -21,7 +21,9 @@
 mod weights;
 pub mod wire;
 
-pub use state::{ENOUGH, GossipCounters, GossipState, PUBLISH_INTERVAL_US, REPORT_LIFETIME_US, Turn};
+pub use state::{
+    GossipCounters, GossipRound, GossipState, MIN_BALANCERS, PUBLISH_INTERVAL_US, REPORT_LIFETIME_US,
+};
 pub use weights::{MAX_WEIGHT_FACTOR, MIN_WEIGHT_FACTOR};
 
 /// Microseconds on the owner's clock: a span, or a point in time.
--- a/crates/gossip/src/state.rs
+++ b/crates/gossip/src/state.rs
@@ -26,7 +26,7 @@
 const MAX_SENDERS: usize = 4_096;
 
 /// With fewer balancers than this none publishes: each sees enough by itself (measured with four to six).
-pub const ENOUGH: usize = 10;
+pub const MIN_BALANCERS: usize = 10;
 
 /// Counters of reports and datagrams since the start.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
@@ -47,11 +47,11 @@
 
 /// The result of a turn.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Turn {
+pub struct GossipRound {
     /// The datagram to send to every other balancer.
     pub datagram: Vec<u8>,
     /// For each endpoint, the fraction of its listed weight to place keys by.
-    pub parts: Vec<(EndpointId, f64)>,
+    pub weight_factors: Vec<(EndpointId, f64)>,
 }
 
 #[derive(Debug, Clone)]
@@ -91,14 +91,14 @@
 
     /// How long to wait for the next turn. `chance` is drawn evenly from 0 to 1. The first turn comes earlier.
     #[must_use]
-    pub fn pause(&self, chance: f64) -> Micros {
+    pub fn next_interval(&self, chance: f64) -> Micros {
         let intervals =
             if self.weights.is_started() { 1.0 + JITTER * chance } else { MIN_FIRST + FIRST_JITTER * chance };
         (PUBLISH_INTERVAL_US as f64 * intervals) as Micros
     }
 
     /// Handles a datagram of balancer number `from`. One that cannot be used is counted and changes nothing.
-    pub fn hear(&mut self, now: Micros, from: usize, datagram: &[u8]) {
+    pub fn handle_datagram(&mut self, now: Micros, from: usize, datagram: &[u8]) {
         let Some(received) = self.reports.get_mut(from).filter(|_| from != self.own_number) else {
             self.counters.unknown_senders += 1;
             return;
@@ -129,15 +129,15 @@
 
     /// Creates the next report from `loads`, this balancer's own load of each endpoint that may be sent to, and
     /// estimates the weight factors of these endpoints.
-    pub fn turn(&mut self, now: Micros, loads: &[LoadReport]) -> Turn {
+    pub fn publish(&mut self, now: Micros, loads: &[LoadReport]) -> GossipRound {
         let datagram = self.encode_report(loads);
         let (others, senders) = self.sum_reports(now);
         let other_balancers = self.reports.len().saturating_sub(1) as f64;
         let enough = (CONFIDENT_FRACTION * other_balancers).max(MIN_CONFIDENT_SENDERS);
         let confidence = (f64::from(senders) / enough).min(1.0);
         let load_of_others = |endpoint: EndpointId| others.get(&endpoint.into()).copied().unwrap_or_default();
-        let parts = self.weights.update(now, loads, load_of_others, confidence);
-        Turn { datagram, parts }
+        let weight_factors = self.weights.update(now, loads, load_of_others, confidence);
+        GossipRound { datagram, weight_factors }
     }
 
     fn encode_report(&mut self, loads: &[LoadReport]) -> Vec<u8> {
--- a/crates/gossip/tests/gossip.rs
+++ b/crates/gossip/tests/gossip.rs
@@ -36,15 +36,15 @@
     /// One turn of each; the parts that the first one yields.
     fn round(&mut self, loads: &[LoadReport], lost: impl Fn(usize, usize) -> bool) -> Vec<(EndpointId, f64)> {
         self.now += PUBLISH_INTERVAL_US;
-        let turns: Vec<_> = self.all.iter_mut().map(|it| it.turn(self.now, loads)).collect();
+        let turns: Vec<_> = self.all.iter_mut().map(|it| it.publish(self.now, loads)).collect();
         for (from, turn) in turns.iter().enumerate() {
             for (to, hearer) in self.all.iter_mut().enumerate() {
                 if to != from && !lost(from, to) {
-                    hearer.hear(self.now, from, &turn.datagram);
+                    hearer.handle_datagram(self.now, from, &turn.datagram);
                 }
             }
         }
-        turns[0].parts.clone()
+        turns[0].weight_factors.clone()
     }
     fn rounds(
         &mut self, n: usize, loads: &[LoadReport], lost: impl Fn(usize, usize) -> bool,
@@ -60,7 +60,8 @@
     assert!(part(&parts, 0) < 0.3, "{parts:?}");
     assert!((1..SERVERS).all(|n| part(&parts, n) > 1.0), "{parts:?}");
     let (now, loads) = (fleet.now + PUBLISH_INTERVAL_US, loads(4.0));
-    let all: Vec<f64> = fleet.all.iter_mut().map(|it| part(&it.turn(now, &loads).parts, 0)).collect();
+    let all: Vec<f64> =
+        fleet.all.iter_mut().map(|it| part(&it.publish(now, &loads).weight_factors, 0)).collect();
     let (least, most) = all.iter().fold((f64::MAX, 0.0_f64), |(a, b), p| (a.min(*p), b.max(*p)));
     assert!(most / least < 1.2, "balancers that hear the same must place keys alike: {all:?}");
 }
@@ -121,7 +122,7 @@
         parts = fleet.round(&honest, |from, _| from == 99);
         stamp = stamp.next();
         let now = fleet.now;
-        fleet.all[0].hear(now, 99, &Report { stamp, ..liar.clone() }.encode());
+        fleet.all[0].handle_datagram(now, 99, &Report { stamp, ..liar.clone() }.encode());
     }
     assert!(part(&parts, 0) > 0.5, "{parts:?}");
 }
@@ -133,20 +134,20 @@
         let loads = vec![(EndpointId(0).into(), EndpointLoad { in_flight: 9.0, answered: 1, failed: 0 })];
         Report { stamp: ReportStamp { incarnation, number }, loads }.encode()
     };
-    it.hear(1, 1, &report(7, 5));
-    it.hear(2, 1, &report(7, 5)); // doubled
-    it.hear(3, 1, &report(7, 4)); // late
-    it.hear(4, 1, &report(6, 900)); // of a former life
+    it.handle_datagram(1, 1, &report(7, 5));
+    it.handle_datagram(2, 1, &report(7, 5)); // doubled
+    it.handle_datagram(3, 1, &report(7, 4)); // late
+    it.handle_datagram(4, 1, &report(6, 900)); // of a former life
     assert_eq!((it.counters().accepted, it.counters().outdated), (1, 3));
-    it.hear(5, 1, &report(7, 6));
-    it.hear(6, 1, &report(8, 0)); // restarted
-    it.hear(7, 2, &report(u16::MAX, u16::MAX));
-    it.hear(8, 2, &report(u16::MAX, 0)); // the number has come round
+    it.handle_datagram(5, 1, &report(7, 6));
+    it.handle_datagram(6, 1, &report(8, 0)); // restarted
+    it.handle_datagram(7, 2, &report(u16::MAX, u16::MAX));
+    it.handle_datagram(8, 2, &report(u16::MAX, 0)); // the number has come round
     assert_eq!((it.counters().accepted, it.counters().outdated), (5, 3));
-    it.hear(9 + REPORT_LIFETIME_US, 1, &report(6, 0)); // after a silence whatever comes is news
+    it.handle_datagram(9 + REPORT_LIFETIME_US, 1, &report(6, 0)); // after a silence whatever comes is news
     assert_eq!(it.counters().accepted, 6);
-    it.hear(9 + REPORT_LIFETIME_US, 0, &report(9, 9)); // from itself
-    it.hear(9 + REPORT_LIFETIME_US, 3, &report(9, 9)); // from none of the balancers
+    it.handle_datagram(9 + REPORT_LIFETIME_US, 0, &report(9, 9)); // from itself
+    it.handle_datagram(9 + REPORT_LIFETIME_US, 3, &report(9, 9)); // from none of the balancers
     assert_eq!(it.counters().unknown_senders, 2);
 }
 
@@ -154,10 +155,10 @@
 fn turns_work_for_one_balancer_and_for_two_hundred() {
     for balancers in [1, 200] {
         let mut it = GossipState::new(0, balancers, 0);
-        let turn = it.turn(1_000_000, &loads(3.0));
-        assert!(turn.parts.iter().all(|(_, part)| *part == 1.0));
-        assert!(it.turn(2_000_000, &[]).parts.is_empty(), "no servers, no loads");
-        assert!(it.pause(0.0) < it.pause(1.0));
+        let turn = it.publish(1_000_000, &loads(3.0));
+        assert!(turn.weight_factors.iter().all(|(_, part)| *part == 1.0));
+        assert!(it.publish(2_000_000, &[]).weight_factors.is_empty(), "no servers, no loads");
+        assert!(it.next_interval(0.0) < it.next_interval(1.0));
     }
 }
 
@@ -185,10 +186,10 @@
             if let (Some(first), 0) = (bytes.first_mut(), n % 2) {
                 *first = gossip::wire::VERSION; // else hardly one is read
             }
-            it.hear(n as Micros * 100_000, *from, &bytes);
-            let turn = it.turn(n as Micros * 100_000 + 1, &loads(0.5));
+            it.handle_datagram(n as Micros * 100_000, *from, &bytes);
+            let turn = it.publish(n as Micros * 100_000 + 1, &loads(0.5));
             prop_assert!(turn.datagram.len() <= MAX_BYTES);
-            prop_assert!(turn.parts.iter().all(|(_, part)| (MIN_WEIGHT_FACTOR..=MAX_WEIGHT_FACTOR).contains(part)));
+            prop_assert!(turn.weight_factors.iter().all(|(_, part)| (MIN_WEIGHT_FACTOR..=MAX_WEIGHT_FACTOR).contains(part)));
         }
         let counts = it.counters();
         prop_assert_eq!(counts.accepted + counts.undecodable + counts.outdated + counts.unknown_senders, datagrams.len() as u64);
--- a/crates/log-throttle/src/lib.rs
+++ b/crates/log-throttle/src/lib.rs
@@ -24,7 +24,7 @@
 impl LogThrottle {
     /// Returns `None` if a line is to be suppressed now, and counts it. Otherwise returns what to append to the line: the
     /// number of lines suppressed since the last one, or nothing.
-    pub fn line(&self) -> Option<String> {
+    pub fn admit_line(&self) -> Option<String> {
         let now = Instant::now();
         if self.window_started_at.get().is_none_or(|started_at| now - started_at >= WINDOW) {
             self.window_started_at.set(Some(now));
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -29,7 +29,7 @@
     }
 
     fn schedule_gossip(&mut self) -> Action {
-        Action::Timer { delay_us: self.gossip.pause(self.rng.f64()), token: GOSSIP_TIMER }
+        Action::Timer { delay_us: self.gossip.next_interval(self.rng.f64()), token: GOSSIP_TIMER }
     }
 }
 
@@ -77,7 +77,7 @@
                 WireEvent::Module(event) => self.handle_event(instance, event, batch.clock, &mut reply),
                 WireEvent::Gossip(from, datagram) => {
                     if let Some(hosted) = self.instances.get_mut(&instance) {
-                        hosted.gossip.hear(batch.clock, from, &datagram);
+                        hosted.gossip.handle_datagram(batch.clock, from, &datagram);
                     }
                 }
                 WireEvent::Unused => {}
@@ -87,7 +87,7 @@
     }
 
     fn start(&mut self, instance: Instance, seed: u64, settings: Settings, clock: Micros, reply: &mut Reply) {
-        let gossips = settings.peers && settings.balancers as usize >= gossip::ENOUGH;
+        let gossips = settings.peers && settings.balancers as usize >= gossip::MIN_BALANCERS;
         let mut hosted = HostedInstance::new(seed, settings, clock);
         if gossips {
             reply.push(instance, &hosted.schedule_gossip());
@@ -109,10 +109,10 @@
                 reply.push(instance, &action);
                 continue;
             };
-            let turn = hosted.gossip.turn(clock, loads);
+            let turn = hosted.gossip.publish(clock, loads);
             reply.gossip(instance, &turn.datagram);
             // Yields no actions: the factors only change weights.
-            hosted.router.handle(clock, Event::WeightFactors(turn.parts), &mut self.actions);
+            hosted.router.handle(clock, Event::WeightFactors(turn.weight_factors), &mut self.actions);
         }
     }
 }
--- a/crates/socket-activation/src/lib.rs
+++ b/crates/socket-activation/src/lib.rs
@@ -39,7 +39,7 @@
 ///
 /// # Errors
 /// When there is no such socket, or it was taken over before.
-pub fn listener(number: RawFd) -> Result<TcpListener, InheritedSocketError> {
+pub fn take_listener(number: RawFd) -> Result<TcpListener, InheritedSocketError> {
     if number < FIRST_INHERITED {
         return Err(InheritedSocketError::Reserved(number));
     }
--- a/crates/spindlebeam/benches/turns.rs
+++ b/crates/spindlebeam/benches/turns.rs
@@ -186,7 +186,7 @@
             "a tick of gossip, the sum of what was heard",
             median(
                 || GossipState::new(0, BALANCERS, 1),
-                |mut it| (it.turn(1_000_000, &told).parts.len(), it),
+                |mut it| (it.publish(1_000_000, &told).weight_factors.len(), it),
             ),
         ),
     ]
--- a/crates/spindlebeam/src/config.rs
+++ b/crates/spindlebeam/src/config.rs
@@ -11,7 +11,7 @@
 use anyhow::{Context, Result, ensure};
 use decide::api::Settings;
 use fields::{ConfigFile, parse_address, plain_text, whole_number};
-use front::operator::MOST_CALLERS;
+use front::operator::MAX_CALLERS;
 use gateway::setup::{Bounds, Config, Names};
 use gossip_transport::GossipAddresses;
 use serde_json::Value;
@@ -63,7 +63,7 @@
     config.folder = variable("TMPDIR").map(PathBuf::from);
     if config.operator.is_some() {
         // Callers of the admin endpoint take descriptors of their own.
-        let clients = config.bounds.clients.saturating_sub(MOST_CALLERS);
+        let clients = config.bounds.clients.saturating_sub(MAX_CALLERS);
         config.bounds.clients = clients.max(1);
     }
     Ok(())
@@ -156,7 +156,7 @@
     let parse_peer = |(n, text): (usize, &String)| parse_address(&format!("peers[{n}]"), text);
     let each: Vec<_> = peers.iter().enumerate().map(parse_peer).collect::<Result<_>>()?;
     validate::peers(peers.len(), file.settings())?;
-    let (Some(listen), true) = (listen, each.len() >= gossip::ENOUGH) else { return Ok(None) };
+    let (Some(listen), true) = (listen, each.len() >= gossip::MIN_BALANCERS) else { return Ok(None) };
     ensure!(me < each.len(), "settings.me: {me} is none of the {} balancers in peers", each.len());
     Ok(Some(GossipAddresses { listen, each, all, me }))
 }
--- a/crates/spindlebeam/src/serve/shutdown.rs
+++ b/crates/spindlebeam/src/serve/shutdown.rs
@@ -40,7 +40,7 @@
         let _ = parts.stop_accepting.send(());
         let _ = parts.accepting.await;
     }
-    if timeout_at(deadline + LAST_WRITES, parts.front.emptied()).await.is_err() {
+    if timeout_at(deadline + LAST_WRITES, parts.front.wait_until_empty()).await.is_err() {
         log::warn!("shutdown: client connections were still busy at the deadline");
     }
     log::info!("{}: done", parts.name);
--- a/crates/upstream/src/call.rs
+++ b/crates/upstream/src/call.rs
@@ -38,7 +38,7 @@
     /// The same if it is large: it is forwarded as it arrives.
     Streamed(Box<StreamedValue>),
     /// Rejected: a retry is harmless, after this many milliseconds (0: no advice).
-    Refused(u64),
+    Rejected(u64),
     /// Failed.
     Failed,
 }
@@ -50,7 +50,7 @@
         match self {
             Self::Served(_) => "served",
             Self::Streamed(_) => "streaming",
-            Self::Refused(_) => "rejected",
+            Self::Rejected(_) => "rejected",
             Self::Failed => "failed",
         }
     }
--- a/crates/upstream/src/connection/attempt.rs
+++ b/crates/upstream/src/connection/attempt.rs
@@ -135,7 +135,7 @@
             ConnectionSource::Dial(permit) => (None, permit),
             ConnectionSource::Unavailable => {
                 // The limit is this balancer's own: it says nothing about the endpoint's health, and no other is any nearer.
-                if let Some(more) = self.throttles.no_connection.line() {
+                if let Some(more) = self.throttles.no_connection.admit_line() {
                     log::warn!("upstream: endpoint {}: no connection available{more}", self.endpoint.name);
                 }
                 return Err(Outcome::NotSent);
@@ -165,12 +165,12 @@
         match error {
             ResponseError::Reset => {}
             ResponseError::Malformed(error) => {
-                if let Some(more) = self.throttles.malformed_response.line() {
+                if let Some(more) = self.throttles.malformed_response.admit_line() {
                     log::warn!("upstream: endpoint {name}: malformed response: {error}{more}");
                 }
             }
             ResponseError::OutOfMemory => {
-                if let Some(more) = self.throttles.no_memory.line() {
+                if let Some(more) = self.throttles.no_memory.admit_line() {
                     log::warn!("upstream: endpoint {name}: no memory for a response of unknown length{more}");
                 }
             }
--- a/crates/upstream/src/connection/resp_response.rs
+++ b/crates/upstream/src/connection/resp_response.rs
@@ -41,7 +41,7 @@
 
 fn log_syntax_error(text: &[u8], endpoint: &str, throttles: &AttemptLogThrottles) {
     if text.starts_with(SYNTAX_ERROR)
-        && let Some(more) = throttles.rejected_command.line()
+        && let Some(more) = throttles.rejected_command.admit_line()
     {
         let text = String::from_utf8_lossy(text);
         log::error!("upstream: endpoint {endpoint} rejected the command: -{text}{more}");
--- a/crates/upstream/src/connection/streamed.rs
+++ b/crates/upstream/src/connection/streamed.rs
@@ -68,27 +68,27 @@
 
     /// Whether the value has arrived completely.
     #[must_use]
-    pub fn whole(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         matches!(self.source, Source::Memory { .. })
     }
 
     /// The memory that it needs until it is forwarded, beyond what the memory budget covers.
     #[must_use]
-    pub fn window(&self) -> usize {
-        if self.whole() { 0 } else { READ_AHEAD }
+    pub fn read_ahead_bytes(&self) -> usize {
+        if self.is_complete() { 0 } else { READ_AHEAD }
     }
 
     /// Whether all of it has been taken.
     #[must_use]
-    pub fn done(&self) -> bool {
+    pub fn is_finished(&self) -> bool {
         self.remaining == 0
     }
 
-    /// The bytes that have arrived and were not taken, at least one. To be called while it is not [`StreamedValue::done`].
+    /// The bytes that have arrived and were not taken, at least one. To be called while it is not [`StreamedValue::is_finished`].
     ///
     /// # Errors
     /// When the endpoint breaks off or is silent for too long: the rest will not arrive.
-    pub async fn next(&mut self) -> io::Result<&[u8]> {
+    pub async fn next_chunk(&mut self) -> io::Result<&[u8]> {
         let available = match &mut self.source {
             Source::Connection { connection, .. } => {
                 if connection.buffer.is_empty() {
@@ -103,14 +103,14 @@
     }
 
     /// Takes bytes that [`StreamedValue::next`] returned. With the last one, the endpoint's connection is handed back.
-    pub fn take(&mut self, bytes: usize) {
+    pub fn consume(&mut self, bytes: usize) {
         self.remaining -= bytes;
         match &mut self.source {
             Source::Connection { connection, .. } => connection.buffer.advance(bytes),
             Source::Memory { value, .. } => value.advance(bytes),
             Source::Finished => {}
         }
-        if self.done()
+        if self.is_finished()
             && let Source::Connection { mut connection, return_to } =
                 std::mem::replace(&mut self.source, Source::Finished)
         {
--- a/crates/upstream/tests/responses.rs
+++ b/crates/upstream/tests/responses.rs
@@ -196,9 +196,9 @@
     } else {
         drop(far)
     }
-    while let Ok(come) = large.next().await.map(<[u8]>::len) {
-        large.take(come);
-        assert!(!large.done());
+    while let Ok(come) = large.next_chunk().await.map(<[u8]>::len) {
+        large.consume(come);
+        assert!(!large.is_finished());
     }
     drop(large);
     let ended = run.await;
@@ -211,7 +211,7 @@
     let (mut large, mut far, _run) = streamed(&mut host, b"*3\r\n$100000\r\n").await;
     for waits in 0..20 {
         {
-            let mut next = pin!(large.next());
+            let mut next = pin!(large.next_chunk());
             let come = poll_fn(|cx| Poll::Ready(next.as_mut().poll(cx).map(|come| come.is_err()))).await;
             match come {
                 Poll::Ready(given_up) => return assert!(given_up && waits >= 7, "after {waits} waits"),
@@ -222,7 +222,7 @@
                 return assert!(waits >= 7, "after {waits} waits");
             }
         }
-        large.take(1);
+        large.consume(1);
     }
     panic!("it is never given up");
 }
