--- a/crates/spindlebeam/benches/lists.rs
+++ b/crates/spindlebeam/benches/lists.rs
@@ -10,7 +10,7 @@
 use testfleet::cache_node::CacheNodeBehaviour;
 use testfleet::discovery::{ListEncoding, Phase};
 use testfleet::fleet::Fleet;
-use testfleet::process::{open_descriptors, resource_usage};
+use testfleet::proc_stats::{open_descriptors, resource_usage};
 
 /// Stand-ins for all endpoints, so that a quarter of them can drain.
 const HOSTS: usize = 8;
@@ -86,7 +86,7 @@
         connections.len()
     });
     let longest = fleet.clients().calls().with_entries(|all| {
-        let took = all.iter().filter_map(|it| Some(it.answers.first()?.0 - it.asked?));
+        let took = all.iter().filter_map(|it| Some(it.answers.first()?.0 - it.written_at?));
         took.max().unwrap_or_default()
     });
     let verdict = fleet.verdict();
@@ -95,8 +95,8 @@
          longest answer {:.3} s; {made} connections; {descriptors} descriptors; {} KB of lists; {} served, {} violations",
         late.0,
         late.1.as_secs_f64(),
-        (after.1 - before.1) as f64 / 1e6,
-        after.0 / 1024,
+        (after.processor_us - before.processor_us) as f64 / 1e6,
+        after.resident_kb / 1024,
         longest.as_secs_f64(),
         list_bytes / 1024,
         verdict.served,
--- a/crates/spindlebeam/tests/fleet_agreement.rs
+++ b/crates/spindlebeam/tests/fleet_agreement.rs
@@ -52,7 +52,7 @@
 }
 /// The fleet as one balancer tells it to staff.
 fn look(fleet: &Fleet, number: usize) -> Value {
-    let (status, body) = call(fleet.balancer(number).operators, "/fleet");
+    let (status, body) = call(fleet.balancer(number).admin_addr, "/fleet");
     assert_eq!(status, 200, "{body}");
     serde_json::from_str(&body).unwrap()
 }
@@ -162,7 +162,7 @@
     fleet.clients().await_answered(700);
     let verdict = fleet.verdict();
     verdict.assert_clean();
-    assert!(verdict.refused > 0 && verdict.served > 300, "{verdict}");
+    assert!(verdict.rejected > 0 && verdict.served > 300, "{verdict}");
 }
 
 /// Stops a balancer until the others have seen its lease end, and lets it go on with a request before it.
@@ -321,8 +321,8 @@
     fleet.clients().start_load(fleet.load(&["read", "once"], RATE, 300));
     fleet.clients().await_answered(300);
     for number in 0..3 {
-        assert!(testfleet::process::udp_addresses(fleet.balancer(number).process.id()).is_empty());
-        assert_eq!(call(fleet.balancer(number).operators, "/fleet").0, 404);
+        assert!(testfleet::proc_stats::udp_addresses(fleet.balancer(number).process.id()).is_empty());
+        assert_eq!(call(fleet.balancer(number).admin_addr, "/fleet").0, 404);
         silent_of(&fleet, number, 0, "fleet: ");
         let to = |other| fleet.udp_relay().counts(number, other).received;
         assert_eq!((0..3).filter(|it| *it != number).map(to).sum::<u64>(), 0);
--- a/crates/spindlebeam/tests/fleet_freeze.rs
+++ b/crates/spindlebeam/tests/fleet_freeze.rs
@@ -64,11 +64,11 @@
 }
 
 fn view(fleet: &Fleet, balancer: usize) -> Value {
-    call(fleet.balancer(balancer).operators, "GET", "/fleet", "").1
+    call(fleet.balancer(balancer).admin_addr, "GET", "/fleet", "").1
 }
 
 fn propose(fleet: &Fleet, balancer: usize, proposal: &Value) -> (u16, Value) {
-    call(fleet.balancer(balancer).operators, "POST", "/fleet/calendar", &proposal.to_string())
+    call(fleet.balancer(balancer).admin_addr, "POST", "/fleet/calendar", &proposal.to_string())
 }
 
 /// A moment so many hours from now, by the clocks of UTC.
--- a/crates/spindlebeam/tests/fleet_rules.rs
+++ b/crates/spindlebeam/tests/fleet_rules.rs
@@ -66,7 +66,7 @@
     fleet.clients().await_answered(1_200);
     let verdict = fleet.verdict();
     verdict.assert_clean();
-    assert!(verdict.lost_with_a_killed > 10, "{verdict}");
+    assert!(verdict.lost_with_killed > 10, "{verdict}");
     let once = fleet.origin().runs().all();
     for balancer in 1..3 {
         let runs = once.iter().filter(|it| it.class == "once" && it.balancer == Some(balancer));
--- a/crates/spindlebeam/tests/golden.rs
+++ b/crates/spindlebeam/tests/golden.rs
@@ -166,7 +166,7 @@
     for balancer in 0..3 {
         drop(fleet.balancer(balancer).process.find_line_with("fleet: lease held"));
     }
-    let door = fleet.balancer(0).operators;
+    let door = fleet.balancer(0).admin_addr;
     let freeze = json!({"add": {"freeze": {
         "id": "sales", "reason": "sales", "asked_by": "ada", "start": "2099-01-01T00:00", "end": "2099-01-02T00:00",
         "zone": "UTC", "scope": {"place": "fleet"}, "repeat": null
--- a/crates/testfleet/examples/idle.rs
+++ b/crates/testfleet/examples/idle.rs
@@ -1,10 +1,10 @@
-//! Measures what a fleet of idle balancers costs: `idle PROGRAM BALANCERS...`.
+//! Measures the cost of a fleet of idle balancers: `idle PROGRAM BALANCERS...`.
 
 use std::time::{Duration, Instant};
 use testfleet::fleet::Fleet;
-use testfleet::process::resource_usage;
+use testfleet::proc_stats::resource_usage;
 
-/// How long each fleet is watched.
+/// How long each fleet is measured.
 const WATCHED: Duration = Duration::from_secs(10);
 
 fn main() -> std::io::Result<()> {
@@ -18,7 +18,9 @@
         let sum = || {
             let each =
                 (0..balancers).filter_map(|number| resource_usage(fleet.balancer(number).process.id()));
-            each.fold((0, 0), |all, it| (all.0 + it.0, all.1 + it.1))
+            each.fold((0, 0), |(resident_kb, processor_us), usage| {
+                (resident_kb + usage.resident_kb, processor_us + usage.processor_us)
+            })
         };
         let (before, ours) = (sum(), resource_usage(std::process::id()).unwrap_or_default());
         let watched = Instant::now();
@@ -32,7 +34,7 @@
              {} MB; {datagrams} datagrams relayed",
             after.0 / 1024,
             share(after.1.saturating_sub(before.1)),
-            ours_after.0.max(ours.0) / 1024
+            ours_after.resident_kb.max(ours.resident_kb) / 1024
         );
     }
     Ok(())
--- a/crates/testfleet/examples/soak.rs
+++ b/crates/testfleet/examples/soak.rs
@@ -1,5 +1,5 @@
-//! Plays soak runs one after the other: `soak PROGRAM FIRST_SEED RUNS [crowd]`; with
-//! `crowd` each run has a busy crowd at a balancer that is told to end. Prints a line a seed; ends with 1 where a rule was broken.
+//! Runs seeded soak runs one after the other: `soak PROGRAM FIRST_SEED RUNS [crowd]`. With `crowd`, each run has a busy
+//! crowd at a balancer that is sent SIGTERM. Prints a line per seed and exits with 1 if a rule was broken.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
--- a/crates/testfleet/src/builder.rs
+++ b/crates/testfleet/src/builder.rs
@@ -1,8 +1,9 @@
 //! Builds and starts a [`Fleet`]: relays, stand-ins, configuration files and processes.
 
+use crate::SPREAD_MULTIPLIER;
 use crate::cache_node::{Attempt, CacheNode};
 use crate::clients::Clients;
-use crate::config::{self, Listed};
+use crate::config::{self, FleetMember};
 use crate::discovery::{DiscoveryAgent, EndpointNotification, Member, Phase};
 use crate::event_log::EventLog;
 use crate::fleet::{Balancer, Fleet};
@@ -95,7 +96,7 @@
     /// Sets how many balancers, from the first on, are voters of the quorum group; the default is 3.
     #[must_use]
     pub fn council(self, voters: usize) -> Self {
-        Self { voters: voters, ..self }
+        Self { voters, ..self }
     }
     /// Sets the lease duration in the syntax of the fleet file; the default is `2s`.
     #[must_use]
@@ -147,22 +148,22 @@
         let handle = runtime.handle();
         let (attempts, notifications, callers) =
             (EventLog::<Attempt>::default(), EventLog::<EndpointNotification>::default(), Callers::default());
-        let endpoint =
+        let start_node =
             |number| CacheNode::start(handle, &format!("s-{number}"), callers.clone(), attempts.clone());
-        let cache_nodes: Vec<CacheNode> = (0..self.cache_nodes).map(endpoint).collect::<io::Result<_>>()?;
+        let cache_nodes: Vec<CacheNode> = (0..self.cache_nodes).map(start_node).collect::<io::Result<_>>()?;
         let origin = Origin::start(handle, callers.clone(), EventLog::default())?;
         let udp_relay = UdpRelay::start(handle, self.balancers, self.seed)?;
         let addresses: Vec<_> =
             (0..self.balancers).map(|it| udp_relay.address(it)).collect::<io::Result<_>>()?;
         self.write_fleet_file(folder.path(), &addresses)?;
-        let site = Site {
+        let stand_ins = StandIns {
             cache_nodes: &cache_nodes,
             origin: &origin,
             callers: &callers,
             notifications: &notifications,
         };
         let balancers: Vec<Balancer> = (0..self.balancers)
-            .map(|number| self.balancer(&runtime, folder.path(), number, &addresses, &site))
+            .map(|number| self.start_balancer(&runtime, folder.path(), number, &addresses, &stand_ins))
             .collect::<io::Result<_>>()?;
         let clients = Clients::new(handle, balancers.iter().map(|it| it.from_clients.addr()).collect());
         let mut fleet = Fleet {
@@ -187,25 +188,26 @@
 
     fn write_fleet_file(&self, folder: &Path, addresses: &[SocketAddr]) -> io::Result<()> {
         let listed = addresses.iter().enumerate();
-        let listed: Vec<_> = listed
-            .map(|(number, address)| Listed {
+        let members: Vec<_> = listed
+            .map(|(number, address)| FleetMember {
                 address: *address,
                 zone: self.zone(number),
-                council: number < self.voters,
+                voter: number < self.voters,
             })
             .collect();
-        std::fs::write(folder.join("fleet.toml"), config::fleet_file("test", &self.lease, &listed))
+        std::fs::write(folder.join("fleet.toml"), config::fleet_file("test", &self.lease, &members))
     }
 
-    fn balancer(
-        &self, runtime: &Runtime, folder: &Path, number: usize, addresses: &[SocketAddr], site: &Site<'_>,
+    fn start_balancer(
+        &self, runtime: &Runtime, folder: &Path, number: usize, addresses: &[SocketAddr],
+        stand_ins: &StandIns<'_>,
     ) -> io::Result<Balancer> {
         let handle = runtime.handle();
-        let seed = self.seed.wrapping_add(number as u64).wrapping_mul(0x9e37_79b9_7f4a_7c15);
-        let link = |target| TcpLink::start(handle, target, Some((site.callers.clone(), number)), seed);
+        let seed = self.seed.wrapping_add(number as u64).wrapping_mul(SPREAD_MULTIPLIER);
+        let link = |target| TcpLink::start(handle, target, Some((stand_ins.callers.clone(), number)), seed);
         let to_cache_nodes: Vec<_> =
-            site.cache_nodes.iter().map(|it| link(it.addr())).collect::<io::Result<_>>()?;
-        let to_origin = link(site.origin.addr())?;
+            stand_ins.cache_nodes.iter().map(|it| link(it.addr())).collect::<io::Result<_>>()?;
+        let to_origin = link(stand_ins.origin.addr())?;
         let member = |name: &str, addr, zone, kind: &str| Member {
             name: name.to_owned(),
             addr,
@@ -215,22 +217,22 @@
             weight: 1.0,
             ids: if kind == ORIGIN_NAME { 1 } else { self.ids },
         };
-        let cache_nodes = site.cache_nodes.iter().zip(&to_cache_nodes).enumerate();
+        let cache_nodes = stand_ins.cache_nodes.iter().zip(&to_cache_nodes).enumerate();
         let mut members: Vec<_> = cache_nodes
-            .map(|(at, (node, link))| member(node.name(), link.addr(), self.zone(at), "m"))
+            .map(|(index, (node, link))| member(node.name(), link.addr(), self.zone(index), "m"))
             .collect();
         members.push(member(ORIGIN_NAME, to_origin.addr(), self.zone(0), ORIGIN_NAME));
-        let agent = DiscoveryAgent::start(handle, number, members, site.notifications.clone())?;
-        let mut config = config::platform(&config::Balancer {
+        let agent = DiscoveryAgent::start(handle, number, members, stand_ins.notifications.clone())?;
+        let mut config = config::balancer_config(&config::Balancer {
             number,
-            of: self.balancers,
+            balancers: self.balancers,
             discovery: agent.addr(),
             zones: (0..self.zones).map(|zone| self.zone(zone)).collect(),
             zone: number % self.zones,
             seed,
             peers: (self.with_peers && !self.with_fleet).then(|| addresses.to_vec()),
         });
-        config::lay_over(&mut config, &self.overrides);
+        config::merge_values(&mut config, &self.overrides);
         let home = folder.join(format!("n{number}"));
         let mut launch =
             Launch { program: self.program.clone(), args: self.args.clone(), ..Launch::default() };
@@ -241,13 +243,22 @@
         // The target is set once the balancer has logged the address it listens on.
         let from_clients = TcpLink::start(handle, any_port(), None, seed)?;
         let process = Process::start(handle, launch, &home, &config)?;
-        let (front, operators) = (any_port(), any_port());
-        Ok(Balancer { process, agent, from_clients, to_cache_nodes, to_origin, front, operators, config })
+        let (client_addr, admin_addr) = (any_port(), any_port());
+        Ok(Balancer {
+            process,
+            agent,
+            from_clients,
+            to_cache_nodes,
+            to_origin,
+            client_addr,
+            admin_addr,
+            config,
+        })
     }
 }
 
 /// The stand-ins shared by all balancers.
-struct Site<'a> {
+struct StandIns<'a> {
     cache_nodes: &'a [CacheNode],
     origin: &'a Origin,
     callers: &'a Callers,
--- a/crates/testfleet/src/cache_node.rs
+++ b/crates/testfleet/src/cache_node.rs
@@ -17,7 +17,7 @@
 use tokio::sync::watch;
 
 /// The maximum number of keys of a node; it is emptied when this is reached, to bound memory.
-pub const MOST_KEYS: usize = 1_000_000;
+pub const MAX_KEYS: usize = 1_000_000;
 
 /// How a cache node responds to connections and commands.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
@@ -72,13 +72,13 @@
 }
 
 /// Parses the remaining time from a request's options.
-pub(crate) fn time_of(options: &str) -> Option<Duration> {
+pub(crate) fn parse_remaining_time(options: &str) -> Option<Duration> {
     let ms = options.split(',').find_map(|option| option.strip_prefix("d="))?;
     ms.parse().ok().map(Duration::from_millis)
 }
 
 /// Parses the request class from a request's options.
-pub(crate) fn class_of(options: &str) -> String {
+pub(crate) fn parse_class(options: &str) -> String {
     options.split(',').find_map(|option| option.strip_prefix("c=")).unwrap_or_default().to_owned()
 }
 
@@ -181,25 +181,25 @@
                     _ => return,
                 }
             };
-            let Some(entry) = self.entry(&command, number, caller.as_ref()) else {
+            let Some(entry) = self.attempt(&command, number, caller.as_ref()) else {
                 let _ = stream.write_all(b"+PONG\r\n").await;
                 continue;
             };
             let key = entry.key.clone();
-            let place = self.attempts.push(entry);
+            let index = self.attempts.push(entry);
             let answered = self.answer(&mut stream, &mut buffer, &key).await;
             let ending = if answered { Ending::Answered } else { Ending::Closed };
-            self.attempts.update(place, |it| it.ended = Some((Instant::now(), ending)));
+            self.attempts.update(index, |it| it.ended = Some((Instant::now(), ending)));
             if !answered {
                 return;
             }
         }
     }
 
-    fn entry(&self, command: &Command, connection: u64, caller: Option<&Caller>) -> Option<Attempt> {
+    fn attempt(&self, command: &Command, connection: u64, caller: Option<&Caller>) -> Option<Attempt> {
         let word = |at: usize| command.0.get(at).map(|word| String::from_utf8_lossy(word).into_owned());
         let (key, id, options) = (word(1)?, word(2)?, word(3)?);
-        let (class, time) = (class_of(&options), time_of(&options));
+        let (class, time) = (parse_class(&options), parse_remaining_time(&options));
         let at = Instant::now();
         let sent = caller.map_or(at, Caller::last_write);
         let (endpoint, balancer) = (self.name.clone(), caller.map(|it| it.balancer));
@@ -229,7 +229,7 @@
         let out = match behaviour {
             CacheNodeBehaviour::Fails => BytesMut::from(&b"-ERR out of order\r\n"[..]),
             CacheNodeBehaviour::Drains => BytesMut::from(&b"-BUSY\r\n"[..]),
-            CacheNodeBehaviour::HoldsAll => hit(key),
+            CacheNodeBehaviour::HoldsAll => encode_hit(key),
             _ => self.value(key),
         };
         stream.write_all(&out).await.is_ok()
@@ -237,17 +237,17 @@
 
     fn value(&self, key: &str) -> BytesMut {
         let mut keys = self.keys();
-        if keys.len() >= MOST_KEYS {
+        if keys.len() >= MAX_KEYS {
             keys.clear();
         }
         if keys.insert(key.to_owned()) {
             return BytesMut::from(&b"*3\r\n$-1\r\n$4\r\nmiss\r\n$-1\r\n"[..]);
         }
-        hit(key)
+        encode_hit(key)
     }
 }
 
-fn hit(key: &str) -> BytesMut {
+fn encode_hit(key: &str) -> BytesMut {
     let mut out = BytesMut::from(&b"*3\r\n"[..]);
     encode_bulk(&mut out, format!("value of {key}").as_bytes());
     out.extend_from_slice(b"$3\r\nhit\r\n$-1\r\n");
--- a/crates/testfleet/src/clients.rs
+++ b/crates/testfleet/src/clients.rs
@@ -1,5 +1,6 @@
 //! An open-loop load generator: clients send at a fixed rate and record the outcome of each request.
 
+use crate::SPREAD_MULTIPLIER;
 use crate::event_log::EventLog;
 use bytes::BytesMut;
 use proto::resp::encode_command;
@@ -95,15 +96,32 @@
     /// When the request was started.
     pub at: Instant,
     /// When the last byte was written; `None` if it was not.
-    pub asked: Option<Instant>,
-    /// The deadline, relative to `asked`.
+    pub written_at: Option<Instant>,
+    /// The deadline, relative to `written_at`.
     pub deadline: Duration,
     /// The outcomes with their times: exactly one, unless a rule was broken.
     pub answers: Vec<(Instant, Outcome)>,
     /// The position in the pipeline of its connection.
     pub pipeline_position: PipelinePosition,
     /// When the client disconnected, if it did so before an answer.
-    pub left: Option<Instant>,
+    pub disconnected_at: Option<Instant>,
+}
+
+impl Call {
+    /// Returns the record of a request that starts now.
+    pub(crate) fn start(id: String, request: &Request) -> Self {
+        Self {
+            id,
+            class: request.class.clone(),
+            balancer: request.balancer,
+            at: Instant::now(),
+            written_at: None,
+            deadline: request.deadline,
+            answers: Vec::new(),
+            pipeline_position: PipelinePosition::First,
+            disconnected_at: None,
+        }
+    }
 }
 
 /// A connection without outstanding requests, and the log index of its last call.
@@ -122,6 +140,11 @@
 #[derive(Debug, Clone)]
 pub struct Clients(Arc<Shared>, Handle);
 
+/// Returns the key with this number; keys with consecutive numbers are spread over the key space.
+pub(crate) fn spread_key(number: u64) -> String {
+    format!("{:016x}", number.wrapping_add(1).wrapping_mul(SPREAD_MULTIPLIER))
+}
+
 /// A request before an id is assigned.
 pub(crate) struct Request {
     pub(crate) balancer: usize,
@@ -169,7 +192,7 @@
     pub fn await_answered(&self, requests: usize) {
         let all = |calls: &[Call]| calls.len() >= requests && calls.iter().all(|it| !it.answers.is_empty());
         self.0.calls.wait("requests answered", |calls| all(calls).then_some(()));
-        self.0.collect_late();
+        self.0.check_idle_connections();
     }
 }
 
@@ -180,10 +203,7 @@
         class: class.name.clone(),
         write: class.write,
         tenant: load.tenants[rng.usize(..load.tenants.len())].clone(),
-        key: format!(
-            "{:016x}",
-            rng.u64(..load.keys.max(1)).wrapping_add(1).wrapping_mul(0x9e37_79b9_7f4a_7c15)
-        ),
+        key: spread_key(rng.u64(..load.keys.max(1))),
         deadline: load.deadline,
     }
 }
@@ -216,56 +236,56 @@
         !matches!(&more, Err(error) if error.kind() == io::ErrorKind::WouldBlock)
     }
 
-    fn collect_late(&self) {
+    /// Records unexpected answers on idle connections, and drops connections that ended.
+    fn check_idle_connections(&self) {
         for idle in self.idle().iter_mut() {
             idle.retain(|Idle(reader, index)| !self.has_unexpected_input(reader, *index));
         }
     }
 
+    /// Sends a request and records its outcome.
     async fn call(self: Arc<Self>, request: Request) {
-        let number = self.ids.fetch_add(1, Ordering::Relaxed);
-        let (id, balancer, class) = (format!("{number:016x}"), request.balancer, request.class.clone());
-        let idle = self.connection(balancer);
-        let (at, asked, deadline, answers) = (Instant::now(), None, request.deadline, Vec::new());
-        let call = Call {
-            id: id.clone(),
-            class,
-            balancer,
-            at,
-            asked,
-            deadline,
-            answers,
-            pipeline_position: PipelinePosition::First,
-            left: None,
-        };
-        let index = self.calls.push(call);
-        let asked = async {
-            let mut reader = match idle {
-                Some(reader) => reader,
-                None => BufReader::new(TcpStream::connect(self.client_addrs[balancer]).await?),
-            };
-            reader.get_ref().set_nodelay(true)?;
-            reader.get_mut().write_all(&encode_request(&request, &id)).await?;
-            self.calls.update(index, |call| call.asked = Some(Instant::now()));
-            let answer = read_outcome(&mut reader).await?;
-            io::Result::Ok((reader, answer))
-        };
-        let outcome = timeout(request.deadline + ANSWER_GRACE, asked).await;
+        let id = format!("{:016x}", self.ids.fetch_add(1, Ordering::Relaxed));
+        let idle = self.connection(request.balancer);
+        let index = self.calls.push(Call::start(id.clone(), &request));
+        let exchange = self.exchange(idle, &request, &id, index);
+        let outcome = timeout(request.deadline + ANSWER_GRACE, exchange).await;
         let (connection, answer) = match outcome {
             Ok(Ok((reader, answer))) => (Some(reader), answer),
             Ok(Err(error)) => (None, Outcome::Lost(error.to_string())),
-            Err(_) => (None, Outcome::Lost("silence".into())),
+            Err(_) => (None, Outcome::Lost("timeout".into())),
         };
         self.calls.update(index, |call| call.answers.push((Instant::now(), answer)));
-        let mut all = self.idle();
-        if let Some(connection) = connection
-            && all[balancer].len() < MAX_IDLE_CONNECTIONS
-        {
-            all[balancer].push(Idle(connection, index));
+        if let Some(connection) = connection {
+            self.return_idle(request.balancer, Idle(connection, index));
+        }
+    }
+
+    /// Writes a request on an idle or a new connection and reads its answer.
+    async fn exchange(
+        &self, idle: Option<BufReader<TcpStream>>, request: &Request, id: &str, index: usize,
+    ) -> io::Result<(BufReader<TcpStream>, Outcome)> {
+        let mut reader = match idle {
+            Some(reader) => reader,
+            None => BufReader::new(TcpStream::connect(self.client_addrs[request.balancer]).await?),
+        };
+        reader.get_ref().set_nodelay(true)?;
+        reader.get_mut().write_all(&encode_request(request, id)).await?;
+        self.calls.update(index, |call| call.written_at = Some(Instant::now()));
+        let answer = read_outcome(&mut reader).await?;
+        Ok((reader, answer))
+    }
+
+    /// Keeps a connection for later requests, unless there are enough.
+    fn return_idle(&self, balancer: usize, connection: Idle) {
+        let idle = &mut self.idle()[balancer];
+        if idle.len() < MAX_IDLE_CONNECTIONS {
+            idle.push(connection);
         }
     }
 }
 
+/// Encodes a request as a RESP command.
 pub(crate) fn encode_request(request: &Request, id: &str) -> BytesMut {
     let ms = request.deadline.as_millis();
     let mut options = format!("c={},t={},d={ms}", request.class, request.tenant);
@@ -280,6 +300,7 @@
     out
 }
 
+/// Reads the answer of a request.
 pub(crate) async fn read_outcome(reader: &mut BufReader<TcpStream>) -> io::Result<Outcome> {
     let mut line = String::new();
     reader.read_line(&mut line).await?;
--- a/crates/testfleet/src/config.rs
+++ b/crates/testfleet/src/config.rs
@@ -17,7 +17,7 @@
     /// The number of the balancer.
     pub number: usize,
     /// The number of balancers.
-    pub of: usize,
+    pub balancers: usize,
     /// The address of its discovery agent.
     pub discovery: SocketAddr,
     /// The names of all zones.
@@ -32,7 +32,7 @@
 
 /// Returns the configuration file of a balancer.
 #[must_use]
-pub fn platform(it: &Balancer) -> Value {
+pub fn balancer_config(it: &Balancer) -> Value {
     let class = |(name, effect): (&str, &str)| {
         json!({"name": name, "effect": effect, "keyScope": "all", "memorySpanUs": 4_000_000, "worth": 1.0,
                "lateWorth": 0.0, "onTimeUs": 1_000_000, "deadlineUs": DEADLINE_MS * 1_000})
@@ -44,7 +44,7 @@
         "discovery": it.discovery.to_string(), "seed": format!("{:016x}", it.seed),
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
         "settings": {
-            "me": it.number, "siblings": it.of, "dcs": it.zones, "locality": it.zone,
+            "me": it.number, "siblings": it.balancers, "dcs": it.zones, "locality": it.zone,
             "hostTypes": ["m", "origin"], "specifics": {"mode": "aside", "originKind": 1},
             "permissions": {"maxAttempts": 5, "cancel": true, "retryAfter": true, "maxRetryAfterUs": 1_000_000,
                             "secondCopies": false, "dialTimeoutUs": 500_000, "connIdleUs": 60_000_000,
@@ -60,12 +60,12 @@
 }
 
 /// Merges values over a configuration, object by object. A null override changes nothing.
-pub fn lay_over(config: &mut Value, overrides: &Value) {
+pub fn merge_values(config: &mut Value, overrides: &Value) {
     match (config, overrides) {
         (_, Value::Null) => {}
         (Value::Object(fields), Value::Object(overrides)) => {
             for (name, value) in overrides {
-                lay_over(fields.entry(name).or_insert(Value::Null), value);
+                merge_values(fields.entry(name).or_insert(Value::Null), value);
             }
         }
         (field, value) => *field = value.clone(),
@@ -74,24 +74,24 @@
 
 /// A balancer in the fleet file.
 #[derive(Debug, Clone)]
-pub struct Listed {
+pub struct FleetMember {
     /// The address at which the others reach it.
     pub address: SocketAddr,
     /// The name of its zone.
     pub zone: String,
     /// Whether it is a voter of the quorum group.
-    pub council: bool,
+    pub voter: bool,
 }
 
 /// Returns the text of the fleet file. Balancers are numbered by position.
 #[must_use]
-pub fn fleet_file(name: &str, lease: &str, balancers: &[Listed]) -> String {
+pub fn fleet_file(name: &str, lease: &str, balancers: &[FleetMember]) -> String {
     let mut text = format!("[fleet]\nname = \"{name}\"\nlease = \"{lease}\"\n");
     for (number, it) in balancers.iter().enumerate() {
-        let Listed { address, zone, council } = it;
+        let FleetMember { address, zone, voter } = it;
         text.push_str(&format!(
             "\n[[balancer]]\nnumber = {number}\nname = \"n{number}\"\naddress = \"{address}\"\nzone = \"{zone}\"\n\
-             council = {council}\n"
+             council = {voter}\n"
         ));
     }
     text
--- a/crates/testfleet/src/discovery.rs
+++ b/crates/testfleet/src/discovery/mod.rs
@@ -1,9 +1,14 @@
 //! A stand-in discovery agent per balancer, so that each balancer's view can be changed, delayed or silenced on its
 //! own.
 
+mod list;
+mod state;
+
 use crate::event_log::EventLog;
 use crate::runtime::{any_port, listen};
-use serde_json::{Value, json};
+pub use list::{ListEncoding, Member, Phase};
+use serde_json::Value;
+use state::State;
 use std::io;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -16,82 +21,9 @@
 use tokio::time::timeout;
 
 /// The interval of keep-alive lines on a watch without changes.
-const QUIET: Duration = Duration::from_secs(2);
+const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(2);
 /// The maximum length of a request line, in bytes.
-const LONGEST_LINE: u64 = 4 * 1024;
-
-/// The lifecycle phase of a member.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Phase {
-    /// Accepts requests.
-    Ready,
-    /// Completes requests in flight and accepts no new ones.
-    Draining,
-    /// Removed from the list.
-    Gone,
-}
-
-impl Phase {
-    fn word(self) -> &'static str {
-        match self {
-            Self::Ready => "ready",
-            Self::Draining => "draining",
-            Self::Gone => "gone",
-        }
-    }
-}
-
-/// A cache node or the origin, as listed to one balancer.
-#[derive(Debug, Clone)]
-pub struct Member {
-    /// The name in discovery.
-    pub name: String,
-    /// The address at which that balancer reaches it.
-    pub addr: SocketAddr,
-    /// The zone.
-    pub zone: String,
-    /// The kind: `m`, or `origin`.
-    pub kind: String,
-    /// The lifecycle phase.
-    pub phase: Phase,
-    /// The listed weight.
-    pub weight: f64,
-    /// The number of endpoint ids under which it is listed. They change together.
-    pub ids: usize,
-}
-
-impl Member {
-    fn entries(&self) -> impl Iterator<Item = Value> {
-        (0..self.ids).map(|number| {
-            let id = if self.ids == 1 { self.name.clone() } else { format!("{}-{number}", self.name) };
-            json!({"id": id, "host_port": self.addr.to_string(), "locality": self.zone, "flavor": self.kind,
-                   "cell": 0, "phase": self.phase.word(), "size": self.weight, "up_since_ms": 0})
-        })
-    }
-}
-
-/// Returns a complete list, or a change of it, in the form of the discovery protocol.
-fn list(revision: usize, complete: bool, members: &[Member]) -> Value {
-    let members: Vec<_> = members.iter().flat_map(Member::entries).collect();
-    json!({"revision": revision, "complete": complete, "members": members})
-}
-
-/// How an agent writes lists on its watches.
-#[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct ListEncoding {
-    /// Whether the JSON is written over several lines.
-    pub indented: bool,
-    /// Whether each change is written as the complete list.
-    pub whole: bool,
-    /// The number of bytes per write; `None` for one write.
-    pub piece: Option<usize>,
-}
-
-impl ListEncoding {
-    fn encode(self, list: &Value) -> String {
-        if self.indented { format!("{list:#}") } else { list.to_string() }
-    }
-}
+const MAX_LINE_BYTES: u64 = 4 * 1024;
 
 /// A member's phase that was written to a balancer, in a list or a watch event.
 #[derive(Debug, Clone, PartialEq)]
@@ -106,22 +38,6 @@
     pub at: Instant,
 }
 
-#[derive(Debug)]
-struct State {
-    /// The initial list, which is revision 1.
-    first: Vec<Member>,
-    /// The changes of the list; the first one makes revision 2.
-    changes: Vec<Member>,
-    /// The index of the first unpublished change while updates are paused.
-    held_from: Option<usize>,
-    /// Watches with a lower number are silent.
-    silent_below: u64,
-    /// Watches with a lower number are reset.
-    reset_below: u64,
-    watches: u64,
-    encoding: ListEncoding,
-}
-
 /// A handle to the discovery agent of one balancer.
 #[derive(Debug, Clone)]
 pub struct DiscoveryAgent {
@@ -148,16 +64,7 @@
     pub fn start(
         handle: &Handle, balancer: usize, members: Vec<Member>, notifications: EventLog<EndpointNotification>,
     ) -> io::Result<Self> {
-        let encoding = ListEncoding::default();
-        let state = State {
-            first: members,
-            changes: Vec::new(),
-            held_from: None,
-            silent_below: 0,
-            reset_below: 0,
-            watches: 0,
-            encoding,
-        };
+        let state = State::new(members);
         let (state, changed, requested_paths) =
             (Mutex::new(state), watch::Sender::new(()), EventLog::default());
         let list_bytes = AtomicU64::new(0);
@@ -227,11 +134,11 @@
     pub fn pause_updates(&self) {
         let mut state = self.shared.state();
         let from = state.changes.len();
-        state.held_from.get_or_insert(from);
+        state.paused_from.get_or_insert(from);
     }
     /// Publishes the changes made since [`Self::pause_updates`].
     pub fn resume_updates(&self) {
-        self.shared.state().held_from = None;
+        self.shared.state().paused_from = None;
         self.shared.changed.send_replace(());
     }
     /// Resets the open watches.
@@ -248,42 +155,6 @@
     }
 }
 
-impl State {
-    fn update(&mut self, name: &str, update: impl FnOnce(&mut Member)) {
-        let now = self.members_after(self.changes.len());
-        if let Some(mut member) = now.into_iter().find(|member| member.name == name) {
-            update(&mut member);
-            self.changes.push(member);
-        }
-    }
-    /// Returns the number of published changes.
-    fn published_changes(&self) -> usize {
-        self.held_from.unwrap_or(self.changes.len())
-    }
-    /// Returns the members after this many changes.
-    fn members_after(&self, changes: usize) -> Vec<Member> {
-        let changes = &self.changes[..changes];
-        let last = |member: &Member| changes.iter().rfind(|change| change.name == member.name).cloned();
-        self.first.iter().map(|member| last(member).unwrap_or_else(|| member.clone())).collect()
-    }
-    /// Returns the published members.
-    fn published_members(&self) -> Vec<Member> {
-        self.members_after(self.published_changes())
-    }
-    fn list(&self) -> Value {
-        let listed = self.published_members().into_iter().filter(|it| it.phase != Phase::Gone);
-        list(self.published_changes() + 1, true, &listed.collect::<Vec<_>>())
-    }
-    /// Returns the next line of a watch with these unsent changes.
-    fn watch_line(&self, news: &[Member]) -> String {
-        match news {
-            [] => String::new(),
-            _ if self.encoding.whole => self.encoding.encode(&self.list()),
-            _ => self.encoding.encode(&list(self.published_changes() + 1, false, news)),
-        }
-    }
-}
-
 impl Shared {
     fn state(&self) -> MutexGuard<'_, State> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
@@ -309,12 +180,12 @@
     async fn answer(&self, stream: TcpStream) -> io::Result<()> {
         let mut reader = BufReader::new(stream);
         let mut line = String::new();
-        (&mut reader).take(LONGEST_LINE).read_line(&mut line).await?;
+        (&mut reader).take(MAX_LINE_BYTES).read_line(&mut line).await?;
         let path = line.split(' ').nth(1).unwrap_or_default().to_owned();
         let from = path.split_once("watch=1&from=").and_then(|(_, from)| from.parse::<usize>().ok());
         let mut stream = reader.into_inner();
         let Some(from) = from else {
-            let (list, shown) = {
+            let (list, listed) = {
                 let state = self.state();
                 (state.encoding.encode(&state.list()), state.published_members())
             };
@@ -322,7 +193,7 @@
             self.list_bytes.fetch_add(list.len() as u64, Ordering::Relaxed);
             let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", list.len());
             stream.write_all((head + &list).as_bytes()).await?;
-            self.record_notifications(&shown);
+            self.record_notifications(&listed);
             return Ok(());
         };
         self.watch(stream, path, from.saturating_sub(1)).await
@@ -338,29 +209,20 @@
         stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await?;
         self.requested_paths.push(path);
         loop {
-            let (silent, news, line, open, piece) = {
-                let state = self.state();
-                if number < state.reset_below {
-                    return stream.set_zero_linger();
-                }
-                let news =
-                    state.changes[..state.published_changes()].get(next..).unwrap_or_default().to_vec();
-                let line = state.watch_line(&news);
-                (number < state.silent_below, news, line, state.published_changes(), state.encoding.piece)
-            };
-            if !silent {
-                self.list_bytes.fetch_add(line.len() as u64, Ordering::Relaxed);
-                let chunk = format!("{:x}\r\n{line}\n\r\n", line.len() + 1);
-                for piece in chunk.as_bytes().chunks(piece.unwrap_or(chunk.len())) {
+            let Some(event) = self.state().next_event(number, next) else { return stream.set_zero_linger() };
+            if !event.silent {
+                self.list_bytes.fetch_add(event.line.len() as u64, Ordering::Relaxed);
+                let chunk = format!("{:x}\r\n{}\n\r\n", event.line.len() + 1, event.line);
+                for piece in chunk.as_bytes().chunks(event.piece.unwrap_or(chunk.len())) {
                     stream.write_all(piece).await?;
                 }
-                self.record_notifications(&news);
-                next = next.max(open);
+                self.record_notifications(&event.unsent);
+                next = next.max(event.published);
             }
             let mut end = [0];
             tokio::select! {
                 n = stream.read(&mut end) => if !n.is_ok_and(|n| n > 0) { return Ok(()) },
-                _ = timeout(QUIET, changed.changed()) => {}
+                _ = timeout(KEEP_ALIVE_INTERVAL, changed.changed()) => {}
             }
         }
     }
--- a/crates/testfleet/src/event_log.rs
+++ b/crates/testfleet/src/event_log.rs
@@ -6,7 +6,7 @@
 
 /// The maximum number of entries, to bound memory: an hour at 200 requests per second. Further entries are only
 /// counted.
-pub const MOST_ENTRIES: usize = 720_000;
+pub const MAX_ENTRIES: usize = 720_000;
 
 #[derive(Debug)]
 struct Entries<T> {
@@ -39,15 +39,15 @@
     /// Appends an entry and returns its index, for [`EventLog::update`].
     pub fn push(&self, entry: T) -> usize {
         let mut entries = self.entries();
-        let place = entries.kept.len();
-        if place < MOST_ENTRIES {
+        let index = entries.kept.len();
+        if index < MAX_ENTRIES {
             entries.kept.push(entry);
         } else {
             entries.dropped += 1;
         }
         drop(entries);
         self.0.1.notify_all();
-        place
+        index
     }
 
     /// Updates the entry at an index; does nothing if it was dropped.
--- a/crates/testfleet/src/fleet.rs
+++ b/crates/testfleet/src/fleet.rs
@@ -30,9 +30,9 @@
     /// The link to the origin.
     pub to_origin: TcpLink,
     /// The address for clients, not relayed.
-    pub front: SocketAddr,
+    pub client_addr: SocketAddr,
     /// The address of the admin endpoint.
-    pub operators: SocketAddr,
+    pub admin_addr: SocketAddr,
     /// The configuration it was last started or reloaded with.
     pub config: Value,
 }
@@ -142,10 +142,11 @@
     /// # Panics
     /// Panics after [`crate::PATIENCE`].
     pub fn await_notification(&self, balancer: usize, node: usize, phase: Phase) -> Instant {
-        let so = |it: &EndpointNotification| {
+        let matches = |it: &EndpointNotification| {
             it.balancer == balancer && it.endpoint == self.cache_nodes[node].name() && it.phase == phase
         };
-        self.notifications.wait("a balancer is told", |told| told.iter().find(|it| so(it)).map(|it| it.at))
+        self.notifications
+            .wait("a balancer is notified", |entries| entries.iter().find(|it| matches(it)).map(|it| it.at))
     }
 
     fn record_interruption(&mut self, balancer: usize, killed: bool, from: Instant) {
@@ -233,8 +234,8 @@
     pub(crate) fn await_listening(&mut self, number: usize) {
         let it = &mut self.balancers[number];
         let address = it.process.find_address(&format!("n{number}: listening on "));
-        it.operators = it.process.find_address("admin endpoint on ");
-        it.front = address;
+        it.admin_addr = it.process.find_address("admin endpoint on ");
+        it.client_addr = address;
         it.from_clients.set_target(address);
         if self.in_fleet {
             // Registered before any balancer is awaited: none is ready without a lease, and a lease needs the others.
@@ -247,7 +248,7 @@
         it.process.next_line(|line| line.ends_with(" ready"));
         if !self.in_fleet
             && self.with_peers
-            && let Some(real) = crate::process::udp_addresses(it.process.id()).first()
+            && let Some(real) = crate::proc_stats::udp_addresses(it.process.id()).first()
         {
             self.udp_relay.register(number, *real);
         }
@@ -260,9 +261,9 @@
     /// Waits until a balancer has caught up to this revision or a later one.
     pub fn await_caught_up(&self, number: usize, revision: u64) {
         self.balancers[number].process.find_line(|line| {
-            let said =
+            let caught_up =
                 line.split_once("fleet: caught up to revision ").and_then(|(_, n)| n.trim().parse().ok());
-            said.is_some_and(|said: u64| said >= revision)
+            caught_up.is_some_and(|caught_up: u64| caught_up >= revision)
         });
     }
     /// Waits for the next log line that says that a balancer holds its lease.
--- a/crates/testfleet/src/folder.rs
+++ b/crates/testfleet/src/folder.rs
@@ -41,7 +41,7 @@
 ///
 /// # Errors
 /// Returns the system's error if the old folder cannot be removed or the new one not created.
-pub fn empty(folder: &Path) -> io::Result<()> {
+pub fn create_empty(folder: &Path) -> io::Result<()> {
     match fs::remove_dir_all(folder) {
         Err(error) if error.kind() != io::ErrorKind::NotFound => return Err(error),
         _ => {}
@@ -53,13 +53,13 @@
 ///
 /// # Errors
 /// Returns the system's error if something cannot be read or written.
-pub fn copy(from: &Path, to: &Path) -> io::Result<()> {
-    empty(to)?;
+pub fn replace_with_copy(from: &Path, to: &Path) -> io::Result<()> {
+    create_empty(to)?;
     for entry in fs::read_dir(from)? {
         let entry = entry?;
         let target = to.join(entry.file_name());
         if entry.file_type()?.is_dir() {
-            copy(&entry.path(), &target)?;
+            replace_with_copy(&entry.path(), &target)?;
         } else {
             fs::copy(entry.path(), target)?;
         }
--- a/crates/testfleet/src/lib.rs
+++ b/crates/testfleet/src/lib.rs
@@ -21,6 +21,7 @@
 pub mod fleet;
 pub mod folder;
 pub mod origin;
+pub mod proc_stats;
 pub mod process;
 pub mod referee;
 pub mod relay;
@@ -29,3 +30,6 @@
 
 /// The maximum duration of any wait. It only bounds tests that would otherwise hang.
 pub const PATIENCE: std::time::Duration = std::time::Duration::from_secs(20);
+
+/// 2^64 divided by the golden ratio: multiplying consecutive numbers by it spreads them over all 64 bits.
+const SPREAD_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
--- a/crates/testfleet/src/origin.rs
+++ b/crates/testfleet/src/origin.rs
@@ -1,6 +1,6 @@
 //! A stand-in origin that speaks HTTP/1.1 and records every execution.
 
-use crate::cache_node::{Attempt, Ending, class_of, time_of};
+use crate::cache_node::{Attempt, Ending, parse_class, parse_remaining_time};
 use crate::event_log::EventLog;
 use crate::relay::{Caller, Callers};
 use crate::runtime::{any_port, listen};
@@ -54,13 +54,13 @@
 /// Records how an execution ended when dropped, which also covers a connection that ends early.
 struct Run<'a> {
     shared: &'a Shared,
-    place: usize,
+    index: usize,
     ending: Ending,
 }
 
 impl Drop for Run<'_> {
     fn drop(&mut self) {
-        self.shared.runs.update(self.place, |run| run.ended = Some((Instant::now(), self.ending)));
+        self.shared.runs.update(self.index, |run| run.ended = Some((Instant::now(), self.ending)));
     }
 }
 
@@ -124,7 +124,7 @@
             request.headers().get(name).and_then(|value| value.to_str().ok()).unwrap_or_default().to_owned()
         };
         let (id, extra) = (header("Req-Id"), header("Req-Extra"));
-        let (class, time) = (class_of(&extra), time_of(&extra));
+        let (class, time) = (parse_class(&extra), parse_remaining_time(&extra));
         let key = request.uri().path().trim_start_matches('/').to_owned();
         let behaviour = *self.behaviour.borrow();
         let mut answer = Response::new(Full::new(Bytes::from(format!("value of {key}"))));
@@ -139,7 +139,7 @@
         let at = Instant::now();
         let (sent, balancer) = (caller.as_ref().map_or(at, Caller::last_write), caller.map(|it| it.balancer));
         let endpoint = ORIGIN_NAME.to_owned();
-        let place = self.runs.push(Attempt {
+        let index = self.runs.push(Attempt {
             endpoint,
             id,
             key,
@@ -151,7 +151,7 @@
             at,
             ended: None,
         });
-        let mut run = Run { shared: self, place, ending: Ending::Closed };
+        let mut run = Run { shared: self, index, ending: Ending::Closed };
         let latency = *self.latency.borrow();
         if !latency.is_zero() {
             tokio::time::sleep(latency).await;
--- /dev/null
+++ b/crates/testfleet/src/proc_stats.rs
@@ -0,0 +1,49 @@
+//! Figures of running processes, read from `/proc`.
+
+use std::fs;
+use std::net::SocketAddr;
+use std::path::PathBuf;
+
+/// Returns the bound UDP addresses of a process, read from `/proc`.
+#[must_use]
+pub fn udp_addresses(process: u32) -> Vec<SocketAddr> {
+    let folder = PathBuf::from(format!("/proc/{process}"));
+    let open = fs::read_dir(folder.join("fd")).into_iter().flatten().flatten();
+    let links = open.filter_map(|entry| fs::read_link(entry.path()).ok());
+    let sockets: Vec<String> = links.map(|link| link.to_string_lossy().into_owned()).collect();
+    let table = fs::read_to_string(folder.join("net/udp")).unwrap_or_default();
+    let ours = |line: &str| {
+        let words: Vec<&str> = line.split_whitespace().collect();
+        let (addr, inode) = (words.get(1)?.split_once(':')?, words.get(9)?);
+        let ip = u32::from_str_radix(addr.0, 16).ok()?.to_ne_bytes();
+        let port = u16::from_str_radix(addr.1, 16).ok()?;
+        sockets.contains(&format!("socket:[{inode}]")).then(|| SocketAddr::from((ip, port)))
+    };
+    table.lines().filter_map(ours).collect()
+}
+
+/// Returns the number of open file descriptors of a process.
+#[must_use]
+pub fn open_descriptors(process: u32) -> usize {
+    fs::read_dir(format!("/proc/{process}/fd")).map_or(0, Iterator::count)
+}
+
+/// The resources that a process uses.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
+pub struct ResourceUsage {
+    /// Resident memory, in KB.
+    pub resident_kb: u64,
+    /// Processor time used so far, in microseconds.
+    pub processor_us: u64,
+}
+
+/// Returns the resources that a process uses; `None` if it has ended.
+#[must_use]
+pub fn resource_usage(process: u32) -> Option<ResourceUsage> {
+    let status = fs::read_to_string(format!("/proc/{process}/status")).ok()?;
+    let resident = status.lines().find_map(|line| line.strip_prefix("VmRSS:"))?;
+    let times = fs::read_to_string(format!("/proc/{process}/schedstat")).ok()?;
+    let busy: u64 = times.split(' ').next()?.parse().ok()?;
+    let resident_kb = resident.trim().trim_end_matches(" kB").parse().ok()?;
+    Some(ResourceUsage { resident_kb, processor_us: busy / 1_000 })
+}
--- a/crates/testfleet/src/process.rs
+++ b/crates/testfleet/src/process.rs
@@ -55,7 +55,7 @@
     /// The logs of the previous processes, oldest first.
     former_lines: Vec<EventLog<String>>,
     ended: EventLog<()>,
-    read: AtomicUsize,
+    read_position: AtomicUsize,
 }
 
 impl Process {
@@ -66,10 +66,10 @@
     pub fn start(handle: &Handle, launch: Launch, folder: &Path, config: &Value) -> io::Result<Self> {
         fs::create_dir_all(folder.join("disk"))?;
         fs::write(folder.join("config.json"), config.to_string())?;
-        let (child, lines, ended) = spawn(handle, &launch, folder)?;
-        let (handle, folder, read) = (handle.clone(), folder.to_owned(), AtomicUsize::new(0));
+        let Spawned { child, lines, ended } = spawn(handle, &launch, folder)?;
+        let (handle, folder, read_position) = (handle.clone(), folder.to_owned(), AtomicUsize::new(0));
         let former_lines = Vec::new();
-        Ok(Self { handle, launch, folder, child, reaped: None, lines, former_lines, ended, read })
+        Ok(Self { handle, launch, folder, child, reaped: None, lines, former_lines, ended, read_position })
     }
 
     /// Returns the launch options; a change takes effect at the next restart.
@@ -103,11 +103,11 @@
     ///
     /// # Panics
     /// Panics with the last log lines after [`crate::PATIENCE`].
-    pub fn next_line(&self, so: impl Fn(&str) -> bool) -> String {
+    pub fn next_line(&self, matches: impl Fn(&str) -> bool) -> String {
         let found = self.lines.find(|lines| {
-            let from = self.read.load(Ordering::Relaxed);
-            let at = lines.iter().skip(from).position(|line| so(line));
-            self.read.store(at.map_or(lines.len(), |at| from + at + 1), Ordering::Relaxed);
+            let from = self.read_position.load(Ordering::Relaxed);
+            let at = lines.iter().skip(from).position(|line| matches(line));
+            self.read_position.store(at.map_or(lines.len(), |at| from + at + 1), Ordering::Relaxed);
             at.map(|at| lines[from + at].clone())
         });
         found.unwrap_or_else(|| {
@@ -125,15 +125,15 @@
     /// # Panics
     /// Panics if the line does not end with an address.
     pub fn next_address(&self, part: &str) -> SocketAddr {
-        address(&self.next_line_with(part))
+        parse_address(&self.next_line_with(part))
     }
     /// Waits until any log line matches, already read or not. Does not move the read position.
     ///
     /// # Panics
     /// Panics after [`crate::PATIENCE`].
-    pub fn find_line(&self, so: impl Fn(&str) -> bool) -> String {
+    pub fn find_line(&self, matches: impl Fn(&str) -> bool) -> String {
         let what = format!("a line of process {}", self.id());
-        self.lines.wait(&what, |lines| lines.iter().find(|line| so(line)).cloned())
+        self.lines.wait(&what, |lines| lines.iter().find(|line| matches(line)).cloned())
     }
     /// Waits until any log line contains `part`. Does not move the read position.
     pub fn find_line_with(&self, part: &str) -> String {
@@ -141,7 +141,7 @@
     }
     /// Waits until any log line contains `part`, and returns the address at its end.
     pub fn find_address(&self, part: &str) -> SocketAddr {
-        address(&self.find_line_with(part))
+        parse_address(&self.find_line_with(part))
     }
 
     fn signal(&self, signal: Signal) -> io::Result<()> {
@@ -212,13 +212,13 @@
     pub fn restart(&mut self, disk: Disk, config: &Value) -> io::Result<()> {
         self.kill()?;
         if disk == Disk::Empty {
-            folder::empty(&self.disk())?;
+            folder::create_empty(&self.disk())?;
         }
         fs::write(self.folder.join("config.json"), config.to_string())?;
-        let (child, lines, ended) = spawn(&self.handle, &self.launch, &self.folder)?;
+        let Spawned { child, lines, ended } = spawn(&self.handle, &self.launch, &self.folder)?;
         self.former_lines.push(std::mem::replace(&mut self.lines, lines));
         (self.child, self.ended) = (child, ended);
-        (self.reaped, self.read) = (None, AtomicUsize::new(0));
+        (self.reaped, self.read_position) = (None, AtomicUsize::new(0));
         Ok(())
     }
     /// Saves a copy of the disk under a name.
@@ -226,7 +226,7 @@
     /// # Errors
     /// Returns the system's error if the disk cannot be copied.
     pub fn save_disk_copy(&self, name: &str) -> io::Result<()> {
-        folder::copy(&self.disk(), &self.folder.join(format!("copy-{name}")))
+        folder::replace_with_copy(&self.disk(), &self.folder.join(format!("copy-{name}")))
     }
     /// Replaces the disk of a process that is not running by a saved copy.
     ///
@@ -236,7 +236,7 @@
         if self.reaped.is_none() {
             return Err(io::Error::other("its process is running"));
         }
-        folder::copy(&self.folder.join(format!("copy-{name}")), &self.disk())
+        folder::replace_with_copy(&self.folder.join(format!("copy-{name}")), &self.disk())
     }
 }
 
@@ -246,48 +246,19 @@
     }
 }
 
-fn address(line: &str) -> SocketAddr {
+fn parse_address(line: &str) -> SocketAddr {
     let address = line.rsplit(' ').next().and_then(|word| word.parse().ok());
     address.unwrap_or_else(|| panic!("no address in {line:?}"))
 }
 
-/// Returns the bound UDP addresses of a process, read from `/proc`.
-#[must_use]
-pub fn udp_addresses(process: u32) -> Vec<SocketAddr> {
-    let folder = PathBuf::from(format!("/proc/{process}"));
-    let open = fs::read_dir(folder.join("fd")).into_iter().flatten().flatten();
-    let links = open.filter_map(|entry| fs::read_link(entry.path()).ok());
-    let sockets: Vec<String> = links.map(|link| link.to_string_lossy().into_owned()).collect();
-    let table = fs::read_to_string(folder.join("net/udp")).unwrap_or_default();
-    let ours = |line: &str| {
-        let words: Vec<&str> = line.split_whitespace().collect();
-        let (addr, inode) = (words.get(1)?.split_once(':')?, words.get(9)?);
-        let ip = u32::from_str_radix(addr.0, 16).ok()?.to_ne_bytes();
-        let port = u16::from_str_radix(addr.1, 16).ok()?;
-        sockets.contains(&format!("socket:[{inode}]")).then(|| SocketAddr::from((ip, port)))
-    };
-    table.lines().filter_map(ours).collect()
-}
-
-/// Returns the number of open file descriptors of a process.
-#[must_use]
-pub fn open_descriptors(process: u32) -> usize {
-    fs::read_dir(format!("/proc/{process}/fd")).map_or(0, Iterator::count)
-}
-
-/// Returns the resident memory of a process in KB and its used processor time in microseconds.
-#[must_use]
-pub fn resource_usage(process: u32) -> Option<(u64, u64)> {
-    let status = fs::read_to_string(format!("/proc/{process}/status")).ok()?;
-    let resident = status.lines().find_map(|line| line.strip_prefix("VmRSS:"))?;
-    let times = fs::read_to_string(format!("/proc/{process}/schedstat")).ok()?;
-    let busy: u64 = times.split(' ').next()?.parse().ok()?;
-    Some((resident.trim().trim_end_matches(" kB").parse().ok()?, busy / 1_000))
+/// A started process with the logs that its output fills.
+struct Spawned {
+    child: Child,
+    lines: EventLog<String>,
+    ended: EventLog<()>,
 }
 
-fn spawn(
-    handle: &Handle, launch: &Launch, folder: &Path,
-) -> io::Result<(Child, EventLog<String>, EventLog<()>)> {
+fn spawn(handle: &Handle, launch: &Launch, folder: &Path) -> io::Result<Spawned> {
     let mut child = Command::new(&launch.program)
         .arg("serve")
         .arg("--config")
@@ -305,12 +276,12 @@
     let _entered = handle.enter();
     let mut text = BufReader::new(pipe::Receiver::from_owned_fd(OwnedFd::from(pipe))?).lines();
     let (lines, ended) = (EventLog::default(), EventLog::default());
-    let (heard, end) = (lines.clone(), ended.clone());
+    let (line_log, end_log) = (lines.clone(), ended.clone());
     handle.spawn(async move {
         while let Ok(Some(line)) = text.next_line().await {
-            heard.push(line);
+            line_log.push(line);
         }
-        end.push(());
+        end_log.push(());
     });
-    Ok((child, lines, ended))
+    Ok(Spawned { child, lines, ended })
 }
--- /dev/null
+++ b/crates/testfleet/src/referee/rules.rs
@@ -0,0 +1,214 @@
+//! The rules, each as a function that adds its violations to the verdict.
+
+use super::evidence::Evidence;
+use super::verdict::{Verdict, Violation};
+use crate::cache_node::Attempt;
+use crate::clients::{Call, Outcome, PipelinePosition};
+use crate::discovery::{EndpointNotification, Phase};
+use crate::runtime::Stall;
+use rustc_hash::FxHashMap;
+use std::time::{Duration, Instant};
+
+/// How long after a balancer was notified that an endpoint drains or is gone it may still send new requests there.
+pub const NOTIFICATION_SLACK: Duration = Duration::from_millis(250);
+/// How long after its deadline a request may be answered.
+pub const ANSWER_SLACK: Duration = Duration::from_millis(50);
+/// How long after the last byte of a request a close may be seen to count as racing it.
+pub const CLOSE_RACE_WINDOW: Duration = Duration::from_millis(100);
+/// The tolerance for records of two processes on a busy machine.
+pub const MARGIN: Duration = Duration::from_millis(50);
+
+/// How long after its client disconnected an attempt may start.
+pub const DISCONNECT_SLACK: Duration = Duration::from_millis(100);
+/// How much more remaining time than is left an attempt may state.
+pub const REMAINING_TIME_SLACK: Duration = Duration::from_millis(150);
+
+/// Counts outcomes, and finds requests without exactly one timely outcome.
+pub(super) fn check_answers(evidence: &Evidence, verdict: &mut Verdict) {
+    for call in &evidence.calls {
+        match &call.answers[..] {
+            [] => verdict.violations.push(Violation::Unanswered(call.id.clone())),
+            [(at, answer)] => match answer {
+                Outcome::Served => verdict.served += 1,
+                Outcome::Rejected | Outcome::NotReady => verdict.rejected += 1,
+                Outcome::Failed(_) => verdict.failed += 1,
+                Outcome::NotSent | Outcome::ClientDisconnected => verdict.not_sent += 1,
+                Outcome::Closed(_) if killed_during(evidence, call) => verdict.lost_with_killed += 1,
+                Outcome::Closed(_) if raced_close(evidence, call) => verdict.raced_close += 1,
+                Outcome::Lost(_) | Outcome::Closed(_)
+                    if was_dead_within(evidence, call.balancer, call.at, *at) =>
+                {
+                    verdict.lost_with_killed += 1;
+                }
+                Outcome::Lost(how) | Outcome::Closed(how) => {
+                    verdict.violations.push(Violation::Lost(call.id.clone(), how.clone()))
+                }
+            },
+            _ => verdict.violations.push(Violation::AnsweredTwice(call.id.clone())),
+        }
+        verdict.violations.extend(check_deadline(evidence, call));
+    }
+}
+
+/// Finds attempts for disconnected clients and for requests that raced a close.
+pub(super) fn check_closed_connections(evidence: &Evidence, verdict: &mut Verdict) {
+    let calls: FxHashMap<&str, &Call> = evidence.calls.iter().map(|it| (it.id.as_str(), it)).collect();
+    for it in evidence.attempts.iter().chain(&evidence.runs) {
+        let Some(call) = calls.get(it.id.as_str()) else { continue };
+        if raced_close(evidence, call) && !killed_during(evidence, call) {
+            verdict.violations.push(Violation::ForwardedAfterClose(it.id.clone()));
+        }
+        let Some(disconnected_at) = call.disconnected_at else { continue };
+        let from = after_stops(evidence, call.balancer, disconnected_at + DISCONNECT_SLACK);
+        let after = it.sent.saturating_duration_since(from).saturating_sub(stalled_within(
+            evidence,
+            disconnected_at,
+            it.sent,
+        ));
+        if after > MARGIN {
+            verdict.violations.push(Violation::SentAfterDisconnect(it.id.clone(), after));
+        }
+    }
+}
+
+/// Finds attempts that state more remaining time than their request has.
+pub(super) fn check_remaining_time(evidence: &Evidence, verdict: &mut Verdict) {
+    let calls: FxHashMap<&str, &Call> = evidence.calls.iter().map(|it| (it.id.as_str(), it)).collect();
+    for it in evidence.attempts.iter().chain(&evidence.runs) {
+        let call = calls.get(it.id.as_str());
+        let Some((call, (written_at, time))) =
+            call.and_then(|call| Some((call, call.written_at.zip(it.time)?)))
+        else {
+            continue;
+        };
+        let left = (written_at + call.deadline).saturating_duration_since(it.sent);
+        let more = time.saturating_sub(left).saturating_sub(stalled_within(evidence, written_at, it.sent));
+        // What a balancer wrote before it was stopped is relayed unchanged.
+        if more > REMAINING_TIME_SLACK + MARGIN {
+            verdict.violations.push(Violation::DeadlineOverstated(it.id.clone(), more));
+        }
+    }
+}
+
+/// Returns how long the event loop was stalled within a period.
+fn stalled_within(evidence: &Evidence, from: Instant, until: Instant) -> Duration {
+    let within = |stall: &Stall| stall.until.min(until).saturating_duration_since(stall.from.max(from));
+    evidence.stalls.iter().map(within).sum()
+}
+
+/// Returns `time`, or the end of the interruption of the balancer that contains it.
+fn after_stops(evidence: &Evidence, balancer: usize, time: Instant) -> Instant {
+    let stops = evidence.interruptions.iter().filter(|it| it.balancer == balancer && it.from <= time);
+    stops.filter_map(|it| it.until).fold(time, Instant::max)
+}
+
+/// Checks that a request was answered in time. Time in which the balancer was stopped at the deadline does not count.
+fn check_deadline(evidence: &Evidence, call: &Call) -> Option<Violation> {
+    let (answered, _) = call.answers.first()?;
+    let mut until = call.written_at? + call.deadline;
+    match call.pipeline_position {
+        PipelinePosition::First => {}
+        PipelinePosition::UnblockedAt(unblocked) => until = until.max(unblocked),
+        PipelinePosition::Blocked => return None, // the delay is attributed to the request ahead of it
+    }
+    for stop in evidence.interruptions.iter().filter(|it| it.balancer == call.balancer) {
+        if stop.from <= until + ANSWER_SLACK {
+            until = until.max(stop.until.unwrap_or(*answered));
+        }
+    }
+    let late_by =
+        answered.saturating_duration_since(until).saturating_sub(stalled_within(evidence, until, *answered));
+    (late_by > ANSWER_SLACK + MARGIN).then(|| Violation::AnsweredLate(call.id.clone(), late_by))
+}
+
+/// Returns whether the balancer was dead at some time within a period.
+fn was_dead_within(evidence: &Evidence, balancer: usize, from: Instant, until: Instant) -> bool {
+    let dead = evidence.interruptions.iter().filter(|it| it.killed && it.balancer == balancer);
+    dead.into_iter().any(|it| it.from <= until && it.until.is_none_or(|end| from <= end))
+}
+
+/// Returns whether the connection was closed before the last byte was written, or so soon after it that the close raced
+/// the request. Time in which the event loop was stalled, and could not see the close, does not count.
+fn raced_close(evidence: &Evidence, call: &Call) -> bool {
+    let Some((closed, Outcome::Closed(_))) = call.answers.first() else { return false };
+    let Some(written_at) = call.written_at else { return true };
+    let seen_after = closed.saturating_duration_since(written_at);
+    seen_after.saturating_sub(stalled_within(evidence, written_at, *closed)) < CLOSE_RACE_WINDOW
+}
+
+/// Returns whether the balancer was killed between the start and the end of a request. The system then closes the
+/// connection at any point of the request.
+fn killed_during(evidence: &Evidence, call: &Call) -> bool {
+    let Some((ended, _)) = call.answers.first() else { return false };
+    let mut kills = evidence.interruptions.iter().filter(|it| it.killed && it.balancer == call.balancer);
+    kills.any(|it| (call.at..=*ended).contains(&it.from))
+}
+
+/// Finds requests of classes that are not idempotent that were executed more than once.
+pub(super) fn check_non_idempotent(evidence: &Evidence, verdict: &mut Verdict) {
+    let mut runs: FxHashMap<&str, usize> = FxHashMap::default();
+    for run in evidence.runs.iter().filter(|run| evidence.non_idempotent.contains(&run.class)) {
+        *runs.entry(&run.id).or_default() += 1;
+    }
+    let repeated = runs.into_iter().filter(|(_, times)| *times > 1);
+    let mut violations: Vec<_> =
+        repeated.map(|(id, times)| Violation::NonIdempotentRetried(id.to_owned(), times)).collect();
+    violations.sort_by_key(|it| format!("{it:?}"));
+    verdict.violations.append(&mut violations);
+}
+
+/// Finds requests with two attempts in flight at once.
+pub(super) fn check_concurrent_attempts(evidence: &Evidence, verdict: &mut Verdict) {
+    let mut all: Vec<&Attempt> = evidence.attempts.iter().chain(&evidence.runs).collect();
+    all.sort_by(|a, b| (&a.id, a.at).cmp(&(&b.id, b.at)));
+    for (first, second) in all.iter().zip(all.iter().skip(1)).filter(|(a, b)| a.id == b.id) {
+        if first.ended.is_none_or(|(end, _)| end > second.at + MARGIN) {
+            let endpoints = [first.endpoint.clone(), second.endpoint.clone()];
+            verdict.violations.push(Violation::ConcurrentAttempts(first.id.clone(), endpoints));
+        }
+    }
+}
+
+/// Finds requests sent to endpoints that the balancer knew to be draining or gone.
+pub(super) fn check_draining_endpoints(evidence: &Evidence, verdict: &mut Verdict) {
+    let mut notifications: FxHashMap<(usize, &str), Vec<&EndpointNotification>> = FxHashMap::default();
+    for it in &evidence.notifications {
+        notifications.entry((it.balancer, &it.endpoint)).or_default().push(it);
+    }
+    for it in evidence.attempts.iter().chain(&evidence.runs) {
+        let Some(balancer) = it.balancer else { continue };
+        let Some(notifications) = notifications.get(&(balancer, it.endpoint.as_str())) else { continue };
+        if let Some(after) = draining_known_for(evidence, notifications, balancer, it.sent)
+            && after.saturating_sub(stalled_within(evidence, it.sent - after, it.sent))
+                > NOTIFICATION_SLACK + MARGIN
+        {
+            let (id, endpoint) = (it.id.clone(), it.endpoint.clone());
+            verdict.violations.push(Violation::SentToDrainingEndpoint { id, balancer, endpoint, after });
+        }
+    }
+}
+
+/// Returns for how long, at `at`, the balancer knew that the endpoint drains or is gone; `None` if it did not, or was
+/// notified otherwise since.
+fn draining_known_for(
+    evidence: &Evidence, notifications: &[&EndpointNotification], balancer: usize, at: Instant,
+) -> Option<Duration> {
+    let interruptions = || evidence.interruptions.iter().filter(|it| it.balancer == balancer);
+    // A process does not know what its predecessor was notified of, even if that was written while it was being killed.
+    let started = interruptions()
+        .filter(|it| it.killed && it.from <= at)
+        .map(|it| it.restarted.unwrap_or(it.from))
+        .max();
+    let mut since = None;
+    for it in notifications.iter().filter(|it| it.at <= at && started.is_none_or(|started| it.at > started)) {
+        since = if it.phase == Phase::Ready { None } else { since.or(Some(it.at)) };
+    }
+    let mut since = since?;
+    // A stopped process reads its input once it is continued.
+    for stop in interruptions().filter(|it| !it.killed) {
+        if stop.from <= since + NOTIFICATION_SLACK {
+            since = since.max(stop.until.unwrap_or(at));
+        }
+    }
+    Some(at.saturating_duration_since(since))
+}
--- a/crates/testfleet/src/relay/mod.rs
+++ b/crates/testfleet/src/relay/mod.rs
@@ -1,9 +1,11 @@
 //! Relays between all parts of a fleet, which inject network faults.
 
+pub mod callers;
 pub mod faults;
 pub mod tcp;
 pub mod udp;
 
+pub use callers::{Caller, Callers};
 pub use faults::Faults;
-pub use tcp::{Caller, Callers, TcpLink};
+pub use tcp::TcpLink;
 pub use udp::UdpRelay;
--- a/crates/testfleet/src/relay/tcp.rs
+++ b/crates/testfleet/src/relay/tcp.rs
@@ -1,9 +1,9 @@
 //! A TCP relay to one address that can buffer, delay, reset or refuse connections.
 
+use super::callers::{Caller, Callers};
 use super::faults::Faults;
 use crate::runtime::{any_port, listen};
 use bytes::{Bytes, BytesMut};
-use rustc_hash::FxHashMap;
 use std::io;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -21,46 +21,6 @@
 /// The maximum size of a chunk, in bytes.
 const CHUNK_BYTES: usize = 16 * 1024;
 
-/// The balancer behind a relayed connection, and when it last wrote.
-#[derive(Debug, Clone)]
-pub struct Caller {
-    /// The number of the balancer.
-    pub balancer: usize,
-    wrote: Arc<Mutex<Instant>>,
-}
-
-impl Caller {
-    /// Returns when the relay last read from it, no matter how long the relay buffered that.
-    #[must_use]
-    pub fn last_write(&self) -> Instant {
-        *self.wrote.lock().unwrap_or_else(PoisonError::into_inner)
-    }
-}
-
-/// The balancers by the local address of their relayed connection, so that a stand-in can identify its peer.
-#[derive(Debug, Clone, Default)]
-pub struct Callers(Arc<Mutex<FxHashMap<SocketAddr, Caller>>>);
-
-impl Callers {
-    /// Returns the balancer behind an address.
-    #[must_use]
-    pub fn find(&self, addr: SocketAddr) -> Option<Caller> {
-        self.0.lock().unwrap_or_else(PoisonError::into_inner).get(&addr).cloned()
-    }
-    fn register(&self, addr: SocketAddr, caller: Caller) -> CallerRegistration {
-        self.0.lock().unwrap_or_else(PoisonError::into_inner).insert(addr, caller);
-        CallerRegistration(self.clone(), addr)
-    }
-}
-
-struct CallerRegistration(Callers, SocketAddr);
-
-impl Drop for CallerRegistration {
-    fn drop(&mut self) {
-        self.0.0.lock().unwrap_or_else(PoisonError::into_inner).remove(&self.1);
-    }
-}
-
 #[derive(Debug, Clone, Copy)]
 struct State {
     target: SocketAddr,
--- a/crates/testfleet/src/relay/udp.rs
+++ b/crates/testfleet/src/relay/udp.rs
@@ -5,6 +5,7 @@
 //! socket of *a*: both ends see relay addresses only.
 
 use super::faults::{Counts, Direction, Faults};
+use crate::SPREAD_MULTIPLIER;
 use crate::runtime::any_port;
 use bytes::Bytes;
 use rustc_hash::FxHashMap;
@@ -32,7 +33,7 @@
 
 impl Table {
     fn link(&mut self, from: usize, to: usize) -> &mut Direction {
-        let seed = self.seed ^ ((from as u64) << 32 | to as u64).wrapping_mul(0x9e37_79b9_7f4a_7c15);
+        let seed = self.seed ^ ((from as u64) << 32 | to as u64).wrapping_mul(SPREAD_MULTIPLIER);
         self.links.entry((from, to)).or_insert_with(|| Direction::new(seed))
     }
 }
--- a/crates/testfleet/src/runtime.rs
+++ b/crates/testfleet/src/runtime.rs
@@ -14,7 +14,9 @@
 const BACKLOG: u32 = 1024;
 
 /// The interval of the stall monitor.
-const LOOKED: (Duration, Duration) = (Duration::from_millis(5), Duration::from_millis(10));
+const MONITOR_INTERVAL: Duration = Duration::from_millis(5);
+/// The delay of the monitor's timer from which on it counts as a stall.
+const STALL_THRESHOLD: Duration = Duration::from_millis(10);
 
 /// A period in which the event loop was stalled. What the stand-ins did in it is recorded with the time of its end.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -30,7 +32,7 @@
 pub struct Runtime {
     handle: Handle,
     stalls: EventLog<Stall>,
-    end: Option<oneshot::Sender<()>>,
+    shutdown: Option<oneshot::Sender<()>>,
     thread: Option<JoinHandle<()>>,
 }
 
@@ -42,14 +44,14 @@
     pub fn start() -> io::Result<Self> {
         let runtime = Builder::new_current_thread().enable_all().build()?;
         let handle = runtime.handle().clone();
-        let (end, ended) = oneshot::channel();
+        let (shutdown, shut_down) = oneshot::channel();
         let thread = thread::Builder::new().name("testfleet".into()).spawn(move || {
-            let _ = runtime.block_on(ended);
+            let _ = runtime.block_on(shut_down);
             runtime.shutdown_background();
         })?;
         let stalls = EventLog::default();
-        handle.spawn(look_for_lags(stalls.clone()));
-        Ok(Self { handle, stalls, end: Some(end), thread: Some(thread) })
+        handle.spawn(monitor_stalls(stalls.clone()));
+        Ok(Self { handle, stalls, shutdown: Some(shutdown), thread: Some(thread) })
     }
 
     /// Returns the handle to spawn tasks on.
@@ -70,13 +72,13 @@
     }
 }
 
-async fn look_for_lags(stalls: EventLog<Stall>) {
-    let (each, late) = LOOKED;
+/// Records each delay of a periodic timer as a stall of the event loop.
+async fn monitor_stalls(stalls: EventLog<Stall>) {
     loop {
         let from = Instant::now();
-        tokio::time::sleep(each).await;
+        tokio::time::sleep(MONITOR_INTERVAL).await;
         let until = Instant::now();
-        if until - from >= each + late {
+        if until - from >= MONITOR_INTERVAL + STALL_THRESHOLD {
             stalls.push(Stall { from, until });
         }
     }
@@ -84,7 +86,7 @@
 
 impl Drop for Runtime {
     fn drop(&mut self) {
-        let _ = self.end.take().map(|end| end.send(()));
+        let _ = self.shutdown.take().map(|shutdown| shutdown.send(()));
         let _ = self.thread.take().map(JoinHandle::join);
     }
 }
--- a/crates/testfleet/src/soak/callers.rs
+++ b/crates/testfleet/src/soak/clients.rs
@@ -1,6 +1,8 @@
 //! The clients of a soak run. Each reuses its connection while it stays open, and sometimes misbehaves.
 
-use crate::clients::{Call, Outcome, PipelinePosition, Request, encode_request, read_outcome};
+use crate::clients::{
+    Call, Class, Outcome, PipelinePosition, Request, encode_request, read_outcome, spread_key,
+};
 use crate::event_log::EventLog;
 use std::io;
 use std::net::SocketAddr;
@@ -13,6 +15,8 @@
 
 /// How long after its deadline a request's answer is still awaited.
 const GRACE: Duration = Duration::from_secs(4);
+/// The number of distinct keys.
+const KEYS: u64 = 400;
 /// The pause between two requests of a client, in milliseconds.
 const PAUSE_MS: std::ops::Range<u64> = 10..60;
 /// The pause before a client without request pauses reconnects, in milliseconds. A used port is free again only after a
@@ -52,64 +56,72 @@
 
 /// Where a balancer listens, and until when clients connect to it.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Front {
+pub(super) struct BalancerAddress {
     pub(super) addr: SocketAddr,
-    pub(super) dialled_until: Option<Instant>,
+    pub(super) connect_until: Option<Instant>,
+}
+
+/// A request class with the deadline that the run uses for it.
+#[derive(Debug, Clone)]
+pub(super) struct SoakClass {
+    pub(super) class: Class,
+    pub(super) deadline: Duration,
+}
+
+/// How fast a client sends requests.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(super) enum Pacing {
+    /// With a pause before each request.
+    Paused,
+    /// Without pauses, except before reconnecting.
+    Continuous,
+}
+
+/// How requests are written to a connection.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+enum WriteMode {
+    AtOnce,
+    InHalves,
 }
 
 /// The state shared by all clients.
 #[derive(Debug)]
-pub(super) struct Callers {
-    pub(super) fronts: Mutex<Vec<Front>>,
+pub(super) struct SoakClients {
+    pub(super) client_addrs: Mutex<Vec<BalancerAddress>>,
     pub(super) calls: EventLog<Call>,
     /// Partial requests that were kept waiting for too long: the balancer, and how long.
     pub(super) kept_waiting: EventLog<(usize, Duration)>,
     pub(super) ids: AtomicU64,
-    pub(super) classes: Vec<(String, bool, Duration)>,
+    pub(super) classes: Vec<SoakClass>,
     pub(super) until: Instant,
 }
 
-impl Callers {
+impl SoakClients {
     /// Returns the address of a balancer; `None` while it is shutting down.
-    fn front(&self, balancer: usize) -> Option<SocketAddr> {
-        let front = self.fronts.lock().unwrap_or_else(PoisonError::into_inner)[balancer];
-        front.dialled_until.is_none_or(|until| Instant::now() < until).then_some(front.addr)
+    fn balancer_addr(&self, balancer: usize) -> Option<SocketAddr> {
+        let address = self.client_addrs.lock().unwrap_or_else(PoisonError::into_inner)[balancer];
+        address.connect_until.is_none_or(|until| Instant::now() < until).then_some(address.addr)
     }
 
-    async fn dial(&self, balancer: usize) -> Option<BufReader<TcpStream>> {
-        let addr = self.front(balancer)?;
+    async fn connect(&self, balancer: usize) -> Option<BufReader<TcpStream>> {
+        let addr = self.balancer_addr(balancer)?;
         let stream = TcpStream::connect(addr).await.ok()?;
         stream.set_nodelay(true).ok()?;
         Some(BufReader::new(stream))
     }
 
     fn draw_request(&self, rng: &mut fastrand::Rng, balancer: usize) -> Request {
-        let (class, write, deadline) = self.classes[rng.usize(..self.classes.len())].clone();
-        let key = format!("{:016x}", rng.u64(..400).wrapping_add(1).wrapping_mul(0x9e37_79b9_7f4a_7c15));
-        Request { balancer, class, write, tenant: "acme".into(), key, deadline }
+        let SoakClass { class, deadline } = self.classes[rng.usize(..self.classes.len())].clone();
+        let key = spread_key(rng.u64(..KEYS));
+        Request { balancer, class: class.name, write: class.write, tenant: "acme".into(), key, deadline }
     }
 
     /// Records a request that is about to be written; returns its bytes and log index.
     fn record_request(&self, request: &Request) -> (Vec<u8>, usize) {
         let id = format!("{:016x}", self.ids.fetch_add(1, Ordering::Relaxed));
         let bytes = encode_request(request, &id).to_vec();
-        let (class, balancer, deadline) = (request.class.clone(), request.balancer, request.deadline);
-        let (at, asked, answers) = (Instant::now(), None, Vec::new());
-        let (pipeline_position, left) = (PipelinePosition::First, None);
-        (
-            bytes,
-            self.calls.push(Call {
-                id,
-                class,
-                balancer,
-                at,
-                asked,
-                deadline,
-                answers,
-                pipeline_position,
-                left,
-            }),
-        )
+        let index = self.calls.push(Call::start(id, request));
+        (bytes, index)
     }
 
     fn record_outcome(&self, index: usize, answer: Outcome) {
@@ -117,21 +129,21 @@
     }
 
     /// Writes requests and reads their answers; returns whether the connection is still usable.
-    async fn exchange(&self, open: &mut BufReader<TcpStream>, requests: &[Request], slowly: bool) -> bool {
+    async fn exchange(&self, open: &mut BufReader<TcpStream>, requests: &[Request], mode: WriteMode) -> bool {
         let begun: Vec<_> = requests.iter().map(|request| self.record_request(request)).collect();
         let bytes: Vec<u8> = begun.iter().flat_map(|(bytes, _)| bytes.clone()).collect();
-        let (first, rest) = bytes.split_at(if slowly { bytes.len() / 2 } else { 0 });
+        let (first, rest) = bytes.split_at(if mode == WriteMode::InHalves { bytes.len() / 2 } else { 0 });
         let write = async {
             open.get_mut().write_all(first).await?;
-            if slowly {
+            if mode == WriteMode::InHalves {
                 sleep(SLOW_WRITE_PAUSE).await;
             }
             open.get_mut().write_all(rest).await
         };
         let written = write.await;
-        let asked = Instant::now();
+        let written_at = Instant::now();
         for (_, index) in &begun {
-            self.calls.update(*index, |call| call.asked = written.is_ok().then_some(asked));
+            self.calls.update(*index, |call| call.written_at = written.is_ok().then_some(written_at));
         }
         for (_, index) in begun.iter().skip(1) {
             self.calls.update(*index, |call| call.pipeline_position = PipelinePosition::Blocked);
@@ -180,23 +192,23 @@
         let _ = open.get_mut().write_all(&bytes).await;
         sleep(after).await;
         drop(open);
-        self.calls.update(index, |call| call.left = Some(Instant::now()));
+        self.calls.update(index, |call| call.disconnected_at = Some(Instant::now()));
         self.record_outcome(index, Outcome::ClientDisconnected);
     }
 
     /// Runs one client of a balancer until the end of the run.
-    pub(super) async fn run(self: Arc<Self>, balancer: usize, seed: u64, busy: bool) {
+    pub(super) async fn run(self: Arc<Self>, balancer: usize, seed: u64, pacing: Pacing) {
         let mut rng = fastrand::Rng::with_seed(seed);
         let mut connection = None;
         while Instant::now() < self.until {
             let pause = Duration::from_millis(rng.u64(PAUSE_MS));
-            match (busy, &connection) {
-                (true, Some(_)) => {}
-                (true, None) => sleep(Duration::from_millis(rng.u64(REDIAL_MS))).await,
-                (false, _) => sleep(pause).await,
+            match (pacing, &connection) {
+                (Pacing::Continuous, Some(_)) => {}
+                (Pacing::Continuous, None) => sleep(Duration::from_millis(rng.u64(REDIAL_MS))).await,
+                (Pacing::Paused, _) => sleep(pause).await,
             }
             if connection.is_none() {
-                connection = self.dial(balancer).await;
+                connection = self.connect(balancer).await;
             }
             let Some(mut open) = connection.take() else { continue };
             let request = self.draw_request(&mut rng, balancer);
@@ -207,7 +219,12 @@
                     let more = if behaviour == RequestBehaviour::Pipelined { PIPELINED - 1 } else { 0 };
                     let mut requests = vec![request];
                     requests.extend((0..more).map(|_| self.draw_request(&mut rng, balancer)));
-                    if self.exchange(&mut open, &requests, behaviour == RequestBehaviour::SlowWrite).await {
+                    let mode = if behaviour == RequestBehaviour::SlowWrite {
+                        WriteMode::InHalves
+                    } else {
+                        WriteMode::AtOnce
+                    };
+                    if self.exchange(&mut open, &requests, mode).await {
                         connection = Some(open);
                     }
                 }
@@ -219,7 +236,7 @@
     pub(super) async fn run_idle(self: Arc<Self>, balancer: usize, seed: u64) {
         let mut rng = fastrand::Rng::with_seed(seed);
         while Instant::now() < self.until {
-            if let Some(mut open) = self.dial(balancer).await {
+            if let Some(mut open) = self.connect(balancer).await {
                 let left = self.until.saturating_duration_since(Instant::now());
                 let _ = timeout(left, open.read(&mut [0; 64])).await;
             }
--- a/crates/testfleet/src/soak/mod.rs
+++ b/crates/testfleet/src/soak/mod.rs
@@ -3,16 +3,18 @@
 //! [`Plan::draw`] draws what happens, [`run`] executes it on a [`Fleet`] and returns a [`Report`], whose line
 //! names seed, plan and verdict. The same seed draws the same plan; the timing of the processes may differ.
 
-mod callers;
+mod clients;
 mod plan;
 mod report;
 
 use crate::cache_node::CacheNodeBehaviour;
+use crate::clients::Class;
 use crate::config::CLASSES;
+use crate::event_log::EventLog;
 use crate::fleet::Fleet;
-use crate::process::{open_descriptors, resource_usage};
+use crate::proc_stats::{open_descriptors, resource_usage};
 use crate::referee::Violation;
-use callers::{Callers, Front};
+use clients::{BalancerAddress, Pacing, SoakClass, SoakClients};
 pub use plan::{Crowd, Event, Plan, RUN, Series};
 use report::Records;
 pub use report::Report;
@@ -61,7 +63,7 @@
 struct Run {
     plan: Plan,
     fleet: Fleet,
-    callers: Arc<Callers>,
+    clients: Arc<SoakClients>,
     steps: VecDeque<(Instant, Step)>,
     /// Whether each balancer was sent SIGTERM and not restarted yet.
     ending: Vec<bool>,
@@ -80,43 +82,51 @@
     let busy: Vec<BusyProcess> =
         (0..plan.busy_processes).map(|_| BusyProcess::start()).collect::<Result<_, _>>()?;
     let begun = Instant::now();
-    let fronts = (0..plan.balancers).map(|it| Front { addr: fleet.balancer(it).front, dialled_until: None });
+    let client_addrs = (0..plan.balancers)
+        .map(|it| BalancerAddress { addr: fleet.balancer(it).client_addr, connect_until: None });
     let times = plan.deadlines_ms.map(Duration::from_millis);
-    let classes =
-        CLASSES.iter().zip(times).map(|((name, _), time)| ((*name).to_owned(), *name != "read", time));
-    let callers = Arc::new(Callers {
-        fronts: Mutex::new(fronts.collect()),
+    let classes = CLASSES.iter().zip(times).map(|((name, _), deadline)| SoakClass {
+        class: Class { name: (*name).to_owned(), write: *name != "read" },
+        deadline,
+    });
+    let clients = Arc::new(SoakClients {
+        client_addrs: Mutex::new(client_addrs.collect()),
         calls: fleet.clients().calls().clone(),
-        kept_waiting: crate::event_log::EventLog::default(),
+        kept_waiting: EventLog::default(),
         ids: AtomicU64::new(1),
         classes: classes.collect(),
         until: begun + RUN,
     });
+    spawn_clients(&fleet, &clients, &plan);
+    let steps = plan.events.iter().map(|(at, event)| (begun + *at, Step::Event(*event))).collect();
+    let ending = vec![false; plan.balancers];
+    let mut run = Run { plan, fleet, clients, steps, ending, violations: Vec::new(), begun };
+    run.execute()?;
+    drop(busy);
+    Ok(run.report())
+}
+
+/// Spawns the clients of each balancer and the crowd.
+fn spawn_clients(fleet: &Fleet, clients: &Arc<SoakClients>, plan: &Plan) {
     for balancer in 0..plan.balancers {
         for number in 0..plan.callers {
             let seed = plan.seed ^ ((balancer * 64 + number) as u64) << 32;
-            fleet.runtime().spawn(Arc::clone(&callers).run(balancer, seed, false));
+            fleet.runtime().spawn(Arc::clone(clients).run(balancer, seed, Pacing::Paused));
         }
     }
     match plan.crowd {
         Crowd::None => {}
         Crowd::Idle(many) => (0..many as u64).for_each(|number| {
-            fleet.runtime().spawn(Arc::clone(&callers).run_idle(0, plan.seed ^ number << 48));
+            fleet.runtime().spawn(Arc::clone(clients).run_idle(0, plan.seed ^ number << 48));
         }),
         Crowd::Busy(many) => (0..many as u64).for_each(|number| {
-            fleet.runtime().spawn(Arc::clone(&callers).run(0, plan.seed ^ number << 48, true));
+            fleet.runtime().spawn(Arc::clone(clients).run(0, plan.seed ^ number << 48, Pacing::Continuous));
         }),
     }
-    let steps = plan.events.iter().map(|(at, event)| (begun + *at, Step::Event(*event))).collect();
-    let ending = vec![false; plan.balancers];
-    let mut run = Run { plan, fleet, callers, steps, ending, violations: Vec::new(), begun };
-    run.play()?;
-    drop(busy);
-    Ok(run.report())
 }
 
 impl Run {
-    fn play(&mut self) -> io::Result<()> {
+    fn execute(&mut self) -> io::Result<()> {
         let longest = self.plan.deadlines_ms.into_iter().max().unwrap_or_default();
         let over = self.begun + RUN + Duration::from_millis(longest) + FINAL_ANSWERS_GRACE;
         while let Some((at, step)) = self.steps.pop_front() {
@@ -217,7 +227,7 @@
 
     /// Sends SIGTERM. The first one is followed by SIGKILL at the earliest time that the protocol allows.
     fn terminate(&mut self, it: usize) -> io::Result<()> {
-        let told = Instant::now();
+        let terminated = Instant::now();
         if std::mem::replace(&mut self.ending[it], true) {
             if !self.fleet.balancer(it).process.has_ended() {
                 self.fleet.balancer(it).process.terminate()?;
@@ -226,7 +236,7 @@
         }
         self.check_limits(it);
         self.fleet.balancer(it).process.terminate()?;
-        self.fronts()[it].dialled_until = Some(told + DIAL_AFTER_TERMINATE);
+        self.client_addrs()[it].connect_until = Some(terminated + DIAL_AFTER_TERMINATE);
         self.schedule(self.plan.killed_after(), Step::KillAndRestart(it));
         Ok(())
     }
@@ -241,30 +251,31 @@
     fn restart(&mut self, it: usize) -> io::Result<()> {
         self.fleet.restart(it, crate::process::Disk::Empty)?;
         self.ending[it] = false;
-        let addr = self.fleet.balancer(it).front;
-        self.fronts()[it] = Front { addr, dialled_until: None };
+        let addr = self.fleet.balancer(it).client_addr;
+        self.client_addrs()[it] = BalancerAddress { addr, connect_until: None };
         Ok(())
     }
 
-    fn fronts(&self) -> std::sync::MutexGuard<'_, Vec<Front>> {
-        self.callers.fronts.lock().unwrap_or_else(PoisonError::into_inner)
+    fn client_addrs(&self) -> std::sync::MutexGuard<'_, Vec<BalancerAddress>> {
+        self.clients.client_addrs.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     fn check_limits(&mut self, it: usize) {
         let process = self.fleet.balancer(it).process.id();
-        let (kb, sockets) = (resource_usage(process).map_or(0, |(kb, _)| kb), open_descriptors(process));
-        if kb > MEMORY_KB || sockets as u64 > self.plan.sockets {
-            self.violations.push(Violation::OverLimit(it, kb, sockets));
+        let memory_kb = resource_usage(process).map_or(0, |usage| usage.resident_kb);
+        let sockets = open_descriptors(process);
+        if memory_kb > MEMORY_KB || sockets as u64 > self.plan.sockets {
+            self.violations.push(Violation::OverLimit(it, memory_kb, sockets));
         }
     }
 
     fn report(mut self) -> Report {
         let mut verdict = self.fleet.verdict();
         verdict.violations.append(&mut self.violations);
-        let kept = self.callers.kept_waiting.all().into_iter();
+        let kept = self.clients.kept_waiting.all().into_iter();
         verdict.violations.extend(kept.map(|(it, time)| Violation::PartialRequestNotClosed(it, time)));
         let at_fault = verdict.violations.iter().filter_map(Violation::request).take(MAX_RECORDS);
-        let records = Records { fleet: &self.fleet, calls: &self.callers.calls, begun: self.begun };
+        let records = Records { fleet: &self.fleet, calls: &self.clients.calls, begun: self.begun };
         let mut records_at_fault: Vec<String> = at_fault.map(|id| records.of_request(id)).collect();
         if !verdict.violations.is_empty() {
             records_at_fault.extend((0..self.plan.balancers).map(|it| records.last_lines(it)));
@@ -297,7 +308,7 @@
 
 /// Sends an admin command. An error, also one because the process is ending, is returned.
 fn post_admin_command(fleet: &Fleet, it: usize, path: &str) -> io::Result<()> {
-    let mut stream = TcpStream::connect(fleet.balancer(it).operators)?;
+    let mut stream = TcpStream::connect(fleet.balancer(it).admin_addr)?;
     stream.set_read_timeout(Some(ADMIN_TIMEOUT))?;
     write!(stream, "POST {path} HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")?;
     stream.read_to_string(&mut String::new()).map(drop)
--- a/crates/testfleet/src/soak/report.rs
+++ b/crates/testfleet/src/soak/report.rs
@@ -9,9 +9,9 @@
 use std::time::Instant;
 
 /// The maximum number of log lines per violating request.
-const LINES_OF_REQUEST: usize = 40;
+const MAX_LOG_LINES: usize = 40;
 /// The maximum number of concurrent requests reported with a violating one.
-const BESIDE: usize = 24;
+const MAX_CONCURRENT_CALLS: usize = 24;
 
 /// The report of a run.
 #[derive(Debug)]
@@ -44,8 +44,9 @@
     pub(super) fn of_request(&self, id: &str) -> String {
         let call = self.calls.with_entries(|calls| calls.iter().find(|it| it.id == id).cloned());
         let Some(call) = call else { return format!("{id}: no record") };
-        let beside = self.calls_beside(&call).into_iter().map(|call| self.record_of(&call));
-        let record = beside.fold(self.record_of(&call), |text, call| format!("{text}\n    beside {call}"));
+        let concurrent = self.concurrent_calls(&call).into_iter().map(|call| self.record_of(&call));
+        let record =
+            concurrent.fold(self.record_of(&call), |text, call| format!("{text}\n    concurrent {call}"));
         let lines = self.log_lines_of(&call).into_iter();
         lines.fold(record, |text, line| format!("{text}\n    {line}"))
     }
@@ -60,21 +61,23 @@
         let rest =
             number.map(|(number, _)| process.lines_with(&format!("request {number}: "))).unwrap_or_default();
         lines.extend(rest.into_iter().skip(1));
-        lines.truncate(LINES_OF_REQUEST);
+        lines.truncate(MAX_LOG_LINES);
         lines
     }
 
     /// Returns requests at the same balancer that overlapped in time. They show whether one connection or the whole
     /// process stalled.
-    fn calls_beside(&self, call: &Call) -> Vec<Call> {
+    fn concurrent_calls(&self, call: &Call) -> Vec<Call> {
         let ended = |call: &Call| call.answers.first().map(|(at, _)| *at);
-        let beside = |other: &&Call| {
+        let concurrent = |other: &&Call| {
             other.balancer == call.balancer
                 && other.id != call.id
                 && ended(call).is_none_or(|end| other.at <= end)
                 && ended(other).is_none_or(|end| end >= call.at)
         };
-        self.calls.with_entries(|calls| calls.iter().filter(beside).take(BESIDE).cloned().collect())
+        self.calls.with_entries(|calls| {
+            calls.iter().filter(concurrent).take(MAX_CONCURRENT_CALLS).cloned().collect()
+        })
     }
 
     /// Returns the records of one request in a line.
@@ -88,7 +91,7 @@
             call.deadline,
             since(call.at)
         );
-        text += &call.asked.map_or_else(String::new, |at| format!(", written {:.3}", since(at)));
+        text += &call.written_at.map_or_else(String::new, |at| format!(", written {:.3}", since(at)));
         for (at, answer) in &call.answers {
             text += &format!(", {answer:?} {:.3}", since(*at));
         }
--- a/crates/testfleet/tests/process.rs
+++ b/crates/testfleet/tests/process.rs
@@ -1,16 +1,16 @@
-//! Processes: signals, disks and log lines, on a shell script in the program's place.
+//! Processes: signals, disks and log lines, with a shell script as the program.
 
 use serde_json::json;
 use std::fs;
 use std::os::unix::fs::PermissionsExt;
 use std::path::{Path, PathBuf};
-use testfleet::config::{Listed, fleet_file};
+use testfleet::config::{FleetMember, fleet_file};
 use testfleet::fleet::Fleet;
 use testfleet::folder::Folder;
 use testfleet::process::{Disk, Launch, Process};
 use testfleet::runtime::Runtime;
 
-/// Says what a balancer of a fleet says, and its arguments; then stays until a signal ends it.
+/// Logs the lines of a balancer of a fleet and its arguments, then runs until a signal ends it.
 const SCRIPT: &str = r#"#!/bin/sh
 echo "n0: listening on 127.0.0.1:9" >&2
 echo "n0: admin endpoint on 127.0.0.1:10" >&2
@@ -31,7 +31,7 @@
     file
 }
 
-/// The state of a process, as the system tells.
+/// Returns the state of a process from `/proc`.
 fn state(process: &Process) -> char {
     let stat = fs::read_to_string(format!("/proc/{}/stat", process.id())).unwrap();
     stat.rsplit(") ").next().unwrap().chars().next().unwrap()
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn a_restarted_process_finds_the_disk_it_had_none_or_an_old_one() {
+fn restarted_process_finds_kept_empty_or_restored_disk() {
     let (folder, runtime) = (Folder::below(&std::env::temp_dir()).unwrap(), Runtime::start().unwrap());
     let launch = Launch { program: script(folder.path()), clock_offset_ms: -30_000, ..Launch::default() };
     let mut process =
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn signals_stop_and_end_the_process_and_none_is_sent_to_a_number_that_was_given_back() {
+fn signals_reach_the_process_and_are_refused_after_it_is_reaped() {
     let (folder, runtime) = (Folder::below(&std::env::temp_dir()).unwrap(), Runtime::start().unwrap());
     let launch = Launch { program: script(folder.path()), ..Launch::default() };
     let home = folder.path().join("n0");
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn a_fleet_is_started_with_its_file_and_what_its_balancers_say_is_waited_for() {
+fn fleet_starts_with_fleet_file_and_awaits_log_lines() {
     let folder = Folder::below(&std::env::temp_dir()).unwrap();
     let builder = Fleet::builder(script(folder.path())).folder(folder.path()).balancers(1).cache_nodes(1);
     let fleet = builder.with_fleet(true).clock_offset_ms(0, 250).start().unwrap();
@@ -106,16 +106,16 @@
         "{said}"
     );
     let address = fleet.udp_relay().address(0).unwrap();
-    let listed = [Listed { address, zone: "z0".into(), council: true }];
+    let listed = [FleetMember { address, zone: "z0".into(), voter: true }];
     assert_eq!(fs::read_to_string(file).unwrap(), fleet_file("test", "2s", &listed));
 }
 
 #[test]
-fn the_fleet_file_lists_each_balancer_by_its_relay_address() {
-    let listed = |port: u16, council| Listed {
+fn fleet_file_lists_each_balancer_by_relay_address() {
+    let listed = |port: u16, voter| FleetMember {
         address: (std::net::Ipv4Addr::LOCALHOST, port).into(),
         zone: "a".into(),
-        council,
+        voter,
     };
     let text = fleet_file("test", "2s", &[listed(4001, true), listed(4002, false)]);
     let expected = "[fleet]\nname = \"test\"\nlease = \"2s\"\n\n\
--- a/crates/testfleet/tests/referee.rs
+++ b/crates/testfleet/tests/referee.rs
@@ -1,4 +1,4 @@
-//! The referee: each rule, kept and broken.
+//! The referee: each rule, kept and violated.
 
 use std::time::{Duration, Instant};
 use testfleet::cache_node::{Attempt, Ending};
@@ -11,23 +11,23 @@
     Duration::from_millis(n)
 }
 
-/// The time that calls give.
+/// The deadline of the calls.
 const DEADLINE: Duration = ms(1_000);
 
 fn call(id: &str, at: Instant, answers: &[(u64, Outcome)]) -> Call {
     let answers = answers.iter().map(|(after, answer)| (at + ms(*after), answer.clone())).collect();
-    let (asked, deadline) = (Some(at), DEADLINE);
+    let (written_at, deadline) = (Some(at), DEADLINE);
     let (id, class) = (id.into(), "once".into());
     Call {
         id,
         class,
         balancer: 1,
         at,
-        asked,
+        written_at,
         deadline,
         answers,
         pipeline_position: PipelinePosition::First,
-        left: None,
+        disconnected_at: None,
     }
 }
 
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn a_request_has_one_answer_and_is_lost_with_a_killed_balancer_only() {
+fn request_has_one_answer_unless_its_balancer_is_killed() {
     let at = Instant::now();
     let lost = Outcome::Lost("ended".into());
     let calls = vec![
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn a_fragile_request_that_runs_again_is_found_and_others_may() {
+fn repeated_execution_of_non_idempotent_request_is_a_violation() {
     let at = Instant::now();
     let again = |class: &str| {
         let run = |at| Attempt { class: class.into(), ..attempt("x", "origin", at, Some(1)) };
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn two_attempts_out_at_once_are_found_at_hosts_and_archive_alike() {
+fn concurrent_attempts_at_cache_nodes_and_origin_are_a_violation() {
     let at = Instant::now();
     let pair = |took| Evidence {
         attempts: vec![attempt("x", "s-1", at, took)],
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn an_attempt_at_a_leaving_host_counts_from_when_that_process_could_know() {
+fn attempt_at_draining_endpoint_is_measured_from_when_the_process_was_notified() {
     let at = Instant::now();
     let sent = |after| vec![attempt("x", "s-0", at + ms(after), Some(1))];
     let mut evidence = Evidence {
@@ -148,12 +148,12 @@
 }
 
 #[test]
-fn records_that_are_not_whole_are_no_proof() {
+fn dropped_records_are_a_violation() {
     assert_eq!(violations(&Evidence { dropped: 3, ..Evidence::default() }), [Violation::RecordsDropped(3)]);
 }
 
 #[test]
-fn an_answer_after_its_time_is_late_unless_the_balancer_was_stopped_then() {
+fn late_answer_is_a_violation_unless_balancer_was_stopped() {
     let at = Instant::now();
     let calls = vec![
         call("in time", at, &[(1_090, Outcome::Rejected)]),
@@ -171,7 +171,7 @@
 }
 
 #[test]
-fn what_was_written_as_a_process_was_killed_counts_for_no_later_one() {
+fn notification_written_to_killed_process_does_not_count_for_its_successor() {
     let at = Instant::now();
     let killed = Interruption { restarted: Some(at + ms(50)), ..interruption(true, at, Some(at + ms(200))) };
     let attempts = vec![attempt("7f", "s-0", at + ms(1_020), Some(5))];
@@ -189,9 +189,10 @@
 }
 
 #[test]
-fn attempts_for_clients_that_left_or_were_told_to_come_again_are_found() {
+fn attempt_after_disconnect_or_raced_close_is_a_violation() {
     let at = Instant::now();
-    let left = Call { left: Some(at + ms(10)), ..call("left", at, &[(10, Outcome::ClientDisconnected)]) };
+    let left =
+        Call { disconnected_at: Some(at + ms(10)), ..call("left", at, &[(10, Outcome::ClientDisconnected)]) };
     let evidence = |after| Evidence {
         calls: vec![left.clone()],
         attempts: vec![attempt("left", "s-1", at + ms(after), Some(1))],
@@ -210,7 +211,7 @@
 }
 
 #[test]
-fn an_attempt_that_tells_more_time_than_is_left_is_found() {
+fn overstated_remaining_time_is_a_violation() {
     let at = Instant::now();
     let told = |time| Evidence {
         calls: vec![call("x", at, &[(10, Outcome::Served)])],
@@ -222,7 +223,7 @@
 }
 
 #[test]
-fn time_in_which_the_stand_ins_stood_still_counts_for_nobody() {
+fn event_loop_stalls_do_not_count_as_lateness() {
     let at = Instant::now();
     let calls = vec![call("late", at, &[(1_400, Outcome::Rejected)])];
     let stall = |from, until| vec![Stall { from: at + ms(from), until: at + ms(until) }];
@@ -233,7 +234,7 @@
 }
 
 #[test]
-fn time_spent_behind_the_answers_ahead_does_not_count() {
+fn time_behind_earlier_pipelined_answers_does_not_count() {
     let at = Instant::now();
     let judged = |pipeline_position| {
         let calls = vec![Call { pipeline_position, ..call("late", at, &[(1_400, Outcome::Served)]) }];
@@ -249,19 +250,19 @@
 }
 
 #[test]
-fn a_close_is_no_crossing_long_after_the_write_unless_the_stand_ins_stood_still_meanwhile() {
+fn late_close_is_not_a_race_unless_event_loop_stalled() {
     let at = Instant::now();
     let mut evidence = Evidence { calls: vec![call("x", at, &[(138, closed())])], ..Evidence::default() };
     assert_eq!(violations(&evidence), [Violation::Lost("x".into(), "end".into())]);
     evidence.stalls = vec![Stall { from: at + ms(10), until: at + ms(60) }];
-    assert_eq!(check_evidence(&evidence).crossed, 1);
+    assert_eq!(check_evidence(&evidence).raced_close, 1);
     assert_eq!(violations(&evidence), []);
     evidence.stalls = vec![Stall { from: at + ms(10), until: at + ms(40) }];
     assert_eq!(violations(&evidence), [Violation::Lost("x".into(), "end".into())], "0.11 s are left");
 }
 
 #[test]
-fn a_request_that_ends_with_a_killed_process_is_lost_with_it_and_was_not_crossed_by_a_close() {
+fn request_closed_by_kill_is_lost_and_did_not_race_a_close() {
     let at = Instant::now();
     let mut evidence = Evidence {
         calls: vec![call("x", at, &[(7, closed())])],
@@ -272,7 +273,7 @@
     evidence.interruptions = vec![interruption(true, at + ms(5), Some(at + ms(300)))];
     let verdict = check_evidence(&evidence);
     assert_eq!(verdict.violations, []);
-    assert_eq!((verdict.lost_with_a_killed, verdict.crossed), (1, 0));
+    assert_eq!((verdict.lost_with_killed, verdict.raced_close), (1, 0));
     evidence.interruptions = vec![interruption(true, at + ms(8), Some(at + ms(300)))];
     assert_eq!(violations(&evidence), crossed, "killed behind the close");
     evidence.interruptions = vec![interruption(true, at - ms(5), Some(at + ms(300)))];
--- a/crates/testfleet/tests/relay.rs
+++ b/crates/testfleet/tests/relay.rs
@@ -1,4 +1,4 @@
-//! The relays: what is lost is drawn from the seed, what is cut is silent, what is healed goes on.
+//! The relays: losses are drawn from the seed, cut links are silent, healed links continue.
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream, UdpSocket};
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn what_is_lost_doubled_and_overtaken_is_drawn_from_the_seed() {
+fn loss_duplication_and_reordering_are_drawn_from_the_seed() {
     let run = |seed| {
         let mut direction = Direction::new(seed);
         direction.set_faults(Faults { lost: 0.3, doubled: 0.1, reordered: 0.2, ..Faults::default() });
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn a_stalled_way_holds_what_comes_and_a_delay_is_drawn_within_its_bounds() {
+fn stalled_direction_buffers_and_delay_is_within_bounds() {
     let mut direction = Direction::new(1);
     direction.set_faults(Faults { stalled: true, ..Faults::default() });
     assert!(direction.forward("a".into()).is_empty() && direction.forward("b".into()).is_empty());
@@ -46,7 +46,7 @@
     assert!(out.iter().all(|it| it.0 >= delay && it.0 <= delay + jitter) && out[0].0 != out[1].0);
 }
 
-/// A balancer as the relay sees it.
+/// A socket registered as a balancer.
 struct End(UdpSocket);
 
 impl End {
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn balancers_see_relay_addresses_only_and_a_cut_is_one_way_where_it_is_made_so() {
+fn balancers_see_only_relay_addresses_and_cuts_are_directional() {
     let runtime = Runtime::start().unwrap();
     let relay = UdpRelay::start(runtime.handle(), 3, 1).unwrap();
     let ends = [0, 1, 2].map(|number| End::register(&relay, number));
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn a_balancer_that_was_started_again_is_reached_at_its_new_address() {
+fn restarted_balancer_is_reached_at_its_new_address() {
     let runtime = Runtime::start().unwrap();
     let relay = UdpRelay::start(runtime.handle(), 2, 1).unwrap();
     let (one, old) = (End::register(&relay, 0), End::register(&relay, 1));
@@ -109,7 +109,7 @@
     until(|| relay.unregistered_senders() == 1);
 }
 
-/// A link to a listener of ours.
+/// Starts a link to a new listener.
 fn link(runtime: &Runtime) -> (TcpLink, TcpListener, Callers) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let callers = Callers::default();
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn a_cut_stream_is_silent_both_ways_and_goes_on_once_healed() {
+fn cut_stream_is_silent_both_ways_and_continues_after_heal() {
     let runtime = Runtime::start().unwrap();
     let (link, listener, callers) = link(&runtime);
     let mut near = connect(&link);
@@ -154,7 +154,7 @@
 }
 
 #[test]
-fn what_a_caller_that_gave_up_has_written_into_a_stall_never_arrives() {
+fn data_of_disconnected_client_in_a_stall_never_arrives() {
     let runtime = Runtime::start().unwrap();
     let (link, listener, callers) = link(&runtime);
     let mut near = connect(&link);
@@ -173,7 +173,7 @@
 }
 
 #[test]
-fn calls_are_refused_until_healed_and_a_reset_ends_what_is_open() {
+fn connections_are_refused_until_heal_and_reset_ends_open_ones() {
     let runtime = Runtime::start().unwrap();
     let (link, listener, _) = link(&runtime);
     let mut near = connect(&link);
--- a/crates/testfleet/tests/stand_ins.rs
+++ b/crates/testfleet/tests/stand_ins.rs
@@ -1,4 +1,4 @@
-//! The stand-ins by themselves: hosts, archive, agents and callers, spoken to over plain sockets.
+//! The stand-ins on their own: cache node, origin, discovery agent and clients, over plain sockets.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_host_misses_then_holds_turns_away_fails_hangs_and_refuses_and_records_each_try() {
+fn cache_node_follows_its_behaviour_and_records_each_attempt() {
     let (runtime, attempts) = (Runtime::start().unwrap(), EventLog::default());
     let endpoint = CacheNode::start(runtime.handle(), "s-0", Callers::default(), attempts.clone()).unwrap();
     let mut client = connect(endpoint.addr());
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn the_archive_books_a_run_also_where_it_fails_and_none_where_it_declines() {
+fn origin_records_failed_executions_but_not_declined_requests() {
     let runtime = Runtime::start().unwrap();
     let origin = Origin::start(runtime.handle(), Callers::default(), EventLog::default()).unwrap();
     let mut client = connect(origin.addr());
@@ -93,7 +93,7 @@
     );
 }
 
-/// The next line of a watch that is not quiet.
+/// Returns the next line of a watch that is not a keep-alive.
 fn news(watch: &mut BufReader<TcpStream>) -> String {
     loop {
         let next = line(watch);
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn news_that_are_held_back_are_in_no_list_and_come_once_let_go() {
+fn paused_updates_are_published_only_after_resume() {
     let (runtime, told) = (Runtime::start().unwrap(), EventLog::default());
     let member = Member {
         name: "s-0".into(),
@@ -138,7 +138,7 @@
 }
 
 #[test]
-fn callers_book_each_answer_also_one_too_many_and_a_connection_that_ends() {
+fn clients_record_each_answer_duplicates_and_lost_connections() {
     let runtime = Runtime::start().unwrap();
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let clients = Clients::new(runtime.handle(), vec![listener.local_addr().unwrap()]);
