--- a/crates/upstream/src/connection/streamed.rs
+++ b/crates/upstream/src/connection/streamed.rs
@@ -102,7 +102,7 @@
         Ok(&available[..available.len().min(self.remaining)])
     }
 
-    /// Takes bytes that [`StreamedValue::next`] returned. With the last one, the endpoint's connection is handed back.
+    /// Takes bytes that [`StreamedValue::next_chunk`] returned. With the last one, the endpoint's connection is handed back.
     pub fn consume(&mut self, bytes: usize) {
         self.remaining -= bytes;
         match &mut self.source {
