--- a/crates/gossip/src/lib.rs
+++ b/crates/gossip/src/lib.rs
@@ -11,7 +11,7 @@
 //! heard from, they all return to 1.
 //!
 //! The crate does no I/O, reads no clock and draws no random numbers. It leaves to its owner the socket, the time, the
-//! mapping of senders to their numbers, and the waiting between turns ([`GossipState::pause`]). At each turn the owner
+//! mapping of senders to their numbers, and the waiting between turns ([`GossipState::next_interval`]). At each turn the owner
 //! passes [`decide::api::Event::PublishLoad`] to the decision module, and the loads of the
 //! [`decide::api::Action::PublishLoad`] that it returns to [`GossipState::publish`].
 #![forbid(unsafe_code)]
