--- a/crates/calendar/src/accepted.rs
+++ b/crates/calendar/src/accepted.rs
@@ -1,4 +1,4 @@
-//! The endpoints as accepted so far, and the check of one endpoint's planned changes.
+//! The accepted endpoints, and the check of an endpoint's planned changes.
 
 use crate::list_delta::{planned_changes, serving_weight, with_planned};
 use crate::records::{ChangeOutcome, ChangeRecord, GateContext};
@@ -6,7 +6,7 @@
 use hashlink::LinkedHashMap;
 use proto::discovery::{EndpointRecord, Phase};
 
-/// Upper bound on the accepted endpoints: several of the longest lists.
+/// Maximum number of accepted endpoints: several times the longest list.
 pub const MAX_MEMBERS: usize = 65_536;
 
 /// The calendar and the context that a change is checked against.
@@ -16,34 +16,34 @@
     pub(crate) calendar: &'a Calendar,
 }
 
-/// Whether changes that only the end of a freeze allows must queue behind those that are released in steps.
+/// Whether a new change must queue behind held changes that are being released in steps.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Queueing {
-    /// No queued change could be applied now, so new ones may.
+    /// No queued change could be applied now, so new changes may be applied at once.
     NotNeeded,
-    /// Queued changes are being released; new ones wait for their turn.
+    /// Queued changes are being released, so new changes queue behind them.
     Required,
 }
 
-/// A change that may be applied.
+/// The approval of a change that may be applied now.
 struct Approval {
-    /// The weight to grant.
+    /// The granted weight.
     size: f64,
     outcome: ChangeOutcome,
 }
 
-/// A change that may not be applied now.
+/// A planned change that was not applied.
 pub(crate) struct HeldChange {
     pub(crate) kind: ChangeKind,
     pub(crate) outcome: ChangeOutcome,
 }
 
-/// What became of the planned changes of one endpoint.
+/// The result of applying the planned changes of one endpoint.
 #[derive(Default)]
 pub(crate) struct PlannedResult {
-    /// Whether any of them was applied.
+    /// Whether any planned change was applied.
     pub(crate) applied: bool,
-    /// The first of them that was not.
+    /// The first planned change that was not applied.
     pub(crate) held: Option<HeldChange>,
 }
 
@@ -53,7 +53,7 @@
     }
 }
 
-/// The endpoints as accepted, with what is needed to check a change of one.
+/// The accepted endpoints, and the state for checking their changes.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct AcceptedEndpoints {
     pub(crate) members: LinkedHashMap<String, EndpointRecord>,
@@ -71,14 +71,14 @@
             self.members.remove(&member.id);
             return;
         }
-        // Replaced in place: an insert would move the endpoint behind all others.
+        // Replaced in place, because an insert would move the endpoint to the end of the map.
         match self.members.get_mut(&member.id) {
             Some(known) => *known = member,
             None => drop(self.members.insert(member.id.clone(), member)),
         }
     }
 
-    /// Records what became of a change.
+    /// Records the outcome of a change.
     pub(crate) fn record(
         &mut self, calendar: &Calendar, host: &str, kind: ChangeKind, outcome: ChangeOutcome,
     ) {
@@ -86,19 +86,20 @@
         self.records.push(ChangeRecord { host: host.to_owned(), kind, list, outcome, revision });
     }
 
-    /// Whether a change would be applied now.
+    /// Returns whether a change would be applied now.
     pub(crate) fn is_allowed(&self, input: CheckInput<'_>, new: &EndpointRecord, kind: ChangeKind) -> bool {
         self.check(input, new, kind).is_ok()
     }
 
-    /// Checks one change of an endpoint against the calendar. Weight lost during a freeze may be replaced.
+    /// Checks one change of an endpoint against the calendar. A change that a freeze covers is approved as far as it
+    /// replaces weight lost during the freeze.
     fn check(
         &self, input: CheckInput<'_>, new: &EndpointRecord, kind: ChangeKind,
     ) -> Result<Approval, ChangeOutcome> {
         let old = self.members.get(&new.id);
         let old_zone = old.map(|it| it.locality.as_str());
         let left_zone = old_zone.filter(|zone| *zone != new.locality && kind == ChangeKind::Zone);
-        // More weight comes to the zone that the endpoint is accepted in. A changed zone is a change of both zones.
+        // Additional weight counts for the zone in which the endpoint is accepted. A change of zone affects both zones.
         let zone = old_zone.filter(|_| kind == ChangeKind::More).unwrap_or(&new.locality);
         let change = Change { kind, host: Some(&new.id), zones: [Some(zone), left_zone] };
         let GateContext { fleet_time, lease, .. } = *input.context;
@@ -120,7 +121,7 @@
         }
     }
 
-    /// Applies the planned changes in an endpoint's new state that may be applied now.
+    /// Applies the planned changes in an endpoint's new state, as far as they may be applied now.
     pub(crate) fn apply_planned(
         &mut self, input: CheckInput<'_>, new: &EndpointRecord, queueing: Queueing,
     ) -> PlannedResult {
--- a/crates/calendar/src/calendar.rs
+++ b/crates/calendar/src/calendar.rs
@@ -1,4 +1,4 @@
-//! The calendar: the committed entries, applied in log order, and the check of topology changes against them.
+//! The calendar: the committed entries, and the check of topology changes against them.
 
 use crate::entry::{Entry, Proposal};
 use crate::errors::{ProposalError, RestoreError};
@@ -21,13 +21,13 @@
     Added,
     /// The entry was revoked.
     Revoked,
-    /// Without effect, at all balancers alike.
+    /// The proposal has no effect, at any balancer.
     Refused(ProposalError),
-    /// Without effect, since the calendar has applied that revision before.
+    /// The proposal has no effect, because the calendar has already applied its revision.
     Known,
 }
 
-/// The phase of an entry's life.
+/// The phase of an entry in its lifecycle.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EntryPhase {
     /// Committed and not yet in force.
@@ -65,28 +65,28 @@
 }
 
 impl Calendar {
-    /// Creates an empty calendar. A freeze is in force no sooner than `binding` after its commit, which covers the duration of
-    /// a lease and its clock error.
+    /// Creates an empty calendar. A freeze comes into force no earlier than `binding` after its commit. This delay
+    /// covers the duration of a lease and its clock error.
     pub fn new(binding: Millis) -> Self {
         Self { binding, revision: 0, entries: BTreeMap::new(), index: OnceLock::new() }
     }
 
-    /// The last applied revision.
+    /// Returns the last applied revision.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// All entries ordered by id, including ended ones.
+    /// Returns all entries ordered by id, including ended ones.
     pub fn entries(&self) -> impl Iterator<Item = &Entry> {
         self.entries.values().map(|it| &it.committed.entry)
     }
 
-    /// The fleet time and the revision at which an entry was committed.
+    /// Returns the fleet time and the revision at which an entry was committed.
     pub fn agreed_at(&self, id: &str) -> Option<(Millis, u64)> {
         self.entries.get(id).map(|it| (it.committed.at, it.committed.revision))
     }
 
-    /// The phase of an entry at a fleet time.
+    /// Returns the phase of an entry at a fleet time.
     pub fn phase(&self, id: &str, fleet_time: Millis) -> Option<EntryPhase> {
         let scheduled = self.entries.get(id)?;
         let first = scheduled.in_force.first().map_or(Millis::MAX, |it| it.start);
@@ -98,15 +98,15 @@
         })
     }
 
-    /// Checks that the proposal would have an effect if it were committed at `at`. Callers check before they propose.
+    /// Checks that the proposal would have an effect if it were committed at `at`. Call this before proposing it.
     ///
     /// # Errors
-    /// Why the proposal would have no effect.
+    /// Returns the reason why the proposal would have no effect.
     pub fn validate_proposal(&self, at: Millis, proposal: &Proposal) -> Result<(), ProposalError> {
         self.evaluate(0, at, proposal).map(|_| ())
     }
 
-    /// The entry as it is after the proposal.
+    /// Returns the entry as it would be after the proposal.
     fn evaluate(
         &self, revision: u64, at: Millis, proposal: &Proposal,
     ) -> Result<ScheduledEntry, ProposalError> {
@@ -144,7 +144,8 @@
         Ok(scheduled)
     }
 
-    /// Applies a log entry. Calendars that apply the same log are equal.
+    /// Applies a proposal that was committed at `revision` and fleet time `at`. Calendars that apply the same log are
+    /// equal.
     pub fn apply(&mut self, revision: u64, at: Millis, proposal: &Proposal) -> Applied {
         if revision <= self.revision {
             return Applied::Known;
@@ -161,18 +162,19 @@
         }
     }
 
-    /// Encodes the whole calendar.
+    /// Encodes the calendar as a snapshot for [`Calendar::restore`].
     pub fn snapshot(&self) -> Vec<u8> {
         let entries = self.entries.values().map(|it| it.committed.clone()).collect();
         let snapshot =
             Snapshot { version: SNAPSHOT_VERSION, binding: self.binding, revision: self.revision, entries };
-        postcard::to_stdvec(&snapshot).expect("numbers, texts and dates always encode")
+        postcard::to_stdvec(&snapshot)
+            .expect("a calendar snapshot consists of numbers and strings, which postcard always encodes")
     }
 
-    /// Decodes a calendar from [`Calendar::snapshot`].
+    /// Decodes a calendar from the bytes of [`Calendar::snapshot`].
     ///
     /// # Errors
-    /// When the bytes are no snapshot, or contain entries that could not have been committed.
+    /// Returns an error if the bytes are not a snapshot, or contain an entry that could not have been committed.
     pub fn restore(bytes: &[u8]) -> Result<Self, RestoreError> {
         let (snapshot, rest): (Snapshot, _) =
             postcard::take_from_bytes(bytes).map_err(|_| RestoreError::Form)?;
@@ -197,8 +199,8 @@
         Ok(calendar)
     }
 
-    /// Builds the index for [`Calendar::check`], unless it is current. The first check builds it too, so call this before the
-    /// calendar goes to a thread that must not block.
+    /// Builds the index for [`Calendar::check`], unless it is up to date. Otherwise the next check builds it, so call
+    /// this before passing the calendar to a thread that must not block.
     pub fn build_index(&self) {
         self.index();
     }
@@ -220,7 +222,7 @@
         })
     }
 
-    /// The freezes in force at any time of `span`, each with the start of its occurrence.
+    /// Returns the freezes in force at any time in `span`, each with the start of its occurrence.
     pub(crate) fn freezes_in_force(&self, span: TimeInterval) -> impl Iterator<Item = (&Entry, Millis)> {
         let overlaps = move |it: &&Interval| it.start <= span.latest && span.earliest < it.end;
         let freezes = self.entries.values().filter(|it| matches!(it.committed.entry, Entry::Freeze(_)));
@@ -230,8 +232,8 @@
         })
     }
 
-    /// Checks a change of topology: whether it is allowed now, or held and why. A change is frozen if a freeze is in force at
-    /// any time that fleet time may be.
+    /// Checks whether a topology change is allowed now, or held and why. A freeze holds a change if it is in force at
+    /// any time within the bounds of fleet time, and no override allows the change.
     pub fn check(&self, fleet_time: Option<TimeInterval>, lease: LeaseState, change: &Change<'_>) -> Verdict {
         let allow = |override_id| Verdict::Allow { revision: self.revision, override_id };
         if !change.kind.is_planned() {
--- a/crates/calendar/src/capacity.rs
+++ b/crates/calendar/src/capacity.rs
@@ -1,13 +1,13 @@
-//! Available capacity: the weight at the start of each freeze, and how much of it losses have opened to replacement.
+//! The capacity in the scope of each freeze: the weight at its start, and the lost weight that may be replaced.
 
 use crate::entry::{Scope, ScopeTarget};
 use crate::{Calendar, Change, Millis, TimeInterval};
 use rustc_hash::{FxHashMap, FxHashSet};
 use std::collections::BTreeMap;
 
-/// The least fraction of a wanted weight that a replacement may get. Less is not worth a cold endpoint.
+/// Minimum fraction of the requested weight that a replacement must get. Less weight is not worth a cold endpoint.
 const MIN_REPLACEMENT_FRACTION: f64 = 0.1;
-/// Rounding error of sums of some thousand weights, relative to the sum, in any order of addition.
+/// Upper bound on the relative rounding error of a sum of several thousand weights, added in any order.
 const ROUNDING: f64 = 1e-9;
 
 #[derive(Debug, Clone)]
@@ -16,14 +16,14 @@
     weight: f64,
 }
 
-/// Identifies one occurrence of a freeze.
+/// The key of one occurrence of a freeze.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 struct Occurrence {
     entry_id: String,
     start: Millis,
 }
 
-/// The weight in the scope of one freeze.
+/// The weight in the scope of one freeze, at its start and now.
 #[derive(Debug, Clone)]
 struct FreezeCapacity {
     scope: Scope,
@@ -54,8 +54,8 @@
     }
 }
 
-/// The weight of each endpoint, and the capacity in the scope of each freeze in force. Bounded by the members of the
-/// endpoint list and the entries of the calendar.
+/// Tracks the weight of each endpoint, and the capacity in the scope of each freeze in force. Its size is bounded by
+/// the endpoints of the list and the entries of the calendar.
 #[derive(Debug, Clone, Default)]
 pub struct AvailableCapacity {
     endpoints: FxHashMap<String, EndpointWeight>,
@@ -64,8 +64,8 @@
 }
 
 impl AvailableCapacity {
-    /// Starts to track each freeze that has come into force, and drops those that are over. Call this before new weights are
-    /// set: the weights set so far are those at the start of the freeze.
+    /// Starts to track freezes that have come into force, and drops those that have ended. Call this before setting new
+    /// weights, because the weights set so far count as those at the start of the freeze.
     pub fn update_freezes(&mut self, calendar: &Calendar, span: TimeInterval) {
         let mut before = std::mem::take(&mut self.freezes);
         for (entry, start) in calendar.freezes_in_force(span) {
@@ -83,7 +83,7 @@
         members.filter(|(host, _)| !self.down.contains(*host)).map(|(_, it)| it.weight).sum()
     }
 
-    /// Adds the weight of an endpoint, times `sign`, to the freezes that cover it, unless the endpoint is down.
+    /// Adds the weight of an endpoint, multiplied by `sign`, to the freezes that cover the endpoint, unless it is down.
     fn add_weight(&mut self, host: &str, sign: f64) {
         let Some(endpoint) = self.endpoints.get(host).filter(|_| !self.down.contains(host)) else { return };
         for freeze in self.freezes.values_mut() {
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Sets the weight of an endpoint: 0 if it is gone or draining.
+    /// Sets the weight of an endpoint. The weight is 0 if the endpoint is gone or draining.
     pub fn set_weight(&mut self, host: &str, zone: &str, weight: f64) {
         self.add_weight(host, -1.0);
         if weight > 0.0 {
@@ -120,7 +120,8 @@
         }
     }
 
-    /// The weight that a change may add as a replacement, at most `wanted`: the least that the freezes over it have lost.
+    /// Returns the weight that a change may add as a replacement, up to `wanted`. Of the freezes that cover the change,
+    /// the one that has lost the least weight limits it.
     pub fn replacement(&self, change: &Change<'_>, wanted: f64) -> Option<f64> {
         let covering = self.freezes.values().filter(|it| it.covers(change));
         let least = covering.min_by(|one, other| one.lost().total_cmp(&other.lost()))?;
@@ -128,7 +129,7 @@
         if lost <= rounding || wanted <= 0.0 || lost < wanted * MIN_REPLACEMENT_FRACTION {
             return None;
         }
-        // A weight that fits except for rounding is granted in full.
+        // A weight that exceeds the loss only by the rounding error is granted in full.
         Some(if wanted <= lost + rounding { wanted } else { lost })
     }
 }
--- a/crates/calendar/src/change.rs
+++ b/crates/calendar/src/change.rs
@@ -1,16 +1,16 @@
-//! A change of topology, and the verdict on it.
+//! Topology changes, and the verdict on a change.
 
 use crate::Millis;
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// The kind of a change. The order of the variants is part of the encoding.
+/// The kind of a topology change. The order of the variants is part of the encoding.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ChangeKind {
     /// An endpoint drains. Never held.
     Drain,
-    /// An endpoint is gone. Never held.
+    /// An endpoint is gone from the endpoint list. Never held.
     Gone,
     /// An endpoint goes down. Never held.
     Fall,
@@ -20,11 +20,11 @@
     Out,
     /// An operator enables an endpoint again. Never held, like every operator override.
     Back,
-    /// An endpoint has less weight, or another address. Never held.
+    /// An endpoint's weight decreases, or its address changes. Never held.
     Less,
-    /// An endpoint joins.
+    /// An endpoint joins the fleet.
     Join,
-    /// An endpoint gets more weight, or returns from draining.
+    /// An endpoint's weight increases, or it returns from draining.
     More,
     /// An endpoint changes its zone, flavor or cell.
     Zone,
@@ -32,7 +32,7 @@
     Discovery,
     /// The configuration changes.
     Configuration,
-    /// A planned restart of a balancer.
+    /// A balancer is restarted as planned.
     Restart,
     /// The fleet of balancers grows.
     Growth,
@@ -52,11 +52,11 @@
         Self::Growth,
         Self::Council,
     ];
-    /// Whether a freeze can hold this kind.
+    /// Returns whether a freeze can hold this kind.
     pub fn is_planned(self) -> bool {
         Self::PLANNED.contains(&self)
     }
-    /// The word for this kind in digests and log lines. Balancers compare digests, so a word must never change.
+    /// Returns the word for this kind in digests and log lines. Balancers compare digests, so a word must never change.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Drain => "Drain",
@@ -78,14 +78,15 @@
     }
 }
 
-/// A change of topology, and its scope.
+/// A topology change and the part of the fleet that it affects.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Change<'a> {
     /// The kind of the change.
     pub kind: ChangeKind,
-    /// The endpoint or balancer; `None` for a change of the whole fleet, which a freeze of any part of it holds.
+    /// The endpoint or balancer that changes. `None` for a change of the whole fleet, which a freeze of any part of the
+    /// fleet holds.
     pub host: Option<&'a str>,
-    /// The affected zones: the new one, and the old one if it differs.
+    /// The affected zones: the new zone, and the old zone if it differs.
     pub zones: [Option<&'a str>; 2],
 }
 
@@ -100,7 +101,7 @@
     }
 }
 
-/// Bounds on fleet time.
+/// Bounds on the current fleet time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TimeInterval {
     /// Lower bound, inclusive.
@@ -114,18 +115,18 @@
 pub enum LeaseState {
     /// The balancer holds a lease.
     Held,
-    /// It holds none, and others do.
+    /// The balancer holds no lease, and other balancers do.
     Fenced,
-    /// It holds none, nor does any other balancer that it hears from.
+    /// The balancer holds no lease, and neither does any balancer that it hears from.
     Orphaned,
-    /// It is not part of a fleet.
+    /// The balancer is not part of a fleet.
     NoFleet,
 }
 
 /// Why a change is held.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum HoldReason {
-    /// A freeze covers it.
+    /// A freeze covers the change.
     Freeze {
         /// The freeze's id.
         id: Arc<str>,
@@ -134,7 +135,7 @@
     },
     /// The calendar may not be current: the balancer has no lease, or does not know fleet time.
     NoLease,
-    /// Earlier held changes are being released in steps.
+    /// The change waits behind changes that were held earlier and are being released in steps.
     Queued,
 }
 
@@ -145,12 +146,12 @@
     Allow {
         /// The revision of the calendar.
         revision: u64,
-        /// The override that allows it, if a freeze covers it.
+        /// The override that allows the change, if a freeze covers it.
         override_id: Option<Arc<str>>,
     },
     /// The change is held.
     Hold {
-        /// Why.
+        /// Why the change is held.
         reason: HoldReason,
         /// The fleet time at which to check again, if known.
         until: Option<Millis>,
--- a/crates/calendar/src/entry.rs
+++ b/crates/calendar/src/entry.rs
@@ -1,33 +1,34 @@
-//! The entries of a calendar: freezes, overrides of freezes, and revocations. Their encodings are stored and sent.
+//! The entries of a calendar: freezes, overrides of freezes, and revocations. Their encodings are stored and sent to
+//! peers.
 
 use crate::ChangeKind;
 use jiff::civil::{Date, DateTime, Weekday};
 use serde::{Deserialize, Serialize};
 
-/// Where an entry applies.
+/// The part of the fleet that an entry applies to.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ScopeTarget {
-    /// To the whole fleet, including changes without an endpoint.
+    /// The whole fleet, including changes that affect no single endpoint.
     Fleet,
-    /// To these zones.
+    /// These zones.
     Zones(Vec<String>),
-    /// To these endpoints or balancers.
+    /// These endpoints or balancers.
     Group {
-        /// The operators' name of the group.
+        /// The name that operators gave the group.
         name: String,
         /// The ids of its members.
         hosts: Vec<String>,
     },
 }
 
-/// What an entry covers: where, and which kinds of change.
+/// The kinds of change that an entry covers, and the part of the fleet.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Scope {
-    /// The kinds of change. If empty, all kinds that can be held.
+    /// The kinds of change. If empty, the entry covers all kinds that can be held.
     #[serde(default)]
     pub kinds: Vec<ChangeKind>,
-    /// Where the entry applies.
+    /// The part of the fleet that the entry applies to.
     pub place: ScopeTarget,
 }
 
@@ -69,31 +70,31 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Recurrence {
-    /// Every so many days.
+    /// Every given number of days.
     Daily(u16),
-    /// On these days of every so many ISO weeks.
+    /// On the given weekdays, every given number of ISO weeks.
     Weekly {
-        /// 1 for every week.
+        /// The interval in weeks; 1 for every week.
         every: u16,
-        /// The days; the day of the start when empty.
+        /// The weekdays. If empty, the weekday of the start.
         days: Vec<Day>,
     },
-    /// On the day of month of the start, every so many months. In a shorter month, on its last day.
+    /// On the day of month of the start, every given number of months. In a shorter month, on its last day.
     Monthly(u16),
-    /// On the nth such weekday of every so many months. Months without one are skipped.
+    /// On the nth given weekday of a month, every given number of months. Months without such a day are skipped.
     MonthlyByDay {
-        /// 1 for every month.
+        /// The interval in months; 1 for every month.
         every: u16,
-        /// 1 to 5, or -1 to -5 from the month's end.
+        /// The position of the weekday in the month: 1 to 5 from its start, or -1 to -5 from its end.
         nth: i8,
         /// The weekday.
         day: Day,
     },
-    /// On the date of the start, every so many years.
+    /// On the date of the start, every given number of years.
     Yearly(u16),
 }
 
-/// A recurrence with its end. Without an end it would never leave the calendar.
+/// A recurrence and its end. The end is mandatory, because an entry without one would never leave the calendar.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Repeat {
     /// The last date that an occurrence may start on.
@@ -102,44 +103,45 @@
     pub rhythm: Recurrence,
 }
 
-/// A time, possibly recurring, in which planned changes are held.
+/// A period, possibly recurring, during which planned changes are held.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Freeze {
     /// The unique id of the entry.
     pub id: String,
-    /// Why, for readers of a hold.
+    /// The reason for the freeze, shown with each change that it holds.
     pub reason: String,
-    /// Who requested it.
+    /// The person who requested the freeze.
     pub asked_by: String,
-    /// The first moment, in the civil time of `zone`.
+    /// The start, inclusive, in the civil time of `zone`.
     pub start: DateTime,
-    /// The first moment after the end, in the civil time of `zone`.
+    /// The end, exclusive, in the civil time of `zone`.
     pub end: DateTime,
-    /// The time zone, by its IANA name.
+    /// The IANA name of the time zone.
     pub zone: String,
     /// Dates on which no occurrence starts.
     #[serde(default)]
     pub exceptions: Vec<Date>,
-    /// What it covers.
+    /// The changes that the freeze holds.
     pub scope: Scope,
-    /// How it recurs, if it does.
+    /// The recurrence, if the freeze recurs.
     pub repeat: Option<Repeat>,
 }
 
-/// A named person's permission for changes that freezes hold, from its commit until its end.
+/// A permission for changes that freezes hold, in force from its commit until its end. A named person is responsible
+/// for it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Override {
     /// The unique id of the entry.
     pub id: String,
-    /// Who is responsible for it.
+    /// The person who is responsible for the override.
     pub person: String,
-    /// Why.
+    /// The reason for the override.
     pub reason: String,
-    /// The first moment after the end, in the civil time of `zone`.
+    /// The end, exclusive, in the civil time of `zone`.
     pub end: DateTime,
-    /// The time zone, by its IANA name.
+    /// The IANA name of the time zone.
     pub zone: String,
-    /// What it covers.
+    /// The changes that the override allows.
     pub scope: Scope,
 }
 
@@ -147,28 +149,28 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Entry {
-    /// Holds changes.
+    /// An entry that holds changes.
     Freeze(Freeze),
-    /// Allows changes that freezes hold.
+    /// An entry that allows changes that freezes hold.
     Override(Override),
 }
 
 impl Entry {
-    /// The id of the entry.
+    /// Returns the id of the entry.
     pub fn id(&self) -> &str {
         match self {
             Self::Freeze(it) => &it.id,
             Self::Override(it) => &it.id,
         }
     }
-    /// Why the entry was made.
+    /// Returns the reason for the entry.
     pub fn reason(&self) -> &str {
         match self {
             Self::Freeze(it) => &it.reason,
             Self::Override(it) => &it.reason,
         }
     }
-    /// What the entry covers.
+    /// Returns the scope of the entry.
     pub fn scope(&self) -> &Scope {
         match self {
             Self::Freeze(it) => &it.scope,
@@ -177,18 +179,18 @@
     }
 }
 
-/// Ends an entry before its time.
+/// A request to end an entry early.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Revoke {
     /// The entry's id.
     pub id: String,
-    /// Who requested it.
+    /// The person who requested the revocation.
     pub asked_by: String,
-    /// Why.
+    /// The reason for the revocation.
     pub reason: String,
 }
 
-/// A proposal for the replicated log.
+/// A change of the calendar, proposed to the replicated log.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Proposal {
--- a/crates/calendar/src/errors.rs
+++ b/crates/calendar/src/errors.rs
@@ -1,22 +1,22 @@
-//! Why a proposal has no effect, and why a snapshot is rejected.
+//! The errors of refused proposals and rejected snapshots.
 
 use crate::InvalidField;
 use crate::limits::{MAX_ENTRIES, MAX_OCCURRENCES};
 use thiserror::Error;
 
-/// Why a committed proposal has no effect, or should not be proposed.
+/// The reason why a committed proposal has no effect, or why it should not be proposed.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum ProposalError {
     /// A field is invalid.
     #[error(transparent)]
     Invalid(#[from] InvalidField),
-    /// An entry with this `id` exists.
+    /// The calendar already contains an entry with this `id`.
     #[error("`id` is that of an entry that there is: {0}")]
     Duplicate(String),
-    /// No entry with this `id` can be revoked.
+    /// The calendar contains no entry with this `id` that can be revoked.
     #[error("`id` names no entry that is not over: {0}")]
     Unknown(String),
-    /// The entry would end before it is in force.
+    /// The entry would end before it could be in force.
     #[error("`end` is before the entry could be in force: {0}")]
     Over(String),
     /// The calendar has the maximum number of entries.
@@ -29,7 +29,7 @@
     TooMany,
 }
 
-/// Why a snapshot is rejected.
+/// The reason why a snapshot is rejected.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum RestoreError {
     /// The bytes are not a snapshot of a known format.
--- a/crates/calendar/src/gate.rs
+++ b/crates/calendar/src/gate.rs
@@ -1,4 +1,4 @@
-//! The gate in front of the decision module: which parts of discovery's lists apply now, and which are held.
+//! The gate in front of the decision module, which splits discovery's lists into accepted and held changes.
 
 use crate::accepted::{AcceptedEndpoints, CheckInput, HeldChange, MAX_MEMBERS, Queueing};
 use crate::list_delta::{factual_change, planned_changes, with_facts};
@@ -8,21 +8,22 @@
 use hashlink::LinkedHashMap;
 use proto::discovery::{EndpointList, EndpointRecord, Phase};
 
-/// The last state of each endpoint in a list, by id.
+/// The last state of each endpoint in a list, keyed by id.
 type NewestStates<'a> = LinkedHashMap<&'a str, &'a EndpointRecord>;
 
-/// Splits discovery's lists into what is accepted now and what is held until the end of a freeze.
+/// Splits discovery's lists into the changes that are accepted now and those that are held until the end of a freeze.
 #[derive(Debug, Clone)]
 pub struct TopologyGate {
     accepted: AcceptedEndpoints,
     pending: PendingChanges<EndpointRecord>,
-    /// Whether there is an accepted list that tells new endpoints from old ones.
+    /// Whether there is an accepted list, against which new endpoints can be told from old ones.
     has_baseline: bool,
 }
 
 impl TopologyGate {
-    /// Creates the gate of a process that inherits the list `known`, or none. Without an inherited list the first complete
-    /// list is accepted as a whole, also during a freeze: the process must serve, and cannot tell which endpoints are new.
+    /// Creates a gate. `known` is the endpoint list that the process inherits, if any. Without it, all lists up to and
+    /// including the first complete one are accepted whole, even during a freeze, because the process must serve and
+    /// cannot tell which endpoints are new.
     pub fn new(known: Option<Vec<EndpointRecord>>, pace: ReleasePace) -> Self {
         let has_baseline = known.is_some();
         let mut accepted = AcceptedEndpoints::default();
@@ -32,17 +33,18 @@
         Self { accepted, pending: PendingChanges::new(pace), has_baseline }
     }
 
-    /// The accepted endpoints.
+    /// Returns the accepted endpoints.
     pub fn members(&self) -> impl Iterator<Item = &EndpointRecord> {
         self.accepted.members.values()
     }
 
-    /// The held changes.
+    /// Returns the held changes.
     pub fn held_changes(&self) -> &PendingChanges<EndpointRecord> {
         &self.pending
     }
 
-    /// When to call [`TopologyGate::release`] next, on the owner's clock. Each step also reviews what a freeze still holds.
+    /// Returns when to call [`TopologyGate::release`] next, on the owner's clock. Each call also reviews the changes
+    /// that a freeze still holds.
     pub fn next_release_at(&self) -> Option<Millis> {
         self.pending.next_release_at()
     }
@@ -63,14 +65,15 @@
         }
     }
 
-    /// Applies what is allowed of a list now. Losses and facts apply first, whatever is frozen.
+    /// Applies the changes of a list that are allowed now. Losses and other facts are applied first, even during a
+    /// freeze.
     pub fn apply_list(
         &mut self, context: &GateContext, calendar: &Calendar, list: &EndpointList,
     ) -> GateResult {
         let input = CheckInput { context, calendar };
         self.update_freezes(input);
         self.accepted.list_revision = list.revision;
-        // Of several states of one endpoint only the last counts.
+        // If a list contains several states of an endpoint, only the last one counts.
         let newest: NewestStates<'_> = list.members.iter().map(|it| (it.id.as_str(), it)).collect();
         if !self.has_baseline {
             return self.apply_initial_list(input, list, &newest);
@@ -100,7 +103,7 @@
         self.finish(list.complete, members)
     }
 
-    /// The result of a call, with the records made in it.
+    /// Returns the result of a call, with the records that it made.
     fn finish(&mut self, complete: bool, members: Vec<EndpointRecord>) -> GateResult {
         let records = std::mem::take(&mut self.accepted.records);
         GateResult {
@@ -122,7 +125,7 @@
         self.finish(list.complete, members)
     }
 
-    /// Removes the endpoints that a complete list does not contain any more.
+    /// Removes the endpoints that a complete list no longer contains, and returns their ids.
     fn remove_unlisted(
         &mut self, calendar: &Calendar, list: &EndpointList, newest: &NewestStates<'_>,
     ) -> Vec<String> {
@@ -144,11 +147,11 @@
         gone.into_iter().map(|it| it.id).collect()
     }
 
-    /// Applies the fact in an endpoint's new state, if any. Returns its kind.
+    /// Applies the fact in an endpoint's new state, if any, and returns its kind.
     fn apply_facts(&mut self, input: CheckInput<'_>, new: &EndpointRecord) -> Option<ChangeKind> {
         let old = self.accepted.members.get(&new.id);
         let kind = factual_change(old, new)?;
-        // An endpoint that drains before it was ever accepted is not listed if it could not have joined.
+        // An endpoint that was never accepted and is draining is not listed unless it would be allowed to join.
         if old.is_none()
             && kind == ChangeKind::Drain
             && !self.accepted.is_allowed(input, new, ChangeKind::Join)
@@ -163,8 +166,8 @@
         Some(kind)
     }
 
-    /// Applies the planned changes in an endpoint's new state that are allowed, and holds the rest. Returns whether any was
-    /// applied. `queueing` is determined once in a list, where it is first needed.
+    /// Applies the allowed planned changes in an endpoint's new state, and holds the rest. Returns whether any was
+    /// applied. `queueing` is determined once for each list, when it is first needed.
     fn apply_planned(
         &mut self, input: CheckInput<'_>, new: &EndpointRecord, queueing: &mut Option<Queueing>,
     ) -> bool {
@@ -181,8 +184,8 @@
         result.applied
     }
 
-    /// While queued changes are released in steps, no new change overtakes them. Changes that a freeze still holds are in
-    /// nobody's way.
+    /// Returns whether new changes must queue. They must not overtake queued changes that are being released in steps.
+    /// Queued changes that a freeze still holds do not block new ones.
     fn queueing(&self, input: CheckInput<'_>) -> Queueing {
         let releasable =
             |it: &PendingChange<EndpointRecord>| self.accepted.is_allowed(input, &it.state, it.kind);
@@ -193,7 +196,7 @@
         }
     }
 
-    /// Queues a held change. Records it if that is new.
+    /// Queues a held change, and records it unless the queue already contained it unchanged.
     fn hold(&mut self, input: CheckInput<'_>, new: &EndpointRecord, held: HeldChange) {
         let HeldChange { kind, outcome } = held;
         if let ChangeOutcome::Held { reason, until } = &outcome {
@@ -215,7 +218,8 @@
         self.accepted.record(input.calendar, &new.id, kind, outcome);
     }
 
-    /// The current states of endpoints that changed. For an endpoint that is gone, its state in the list.
+    /// Returns the accepted states of endpoints that changed. For an endpoint that is gone, returns its state in the
+    /// list.
     fn changed_records<'a>(
         &self, hosts: impl Iterator<Item = &'a String>, newest: &NewestStates<'_>,
     ) -> Vec<EndpointRecord> {
@@ -231,7 +235,7 @@
         changed.into_iter().map(|(_, member)| member).collect()
     }
 
-    /// Releases the next step of the held changes that are allowed now; `None` when there are none.
+    /// Releases the next step of the held changes that are allowed now. Returns `None` if none is released.
     pub fn release(&mut self, context: &GateContext, calendar: &Calendar) -> Option<GateResult> {
         let input = CheckInput { context, calendar };
         self.update_freezes(input);
@@ -252,7 +256,7 @@
     }
 }
 
-/// The outcome of a review, after which a change that stays queued has its new reason.
+/// Returns the result of a review. Updates the kind, reason and time of a change that stays queued.
 fn review_of(change: &mut PendingChange<EndpointRecord>, applied: bool, held: Option<HeldChange>) -> Review {
     match held {
         None => Review::Applied,
--- a/crates/calendar/src/index.rs
+++ b/crates/calendar/src/index.rs
@@ -1,5 +1,5 @@
-//! An index of the calendar: the intervals of freezes and overrides by scope and kind, sorted, so that a check is a few binary
-//! searches.
+//! An index of the calendar's freezes and overrides. It keeps their intervals sorted by scope and kind, so that a check
+//! takes a few binary searches.
 
 use crate::entry::{Scope, ScopeTarget};
 use crate::occurrences::Interval;
@@ -15,13 +15,13 @@
 pub(crate) struct IndexedInterval {
     start: Millis,
     end: Millis,
-    /// The end of the intervals that follow one another without a gap.
+    /// The end of the run of contiguous intervals that contains this one.
     pub(crate) until: Millis,
-    /// Index of the entry's title.
+    /// The index of the entry in [`Index::titles`].
     entry: u32,
 }
 
-/// Intervals, ordered and without overlaps once [`Timeline::merge_overlaps`] was called.
+/// Intervals of entries. [`Timeline::merge_overlaps`] orders them and removes overlaps.
 #[derive(Debug, Clone, Default)]
 struct Timeline(Vec<IndexedInterval>);
 
@@ -29,7 +29,7 @@
     fn push(&mut self, interval: Interval, entry: u32) {
         self.0.push(IndexedInterval { start: interval.start, end: interval.end, until: interval.end, entry });
     }
-    /// Sorts the intervals, and cuts each to the part that no earlier one covers.
+    /// Sorts the intervals and cuts each to the part that no earlier interval covers.
     fn merge_overlaps(&mut self) {
         self.0.sort_by_key(|it| (it.start, std::cmp::Reverse(it.end), it.entry));
         let mut done: Vec<IndexedInterval> = Vec::with_capacity(self.0.len());
@@ -48,12 +48,12 @@
         done.shrink_to_fit();
         self.0 = done;
     }
-    /// The first interval that overlaps the span.
+    /// Returns the first interval that overlaps the span.
     fn overlapping(&self, span: TimeInterval) -> Option<&IndexedInterval> {
         let at = self.0.partition_point(|it| it.end <= span.earliest);
         self.0.get(at).filter(|it| it.start <= span.latest)
     }
-    /// The interval that contains the start of the span, if the whole span is covered.
+    /// Returns the interval that contains the start of the span, if the whole span is covered.
     fn covering(&self, span: TimeInterval) -> Option<&IndexedInterval> {
         self.overlapping(span).filter(|it| it.start <= span.earliest && span.latest < it.until)
     }
@@ -62,17 +62,17 @@
 /// One timeline for each planned kind of change.
 type KindTimelines = [Timeline; PLANNED_KINDS];
 
-/// The timelines of each scope.
+/// The timelines of all scopes.
 #[derive(Debug, Clone, Default)]
 struct ScopeTimelines {
     fleet: KindTimelines,
-    /// All scopes together, for changes of the whole fleet.
+    /// The intervals of all scopes, for changes of the whole fleet.
     any_scope: KindTimelines,
     zones: FxHashMap<Arc<str>, KindTimelines>,
     hosts: FxHashMap<Arc<str>, KindTimelines>,
 }
 
-/// Adds the intervals of an entry to the timelines of the kinds that it covers.
+/// Adds the intervals of an entry to the timeline of each kind that the entry covers.
 fn add_to_kinds(kinds: &mut KindTimelines, scope: &Scope, in_force: &[Interval], entry: u32) {
     for (timeline, kind) in kinds.iter_mut().zip(ChangeKind::PLANNED) {
         if scope.kinds.is_empty() || scope.kinds.contains(&kind) {
@@ -101,7 +101,7 @@
     }
 }
 
-/// What the reason of a hold contains of an entry.
+/// The parts of an entry that the reason of a hold contains.
 #[derive(Debug, Clone)]
 pub(crate) struct EntryTitle {
     pub(crate) id: Arc<str>,
@@ -133,7 +133,7 @@
         };
         timelines.add(scope, in_force, entry);
     }
-    /// Sorts all timelines. To be called after the last entry was added, and before the first search.
+    /// Sorts all timelines. Call this after the last entry is added and before the first search.
     pub(crate) fn finish(&mut self) {
         self.freezes.merge_overlaps();
         self.overrides.merge_overlaps();
@@ -141,7 +141,7 @@
     pub(crate) fn title(&self, interval: IndexedInterval) -> Option<&EntryTitle> {
         self.titles.get(interval.entry as usize)
     }
-    /// The freeze that holds the change in the span. Of several, the one that lasts longest.
+    /// Returns the freeze that holds the change in the span. If there are several, returns the one that lasts longest.
     pub(crate) fn freeze(&self, span: TimeInterval, change: &Change<'_>) -> Option<IndexedInterval> {
         let kind = ChangeKind::PLANNED.iter().position(|it| *it == change.kind)?;
         let Some(host) = change.host else {
@@ -155,7 +155,8 @@
         let others = [timelines.fleet[kind].overlapping(span).copied(), in_map(&timelines.hosts, host)];
         zones.chain(others.into_iter().flatten()).max_by_key(|it| it.until)
     }
-    /// The override that allows the change. One scope of it must cover the whole change during the whole span.
+    /// Returns the override that allows the change. An override of the fleet, or of the host, or overrides of all
+    /// affected zones must cover the change during the whole span.
     pub(crate) fn override_of(&self, span: TimeInterval, change: &Change<'_>) -> Option<IndexedInterval> {
         let kind = ChangeKind::PLANNED.iter().position(|it| *it == change.kind)?;
         let timelines = &self.overrides;
--- a/crates/calendar/src/lib.rs
+++ b/crates/calendar/src/lib.rs
@@ -1,17 +1,17 @@
-//! A calendar of change freezes that a fleet of balancers agrees on, and the check that every change of topology goes through.
+//! A replicated calendar of change freezes, and the check of every topology change against it.
 //!
-//! The replicated log hands each committed [`Proposal`] to [`Calendar::apply`], which is deterministic: the same log makes the
-//! same calendar, and a refused proposal is refused at every balancer. [`Calendar::check`] decides whether a [`Change`] is
-//! allowed or held. [`PendingChanges`] queues held changes, [`AvailableCapacity`] tracks the weight that replacements may
-//! restore, and [`TopologyGate`] splits discovery's lists into what is accepted now and what is held.
+//! The replicated log passes each committed [`Proposal`] to [`Calendar::apply`], which is deterministic: balancers that
+//! apply the same log hold equal calendars and refuse the same proposals. [`Calendar::check`] decides whether a
+//! [`Change`] is allowed or held. [`PendingChanges`] queues held changes, [`AvailableCapacity`] tracks the weight that
+//! replacements may restore, and [`TopologyGate`] splits discovery's lists into accepted and held changes.
 //!
-//! The crate does no I/O, reads no clock and draws no randomness. The owner provides the log, bounds on fleet time, the lease
-//! state and the timer that calls [`TopologyGate::release`], and stores the [`ChangeRecord`]s.
+//! The crate does no I/O, reads no clock and draws no randomness. The owner provides the log, bounds on fleet time, the
+//! lease state and the timer that calls [`TopologyGate::release`], and stores the [`ChangeRecord`]s.
 //!
-//! Dates use jiff with its bundled time zones, never the machine's, so that all machines interpret an entry alike. Recurrences
-//! are jiff's series, ISO weeks and weekdays of months. The crate rrule supports more rules, but depends on chrono and
-//! chrono-tz: a second time zone database that may differ from the first, and a text parser for bytes from the wire, for rules
-//! that nobody needs.
+//! Dates use jiff with its bundled time zones instead of the machine's, so that all machines interpret an entry alike.
+//! Recurrences are built from jiff's date series, ISO weeks and weekdays of months. The crate rrule supports more
+//! rules, but none that is needed here. It depends on chrono and chrono-tz, which add a second time zone database that
+//! may differ from jiff's, and it parses text from the wire.
 #![forbid(unsafe_code)]
 #![warn(unreachable_pub)]
 
@@ -45,5 +45,5 @@
 pub use records::{ChangeOutcome, ChangeRecord, GateContext, GateResult};
 pub use validate::{FieldProblem, InvalidField};
 
-/// Milliseconds: a duration, a point of fleet time (since 1970), or a point on the owner's clock.
+/// Milliseconds: a duration, a fleet time since the Unix epoch (1970), or a time on the owner's clock.
 pub type Millis = u64;
--- a/crates/calendar/src/list_delta.rs
+++ b/crates/calendar/src/list_delta.rs
@@ -1,9 +1,9 @@
-//! The difference between an endpoint's accepted and listed state: which parts are facts, and which are planned changes.
+//! The difference between an endpoint's accepted and listed state, split into facts and planned changes.
 
 use crate::ChangeKind;
 use proto::discovery::{EndpointRecord, Phase};
 
-/// The weight that an endpoint serves with.
+/// Returns the weight that an endpoint serves with: 0 unless it is ready.
 pub(crate) fn serving_weight(member: &EndpointRecord) -> f64 {
     if member.phase == Phase::Ready { member.size.max(0.0) } else { 0.0 }
 }
@@ -12,7 +12,7 @@
     (&old.locality, &old.flavor, old.cell) != (&new.locality, &new.flavor, new.cell)
 }
 
-/// The planned changes in the new state, which a freeze may hold.
+/// Returns the planned changes from `old` to `new`, which a freeze may hold.
 pub(crate) fn planned_changes(old: Option<&EndpointRecord>, new: &EndpointRecord) -> Vec<ChangeKind> {
     if new.phase != Phase::Ready {
         return Vec::new();
@@ -28,7 +28,7 @@
     kinds
 }
 
-/// The fact in the new state, if any, which no freeze holds.
+/// Returns the fact in the change from `old` to `new`, if any. No freeze holds a fact.
 pub(crate) fn factual_change(old: Option<&EndpointRecord>, new: &EndpointRecord) -> Option<ChangeKind> {
     let Some(old) = old else {
         return match new.phase {
@@ -47,14 +47,14 @@
     }
 }
 
-/// The old state with the facts of the new one.
+/// Returns `old` with the facts of `new` applied.
 pub(crate) fn with_facts(old: &EndpointRecord, new: &EndpointRecord) -> EndpointRecord {
     let phase = if new.phase == Phase::Ready { old.phase } else { new.phase };
     let size = old.size.min(new.size);
     EndpointRecord { host_port: new.host_port, up_since_ms: new.up_since_ms, phase, size, ..old.clone() }
 }
 
-/// The old state with one planned change of the new one, at `size` where the change is one of size.
+/// Returns `old` with one planned change of `new` applied. A join or an increase of weight is applied at `size`.
 pub(crate) fn with_planned(
     old: Option<&EndpointRecord>, new: &EndpointRecord, kind: ChangeKind, size: f64,
 ) -> EndpointRecord {
--- a/crates/calendar/src/occurrences.rs
+++ b/crates/calendar/src/occurrences.rs
@@ -1,4 +1,4 @@
-//! Occurrences of entries: civil times and recurrences converted to intervals of fleet time.
+//! Conversion of the civil times and recurrences of entries to intervals of fleet time.
 
 use crate::Millis;
 use crate::entry::{Freeze, Override, Recurrence, Repeat};
@@ -8,13 +8,14 @@
 use jiff::tz::{TimeZone, TimeZoneDatabase};
 use std::sync::LazyLock;
 
-/// Upper bound on the dates that a recurrence is expanded to. One with hardly any valid date must not run to the year 9999.
+/// Maximum number of dates that a recurrence is expanded to, so that one with hardly any valid date doesn't run to the
+/// year 9999.
 const MAX_STEPS: usize = 8 * MAX_PER_ENTRY;
 
-/// The bundled database. The machine's own database may differ from that of another machine.
+/// jiff's bundled time zone database. The databases of different machines may differ.
 static ZONES: LazyLock<TimeZoneDatabase> = LazyLock::new(TimeZoneDatabase::bundled);
 
-/// The time zone with an IANA name.
+/// Returns the time zone with an IANA name.
 pub(crate) fn time_zone(name: &str) -> Option<TimeZone> {
     ZONES.get(name).ok()
 }
@@ -30,7 +31,7 @@
     Millis::try_from(at.ok()?.as_millisecond()).ok()
 }
 
-/// The given days of every so many ISO weeks, from the week of `start` on.
+/// Returns the dates of the given weekdays in every `every`th ISO week, beginning with the week of `start`.
 fn weekly(start: Date, every: u16, days: Vec<Weekday>) -> impl Iterator<Item = Date> {
     let monday = |date: Date| {
         let week = date.iso_week_date();
@@ -45,7 +46,7 @@
     })
 }
 
-/// The dates of a recurrence, from `start` on.
+/// Returns the dates of a recurrence that begins at `start`.
 fn dates(start: Date, repeat: &Repeat) -> Box<dyn Iterator<Item = Date>> {
     match &repeat.rhythm {
         Recurrence::Daily(every) => Box::new(start.series(i64::from(*every).days())),
@@ -65,7 +66,8 @@
     }
 }
 
-/// The dates on which occurrences start: at most one more than allowed.
+/// Returns the dates on which occurrences start. It stops at one more than [`MAX_PER_ENTRY`], so that validation can
+/// detect the excess.
 fn start_dates(freeze: &Freeze) -> Vec<Date> {
     let first = freeze.start.date();
     let all: Box<dyn Iterator<Item = Date>> = match &freeze.repeat {
@@ -79,8 +81,8 @@
     valid.take(MAX_PER_ENTRY + 1).collect()
 }
 
-/// All occurrences ordered by start. An ambiguous or skipped civil time is resolved to the longer freeze: an extra hour only
-/// delays a change, a missing hour would let one through.
+/// Returns all occurrences of a freeze, ordered by start. An ambiguous or skipped civil time is resolved so that the
+/// freeze is longer: an extra hour only delays a change, but a missing hour would let one through.
 pub(crate) fn of_freeze(freeze: &Freeze) -> Vec<Interval> {
     let Some(zone) = time_zone(&freeze.zone) else { return Vec::new() };
     let Ok(length) = freeze.start.until(freeze.end) else { return Vec::new() };
@@ -94,7 +96,7 @@
     start_dates(freeze).into_iter().filter_map(occurrence).collect()
 }
 
-/// The end of an override. An ambiguous civil time is resolved to the earlier one.
+/// Returns the end of an override. An ambiguous civil time is resolved to the earlier time.
 pub(crate) fn end_of_override(entry: &Override) -> Option<Millis> {
     millis(time_zone(&entry.zone)?.to_ambiguous_timestamp(entry.end).earlier())
 }
--- a/crates/calendar/src/pending.rs
+++ b/crates/calendar/src/pending.rs
@@ -1,15 +1,15 @@
-//! The queue of held changes, with the newest state of each subject, and the pace of their release.
+//! The queue of held changes, which keeps the newest state of each subject, and the pace at which it releases them.
 
 use crate::{ChangeKind, HoldReason, Millis};
 use hashlink::LinkedHashMap;
 
-/// Upper bound on the held changes: more endpoints than a list can name.
+/// Maximum number of held changes: more than the endpoints that a list can name.
 pub const MAX_PENDING_CHANGES: usize = 16_384;
 
-/// How fast held changes are released. It limits the load of cold endpoints on the origin.
+/// The pace at which held changes are released. It limits the load that cold endpoints put on the origin.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ReleasePace {
-    /// Endpoints in one step; at least one.
+    /// Number of endpoints released in one step. 0 counts as 1.
     pub hosts: usize,
     /// Time from one step to the next, on the owner's clock.
     pub pause: Millis,
@@ -18,13 +18,13 @@
 /// A held change.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PendingChange<T> {
-    /// Why it is held, as of the last check.
+    /// Why the change is held, according to the last check.
     pub reason: HoldReason,
-    /// What changes.
+    /// The kind of the change.
     pub kind: ChangeKind,
-    /// When it was first held, on the owner's clock.
+    /// When the change was first held, on the owner's clock.
     pub since: Millis,
-    /// The newest state.
+    /// The newest state of the subject.
     pub state: T,
     /// The fleet time at which to check again, if known.
     pub until: Option<Millis>,
@@ -33,24 +33,24 @@
 /// A released change, with its subject.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ReleasedChange<T> {
-    /// What the change is about.
+    /// The endpoint or other subject that changes.
     pub subject: String,
     /// The change.
     pub change: PendingChange<T>,
 }
 
-/// The outcome of the review of a held change.
+/// The result of reviewing a held change.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum Review {
-    /// It is applied, and leaves the queue.
+    /// The change is applied and leaves the queue.
     Applied,
-    /// A part of it is applied, and the rest is held.
+    /// A part of the change is applied, and the rest stays in the queue.
     Partial,
-    /// It stays held.
+    /// The change stays in the queue.
     Held,
 }
 
-/// A bounded queue of held changes. Only changes that add capacity may be held: losses apply at once, so that none queues
+/// A bounded queue of held changes. Losses of capacity must not be held but applied at once, so that no loss queues
 /// behind a join.
 #[derive(Debug, Clone)]
 pub struct PendingChanges<T> {
@@ -65,31 +65,31 @@
         Self { queue: LinkedHashMap::new(), pace, next_release_at: 0 }
     }
 
-    /// The number of held changes.
+    /// Returns the number of held changes.
     pub fn len(&self) -> usize {
         self.queue.len()
     }
 
-    /// Whether no change is held.
+    /// Returns whether no change is held.
     pub fn is_empty(&self) -> bool {
         self.queue.is_empty()
     }
 
-    /// The held changes with their subjects, in order.
+    /// Returns the held changes with their subjects, in the order of their release.
     pub fn iter(&self) -> impl Iterator<Item = (&str, &PendingChange<T>)> {
         self.queue.iter().map(|(subject, it)| (subject.as_str(), it))
     }
 
-    /// The held change of a subject.
+    /// Returns the held change of a subject.
     pub fn get(&self, subject: &str) -> Option<&PendingChange<T>> {
         self.queue.get(subject)
     }
 
-    /// Holds a change. A change of a queued subject replaces the queued one, and keeps its position and age. Returns whether
-    /// the queue has changed.
+    /// Holds a change. If the subject is already queued, the change replaces the queued one and keeps its position and
+    /// age. Returns whether the queue has changed.
     ///
     /// # Errors
-    /// The change, when the queue is full.
+    /// Returns the change if the queue is full.
     pub fn hold(&mut self, subject: &str, change: PendingChange<T>) -> Result<bool, PendingChange<T>> {
         if let Some(queued) = self.queue.get_mut(subject) {
             let since = queued.since;
@@ -103,24 +103,25 @@
         Ok(true)
     }
 
-    /// Drops the held change of a subject that needs none any more.
+    /// Removes the held change of a subject, if any.
     pub fn cancel(&mut self, subject: &str) -> Option<PendingChange<T>> {
         self.queue.remove(subject)
     }
 
-    /// When the next release is due, on the owner's clock; `None` while no change is held.
+    /// Returns when the next release is due, on the owner's clock, or `None` if no change is held.
     pub fn next_release_at(&self) -> Option<Millis> {
         (!self.queue.is_empty()).then_some(self.next_release_at)
     }
 
-    /// Releases, from the front, at most one step of the changes that `allowed` accepts.
+    /// Releases the changes that `allowed` accepts, from the front of the queue and at most as many as one step allows.
     pub fn release_due(
         &mut self, now: Millis, mut allowed: impl FnMut(&str, &PendingChange<T>) -> bool,
     ) -> Vec<ReleasedChange<T>> {
         self.review(now, |subject, it| if allowed(subject, it) { Review::Applied } else { Review::Held })
     }
 
-    /// Reviews held changes from the front, until one step of them is applied. Returns those that left the queue.
+    /// Reviews held changes from the front of the queue, until as many are applied as one step allows. Returns the
+    /// changes that left the queue.
     pub(crate) fn review(
         &mut self, now: Millis, mut reviewer: impl FnMut(&str, &mut PendingChange<T>) -> Review,
     ) -> Vec<ReleasedChange<T>> {
@@ -139,7 +140,8 @@
                 subjects.push(subject.clone());
             }
         }
-        // Also if nothing was applied: an owner that wakes for the next release must not spin through a freeze.
+        // Set even if nothing was applied. Otherwise an owner that wakes for the next release would busy-loop during a
+        // freeze.
         self.next_release_at = now.saturating_add(self.pace.pause.max(1));
         let release = |subject: String| {
             let change = self.queue.remove(&subject)?;
--- a/crates/calendar/src/records.rs
+++ b/crates/calendar/src/records.rs
@@ -1,10 +1,10 @@
-//! What became of a change of topology, and the context in which changes are checked.
+//! The outcomes of topology changes, and the context in which changes are checked.
 
 use crate::{ChangeKind, HoldReason, LeaseState, Millis, TimeInterval};
 use proto::discovery::EndpointList;
 use std::sync::Arc;
 
-/// The time and the lease state at which changes are checked.
+/// The time and the lease state against which changes are checked.
 #[derive(Debug, Clone, Copy)]
 pub struct GateContext {
     /// The time on the owner's clock.
@@ -15,48 +15,50 @@
     pub lease: LeaseState,
 }
 
-/// What became of a change.
+/// The outcome of a topology change.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ChangeOutcome {
-    /// Applied: no freeze covers it, or none can.
+    /// Applied, because no freeze covers the change or its kind is never held.
     Applied,
     /// Applied under the override with this id.
     Override(Arc<str>),
     /// Applied during a freeze, as a replacement for weight lost since its start.
     Replacement,
-    /// Applied with the first list of a process that starts without a known list, which cannot tell new endpoints from old.
+    /// Applied with the first list of a process that started without a known list. Such a process cannot tell new
+    /// endpoints from old ones.
     InitialList,
     /// Held.
     Held {
-        /// Why.
+        /// Why the change is held.
         reason: HoldReason,
         /// The fleet time at which to check again, if known.
         until: Option<Millis>,
     },
-    /// Neither applied nor queued, since the queue or the list is full. A later complete list contains the change again.
+    /// Neither applied nor queued, because the queue or the accepted list is full. A later complete list contains the
+    /// change again.
     QueueFull,
 }
 
-/// What became of a change, and the state of the calendar it was checked against.
+/// A record of a change, its outcome and the revision of the calendar that it was checked against.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ChangeRecord {
     /// The endpoint.
     pub host: String,
-    /// What changed.
+    /// The kind of the change.
     pub kind: ChangeKind,
     /// The revision of the endpoint list.
     pub list: u64,
-    /// What became of it.
+    /// The outcome of the change.
     pub outcome: ChangeOutcome,
     /// The revision of the calendar.
     pub revision: u64,
 }
 
-/// The part of a list that is accepted now, and a record of each change that was applied or held.
+/// The accepted part of an endpoint list, and a record of each change that was applied or held.
 #[derive(Debug, Clone, PartialEq)]
 pub struct GateResult {
     /// The list for the decision module. In a list of changes, losses come first.
     pub list: EndpointList,
-    /// What became of each change.
+    /// The records of the changes.
     pub records: Vec<ChangeRecord>,
 }
--- a/crates/calendar/src/schedule.rs
+++ b/crates/calendar/src/schedule.rs
@@ -5,7 +5,8 @@
 use crate::occurrences::{self, Interval};
 use serde::{Deserialize, Serialize};
 
-/// An entry, and when it was committed.
+/// A committed entry with its commit and revocation. Part of the snapshot, in which postcard fixes the order of the
+/// fields.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct CommittedEntry {
     /// Fleet time of the commit.
@@ -18,20 +19,20 @@
     pub(crate) entry: Entry,
 }
 
-/// A committed entry with its schedule, which is derived from it.
+/// A committed entry and the schedule derived from it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct ScheduledEntry {
     pub(crate) committed: CommittedEntry,
-    /// When the entry is in force, in order.
+    /// The intervals in which the entry is in force, in order.
     pub(crate) in_force: Vec<Interval>,
-    /// When the last occurrence is over.
+    /// The end of the last occurrence, or the revocation if it is later.
     pub(crate) end: Millis,
-    /// The entry's part of [`MAX_OCCURRENCES`](crate::MAX_OCCURRENCES).
+    /// The number of occurrences that count towards [`MAX_OCCURRENCES`](crate::MAX_OCCURRENCES).
     pub(crate) occurrences: usize,
 }
 
 impl ScheduledEntry {
-    /// Computes the schedule of an entry. A freeze is in force no sooner than `binding` after its commit.
+    /// Computes the schedule of an entry. A freeze comes into force no earlier than `binding` after its commit.
     pub(crate) fn new(committed: CommittedEntry, binding: Millis) -> Self {
         let revoked = committed.revoked.unwrap_or(Millis::MAX);
         let clip =
@@ -41,7 +42,8 @@
                 let first = committed.at.saturating_add(binding);
                 occurrences::of_freeze(freeze).into_iter().map(|it| clip(first, it)).collect()
             }
-            // Effective at once: a balancer that has not applied the override yet holds more, which is safe.
+            // In force at once, because a balancer that has not yet applied the override only holds more changes, which
+            // is safe.
             Entry::Override(it) => {
                 let end = occurrences::end_of_override(it).unwrap_or(0);
                 vec![clip(committed.at, Interval { start: committed.at, end })]
--- a/crates/calendar/src/validate.rs
+++ b/crates/calendar/src/validate.rs
@@ -1,4 +1,4 @@
-//! Validation of the fields of a proposal, before it is proposed.
+//! Validation of the fields of a proposal.
 
 use crate::ChangeKind;
 use crate::entry::{Entry, Freeze, Override, Proposal, Recurrence, Repeat, Scope, ScopeTarget};
@@ -7,31 +7,31 @@
 use jiff::civil::DateTime;
 use thiserror::Error;
 
-/// What is wrong with a field.
+/// The problem with an invalid field.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum FieldProblem {
     /// The field is empty.
     #[error("is empty")]
     Empty,
-    /// More bytes or names than allowed.
+    /// The field has more bytes or elements than allowed.
     #[error("is too long")]
     TooLong,
     /// The end is not after the start.
     #[error("is not behind the start")]
     BeforeStart,
-    /// An unknown time zone.
+    /// The field names an unknown time zone.
     #[error("names no time zone that is known")]
     UnknownZone,
-    /// A kind of change that a freeze never holds.
+    /// The field names a kind of change that a freeze never holds.
     #[error("names a kind of change that is never held")]
     NeverHeld,
-    /// A number out of its range.
+    /// The value is out of its range.
     #[error("is out of its range")]
     OutOfRange,
     /// The entry would have no occurrence.
     #[error("leaves no occurrence")]
     Never,
-    /// More occurrences than allowed.
+    /// The entry would have more occurrences than allowed.
     #[error("makes too many occurrences")]
     TooMany,
 }
@@ -40,9 +40,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 #[error("`{field}` {problem}")]
 pub struct InvalidField {
-    /// The field.
+    /// The path of the field in the proposal.
     pub field: &'static str,
-    /// What is wrong with it.
+    /// The problem with the field.
     pub problem: FieldProblem,
 }
 
@@ -142,10 +142,10 @@
 }
 
 impl Proposal {
-    /// Checks the fields of the proposal, without regard to the entries of a calendar.
+    /// Checks the fields of the proposal. It does not check the proposal against the entries of a calendar.
     ///
     /// # Errors
-    /// The first invalid field.
+    /// Returns the first invalid field.
     pub fn validate(&self) -> Result<(), InvalidField> {
         match self {
             Self::Add(Entry::Freeze(it)) => validate_freeze(it),
--- a/crates/calendar/tests/calendar.rs
+++ b/crates/calendar/tests/calendar.rs
@@ -1,4 +1,4 @@
-//! Committed entries: when they are in force, and what they hold.
+//! When committed entries are in force, and which changes they hold.
 
 mod support;
 
@@ -15,7 +15,7 @@
     Some(Repeat { until: until.parse().unwrap(), rhythm })
 }
 
-/// The weeks before the monthly permit deadlines, from the 24th to the end of the month, except at the end of the year.
+/// Returns a freeze from the 24th to the end of each month, before the monthly permit deadline. December is excepted.
 fn deadline_weeks() -> Freeze {
     Freeze {
         repeat: repeat("2026-12-31", Recurrence::Monthly(1)),
@@ -152,7 +152,7 @@
         calendar.apply(12, utc("2027-01-01T00:00Z"), &add(&it)),
         Applied::Refused(ProposalError::Over(_))
     ));
-    assert_eq!(calendar.entries().count(), 0, "dropped so long after its end");
+    assert_eq!(calendar.entries().count(), 0, "the entry is dropped after its retention time");
 }
 
 #[test]
@@ -209,7 +209,7 @@
     assert!(held(&calendar, committed, &Change::of_host(ChangeKind::More, "h", "a")));
     assert!(held(&calendar, committed, &Change::of_fleet(ChangeKind::Join)));
     let both = Change { kind: ChangeKind::Zone, host: Some("h"), zones: [Some("a"), Some("b")] };
-    assert!(held(&calendar, committed, &both), "it covers only one of the two zones");
+    assert!(held(&calendar, committed, &both), "the override covers only one of the two zones");
     let end = utc("2026-01-26T00:00Z");
     assert!(!held(&calendar, end - 1, &in_a) && held(&calendar, end, &in_a));
     let across = Some(TimeInterval { earliest: end - 5, latest: end });
--- a/crates/calendar/tests/change.rs
+++ b/crates/calendar/tests/change.rs
@@ -1,4 +1,4 @@
-//! The words of changes that digests and log lines are made of.
+//! The words for kinds of change in digests and log lines.
 
 use calendar::ChangeKind;
 
--- a/crates/calendar/tests/frozen.rs
+++ b/crates/calendar/tests/frozen.rs
@@ -1,4 +1,4 @@
-//! Compares the calendar with a reference implementation that checks one day after another.
+//! Compares the calendar with a reference implementation that checks each day.
 
 mod support;
 
@@ -21,7 +21,7 @@
     of.checked_sub(i64::from(of.weekday().to_monday_zero_offset()).days()).unwrap()
 }
 
-/// Whether an occurrence starts on the day.
+/// Returns whether an occurrence starts on the day.
 fn starts_on(it: &Freeze, day: Date) -> bool {
     let first = it.start.date();
     let Some(repeat) = &it.repeat else { return day == first };
@@ -48,7 +48,7 @@
     by_rule && day >= first && day <= repeat.until && !it.exceptions.contains(&day)
 }
 
-/// Whether an occurrence that starts on any of the days before covers the instant.
+/// Returns whether the instant is covered by an occurrence that starts at most 40 days before it or one day after.
 fn reference_frozen(it: &Freeze, at: Millis) -> bool {
     let zone = TimeZoneDatabase::bundled().get(&it.zone).unwrap();
     let instant = jiff::Timestamp::from_millisecond(at.cast_signed()).unwrap();
@@ -129,7 +129,7 @@
     runner.run(&all, matches_reference).unwrap();
     assert!(
         frozen_instants.get() * 20 > checked_instants.get(),
-        "frozen in {} of {}",
+        "only {} of {} checked instants were frozen",
         frozen_instants.get(),
         checked_instants.get()
     );
--- a/crates/calendar/tests/gate.rs
+++ b/crates/calendar/tests/gate.rs
@@ -1,4 +1,4 @@
-//! What the gate applies, what it holds, and how it releases held changes.
+//! Which changes the gate applies and holds, and how it releases held changes.
 
 mod support;
 
@@ -44,7 +44,7 @@
 fn gate() -> TopologyGate {
     TopologyGate::new(Some(three_hosts()), PACE)
 }
-/// The accepted list, as `host:weight`.
+/// Returns the accepted list as `host:weight`, with a `-` after an endpoint that is not ready.
 fn listed_weights(result: &GateResult) -> String {
     let one = |it: &EndpointRecord| {
         format!("{}:{}{}", it.id, it.size, if it.phase == Phase::Ready { "" } else { "-" })
@@ -75,7 +75,7 @@
         (ChangeKind::Join, ChangeOutcome::Held { reason: HoldReason::Freeze { .. }, .. })
     ));
     let zones: Vec<_> = gate.members().map(|it| (it.locality.as_str(), it.up_since_ms)).collect();
-    assert_eq!(zones, [("a", 5), ("a", 9), ("a", 5)], "restarts are facts, zone changes are planned");
+    assert_eq!(zones, [("a", 5), ("a", 9), ("a", 5)], "a restart is a fact, and a zone change is planned");
     assert!(result.records.iter().all(|it| it.revision == 1 && it.list == 3));
     let waits: Vec<_> = gate.held_changes().iter().map(|it| (it.0, it.1.kind)).collect();
     let wanted = [
@@ -124,7 +124,7 @@
     assert_eq!(
         gate.next_release_at(),
         Some(1_010),
-        "a review without a release must not be repeated at once"
+        "a review that releases nothing must not be repeated at once"
     );
     let late = gate.apply_list(&now(1_500, AFTER), &calendar, &changes(vec![host("h0", 1.0)]));
     let queued = ChangeOutcome::Held { reason: HoldReason::Queued, until: None };
@@ -153,7 +153,7 @@
     assert_eq!(
         listed_weights(&gate.apply_list(&now(2, DURING), &calendar, &back)),
         "",
-        "what drained before the freeze is no loss during it"
+        "an endpoint that drained before the freeze is not a loss during it"
     );
     let replacements =
         vec![host("h5", 0.75), host("h6", 1.5), phase(Phase::Gone, host("h1", 1.0)), host("h7", 1.0)];
@@ -161,7 +161,7 @@
     assert_eq!(
         listed_weights(&result),
         "h1:1- h5:0.75 h6:0.25",
-        "the loss first, then no more than was lost"
+        "the loss is listed first, and replacements get no more weight than was lost"
     );
     assert_eq!(outcome(&result, "h5"), (ChangeKind::Join, &ChangeOutcome::Replacement));
     let weight: f64 = gate.members().filter(|it| it.phase == Phase::Ready).map(|it| it.size).sum();
@@ -170,7 +170,7 @@
     assert_eq!(
         listed_weights(&gate.release(&now(5_000, DURING), &calendar).unwrap()),
         "h3:1",
-        "the longest held is first"
+        "the change that was held first is released first"
     );
     gate.mark_up("h2");
     gate.mark_down("h2");
@@ -198,7 +198,7 @@
     assert_eq!(
         capacity.replacement(&Change::of_host(ChangeKind::Join, "h3", "a"), 1.0),
         None,
-        "not tracked after the end"
+        "the freeze is not tracked after its end"
     );
 }
 
@@ -218,7 +218,7 @@
         &calendar,
         &complete(vec![host("h1", 1.0), host("h4", 1.0)]),
     );
-    assert_eq!(listed_weights(&beyond), "h1:1 h4:1", "h4 replaces what the known list has lost");
+    assert_eq!(listed_weights(&beyond), "h1:1 h4:1", "h4 replaces the endpoints that left the known list");
     assert_eq!(outcome(&beyond, "h4"), (ChangeKind::Join, &ChangeOutcome::Replacement));
 }
 
--- a/crates/calendar/tests/golden.rs
+++ b/crates/calendar/tests/golden.rs
@@ -1,4 +1,4 @@
-//! The encodings of the calendar that are stored, sent and posted, as bytes and as JSON.
+//! The binary and JSON encodings of calendars and proposals, which are stored, sent to peers and posted by operators.
 
 mod support;
 
@@ -16,8 +16,8 @@
     (0..text.len()).step_by(2).map(|at| u8::from_str_radix(&text[at..at + 2], 16).unwrap()).collect()
 }
 
-/// Entries of every form.
-#[expect(clippy::too_many_lines, reason = "a list of values")]
+/// Returns proposals of every kind, with every kind of recurrence and scope.
+#[expect(clippy::too_many_lines, reason = "the function only lists values")]
 fn proposals() -> Vec<Proposal> {
     const ALL_KINDS: [ChangeKind; 15] = [
         ChangeKind::Drain,
--- a/crates/calendar/tests/support/mod.rs
+++ b/crates/calendar/tests/support/mod.rs
@@ -1,5 +1,9 @@
 //! Helpers that build freezes, calendars and instants.
-#![allow(dead_code, unreachable_pub, reason = "shared by several test programs, each of which uses a part")]
+#![allow(
+    dead_code,
+    unreachable_pub,
+    reason = "shared by several test binaries, each of which uses only some of the helpers"
+)]
 
 use calendar::{
     Applied, Calendar, Change, ChangeKind, Entry, Freeze, LeaseState, Millis, Override, Proposal, Scope,
@@ -9,7 +13,7 @@
 
 pub const BINDING: Millis = 10_000;
 
-/// A civil time in a time zone as fleet time.
+/// Returns a civil time in a time zone as fleet time.
 pub fn at(civil: &str, zone: &str) -> Millis {
     let zone = TimeZoneDatabase::bundled().get(zone).unwrap();
     let civil: jiff::civil::DateTime = civil.parse().unwrap();
@@ -47,7 +51,7 @@
 pub fn add(freeze: &Freeze) -> Proposal {
     Proposal::Add(Entry::Freeze(freeze.clone()))
 }
-/// A calendar with these freezes, committed long before.
+/// Returns a calendar with these freezes, committed long before they start.
 pub fn calendar(freezes: &[Freeze]) -> Calendar {
     let mut calendar = Calendar::new(BINDING);
     for (n, it) in freezes.iter().enumerate() {
