--- a/crates/calendar/src/accepted.rs
+++ b/crates/calendar/src/accepted.rs
@@ -7,7 +7,7 @@
 use proto::discovery::{EndpointRecord, Phase};
 
 /// Maximum number of accepted endpoints: several times the longest list.
-pub const MAX_MEMBERS: usize = 65_536;
+pub const MAX_ACCEPTED_ENDPOINTS: usize = 65_536;
 
 /// The calendar and the context that a change is checked against.
 #[derive(Clone, Copy)]
@@ -131,7 +131,7 @@
                 Ok(Approval { outcome: ChangeOutcome::Applied, .. }) if queueing == Queueing::Required => {
                     result.hold(kind, ChangeOutcome::Held { reason: HoldReason::Queued, until: None });
                 }
-                Ok(_) if kind == ChangeKind::Join && self.members.len() >= MAX_MEMBERS => {
+                Ok(_) if kind == ChangeKind::Join && self.members.len() >= MAX_ACCEPTED_ENDPOINTS => {
                     result.hold(kind, ChangeOutcome::QueueFull);
                 }
                 Ok(Approval { size, outcome }) => {
--- a/crates/calendar/src/calendar.rs
+++ b/crates/calendar/src/calendar.rs
@@ -2,7 +2,7 @@
 
 use crate::entry::{Entry, Proposal};
 use crate::errors::{ProposalError, RestoreError};
-use crate::index::{EntryKind, EntryTitle, Index};
+use crate::index::{EntryKind, EntrySummary, Index};
 use crate::limits::{MAX_ENTRIES, MAX_OCCURRENCES, RETENTION_MS};
 use crate::occurrences::Interval;
 use crate::schedule::{CommittedEntry, ScheduledEntry};
@@ -44,7 +44,8 @@
 #[derive(Serialize, Deserialize)]
 struct Snapshot {
     version: u16,
-    binding: Millis,
+    #[serde(rename = "binding")]
+    activation_delay: Millis,
     revision: u64,
     entries: Vec<CommittedEntry>,
 }
@@ -52,7 +53,7 @@
 /// The freezes and overrides that a fleet has committed.
 #[derive(Debug, Clone)]
 pub struct Calendar {
-    binding: Millis,
+    activation_delay: Millis,
     revision: u64,
     entries: BTreeMap<String, ScheduledEntry>,
     index: OnceLock<Index>,
@@ -60,15 +61,16 @@
 
 impl PartialEq for Calendar {
     fn eq(&self, other: &Self) -> bool {
-        (self.binding, self.revision, &self.entries) == (other.binding, other.revision, &other.entries)
+        (self.activation_delay, self.revision, &self.entries)
+            == (other.activation_delay, other.revision, &other.entries)
     }
 }
 
 impl Calendar {
-    /// Creates an empty calendar. A freeze comes into force no earlier than `binding` after its commit. This delay
-    /// covers the duration of a lease and its clock error.
-    pub fn new(binding: Millis) -> Self {
-        Self { binding, revision: 0, entries: BTreeMap::new(), index: OnceLock::new() }
+    /// Creates an empty calendar. A freeze comes into force no earlier than `activation_delay` after its commit. This
+    /// delay covers the duration of a lease and its clock error.
+    pub fn new(activation_delay: Millis) -> Self {
+        Self { activation_delay, revision: 0, entries: BTreeMap::new(), index: OnceLock::new() }
     }
 
     /// Returns the last applied revision.
@@ -83,14 +85,14 @@
 
     /// Returns the fleet time and the revision at which an entry was committed.
     pub fn agreed_at(&self, id: &str) -> Option<(Millis, u64)> {
-        self.entries.get(id).map(|it| (it.committed.at, it.committed.revision))
+        self.entries.get(id).map(|it| (it.committed.committed_at, it.committed.revision))
     }
 
     /// Returns the phase of an entry at a fleet time.
     pub fn phase(&self, id: &str, fleet_time: Millis) -> Option<EntryPhase> {
         let scheduled = self.entries.get(id)?;
         let first = scheduled.in_force.first().map_or(Millis::MAX, |it| it.start);
-        Some(match scheduled.committed.revoked {
+        Some(match scheduled.committed.revoked_at {
             Some(at) if at <= fleet_time => EntryPhase::Revoked,
             _ if fleet_time < first => EntryPhase::Agreed,
             _ if fleet_time < scheduled.end => EntryPhase::InForce,
@@ -112,20 +114,23 @@
     ) -> Result<ScheduledEntry, ProposalError> {
         proposal.validate()?;
         match proposal {
-            Proposal::Add(entry) => {
-                self.evaluate_new(CommittedEntry { at, revision, revoked: None, entry: entry.clone() })
-            }
+            Proposal::Add(entry) => self.evaluate_added(CommittedEntry {
+                committed_at: at,
+                revision,
+                revoked_at: None,
+                entry: entry.clone(),
+            }),
             Proposal::Revoke(revoke) => {
                 let open = self.entries.get(&revoke.id);
-                let open = open.filter(|it| it.committed.revoked.is_none() && at < it.end);
+                let open = open.filter(|it| it.committed.revoked_at.is_none() && at < it.end);
                 let open = open.ok_or_else(|| ProposalError::Unknown(revoke.id.clone()))?;
-                let revoked = CommittedEntry { revoked: Some(at), ..open.committed.clone() };
-                Ok(ScheduledEntry::new(revoked, self.binding))
+                let revoked = CommittedEntry { revoked_at: Some(at), ..open.committed.clone() };
+                Ok(ScheduledEntry::new(revoked, self.activation_delay))
             }
         }
     }
 
-    fn evaluate_new(&self, committed: CommittedEntry) -> Result<ScheduledEntry, ProposalError> {
+    fn evaluate_added(&self, committed: CommittedEntry) -> Result<ScheduledEntry, ProposalError> {
         let id = committed.entry.id().to_owned();
         if self.entries.contains_key(&id) {
             return Err(ProposalError::Duplicate(id));
@@ -133,8 +138,8 @@
         if self.entries.len() >= MAX_ENTRIES {
             return Err(ProposalError::Full);
         }
-        let scheduled = ScheduledEntry::new(committed, self.binding);
-        if scheduled.in_force.is_empty() && scheduled.committed.revoked.is_none() {
+        let scheduled = ScheduledEntry::new(committed, self.activation_delay);
+        if scheduled.in_force.is_empty() && scheduled.committed.revoked_at.is_none() {
             return Err(ProposalError::Over(id));
         }
         let occurrences: usize = self.entries.values().map(|it| it.occurrences).sum();
@@ -165,8 +170,12 @@
     /// Encodes the calendar as a snapshot for [`Calendar::restore`].
     pub fn snapshot(&self) -> Vec<u8> {
         let entries = self.entries.values().map(|it| it.committed.clone()).collect();
-        let snapshot =
-            Snapshot { version: SNAPSHOT_VERSION, binding: self.binding, revision: self.revision, entries };
+        let snapshot = Snapshot {
+            version: SNAPSHOT_VERSION,
+            activation_delay: self.activation_delay,
+            revision: self.revision,
+            entries,
+        };
         postcard::to_stdvec(&snapshot)
             .expect("a calendar snapshot consists of numbers and strings, which postcard always encodes")
     }
@@ -177,17 +186,17 @@
     /// Returns an error if the bytes are not a snapshot, or contain an entry that could not have been committed.
     pub fn restore(bytes: &[u8]) -> Result<Self, RestoreError> {
         let (snapshot, rest): (Snapshot, _) =
-            postcard::take_from_bytes(bytes).map_err(|_| RestoreError::Form)?;
-        let known_form = snapshot.version == SNAPSHOT_VERSION && rest.is_empty();
-        if !known_form || snapshot.entries.len() > MAX_ENTRIES {
-            return Err(RestoreError::Form);
+            postcard::take_from_bytes(bytes).map_err(|_| RestoreError::UnknownFormat)?;
+        let known_format = snapshot.version == SNAPSHOT_VERSION && rest.is_empty();
+        if !known_format || snapshot.entries.len() > MAX_ENTRIES {
+            return Err(RestoreError::UnknownFormat);
         }
-        let mut calendar = Self { revision: snapshot.revision, ..Self::new(snapshot.binding) };
+        let mut calendar = Self { revision: snapshot.revision, ..Self::new(snapshot.activation_delay) };
         let mut occurrences = 0;
         for committed in snapshot.entries {
             Proposal::Add(committed.entry.clone()).validate().map_err(ProposalError::from)?;
             let id = committed.entry.id().to_owned();
-            let scheduled = ScheduledEntry::new(committed, snapshot.binding);
+            let scheduled = ScheduledEntry::new(committed, snapshot.activation_delay);
             occurrences += scheduled.occurrences;
             if occurrences > MAX_OCCURRENCES {
                 return Err(ProposalError::TooMany.into());
@@ -210,12 +219,12 @@
             let mut index = Index::default();
             for scheduled in self.entries.values() {
                 let entry = &scheduled.committed.entry;
-                let title = EntryTitle { id: entry.id().into(), reason: entry.reason().into() };
+                let summary = EntrySummary { id: entry.id().into(), reason: entry.reason().into() };
                 let kind = match entry {
                     Entry::Freeze(_) => EntryKind::Freeze,
                     Entry::Override(_) => EntryKind::Override,
                 };
-                index.add(title, kind, entry.scope(), &scheduled.in_force);
+                index.add(summary, kind, entry.scope(), &scheduled.in_force);
             }
             index.finish();
             index
@@ -245,14 +254,14 @@
             _ => return Verdict::Hold { reason: HoldReason::NoLease, until: None },
         };
         let index = self.index();
-        let Some(freeze) = index.freeze(span, change) else { return allow(None) };
-        if let Some(title) = index.override_of(span, change).and_then(|it| index.title(it)) {
-            return allow(Some(Arc::clone(&title.id)));
+        let Some(freeze) = index.find_freeze(span, change) else { return allow(None) };
+        if let Some(summary) = index.find_override(span, change).and_then(|it| index.summary(it)) {
+            return allow(Some(Arc::clone(&summary.id)));
         }
-        let reason = index.title(freeze).map_or(HoldReason::NoLease, |title| HoldReason::Freeze {
-            id: Arc::clone(&title.id),
-            reason: Arc::clone(&title.reason),
+        let reason = index.summary(freeze).map_or(HoldReason::NoLease, |summary| HoldReason::Freeze {
+            id: Arc::clone(&summary.id),
+            reason: Arc::clone(&summary.reason),
         });
-        Verdict::Hold { reason, until: Some(freeze.until) }
+        Verdict::Hold { reason, until: Some(freeze.contiguous_end) }
     }
 }
--- a/crates/calendar/src/capacity.rs
+++ b/crates/calendar/src/capacity.rs
@@ -8,7 +8,7 @@
 /// Minimum fraction of the requested weight that a replacement must get. Less weight is not worth a cold endpoint.
 const MIN_REPLACEMENT_FRACTION: f64 = 0.1;
 /// Upper bound on the relative rounding error of a sum of several thousand weights, added in any order.
-const ROUNDING: f64 = 1e-9;
+const RELATIVE_ROUNDING_ERROR: f64 = 1e-9;
 
 #[derive(Debug, Clone)]
 struct EndpointWeight {
@@ -27,8 +27,8 @@
 #[derive(Debug, Clone)]
 struct FreezeCapacity {
     scope: Scope,
-    at_start: f64,
-    now: f64,
+    initial_weight: f64,
+    current_weight: f64,
 }
 
 fn in_scope(target: &ScopeTarget, host: &str, zone: &str) -> bool {
@@ -40,8 +40,8 @@
 }
 
 impl FreezeCapacity {
-    fn lost(&self) -> f64 {
-        self.at_start - self.now
+    fn lost_weight(&self) -> f64 {
+        self.initial_weight - self.current_weight
     }
 
     fn covers(&self, change: &Change<'_>) -> bool {
@@ -67,18 +67,22 @@
     /// Starts to track freezes that have come into force, and drops those that have ended. Call this before setting new
     /// weights, because the weights set so far count as those at the start of the freeze.
     pub fn update_freezes(&mut self, calendar: &Calendar, span: TimeInterval) {
-        let mut before = std::mem::take(&mut self.freezes);
+        let mut previous = std::mem::take(&mut self.freezes);
         for (entry, start) in calendar.freezes_in_force(span) {
             let occurrence = Occurrence { entry_id: entry.id().to_owned(), start };
-            let capacity = before.remove(&occurrence).unwrap_or_else(|| {
-                let weight = self.weight_in(&entry.scope().place);
-                FreezeCapacity { scope: entry.scope().clone(), at_start: weight, now: weight }
+            let capacity = previous.remove(&occurrence).unwrap_or_else(|| {
+                let weight = self.weight_in_scope(&entry.scope().place);
+                FreezeCapacity {
+                    scope: entry.scope().clone(),
+                    initial_weight: weight,
+                    current_weight: weight,
+                }
             });
             self.freezes.insert(occurrence, capacity);
         }
     }
 
-    fn weight_in(&self, target: &ScopeTarget) -> f64 {
+    fn weight_in_scope(&self, target: &ScopeTarget) -> f64 {
         let members = self.endpoints.iter().filter(|(host, it)| in_scope(target, host, &it.zone));
         members.filter(|(host, _)| !self.down.contains(*host)).map(|(_, it)| it.weight).sum()
     }
@@ -88,7 +92,7 @@
         let Some(endpoint) = self.endpoints.get(host).filter(|_| !self.down.contains(host)) else { return };
         for freeze in self.freezes.values_mut() {
             if in_scope(&freeze.scope.place, host, &endpoint.zone) {
-                freeze.now += sign * endpoint.weight;
+                freeze.current_weight += sign * endpoint.weight;
             }
         }
     }
@@ -124,8 +128,8 @@
     /// the one that has lost the least weight limits it.
     pub fn replacement(&self, change: &Change<'_>, wanted: f64) -> Option<f64> {
         let covering = self.freezes.values().filter(|it| it.covers(change));
-        let least = covering.min_by(|one, other| one.lost().total_cmp(&other.lost()))?;
-        let (lost, rounding) = (least.lost(), least.at_start * ROUNDING);
+        let least = covering.min_by(|one, other| one.lost_weight().total_cmp(&other.lost_weight()))?;
+        let (lost, rounding) = (least.lost_weight(), least.initial_weight * RELATIVE_ROUNDING_ERROR);
         if lost <= rounding || wanted <= 0.0 || lost < wanted * MIN_REPLACEMENT_FRACTION {
             return None;
         }
--- a/crates/calendar/src/errors.rs
+++ b/crates/calendar/src/errors.rs
@@ -34,8 +34,8 @@
 pub enum RestoreError {
     /// The bytes are not a snapshot of a known format.
     #[error("the calendar's snapshot is not in a form that is known")]
-    Form,
+    UnknownFormat,
     /// The snapshot contains an entry that could not have been committed.
     #[error("the calendar's snapshot holds an entry that cannot be: {0}")]
-    Entry(#[from] ProposalError),
+    InvalidEntry(#[from] ProposalError),
 }
--- a/crates/calendar/src/gate.rs
+++ b/crates/calendar/src/gate.rs
@@ -1,6 +1,6 @@
 //! The gate in front of the decision module, which splits discovery's lists into accepted and held changes.
 
-use crate::accepted::{AcceptedEndpoints, CheckInput, HeldChange, MAX_MEMBERS, Queueing};
+use crate::accepted::{AcceptedEndpoints, CheckInput, HeldChange, MAX_ACCEPTED_ENDPOINTS, Queueing};
 use crate::list_delta::{factual_change, planned_changes, with_facts};
 use crate::pending::Review;
 use crate::records::{ChangeOutcome, GateContext, GateResult};
@@ -27,7 +27,7 @@
     pub fn new(known: Option<Vec<EndpointRecord>>, pace: ReleasePace) -> Self {
         let has_baseline = known.is_some();
         let mut accepted = AcceptedEndpoints::default();
-        for member in known.into_iter().flatten().take(MAX_MEMBERS) {
+        for member in known.into_iter().flatten().take(MAX_ACCEPTED_ENDPOINTS) {
             accepted.insert(member);
         }
         Self { accepted, pending: PendingChanges::new(pace), has_baseline }
@@ -39,7 +39,7 @@
     }
 
     /// Returns the held changes.
-    pub fn held_changes(&self) -> &PendingChanges<EndpointRecord> {
+    pub fn pending_changes(&self) -> &PendingChanges<EndpointRecord> {
         &self.pending
     }
 
@@ -78,27 +78,27 @@
         if !self.has_baseline {
             return self.apply_initial_list(input, list, &newest);
         }
-        let mut lost = self.remove_unlisted(calendar, list, &newest);
-        let mut touched = Vec::new();
+        let mut reduced_hosts = self.remove_unlisted(calendar, list, &newest);
+        let mut changed_hosts = Vec::new();
         for (host, new) in &newest {
             match self.apply_facts(input, new) {
                 Some(ChangeKind::Drain | ChangeKind::Gone | ChangeKind::Less) => {
-                    lost.push((*host).to_owned());
+                    reduced_hosts.push((*host).to_owned());
                 }
-                Some(_) => touched.push((*host).to_owned()),
+                Some(_) => changed_hosts.push((*host).to_owned()),
                 None => {}
             }
         }
         let mut queueing = None;
         for (host, new) in &newest {
             if self.apply_planned(input, new, &mut queueing) {
-                touched.push((*host).to_owned());
+                changed_hosts.push((*host).to_owned());
             }
         }
         let members = if list.complete {
             newest.keys().filter_map(|host| self.accepted.members.get(*host).cloned()).collect()
         } else {
-            self.changed_records(lost.iter().chain(&touched), &newest)
+            self.changed_records(reduced_hosts.iter().chain(&changed_hosts), &newest)
         };
         self.finish(list.complete, members)
     }
@@ -115,13 +115,13 @@
     fn apply_initial_list(
         &mut self, input: CheckInput<'_>, list: &EndpointList, newest: &NewestStates<'_>,
     ) -> GateResult {
-        for (host, new) in newest.iter().take(MAX_MEMBERS) {
+        for (host, new) in newest.iter().take(MAX_ACCEPTED_ENDPOINTS) {
             self.accepted.insert((*new).clone());
             self.accepted.record(input.calendar, host, ChangeKind::Join, ChangeOutcome::InitialList);
         }
         self.has_baseline = list.complete;
         self.update_freezes(input);
-        let members = newest.values().take(MAX_MEMBERS).map(|it| (*it).clone()).collect();
+        let members = newest.values().take(MAX_ACCEPTED_ENDPOINTS).map(|it| (*it).clone()).collect();
         self.finish(list.complete, members)
     }
 
@@ -159,7 +159,7 @@
             return None;
         }
         let member = old.map_or_else(|| new.clone(), |it| with_facts(it, new));
-        if old.is_some() || self.accepted.members.len() < MAX_MEMBERS {
+        if old.is_some() || self.accepted.members.len() < MAX_ACCEPTED_ENDPOINTS {
             self.accepted.insert(member);
             self.accepted.record(input.calendar, &new.id, kind, ChangeOutcome::Applied);
         }
@@ -175,7 +175,7 @@
             self.pending.cancel(&new.id);
             return false;
         }
-        let queueing = *queueing.get_or_insert_with(|| self.queueing(input));
+        let queueing = *queueing.get_or_insert_with(|| self.required_queueing(input));
         let result = self.accepted.apply_planned(input, new, queueing);
         match result.held {
             None => drop(self.pending.cancel(&new.id)),
@@ -186,7 +186,7 @@
 
     /// Returns whether new changes must queue. They must not overtake queued changes that are being released in steps.
     /// Queued changes that a freeze still holds do not block new ones.
-    fn queueing(&self, input: CheckInput<'_>) -> Queueing {
+    fn required_queueing(&self, input: CheckInput<'_>) -> Queueing {
         let releasable =
             |it: &PendingChange<EndpointRecord>| self.accepted.is_allowed(input, &it.state, it.kind);
         if self.pending.iter().any(|(_, it)| releasable(it)) {
@@ -246,7 +246,7 @@
             if result.applied {
                 hosts.push(host.to_owned());
             }
-            review_of(change, result.applied, result.held)
+            update_reviewed(change, result.applied, result.held)
         });
         if hosts.is_empty() {
             return None;
@@ -257,7 +257,9 @@
 }
 
 /// Returns the result of a review. Updates the kind, reason and time of a change that stays queued.
-fn review_of(change: &mut PendingChange<EndpointRecord>, applied: bool, held: Option<HeldChange>) -> Review {
+fn update_reviewed(
+    change: &mut PendingChange<EndpointRecord>, applied: bool, held: Option<HeldChange>,
+) -> Review {
     match held {
         None => Review::Applied,
         Some(HeldChange { kind, outcome: ChangeOutcome::Held { reason, until } }) => {
--- a/crates/calendar/src/index.rs
+++ b/crates/calendar/src/index.rs
@@ -16,9 +16,9 @@
     start: Millis,
     end: Millis,
     /// The end of the run of contiguous intervals that contains this one.
-    pub(crate) until: Millis,
-    /// The index of the entry in [`Index::titles`].
-    entry: u32,
+    pub(crate) contiguous_end: Millis,
+    /// The index of the entry in [`Index::summaries`].
+    entry_index: u32,
 }
 
 /// Intervals of entries. [`Timeline::merge_overlaps`] orders them and removes overlaps.
@@ -26,27 +26,32 @@
 struct Timeline(Vec<IndexedInterval>);
 
 impl Timeline {
-    fn push(&mut self, interval: Interval, entry: u32) {
-        self.0.push(IndexedInterval { start: interval.start, end: interval.end, until: interval.end, entry });
+    fn push(&mut self, interval: Interval, entry_index: u32) {
+        self.0.push(IndexedInterval {
+            start: interval.start,
+            end: interval.end,
+            contiguous_end: interval.end,
+            entry_index,
+        });
     }
     /// Sorts the intervals and cuts each to the part that no earlier interval covers.
     fn merge_overlaps(&mut self) {
-        self.0.sort_by_key(|it| (it.start, std::cmp::Reverse(it.end), it.entry));
-        let mut done: Vec<IndexedInterval> = Vec::with_capacity(self.0.len());
+        self.0.sort_by_key(|it| (it.start, std::cmp::Reverse(it.end), it.entry_index));
+        let mut disjoint: Vec<IndexedInterval> = Vec::with_capacity(self.0.len());
         for mut interval in self.0.drain(..) {
-            let covered_until = done.last().map_or(0, |it| it.end);
+            let covered_until = disjoint.last().map_or(0, |it| it.end);
             interval.start = interval.start.max(covered_until);
             if interval.start < interval.end {
-                done.push(interval);
+                disjoint.push(interval);
             }
         }
-        for at in (1..done.len()).rev() {
-            if done[at - 1].end == done[at].start {
-                done[at - 1].until = done[at].until;
+        for at in (1..disjoint.len()).rev() {
+            if disjoint[at - 1].end == disjoint[at].start {
+                disjoint[at - 1].contiguous_end = disjoint[at].contiguous_end;
             }
         }
-        done.shrink_to_fit();
-        self.0 = done;
+        disjoint.shrink_to_fit();
+        self.0 = disjoint;
     }
     /// Returns the first interval that overlaps the span.
     fn overlapping(&self, span: TimeInterval) -> Option<&IndexedInterval> {
@@ -55,7 +60,7 @@
     }
     /// Returns the interval that contains the start of the span, if the whole span is covered.
     fn covering(&self, span: TimeInterval) -> Option<&IndexedInterval> {
-        self.overlapping(span).filter(|it| it.start <= span.earliest && span.latest < it.until)
+        self.overlapping(span).filter(|it| it.start <= span.earliest && span.latest < it.contiguous_end)
     }
 }
 
@@ -73,24 +78,24 @@
 }
 
 /// Adds the intervals of an entry to the timeline of each kind that the entry covers.
-fn add_to_kinds(kinds: &mut KindTimelines, scope: &Scope, in_force: &[Interval], entry: u32) {
+fn add_to_kinds(kinds: &mut KindTimelines, scope: &Scope, in_force: &[Interval], entry_index: u32) {
     for (timeline, kind) in kinds.iter_mut().zip(ChangeKind::PLANNED) {
         if scope.kinds.is_empty() || scope.kinds.contains(&kind) {
-            in_force.iter().for_each(|it| timeline.push(*it, entry));
+            in_force.iter().for_each(|it| timeline.push(*it, entry_index));
         }
     }
 }
 
 impl ScopeTimelines {
-    fn add(&mut self, scope: &Scope, in_force: &[Interval], entry: u32) {
-        add_to_kinds(&mut self.any_scope, scope, in_force, entry);
+    fn add(&mut self, scope: &Scope, in_force: &[Interval], entry_index: u32) {
+        add_to_kinds(&mut self.any_scope, scope, in_force, entry_index);
         let (map, names) = match &scope.place {
-            ScopeTarget::Fleet => return add_to_kinds(&mut self.fleet, scope, in_force, entry),
+            ScopeTarget::Fleet => return add_to_kinds(&mut self.fleet, scope, in_force, entry_index),
             ScopeTarget::Zones(zones) => (&mut self.zones, zones),
             ScopeTarget::Group { hosts, .. } => (&mut self.hosts, hosts),
         };
         for name in names {
-            add_to_kinds(map.entry(Arc::from(name.as_str())).or_default(), scope, in_force, entry);
+            add_to_kinds(map.entry(Arc::from(name.as_str())).or_default(), scope, in_force, entry_index);
         }
     }
     fn merge_overlaps(&mut self) {
@@ -103,7 +108,7 @@
 
 /// The parts of an entry that the reason of a hold contains.
 #[derive(Debug, Clone)]
-pub(crate) struct EntryTitle {
+pub(crate) struct EntrySummary {
     pub(crate) id: Arc<str>,
     pub(crate) reason: Arc<str>,
 }
@@ -120,29 +125,33 @@
 pub(crate) struct Index {
     freezes: ScopeTimelines,
     overrides: ScopeTimelines,
-    titles: Vec<EntryTitle>,
+    summaries: Vec<EntrySummary>,
 }
 
 impl Index {
-    pub(crate) fn add(&mut self, title: EntryTitle, kind: EntryKind, scope: &Scope, in_force: &[Interval]) {
-        let entry = u32::try_from(self.titles.len()).unwrap_or(u32::MAX);
-        self.titles.push(title);
+    /// Adds an entry and the intervals in which it is in force.
+    pub(crate) fn add(
+        &mut self, summary: EntrySummary, kind: EntryKind, scope: &Scope, in_force: &[Interval],
+    ) {
+        let entry_index = u32::try_from(self.summaries.len()).unwrap_or(u32::MAX);
+        self.summaries.push(summary);
         let timelines = match kind {
             EntryKind::Freeze => &mut self.freezes,
             EntryKind::Override => &mut self.overrides,
         };
-        timelines.add(scope, in_force, entry);
+        timelines.add(scope, in_force, entry_index);
     }
     /// Sorts all timelines. Call this after the last entry is added and before the first search.
     pub(crate) fn finish(&mut self) {
         self.freezes.merge_overlaps();
         self.overrides.merge_overlaps();
     }
-    pub(crate) fn title(&self, interval: IndexedInterval) -> Option<&EntryTitle> {
-        self.titles.get(interval.entry as usize)
+    /// Returns the summary of the entry that an interval belongs to.
+    pub(crate) fn summary(&self, interval: IndexedInterval) -> Option<&EntrySummary> {
+        self.summaries.get(interval.entry_index as usize)
     }
     /// Returns the freeze that holds the change in the span. If there are several, returns the one that lasts longest.
-    pub(crate) fn freeze(&self, span: TimeInterval, change: &Change<'_>) -> Option<IndexedInterval> {
+    pub(crate) fn find_freeze(&self, span: TimeInterval, change: &Change<'_>) -> Option<IndexedInterval> {
         let kind = ChangeKind::PLANNED.iter().position(|it| *it == change.kind)?;
         let Some(host) = change.host else {
             return self.freezes.any_scope[kind].overlapping(span).copied();
@@ -152,12 +161,13 @@
             map.get(name)?[kind].overlapping(span).copied()
         };
         let zones = change.zones.iter().flatten().filter_map(|zone| in_map(&timelines.zones, zone));
-        let others = [timelines.fleet[kind].overlapping(span).copied(), in_map(&timelines.hosts, host)];
-        zones.chain(others.into_iter().flatten()).max_by_key(|it| it.until)
+        let fleet_and_host =
+            [timelines.fleet[kind].overlapping(span).copied(), in_map(&timelines.hosts, host)];
+        zones.chain(fleet_and_host.into_iter().flatten()).max_by_key(|it| it.contiguous_end)
     }
     /// Returns the override that allows the change. An override of the fleet, or of the host, or overrides of all
     /// affected zones must cover the change during the whole span.
-    pub(crate) fn override_of(&self, span: TimeInterval, change: &Change<'_>) -> Option<IndexedInterval> {
+    pub(crate) fn find_override(&self, span: TimeInterval, change: &Change<'_>) -> Option<IndexedInterval> {
         let kind = ChangeKind::PLANNED.iter().position(|it| *it == change.kind)?;
         let timelines = &self.overrides;
         if let Some(found) = timelines.fleet[kind].covering(span) {
@@ -168,8 +178,8 @@
             return Some(*found);
         }
         let in_zone = |zone: &str| timelines.zones.get(zone)?[kind].covering(span).copied();
-        let mut all = change.zones.iter().flatten().map(|zone| in_zone(zone));
-        let first = all.next()??;
-        all.all(|it| it.is_some()).then_some(first)
+        let mut zone_overrides = change.zones.iter().flatten().map(|zone| in_zone(zone));
+        let first = zone_overrides.next()??;
+        zone_overrides.all(|it| it.is_some()).then_some(first)
     }
 }
--- a/crates/calendar/src/lib.rs
+++ b/crates/calendar/src/lib.rs
@@ -31,7 +31,7 @@
 mod schedule;
 mod validate;
 
-pub use accepted::MAX_MEMBERS;
+pub use accepted::MAX_ACCEPTED_ENDPOINTS;
 pub use calendar::{Applied, Calendar, EntryPhase};
 pub use capacity::AvailableCapacity;
 pub use change::{Change, ChangeKind, HoldReason, LeaseState, TimeInterval, Verdict};
@@ -39,7 +39,8 @@
 pub use errors::{ProposalError, RestoreError};
 pub use gate::TopologyGate;
 pub use limits::{
-    MAX_ENTRIES, MAX_LENGTH_DAYS, MAX_NAMES, MAX_OCCURRENCES, MAX_PER_ENTRY, MAX_TEXT, RETENTION_MS,
+    MAX_DURATION_DAYS, MAX_ENTRIES, MAX_NAMES_PER_ENTRY, MAX_OCCURRENCES, MAX_OCCURRENCES_PER_ENTRY,
+    MAX_TEXT_BYTES, RETENTION_MS,
 };
 pub use pending::{MAX_PENDING_CHANGES, PendingChange, PendingChanges, ReleasePace, ReleasedChange};
 pub use records::{ChangeOutcome, ChangeRecord, GateContext, GateResult};
--- a/crates/calendar/src/list_delta.rs
+++ b/crates/calendar/src/list_delta.rs
@@ -8,7 +8,7 @@
     if member.phase == Phase::Ready { member.size.max(0.0) } else { 0.0 }
 }
 
-fn is_moved(old: &EndpointRecord, new: &EndpointRecord) -> bool {
+fn placement_differs(old: &EndpointRecord, new: &EndpointRecord) -> bool {
     (&old.locality, &old.flavor, old.cell) != (&new.locality, &new.flavor, new.cell)
 }
 
@@ -22,7 +22,7 @@
     if old.phase != Phase::Ready || new.size > old.size {
         kinds.push(ChangeKind::More);
     }
-    if is_moved(old, new) {
+    if placement_differs(old, new) {
         kinds.push(ChangeKind::Zone);
     }
     kinds
--- a/crates/calendar/src/schedule.rs
+++ b/crates/calendar/src/schedule.rs
@@ -10,11 +10,13 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct CommittedEntry {
     /// Fleet time of the commit.
-    pub(crate) at: Millis,
+    #[serde(rename = "at")]
+    pub(crate) committed_at: Millis,
     /// Revision of the commit.
     pub(crate) revision: u64,
     /// Fleet time of the revocation, if any.
-    pub(crate) revoked: Option<Millis>,
+    #[serde(rename = "revoked")]
+    pub(crate) revoked_at: Option<Millis>,
     /// The entry.
     pub(crate) entry: Entry,
 }
@@ -32,30 +34,33 @@
 }
 
 impl ScheduledEntry {
-    /// Computes the schedule of an entry. A freeze comes into force no earlier than `binding` after its commit.
-    pub(crate) fn new(committed: CommittedEntry, binding: Millis) -> Self {
-        let revoked = committed.revoked.unwrap_or(Millis::MAX);
-        let clip =
-            |start: Millis, it: Interval| Interval { start: it.start.max(start), end: it.end.min(revoked) };
+    /// Computes the schedule of an entry. A freeze comes into force no earlier than `activation_delay` after its
+    /// commit.
+    pub(crate) fn new(committed: CommittedEntry, activation_delay: Millis) -> Self {
+        let revoked_at = committed.revoked_at.unwrap_or(Millis::MAX);
+        let clip = |earliest: Millis, it: Interval| Interval {
+            start: it.start.max(earliest),
+            end: it.end.min(revoked_at),
+        };
         let in_force: Vec<Interval> = match &committed.entry {
             Entry::Freeze(freeze) => {
-                let first = committed.at.saturating_add(binding);
-                occurrences::of_freeze(freeze).into_iter().map(|it| clip(first, it)).collect()
+                let earliest = committed.committed_at.saturating_add(activation_delay);
+                occurrences::freeze_occurrences(freeze).into_iter().map(|it| clip(earliest, it)).collect()
             }
             // In force at once, because a balancer that has not yet applied the override only holds more changes, which
             // is safe.
-            Entry::Override(it) => {
-                let end = occurrences::end_of_override(it).unwrap_or(0);
-                vec![clip(committed.at, Interval { start: committed.at, end })]
+            Entry::Override(entry) => {
+                let end = occurrences::override_end(entry).unwrap_or(0);
+                vec![clip(committed.committed_at, Interval { start: committed.committed_at, end })]
             }
         };
         let in_force: Vec<Interval> = in_force.into_iter().filter(|it| it.start < it.end).collect();
         let last = in_force.iter().map(|it| it.end).max();
-        let end = last.max(committed.revoked).unwrap_or(0);
-        let names = match &committed.entry.scope().place {
+        let end = last.max(committed.revoked_at).unwrap_or(0);
+        let name_count = match &committed.entry.scope().place {
             ScopeTarget::Fleet => 1,
             ScopeTarget::Zones(names) | ScopeTarget::Group { hosts: names, .. } => names.len(),
         };
-        Self { end, occurrences: in_force.len() * names, committed, in_force }
+        Self { end, occurrences: in_force.len() * name_count, committed, in_force }
     }
 }
--- a/crates/calendar/src/validate.rs
+++ b/crates/calendar/src/validate.rs
@@ -2,7 +2,7 @@
 
 use crate::ChangeKind;
 use crate::entry::{Entry, Freeze, Override, Proposal, Recurrence, Repeat, Scope, ScopeTarget};
-use crate::limits::{MAX_LENGTH_DAYS, MAX_NAMES, MAX_PER_ENTRY, MAX_TEXT};
+use crate::limits::{MAX_DURATION_DAYS, MAX_NAMES_PER_ENTRY, MAX_OCCURRENCES_PER_ENTRY, MAX_TEXT_BYTES};
 use crate::occurrences;
 use jiff::civil::DateTime;
 use thiserror::Error;
@@ -53,7 +53,7 @@
 fn validate_text(field: &'static str, value: &str) -> Result<(), InvalidField> {
     match value.trim() {
         "" => invalid(field, FieldProblem::Empty),
-        _ if value.len() > MAX_TEXT => invalid(field, FieldProblem::TooLong),
+        _ if value.len() > MAX_TEXT_BYTES => invalid(field, FieldProblem::TooLong),
         _ => Ok(()),
     }
 }
@@ -62,7 +62,7 @@
     if values.is_empty() {
         return invalid(field, FieldProblem::Empty);
     }
-    if values.len() > MAX_NAMES {
+    if values.len() > MAX_NAMES_PER_ENTRY {
         return invalid(field, FieldProblem::TooLong);
     }
     values.iter().try_for_each(|value| validate_text(field, value))
@@ -90,12 +90,12 @@
     occurrences::time_zone(name).map_or_else(|| invalid("zone", FieldProblem::UnknownZone), |_| Ok(()))
 }
 
-fn validate_length(start: DateTime, end: DateTime) -> Result<(), InvalidField> {
+fn validate_duration(start: DateTime, end: DateTime) -> Result<(), InvalidField> {
     if end <= start {
         return invalid("end", FieldProblem::BeforeStart);
     }
-    let longest = jiff::SignedDuration::from_hours(24 * MAX_LENGTH_DAYS);
-    if end.duration_since(start) > longest { invalid("end", FieldProblem::OutOfRange) } else { Ok(()) }
+    let max_duration = jiff::SignedDuration::from_hours(24 * MAX_DURATION_DAYS);
+    if end.duration_since(start) > max_duration { invalid("end", FieldProblem::OutOfRange) } else { Ok(()) }
 }
 
 fn validate_repeat(repeat: &Repeat) -> Result<(), InvalidField> {
@@ -111,34 +111,34 @@
     if every == 0 { invalid("repeat.rhythm", FieldProblem::OutOfRange) } else { Ok(()) }
 }
 
-fn validate_freeze(it: &Freeze) -> Result<(), InvalidField> {
-    validate_text("id", &it.id)?;
-    validate_text("reason", &it.reason)?;
-    validate_text("asked_by", &it.asked_by)?;
-    validate_time_zone(&it.zone)?;
-    validate_scope(&it.scope)?;
-    validate_length(it.start, it.end)?;
-    if it.exceptions.len() > MAX_NAMES {
+fn validate_freeze(freeze: &Freeze) -> Result<(), InvalidField> {
+    validate_text("id", &freeze.id)?;
+    validate_text("reason", &freeze.reason)?;
+    validate_text("asked_by", &freeze.asked_by)?;
+    validate_time_zone(&freeze.zone)?;
+    validate_scope(&freeze.scope)?;
+    validate_duration(freeze.start, freeze.end)?;
+    if freeze.exceptions.len() > MAX_NAMES_PER_ENTRY {
         return invalid("exceptions", FieldProblem::TooLong);
     }
-    if let Some(again) = &it.repeat {
-        validate_repeat(again)?;
+    if let Some(repeat) = &freeze.repeat {
+        validate_repeat(repeat)?;
     }
-    let field = if it.repeat.is_some() { "repeat" } else { "exceptions" };
-    match occurrences::of_freeze(it).len() {
+    let field = if freeze.repeat.is_some() { "repeat" } else { "exceptions" };
+    match occurrences::freeze_occurrences(freeze).len() {
         0 => invalid(field, FieldProblem::Never),
-        many if many > MAX_PER_ENTRY => invalid(field, FieldProblem::TooMany),
+        count if count > MAX_OCCURRENCES_PER_ENTRY => invalid(field, FieldProblem::TooMany),
         _ => Ok(()),
     }
 }
 
-fn validate_override(it: &Override) -> Result<(), InvalidField> {
-    validate_text("id", &it.id)?;
-    validate_text("person", &it.person)?;
-    validate_text("reason", &it.reason)?;
-    validate_time_zone(&it.zone)?;
-    validate_scope(&it.scope)?;
-    occurrences::end_of_override(it).map_or_else(|| invalid("end", FieldProblem::OutOfRange), |_| Ok(()))
+fn validate_override(entry: &Override) -> Result<(), InvalidField> {
+    validate_text("id", &entry.id)?;
+    validate_text("person", &entry.person)?;
+    validate_text("reason", &entry.reason)?;
+    validate_time_zone(&entry.zone)?;
+    validate_scope(&entry.scope)?;
+    occurrences::override_end(entry).map_or_else(|| invalid("end", FieldProblem::OutOfRange), |_| Ok(()))
 }
 
 impl Proposal {
--- a/crates/calendar/tests/calendar.rs
+++ b/crates/calendar/tests/calendar.rs
@@ -27,7 +27,7 @@
 #[test]
 fn monthly_freeze_recurs_except_on_its_exceptions() {
     let calendar = calendar(&[deadline_weeks()]);
-    for (civil, is) in [
+    for (civil, expected) in [
         ("2026-01-23T23:59:59", false),
         ("2026-01-24T00:00", true),
         ("2026-06-30T12:00", true),
@@ -36,16 +36,16 @@
         ("2026-12-27T00:00", false),
         ("2027-01-25T00:00", false),
     ] {
-        assert_eq!(frozen(&calendar, at(civil, MEXICO)), is, "{civil}");
+        assert_eq!(frozen(&calendar, fleet_time(civil, MEXICO)), expected, "{civil}");
     }
     let hold = calendar.check(
-        instant(utc("2026-01-25T06:00Z")),
+        exact_time(utc("2026-01-25T06:00Z")),
         LeaseState::Held,
         &Change::of_fleet(ChangeKind::Growth),
     );
     let Verdict::Hold { reason: HoldReason::Freeze { id, reason }, until } = hold else { panic!("{hold:?}") };
     assert_eq!((&*id, &*reason), ("deadline-weeks", "because of deadline-weeks"));
-    assert_eq!(until, Some(at("2026-02-01T00:00", MEXICO)));
+    assert_eq!(until, Some(fleet_time("2026-02-01T00:00", MEXICO)));
 }
 
 #[test]
@@ -58,7 +58,7 @@
         (MEXICO, "2026-04-04T22:00", "2026-04-05T06:00", 8),
     ] {
         let calendar = calendar(&[freeze("night", start, end, zone)]);
-        let (from, to) = (at(start, zone), at(end, zone));
+        let (from, to) = (fleet_time(start, zone), fleet_time(end, zone));
         assert_eq!(to - from, hours * 3_600_000, "{zone} {start}");
         assert!(!frozen(&calendar, from - 1) && frozen(&calendar, from));
         assert!(frozen(&calendar, to - 1) && !frozen(&calendar, to));
@@ -73,13 +73,13 @@
 }
 
 #[test]
-fn recurrence_across_a_clock_change_starts_at_the_same_civil_hour() {
+fn recurrence_across_clock_change_keeps_civil_start_time() {
     let nights = Freeze {
         repeat: repeat("2026-04-05", Recurrence::Weekly { every: 1, days: vec![Day::Saturday, Day::Sunday] }),
         ..freeze("nights", "2026-03-21T20:00", "2026-03-21T21:00", MADRID)
     };
     let calendar = calendar(&[nights]);
-    for (instant, is) in [
+    for (instant, expected) in [
         ("2026-03-28T19:30Z", true),
         ("2026-03-29T18:30Z", true),
         ("2026-03-29T19:30Z", false),
@@ -87,51 +87,51 @@
         ("2026-04-05T18:30Z", true),
         ("2026-04-11T18:30Z", false),
     ] {
-        assert_eq!(frozen(&calendar, utc(instant)), is, "{instant}");
+        assert_eq!(frozen(&calendar, utc(instant)), expected, "{instant}");
     }
 }
 
 #[test]
-fn invalid_proposals_are_refused_with_their_field() {
-    let good = || freeze("it", "2026-01-24T00:00", "2026-02-01T00:00", MEXICO);
-    let never = vec!["2026-01-24".parse().unwrap()];
+fn invalid_proposal_is_refused_with_its_field() {
+    let valid = || freeze("it", "2026-01-24T00:00", "2026-02-01T00:00", MEXICO);
+    let only_date = vec!["2026-01-24".parse().unwrap()];
     let daily = repeat("2036-01-01", Recurrence::Daily(1));
     let bad_nth = repeat("2027-01-01", Recurrence::MonthlyByDay { every: 1, nth: 6, day: Day::Monday });
     let kinds = Scope { kinds: vec![ChangeKind::Drain], place: ScopeTarget::Fleet };
     for (freeze, message) in [
-        (Freeze { end: "2026-01-24T00:00".parse().unwrap(), ..good() }, "`end` is not behind the start"),
-        (Freeze { end: "2028-01-24T00:00".parse().unwrap(), ..good() }, "`end` is out of its range"),
-        (Freeze { zone: "Mars/Base".into(), ..good() }, "`zone` names no time zone that is known"),
-        (Freeze { exceptions: never, ..good() }, "`exceptions` leaves no occurrence"),
+        (Freeze { end: "2026-01-24T00:00".parse().unwrap(), ..valid() }, "`end` is not behind the start"),
+        (Freeze { end: "2028-01-24T00:00".parse().unwrap(), ..valid() }, "`end` is out of its range"),
+        (Freeze { zone: "Mars/Base".into(), ..valid() }, "`zone` names no time zone that is known"),
+        (Freeze { exceptions: only_date, ..valid() }, "`exceptions` leaves no occurrence"),
         (
-            Freeze { repeat: repeat("2025-01-01", Recurrence::Daily(1)), ..good() },
+            Freeze { repeat: repeat("2025-01-01", Recurrence::Daily(1)), ..valid() },
             "`repeat` leaves no occurrence",
         ),
-        (Freeze { repeat: daily, ..good() }, "`repeat` makes too many occurrences"),
+        (Freeze { repeat: daily, ..valid() }, "`repeat` makes too many occurrences"),
         (
-            Freeze { repeat: repeat("2027-01-01", Recurrence::Daily(0)), ..good() },
+            Freeze { repeat: repeat("2027-01-01", Recurrence::Daily(0)), ..valid() },
             "`repeat.rhythm` is out of its range",
         ),
-        (Freeze { repeat: bad_nth, ..good() }, "`repeat.rhythm.nth` is out of its range"),
-        (Freeze { reason: "x".repeat(MAX_TEXT + 1), ..good() }, "`reason` is too long"),
-        (Freeze { asked_by: " ".into(), ..good() }, "`asked_by` is empty"),
-        (Freeze { scope: kinds, ..good() }, "`scope.kinds` names a kind of change that is never held"),
+        (Freeze { repeat: bad_nth, ..valid() }, "`repeat.rhythm.nth` is out of its range"),
+        (Freeze { reason: "x".repeat(MAX_TEXT_BYTES + 1), ..valid() }, "`reason` is too long"),
+        (Freeze { asked_by: " ".into(), ..valid() }, "`asked_by` is empty"),
+        (Freeze { scope: kinds, ..valid() }, "`scope.kinds` names a kind of change that is never held"),
     ] {
         assert_eq!(add(&freeze).validate().unwrap_err().to_string(), message);
         assert_eq!(calendar(&[]).validate_proposal(1_000, &add(&freeze)).unwrap_err().to_string(), message);
     }
-    assert_eq!(add(&good()).validate(), Ok(()));
+    assert_eq!(add(&valid()).validate(), Ok(()));
 }
 
 #[test]
-fn freeze_is_in_force_a_lease_after_its_commit_and_revoked_at_once() {
-    let (start, mut calendar) = (utc("2026-01-24T12:00Z"), Calendar::new(BINDING));
+fn freeze_starts_after_activation_delay_and_is_revoked_at_once() {
+    let (start, mut calendar) = (utc("2026-01-24T12:00Z"), Calendar::new(ACTIVATION_DELAY));
     let it = freeze("now", "2026-01-24T00:00", "2026-01-25T00:00", "UTC");
     assert_eq!(calendar.apply(7, start, &add(&it)), Applied::Added);
-    assert_eq!(calendar.phase("now", start + BINDING - 1), Some(EntryPhase::Agreed));
-    assert!(!frozen(&calendar, start + BINDING - 1));
-    assert_eq!(calendar.phase("now", start + BINDING), Some(EntryPhase::InForce));
-    assert!(frozen(&calendar, start + BINDING));
+    assert_eq!(calendar.phase("now", start + ACTIVATION_DELAY - 1), Some(EntryPhase::Agreed));
+    assert!(!frozen(&calendar, start + ACTIVATION_DELAY - 1));
+    assert_eq!(calendar.phase("now", start + ACTIVATION_DELAY), Some(EntryPhase::InForce));
+    assert!(frozen(&calendar, start + ACTIVATION_DELAY));
     assert_eq!(calendar.phase("now", utc("2026-01-25T00:00Z")), Some(EntryPhase::Ended));
     assert_eq!(calendar.apply(7, start, &add(&it)), Applied::Known);
     let duplicate = ProposalError::Duplicate("now".into());
@@ -157,27 +157,31 @@
 
 #[test]
 fn entries_and_occurrences_are_bounded() {
-    let mut calendar = Calendar::new(BINDING);
-    let name = |n: usize| freeze(&n.to_string(), "2026-01-24T00:00", "2026-02-01T00:00", "UTC");
+    let mut calendar = Calendar::new(ACTIVATION_DELAY);
+    let numbered_freeze = |n: usize| freeze(&n.to_string(), "2026-01-24T00:00", "2026-02-01T00:00", "UTC");
     for n in 0..MAX_ENTRIES {
-        assert_eq!(calendar.apply(n as u64 + 1, 1_000, &add(&name(n))), Applied::Added);
+        assert_eq!(calendar.apply(n as u64 + 1, 1_000, &add(&numbered_freeze(n))), Applied::Added);
     }
-    let over = calendar.apply(20_000, 1_000, &add(&name(MAX_ENTRIES)));
-    assert_eq!(over, Applied::Refused(ProposalError::Full));
-    let zones = (0..MAX_NAMES).map(|n| format!("z{n}")).collect();
+    let applied = calendar.apply(20_000, 1_000, &add(&numbered_freeze(MAX_ENTRIES)));
+    assert_eq!(applied, Applied::Refused(ProposalError::Full));
+    let zones = (0..MAX_NAMES_PER_ENTRY).map(|n| format!("z{n}")).collect();
     let scope = Scope { kinds: vec![], place: ScopeTarget::Zones(zones) };
-    let wide = Freeze { repeat: repeat("2027-12-31", Recurrence::Daily(1)), scope, ..name(0) };
-    assert_eq!(support::calendar(&[]).validate_proposal(1_000, &add(&wide)), Err(ProposalError::TooMany));
+    let daily_in_many_zones =
+        Freeze { repeat: repeat("2027-12-31", Recurrence::Daily(1)), scope, ..numbered_freeze(0) };
+    assert_eq!(
+        support::calendar(&[]).validate_proposal(1_000, &add(&daily_in_many_zones)),
+        Err(ProposalError::TooMany)
+    );
 }
 
 #[test]
-fn unplanned_changes_are_never_held_and_planned_ones_need_a_lease() {
+fn unplanned_changes_pass_and_planned_ones_need_a_lease() {
     let calendar = calendar(&[freeze("it", "2026-01-24T00:00", "2026-02-01T00:00", "UTC")]);
-    let (inside, outside) = (instant(utc("2026-01-25T00:00Z")), instant(utc("2026-03-01T00:00Z")));
+    let (inside, outside) = (exact_time(utc("2026-01-25T00:00Z")), exact_time(utc("2026-03-01T00:00Z")));
     use ChangeKind::*;
     for kind in [Drain, Gone, Fall, Cold, Out, Back, Less] {
-        let taken = calendar.check(inside, LeaseState::Fenced, &Change::of_host(kind, "h", "z"));
-        assert_eq!(taken, Verdict::Allow { revision: 1, override_id: None });
+        let verdict = calendar.check(inside, LeaseState::Fenced, &Change::of_host(kind, "h", "z"));
+        assert_eq!(verdict, Verdict::Allow { revision: 1, override_id: None });
     }
     for kind in ChangeKind::PLANNED {
         let check = |time, lease| calendar.check(time, lease, &Change::of_host(kind, "h", "z"));
@@ -195,25 +199,25 @@
 }
 
 #[test]
-fn override_allows_what_it_covers_completely_until_its_end() {
+fn override_allows_fully_covered_changes_until_its_end() {
     let mut calendar = calendar(&[freeze("it", "2026-01-24T00:00", "2026-02-01T00:00", "UTC")]);
     let scope = Scope {
         kinds: vec![ChangeKind::Zone, ChangeKind::Join],
         place: ScopeTarget::Zones(vec!["a".into()]),
     };
     let committed = utc("2026-01-25T00:00Z");
-    calendar.apply(5, committed, &leave("rack", "2026-01-26T00:00", scope));
+    calendar.apply(5, committed, &override_proposal("rack", "2026-01-26T00:00", scope));
     let in_a = Change::of_host(ChangeKind::Join, "h", "a");
-    let verdict = calendar.check(instant(committed), LeaseState::Held, &in_a);
+    let verdict = calendar.check(exact_time(committed), LeaseState::Held, &in_a);
     assert_eq!(verdict, Verdict::Allow { revision: 5, override_id: Some("rack".into()) });
     assert!(held(&calendar, committed, &Change::of_host(ChangeKind::More, "h", "a")));
     assert!(held(&calendar, committed, &Change::of_fleet(ChangeKind::Join)));
-    let both = Change { kind: ChangeKind::Zone, host: Some("h"), zones: [Some("a"), Some("b")] };
-    assert!(held(&calendar, committed, &both), "the override covers only one of the two zones");
+    let zone_change = Change { kind: ChangeKind::Zone, host: Some("h"), zones: [Some("a"), Some("b")] };
+    assert!(held(&calendar, committed, &zone_change), "the override covers only one of the two zones");
     let end = utc("2026-01-26T00:00Z");
     assert!(!held(&calendar, end - 1, &in_a) && held(&calendar, end, &in_a));
-    let across = Some(TimeInterval { earliest: end - 5, latest: end });
-    assert!(matches!(calendar.check(across, LeaseState::Held, &in_a), Verdict::Hold { .. }));
+    let span_across_end = Some(TimeInterval { earliest: end - 5, latest: end });
+    assert!(matches!(calendar.check(span_across_end, LeaseState::Held, &in_a), Verdict::Hold { .. }));
 }
 
 #[test]
@@ -223,7 +227,8 @@
     let plain = freeze("b", "2026-01-24T00:00", "2026-02-01T00:00", "UTC");
     let days = Recurrence::Weekly { every: 2, days: vec![Day::Friday] };
     let weekly = Freeze { repeat: repeat("2026-03-01", days), scope: scope.clone(), ..plain.clone() };
-    for proposal in [add(&deadline_weeks()), add(&plain), add(&weekly), leave("c", "2026-01-26T00:00", scope)]
+    for proposal in
+        [add(&deadline_weeks()), add(&plain), add(&weekly), override_proposal("c", "2026-01-26T00:00", scope)]
     {
         let text = toml::to_string(&proposal).unwrap();
         assert_eq!(toml::from_str::<Proposal>(&text).unwrap(), proposal, "{text}");
@@ -235,28 +240,28 @@
 }
 
 #[test]
-fn same_log_or_snapshot_makes_the_same_calendar() {
+fn same_log_or_snapshot_yields_an_equal_calendar() {
     let mut runner = TestRunner::new(ProptestConfig {
         rng_seed: RngSeed::Fixed(5),
         failure_persistence: None,
         ..ProptestConfig::with_cases(64)
     });
     let step = (0_u8..6, any::<bool>(), 0_u64..400);
-    let play = |log: &[(u8, bool, u64)]| {
-        let mut calendar = Calendar::new(BINDING);
+    let apply_log = |log: &[(u8, bool, u64)]| {
+        let mut calendar = Calendar::new(ACTIVATION_DELAY);
         let mut time = utc("2026-01-20T00:00Z");
-        let outcomes = log.iter().enumerate().map(|(n, (id, add_it, hours))| {
+        let outcomes = log.iter().enumerate().map(|(n, (id, is_add, hours))| {
             time += hours * 3_600_000;
             let id = id.to_string();
             let freeze = Freeze { id: id.clone(), ..deadline_weeks() };
             let revoke = Revoke { id, asked_by: "Ana".into(), reason: "over".into() };
-            calendar.apply(n as u64 + 1, time, &if *add_it { add(&freeze) } else { Proposal::Revoke(revoke) })
+            calendar.apply(n as u64 + 1, time, &if *is_add { add(&freeze) } else { Proposal::Revoke(revoke) })
         });
         let outcomes: Vec<_> = outcomes.collect();
         (calendar, outcomes)
     };
-    let same = |log: Vec<(u8, bool, u64)>| {
-        let ((one, outcomes_of_one), (other, outcomes_of_other)) = (play(&log), play(&log));
+    let yields_equal_calendars = |log: Vec<(u8, bool, u64)>| {
+        let ((one, outcomes_of_one), (other, outcomes_of_other)) = (apply_log(&log), apply_log(&log));
         prop_assert_eq!(&one, &other);
         prop_assert_eq!(outcomes_of_one, outcomes_of_other);
         let restored = Calendar::restore(&one.snapshot()).unwrap();
@@ -264,11 +269,11 @@
         prop_assert_eq!(restored.snapshot(), other.snapshot());
         Ok(())
     };
-    runner.run(&proptest::collection::vec(step, 0..40), same).unwrap();
+    runner.run(&proptest::collection::vec(step, 0..40), yields_equal_calendars).unwrap();
 }
 
 #[test]
-fn restore_of_any_bytes_neither_panics_nor_accepts_invalid_entries() {
+fn restore_of_any_bytes_never_panics_or_accepts_invalid_entries() {
     let mut runner = TestRunner::new(ProptestConfig {
         rng_seed: RngSeed::Fixed(6),
         failure_persistence: None,
@@ -278,7 +283,7 @@
         calendar(&[deadline_weeks(), freeze("b", "2026-01-24T00:00", "2026-02-01T00:00", MADRID)]).snapshot();
     let changes = proptest::collection::vec((any::<prop::sample::Index>(), any::<u8>()), 0..4);
     let noise = proptest::collection::vec(any::<u8>(), 0..200);
-    let any_bytes = |(changes, noise): (Vec<(prop::sample::Index, u8)>, Vec<u8>)| {
+    let rejects_invalid_entries = |(changes, noise): (Vec<(prop::sample::Index, u8)>, Vec<u8>)| {
         let mut bytes = whole.clone();
         changes.iter().for_each(|(at, to)| bytes[at.index(whole.len())] = *to);
         for bytes in [bytes, noise] {
@@ -289,6 +294,6 @@
         }
         Ok(())
     };
-    runner.run(&(changes, noise), any_bytes).unwrap();
-    assert_eq!(Calendar::restore(&whole[..whole.len() - 1]), Err(RestoreError::Form));
+    runner.run(&(changes, noise), rejects_invalid_entries).unwrap();
+    assert_eq!(Calendar::restore(&whole[..whole.len() - 1]), Err(RestoreError::UnknownFormat));
 }
--- a/crates/calendar/tests/golden.rs
+++ b/crates/calendar/tests/golden.rs
@@ -5,7 +5,7 @@
 use calendar::*;
 use expect_test::expect_file;
 use std::fmt::Write;
-use support::{BINDING, add, freeze, leave};
+use support::{ACTIVATION_DELAY, add, freeze, override_proposal};
 
 fn hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
@@ -75,16 +75,16 @@
             ..freeze(&format!("placed-{n}"), "2030-02-01T00:00", "2030-02-02T00:00", "Europe/Madrid")
         };
         all.push(add(&placed));
-        all.push(leave(&format!("leave-{n}"), "2030-02-01T12:00", planned));
-        all.push(leave(&format!("any-{n}"), "2030-02-01T12:00", scope));
+        all.push(override_proposal(&format!("leave-{n}"), "2030-02-01T12:00", planned));
+        all.push(override_proposal(&format!("any-{n}"), "2030-02-01T12:00", scope));
     }
     all.push(add(&freeze("gone", "2030-05-01T00:00", "2030-05-02T00:00", "UTC")));
     all.push(Proposal::Revoke(Revoke { id: "gone".into(), asked_by: "ada".into(), reason: "over".into() }));
     all
 }
 
-fn agreed() -> Calendar {
-    let mut calendar = Calendar::new(BINDING);
+fn committed_calendar() -> Calendar {
+    let mut calendar = Calendar::new(ACTIVATION_DELAY);
     let at = support::utc("2029-12-01T00:00Z");
     for (revision, proposal) in (1..).zip(proposals()) {
         calendar.apply(revision, at + revision, &proposal);
@@ -94,7 +94,7 @@
 
 #[test]
 fn snapshot_keeps_its_encoding_and_is_restored() {
-    let calendar = agreed();
+    let calendar = committed_calendar();
     expect_file!["golden/snapshot.txt"].assert_eq(&format!("{}\n", hex(&calendar.snapshot())));
     let old = unhex(include_str!("golden/snapshot.txt"));
     let restored = Calendar::restore(&old).unwrap();
@@ -124,7 +124,7 @@
 
 #[test]
 fn refusals_keep_their_texts() {
-    let mut calendar = agreed();
+    let mut calendar = committed_calendar();
     let at = support::utc("2030-01-02T00:00Z");
     let refused = [
         add(&freeze("placed-0", "2030-02-01T00:00", "2030-02-02T00:00", "UTC")),
