--- a/crates/maintenance/src/lib.rs
+++ b/crates/maintenance/src/lib.rs
@@ -1,11 +1,11 @@
-//! Operator overrides: cache endpoints disabled by hand, and the drain of the balancer.
+//! Operator overrides: cache endpoints that operators have disabled, and the drain of the balancer.
 //!
-//! [`OverriddenList`] lays the overrides over discovery's endpoint list: a disabled endpoint is listed as draining, and one that
-//! was enabled again as started at that time, so that nothing downstream needs to know of overrides. [`OverrideStore`] persists
-//! them for the next process.
+//! [`OverriddenList`] applies the overrides to discovery's endpoint list. It lists a disabled endpoint as draining, and
+//! an endpoint that was enabled again as started at that time, so that no consumer of the list needs to know of
+//! overrides. [`OverrideStore`] persists the overrides for the next process.
 //!
-//! The crate does no I/O and reads no clock. The owner passes in the endpoint lists and the commands with their times, reads and
-//! writes the file, and hands on the lists that it gets back.
+//! The crate does no I/O and reads no clock. The owner passes in the endpoint lists and the commands with their times,
+//! reads and writes the file, and passes on the lists that it gets back.
 #![forbid(unsafe_code)]
 #![warn(unreachable_pub)]
 
@@ -19,5 +19,5 @@
 pub use overrides::{OperatorOverrides, OverrideCommand, OverrideError, UnreadableOverrides};
 pub use store::OverrideStore;
 
-/// Unix time in milliseconds, as in the start times of discovery's list.
+/// Unix time in milliseconds, like the start times in discovery's list.
 pub type Millis = u64;
--- a/crates/maintenance/src/outcome.rs
+++ b/crates/maintenance/src/outcome.rs
@@ -1,40 +1,41 @@
-//! What the store asks its owner to do, and what callers and the owner are told.
+//! The actions that the store requests from its owner, and the results of commands and writes.
 
 use crate::{OperatorOverrides, OverrideCommand, OverrideError};
 use std::io;
 use thiserror::Error;
 
-/// An action for the owner, to be carried out in order. `T` identifies a caller.
+/// An action that the store requests from its owner. The owner carries out actions in order. `T` identifies a caller.
 #[derive(Debug, PartialEq, Eq)]
 pub enum StoreAction<T> {
     /// Read the file if it has changed, and call [`OverrideStore::handle_read`](crate::OverrideStore::handle_read).
     Read,
     /// Write these overrides atomically, and call [`OverrideStore::handle_write`](crate::OverrideStore::handle_write).
     Write(OperatorOverrides),
-    /// The overrides in force have changed, which affects these endpoints, and perhaps whether the balancer drains.
+    /// Put a change of the overrides in force into effect. It affects these endpoints, and possibly whether the
+    /// balancer drains.
     Changed(OverrideChange, Vec<String>),
-    /// Answer a caller.
+    /// Answer the caller of a command.
     Answer(T, CommandOutcome),
 }
 
-/// Why the overrides in force have changed.
+/// The reason why the overrides in force have changed.
 #[derive(Debug, PartialEq, Eq)]
 pub enum OverrideChange {
-    /// An operator's command.
+    /// An operator's command was applied.
     Command(OverrideCommand),
-    /// The file has changed: another process of this balancer took a command.
+    /// The file has changed, because another process of this balancer accepted a command.
     Loaded,
-    /// Commands could not be written, and were rolled back.
+    /// Commands could not be written and were rolled back.
     RolledBack,
 }
 
-/// Why overrides were not written. The file is unchanged.
+/// The reason why overrides were not written. The failed write has not changed the file.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum WriteError {
-    /// Another process of this balancer has written these overrides since the last read.
+    /// Another process of this balancer has written these overrides to the file since the last read.
     #[error("another process has written other orders")]
     Changed(OperatorOverrides),
-    /// The write failed.
+    /// The write failed for this reason.
     #[error("{0}")]
     Failed(String),
 }
@@ -45,15 +46,15 @@
     }
 }
 
-/// The answer to a caller.
+/// The outcome of a command, which its caller is answered with.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CommandOutcome {
-    /// In force and written, so that the next process finds it.
+    /// The command is in force and written, so that the next process loads it.
     Persisted,
-    /// In force in this process, and written as soon as the disk responds.
+    /// The command is in force in this process, and will be written as soon as the disk responds.
     Applied,
-    /// Not in force, since the command is not valid.
+    /// The command is not in force, because it is invalid.
     Rejected(OverrideError),
-    /// Not in force, since it could not be written for this reason.
+    /// The command is not in force, because it could not be written for this reason.
     NotPersisted(String),
 }
--- a/crates/maintenance/src/overridden_list.rs
+++ b/crates/maintenance/src/overridden_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list with the operator overrides laid over it.
+//! The endpoint list with the operator overrides applied to it.
 
 use crate::{Millis, OperatorOverrides, OverrideCommand, OverrideError};
 use hashlink::LruCache;
@@ -6,13 +6,13 @@
 use rustc_hash::{FxBuildHasher, FxHashMap};
 use std::fmt;
 
-/// Upper bound on the remembered ids of endpoints that were listed once, which may be disabled while they are not listed. It
-/// bounds memory on days on which endpoints are replaced all the time.
+/// Maximum number of remembered endpoint ids. An endpoint that was listed once may be disabled while it is not listed.
+/// The limit bounds memory when endpoints are replaced continually.
 const MAX_KNOWN_IDS: usize = 4_096;
 
-/// Discovery's last list, and the overrides that are laid over it.
+/// Discovery's last list, and the overrides that are applied to it.
 pub struct OverriddenList {
-    /// The flavor of the origin, which no override applies to.
+    /// The flavor of origin endpoints, to which no override applies.
     origin_flavor: Option<String>,
     listed: FxHashMap<String, EndpointRecord>,
     known_ids: LruCache<String, (), FxBuildHasher>,
@@ -20,20 +20,20 @@
 }
 
 impl OverriddenList {
-    /// Creates an empty list with the overrides of the previous process.
+    /// Creates an empty list. `overrides` are those of the previous process.
     #[must_use]
     pub fn new(origin_flavor: Option<String>, overrides: OperatorOverrides) -> Self {
         let known_ids = LruCache::with_hasher(MAX_KNOWN_IDS, FxBuildHasher);
         Self { origin_flavor, listed: FxHashMap::default(), known_ids, overrides }
     }
 
-    /// The overrides in force.
+    /// Returns the overrides in force.
     #[must_use]
     pub fn overrides(&self) -> &OperatorOverrides {
         &self.overrides
     }
 
-    /// Takes in a list of discovery, and returns it with the overrides laid over.
+    /// Stores a list from discovery, and returns it with the overrides applied.
     #[must_use]
     pub fn apply_list(&mut self, list: &EndpointList) -> EndpointList {
         if list.complete {
@@ -54,11 +54,11 @@
         EndpointList { members, ..*list }
     }
 
-    /// Applies a command. Returns the endpoints whose entries have changed, for [`OverriddenList::current_entries`]. A command
-    /// that is in force already changes nothing.
+    /// Applies a command. Returns the endpoints whose entries have changed, for [`OverriddenList::current_entries`]. A
+    /// command that is already in force changes nothing.
     ///
     /// # Errors
-    /// When no cache endpoint has the id.
+    /// Returns an error if no cache endpoint has the id.
     pub fn apply_command(
         &mut self, now: Millis, command: &OverrideCommand,
     ) -> Result<Vec<String>, OverrideError> {
@@ -81,13 +81,13 @@
         old.differences(&self.overrides)
     }
 
-    /// The endpoints whose entries have changed since these overrides were in force.
+    /// Returns the endpoints whose entries have changed since `overrides` were in force.
     #[must_use]
     pub(crate) fn changed_since(&self, overrides: &OperatorOverrides) -> Vec<String> {
         overrides.differences(&self.overrides)
     }
 
-    /// A list of changes with the current entries of these endpoints. Endpoints that are not listed are left out.
+    /// Returns an incremental list of the current entries of `hosts`. It leaves out endpoints that are not listed.
     #[must_use]
     pub fn current_entries(&self, hosts: &[String]) -> EndpointList {
         let listed = hosts.iter().filter_map(|id| self.listed.get(id));
@@ -104,7 +104,7 @@
             entry.phase = Phase::Draining;
         }
         if let Some(enabled_at) = self.overrides.enabled_at(&member.id) {
-            // Discovery reports starts seconds late. Until it does, the endpoint counts as started when it was enabled.
+            // Discovery reports a start seconds late. Until then, the endpoint counts as started when it was enabled.
             entry.up_since_ms = entry.up_since_ms.max(enabled_at);
         }
         entry
--- a/crates/maintenance/src/overrides.rs
+++ b/crates/maintenance/src/overrides.rs
@@ -1,29 +1,30 @@
-//! The operator overrides in force, and their stored form.
+//! The operator overrides in force, and the format in which they are stored.
 
 use crate::Millis;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use thiserror::Error;
 
-/// Version of the format of [`OperatorOverrides::to_text`]. Files of other versions are not read.
+/// Version of the format of [`OperatorOverrides::to_text`]. Files of other versions are rejected.
 const FORMAT_VERSION: u32 = 1;
-/// Upper bound on the enabled endpoints whose new start is not known. Beyond it, the one enabled first is taken as listed.
+/// Maximum number of enabled endpoints whose new start is not known. When it is exceeded, the start that discovery
+/// lists is used for the endpoint that was enabled first.
 const MAX_AWAITING_START: usize = 256;
 
 /// An operator's command.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum OverrideCommand {
-    /// Forward nothing more to this cache endpoint.
+    /// Disable this cache endpoint: forward no more requests to it.
     Disable(String),
-    /// Use it again.
+    /// Enable this cache endpoint again.
     Enable(String),
-    /// Drain the balancer: it admits no new clients.
+    /// Drain the balancer: admit no new clients.
     Drain,
-    /// Admit clients again.
+    /// End the drain of the balancer: admit clients again.
     Undrain,
 }
 
-/// Why a command is rejected.
+/// The reason why a command is rejected.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum OverrideError {
     /// No cache endpoint has this id.
@@ -31,18 +32,18 @@
     Unknown(String),
 }
 
-/// Why stored overrides cannot be used.
+/// The reason why stored overrides cannot be used.
 #[derive(Debug, Error)]
 pub enum UnreadableOverrides {
-    /// Not JSON of the known form.
+    /// The text is not JSON in the known format.
     #[error("not in the form of orders: {0}")]
     Malformed(#[from] serde_json::Error),
-    /// Written in another version of the format.
+    /// The text has another version of the format.
     #[error("of version {0}, not {FORMAT_VERSION}")]
     Version(u32),
 }
 
-/// An endpoint that was enabled again, and has not started since it was disabled as far as is known.
+/// An endpoint that was enabled again, and that is not known to have started since it was disabled.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(expecting = "struct Back")]
 struct Reenabled {
@@ -52,13 +53,14 @@
     enabled_at: Millis,
 }
 
-/// The overrides in force.
+/// Operator overrides: the disabled and re-enabled endpoints, and whether the balancer drains.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OperatorOverrides {
     version: u32,
-    /// Disabled endpoints, and when they were disabled.
+    /// The ids of the disabled endpoints, and when each was disabled.
     #[serde(rename = "out")]
     disabled: BTreeMap<String, Millis>,
+    /// The ids of the endpoints that were enabled again and whose new start is not yet known.
     #[serde(rename = "back")]
     awaiting_start: BTreeMap<String, Reenabled>,
     draining: bool,
@@ -76,31 +78,31 @@
 }
 
 impl OperatorOverrides {
-    /// Whether this endpoint is disabled.
+    /// Returns whether this endpoint is disabled.
     #[must_use]
     pub fn is_out(&self, id: &str) -> bool {
         self.disabled.contains_key(id)
     }
 
-    /// Whether the balancer drains.
+    /// Returns whether the balancer drains.
     #[must_use]
     pub fn draining(&self) -> bool {
         self.draining
     }
 
-    /// When this endpoint was enabled, if no start of it since it was disabled is known.
+    /// Returns when this endpoint was enabled, unless it is known to have started since it was disabled.
     pub(crate) fn enabled_at(&self, id: &str) -> Option<Millis> {
         self.awaiting_start.get(id).map(|it| it.enabled_at)
     }
 
-    /// Records a start that discovery lists.
+    /// Records the start time that discovery lists for an endpoint.
     pub(crate) fn record_start(&mut self, id: &str, start: Millis) {
         if self.awaiting_start.get(id).is_some_and(|it| start >= it.disabled_at) {
             self.awaiting_start.remove(id);
         }
     }
 
-    /// Applies a command. Returns the endpoint whose state has changed.
+    /// Applies a command. Returns the endpoint whose state has changed, if any.
     pub(crate) fn apply(&mut self, now: Millis, command: &OverrideCommand) -> Option<String> {
         match command {
             OverrideCommand::Disable(id) if !self.is_out(id) => {
@@ -131,7 +133,7 @@
         }
     }
 
-    /// The endpoints whose state differs between these overrides and others.
+    /// Returns the endpoints whose state differs between these overrides and `other`.
     pub(crate) fn differences(&self, other: &Self) -> Vec<String> {
         let all: BTreeSet<&String> = [&self.disabled, &other.disabled]
             .into_iter()
@@ -144,16 +146,17 @@
         all.into_iter().filter(|id| differs(id)).cloned().collect()
     }
 
-    /// Encodes the overrides for the next process.
+    /// Encodes the overrides as the text that the next process reads.
     #[must_use]
     pub fn to_text(&self) -> String {
-        serde_json::to_string(self).expect("maps with text keys always encode")
+        serde_json::to_string(self)
+            .expect("operator overrides are maps with string keys, which always encode as JSON")
     }
 
     /// Decodes the text of [`OperatorOverrides::to_text`].
     ///
     /// # Errors
-    /// When the text is malformed, or of another version.
+    /// Returns an error if the text is malformed or has another format version.
     pub fn from_text(text: &str) -> Result<Self, UnreadableOverrides> {
         #[derive(Deserialize)]
         struct Versioned {
--- a/crates/maintenance/src/store.rs
+++ b/crates/maintenance/src/store.rs
@@ -1,5 +1,5 @@
-//! The store of operator overrides: when a command comes into force, when it is written for the next process, and when its
-//! caller is answered, on a disk that may stall at any time.
+//! The store of operator overrides. It decides when a command comes into force, when it is written for the next process
+//! and when its caller is answered, even if the disk stalls.
 
 use crate::{
     CommandOutcome, Millis, OperatorOverrides, OverriddenList, OverrideChange, OverrideCommand, StoreAction,
@@ -7,33 +7,35 @@
 };
 use std::collections::VecDeque;
 
-/// How long a command waits for a read of the commands that the other process of this balancer took, so that it does not
-/// overwrite them. A command must be in force within a second.
+/// Maximum time that a command waits for a read of the file. The read prevents the command from overwriting those that
+/// the other process of this balancer accepted. A command must be in force within a second.
 const READ_TIMEOUT: Millis = 200;
-/// How long a caller waits for the write. A call must be answered within a second.
+/// Maximum time from a command to the answer to its caller, even if the write has not completed. A call must be
+/// answered within a second.
 const ANSWER_TIMEOUT: Millis = 600;
-/// Time from a failed write to its retry.
+/// Delay between a failed write and its retry.
 const RETRY_INTERVAL: Millis = 1_000;
-/// Upper bound on the commands remembered until they are written. During a longer stall of the disk more are applied all the
-/// same, but the first are not applied again over the commands of another process.
+/// Maximum number of commands that are remembered until they are written. If more are applied while the disk stalls,
+/// the oldest are forgotten, and are not reapplied over the commands of another process.
 const MAX_UNWRITTEN: usize = 256;
 
-/// The operation on the file that is in progress.
+/// The file operation in progress.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Operation {
     Idle,
-    /// A read, which these first pending commands came before.
+    /// A read that started after the first `commands` pending commands arrived.
     Read {
         commands: usize,
     },
-    /// A write for these first waiting callers, which covers these first unwritten commands.
+    /// A write that covers the first `commands` unwritten commands, and for which the first `callers` waiting callers
+    /// wait.
     Write {
         callers: usize,
         commands: usize,
     },
 }
 
-/// A command that waits for a read of the file.
+/// A command that waits for a read of the file before it is applied.
 #[derive(Debug)]
 struct PendingCommand<T> {
     since: Millis,
@@ -41,7 +43,7 @@
     caller: T,
 }
 
-/// A command that is in force and not written.
+/// A command that is in force but not yet written.
 #[derive(Debug)]
 struct UnwrittenCommand {
     number: u64,
@@ -49,7 +51,7 @@
     command: OverrideCommand,
 }
 
-/// A caller that waits until all commands up to a number are written.
+/// A caller that waits until all commands up to and including `number` are written.
 #[derive(Debug)]
 struct WaitingCaller<T> {
     number: u64,
@@ -57,35 +59,38 @@
     caller: T,
 }
 
-/// Moves commands between callers, the balancer and the file. At most one operation on the file is in progress.
+/// Applies commands to the overrides in force, writes them to the file and answers their callers. At most one file
+/// operation is in progress at a time.
 ///
 /// The owner bounds the number of callers.
 #[derive(Debug)]
 pub struct OverrideStore<T> {
-    /// Whether there is a file. Without one every command counts as written.
+    /// Whether there is a file. Without a file, every command counts as written.
     has_file: bool,
     operation: Operation,
     pending: VecDeque<PendingCommand<T>>,
     waiting: VecDeque<WaitingCaller<T>>,
-    /// Applied again over what the other process has written.
+    /// Commands in force that are not yet written. They are reapplied over the overrides that the other process has
+    /// written.
     unwritten: VecDeque<UnwrittenCommand>,
-    /// The number of the last unwritten command.
+    /// The number of the last command that was added to `unwritten`.
     last_number: u64,
-    /// Whether the overrides in force differ from those that were last handed out to be written.
+    /// Whether the overrides in force differ from those of the last write that was requested.
     dirty: bool,
-    /// Commands up to this number were acknowledged as applied before they were written, and are never rolled back.
+    /// Commands up to and including this number were acknowledged as applied before they were written. They are never
+    /// rolled back.
     acknowledged: u64,
-    /// What the file contains.
+    /// The overrides that the file contains.
     persisted: OperatorOverrides,
-    /// What is being written to the file.
+    /// The overrides that are being written to the file.
     writing: OperatorOverrides,
-    /// No write before this time.
+    /// The earliest time of the next write.
     retry_at: Millis,
     actions: VecDeque<StoreAction<T>>,
 }
 
 impl<T> OverrideStore<T> {
-    /// Creates an idle store. `has_file` says whether there is a file, which counts as empty until it is read.
+    /// Creates an idle store. `has_file` says whether there is a file. The file counts as empty until it is read.
     #[must_use]
     pub fn new(has_file: bool) -> Self {
         Self {
@@ -104,12 +109,12 @@
         }
     }
 
-    /// The next action for the owner.
+    /// Returns the next action for the owner.
     pub fn poll(&mut self) -> Option<StoreAction<T>> {
         self.actions.pop_front()
     }
 
-    /// Takes in an operator's command.
+    /// Handles an operator's command.
     pub fn handle_command(
         &mut self, now: Millis, list: &mut OverriddenList, command: OverrideCommand, caller: T,
     ) {
@@ -117,7 +122,7 @@
         self.start_operation(now, list);
     }
 
-    /// Takes in the result of a read: the contents of the file, if they are new.
+    /// Handles the result of a read. `loaded` contains the overrides in the file if the file has changed.
     pub fn handle_read(&mut self, now: Millis, list: &mut OverriddenList, loaded: Option<OperatorOverrides>) {
         let Operation::Read { commands } = self.operation else { return };
         self.operation = Operation::Idle;
@@ -131,7 +136,7 @@
         self.start_operation(now, list);
     }
 
-    /// Takes in the result of a write.
+    /// Handles the result of a write.
     pub fn handle_write(&mut self, now: Millis, list: &mut OverriddenList, written: Result<(), WriteError>) {
         let Operation::Write { callers, commands } = self.operation else { return };
         self.operation = Operation::Idle;
@@ -152,7 +157,8 @@
         self.start_operation(now, list);
     }
 
-    /// Rolls back the commands that were not acknowledged. The others are written later.
+    /// Rolls back the commands that were not acknowledged, after a failed write. Acknowledged commands are written
+    /// later.
     fn roll_back(&mut self, now: Millis, list: &mut OverriddenList, reason: &str) {
         let before = self.unwritten.len();
         self.unwritten.retain(|unwritten| unwritten.number <= self.acknowledged);
@@ -171,19 +177,20 @@
         }
     }
 
-    /// Puts in force what the file contains, with the unwritten commands applied over it.
+    /// Puts the overrides of the file into force, with the unwritten commands reapplied over them.
     fn rebuild(&mut self, list: &mut OverriddenList, change: OverrideChange) {
         let before = list.overrides().clone();
         list.replace_overrides(self.persisted.clone());
         for unwritten in &self.unwritten {
-            // It was valid when it was taken. If it fails now, its endpoint has left since.
+            // The command was valid when it was accepted. If it fails now, its endpoint has left the list since then.
             let _ = list.apply_command(unwritten.at, &unwritten.command);
         }
         let hosts = list.changed_since(&before);
         self.actions.push_back(StoreAction::Changed(change, hosts));
     }
 
-    /// Handles timeouts, and reads the file when nothing else is to be done. Call this about ten times a second.
+    /// Handles timeouts, and starts a read of the file if no operation is in progress. Call this about ten times a
+    /// second.
     pub fn tick(&mut self, now: Millis, list: &mut OverriddenList) {
         while self.pending.front().is_some_and(|pending| now >= pending.since + READ_TIMEOUT) {
             self.apply_next_command(now, list);
@@ -198,7 +205,7 @@
         }
     }
 
-    /// Answers the callers that have waited for a write for too long.
+    /// Answers the callers whose [`ANSWER_TIMEOUT`] has expired.
     fn acknowledge_late_callers(&mut self, now: Millis) {
         let is_late = |waiting: &&WaitingCaller<T>| now >= waiting.since + ANSWER_TIMEOUT;
         let late = self.waiting.iter().take_while(is_late).count();
@@ -210,6 +217,7 @@
         }
     }
 
+    /// Starts a read of the file on behalf of all pending commands.
     fn start_read(&mut self) {
         self.operation = Operation::Read { commands: self.pending.len() };
         self.actions.push_back(StoreAction::Read);
@@ -233,6 +241,7 @@
         }
     }
 
+    /// Applies all pending commands, and answers their callers as if the commands were written.
     fn apply_without_file(&mut self, now: Millis, list: &mut OverriddenList) {
         while !self.pending.is_empty() {
             self.apply_next_command(now, list);
@@ -257,7 +266,7 @@
             self.remember(now, command.clone());
         }
         self.actions.push_back(StoreAction::Changed(OverrideChange::Command(command), hosts));
-        // A command without effect is persisted already, unless the one that it repeats is still to be written.
+        // A command that changes nothing is already persisted, unless the command that it repeats is not yet written.
         if self.dirty || matches!(self.operation, Operation::Write { .. }) {
             self.waiting.push_back(WaitingCaller { number: self.last_number, since, caller });
         } else {
@@ -265,7 +274,7 @@
         }
     }
 
-    /// Remembers a command that is in force until it is written.
+    /// Remembers a command that is in force, until it is written.
     fn remember(&mut self, at: Millis, command: OverrideCommand) {
         self.dirty = true;
         self.last_number += 1;
@@ -278,6 +287,7 @@
         }
     }
 
+    /// Answers the first `count` waiting callers.
     fn answer_first(&mut self, count: usize, outcome: &CommandOutcome) {
         let answered = self.waiting.drain(..count.min(self.waiting.len()));
         self.actions.extend(answered.map(|it| StoreAction::Answer(it.caller, outcome.clone())));
--- a/crates/maintenance/tests/golden.rs
+++ b/crates/maintenance/tests/golden.rs
@@ -1,4 +1,4 @@
-//! The format of the file of operator overrides, which the next process reads.
+//! The format of the file of operator overrides, and the errors for files that cannot be read.
 
 use expect_test::expect_file;
 use maintenance::{OperatorOverrides, OverriddenList, OverrideCommand};
--- a/crates/maintenance/tests/overrides.rs
+++ b/crates/maintenance/tests/overrides.rs
@@ -1,4 +1,4 @@
-//! Overrides laid over endpoint lists, without sockets, files or clocks.
+//! Overrides applied to endpoint lists.
 
 use maintenance::{OperatorOverrides, OverriddenList, OverrideCommand, OverrideError};
 use proto::discovery::{EndpointList, Phase, parse_endpoint_list};
@@ -46,7 +46,7 @@
     }
     let _ = it.apply_list(&read(false, &[("a", "gone", 0)]));
     let list = it.apply_list(&read(false, &[("a", "ready", 160)]));
-    assert_eq!(entries(&list), [("a", Phase::Draining, 160)], "it left the list and returned");
+    assert_eq!(entries(&list), [("a", Phase::Draining, 160)], "the endpoint left the list and returned");
 }
 
 #[test]
@@ -60,10 +60,10 @@
     let list = it.apply_list(&read(true, &[("a", "ready", 0)]));
     assert_eq!(entries(&list), [("a", Phase::Ready, 200)], "discovery does not list its start yet");
     let list = it.apply_list(&read(false, &[("a", "ready", 150)]));
-    assert_eq!(entries(&list), [("a", Phase::Ready, 150)], "its start is listed");
+    assert_eq!(entries(&list), [("a", Phase::Ready, 150)], "discovery lists its new start");
     let list = it.apply_list(&read(false, &[("a", "draining", 150)]));
     assert_eq!(entries(&list), [("a", Phase::Draining, 150)], "an enabled endpoint can still drain");
-    assert!(it.apply_command(300, &enable("a")).unwrap().is_empty(), "it is not disabled");
+    assert!(it.apply_command(300, &enable("a")).unwrap().is_empty(), "the endpoint is not disabled");
 
     it.apply_command(400, &disable("b")).unwrap();
     let _ = it.apply_list(&read(false, &[("b", "ready", 450)]));
@@ -71,7 +71,7 @@
     assert_eq!(
         entries(&it.current_entries(&changed)),
         [("b", Phase::Ready, 450)],
-        "its start was listed before it was enabled"
+        "discovery listed its new start before it was enabled"
     );
 }
 
@@ -83,7 +83,7 @@
     }
     let _ = it.apply_list(&read(false, &[("b", "gone", 0)]));
     let changed = it.apply_command(1, &disable("b")).unwrap();
-    assert!(it.current_entries(&changed).members.is_empty(), "known, but not listed now");
+    assert!(it.current_entries(&changed).members.is_empty(), "the endpoint is known, but not listed now");
     let list = it.apply_list(&read(false, &[("b", "ready", 5)]));
     assert_eq!(entries(&list), [("b", Phase::Draining, 5)]);
 }
@@ -108,7 +108,7 @@
     assert_eq!(
         entries(&it.current_entries(&changed)),
         [("a", Phase::Ready, 140)],
-        "the command of the other process"
+        "the command of the other process is in force"
     );
     assert!(!it.overrides().draining());
 }
--- a/crates/maintenance/tests/store.rs
+++ b/crates/maintenance/tests/store.rs
@@ -1,4 +1,4 @@
-//! The store of overrides on a disk that may stall. The tests control time and the disk.
+//! The store of operator overrides, with time and a stalling disk under the control of the tests.
 
 use maintenance::{
     CommandOutcome, OperatorOverrides, OverriddenList, OverrideChange, OverrideCommand, OverrideError,
@@ -14,7 +14,7 @@
 }
 
 impl Harness {
-    /// Endpoints a and b are listed.
+    /// Creates a store with a file, and a list of the endpoints `a` and `b`.
     fn new() -> Self {
         let mut list = OverriddenList::new(None, OperatorOverrides::default());
         let member = |id| json!({"id": id, "host_port": "127.0.0.1:1", "flavor": "m", "phase": "ready", "up_since_ms": 0});
@@ -71,7 +71,7 @@
     assert_eq!(
         harness.written(Ok(())),
         [StoreAction::Answer(1, CommandOutcome::Persisted), StoreAction::Read],
-        "the second has its own look"
+        "the second command has its own read of the file"
     );
     assert_eq!(harness.read(None)[0], in_force("b"));
     assert_eq!(harness.written(Ok(())), [StoreAction::Answer(2, CommandOutcome::Persisted)]);
@@ -95,7 +95,7 @@
     assert_eq!(harness.pass(500), [StoreAction::Answer(1, CommandOutcome::Applied)]);
     assert!(matches!(harness.read(None)[..], [StoreAction::Write(_)]));
     harness.command(disable("b"), 2);
-    assert_eq!(harness.pass(200), [in_force("b")], "nor has the write");
+    assert_eq!(harness.pass(200), [in_force("b")], "the write has not completed");
     assert_eq!(harness.pass(500), [StoreAction::Answer(2, CommandOutcome::Applied)]);
     let failed = harness.written(Err("full".into()));
     assert_eq!(
@@ -123,7 +123,7 @@
     let mut harness = Harness::new();
     harness.command(disable("a"), 1);
     harness.read(None);
-    harness.command(disable("a"), 2); // the same again while it is written
+    harness.command(disable("a"), 2); // repeats the command that is being written
     let actions = harness.written(Err("no space".into()));
     let not_persisted = |who| StoreAction::Answer(who, CommandOutcome::NotPersisted("no space".into()));
     assert_eq!(
@@ -131,14 +131,14 @@
         [StoreAction::Changed(OverrideChange::RolledBack, vec!["a".into()]), not_persisted(1)]
     );
     assert_eq!(harness.disabled(), [false, false]);
-    assert_eq!(harness.read(None)[0], in_force("a"), "the second command counts by itself");
+    assert_eq!(harness.read(None)[0], in_force("a"), "the second command is applied on its own");
 }
 
 #[test]
 fn loaded_overrides_and_unwritten_commands_are_both_in_force() {
     let mut harness = Harness::new();
     harness.command(disable("a"), 1);
-    harness.pass(200); // in force, the read still in progress
+    harness.pass(200); // the command is in force, and the read is still in progress
     let mut other = Harness::new();
     other.command(disable("b"), 9);
     other.read(None);
@@ -150,7 +150,8 @@
     );
 }
 
-/// Both processes look, then each writes: who comes second finds the other's orders in the file, and writes both.
+/// Guards against losing overrides when two processes read the file and then both write it. The second write must
+/// include the overrides of the first.
 #[test]
 fn overrides_written_by_the_other_process_since_the_read_are_kept() {
     let mut harness = Harness::new();
@@ -166,11 +167,12 @@
         matches!(&again[1], StoreAction::Write(both) if both.draining() && both.is_out("b")),
         "{again:?}"
     );
-    assert_eq!(again.len(), 2, "the caller waits for that write");
+    assert_eq!(again.len(), 2, "the caller waits for the second write");
     assert_eq!(harness.written(Ok(())), [StoreAction::Answer(1, CommandOutcome::Persisted)]);
 }
 
-/// One command is acknowledged on a stalled disk. The write of the next one finds the disk full.
+/// Guards against keeping a command whose write failed. One command is acknowledged while the disk stalls, and the
+/// write of the next command finds the disk full.
 #[test]
 fn unwritten_command_is_rolled_back_even_after_an_acknowledged_one() {
     let mut harness = Harness::new();
@@ -179,7 +181,7 @@
     assert_eq!(harness.pass(500), [StoreAction::Answer(1, CommandOutcome::Applied)]);
     harness.read(None);
     harness.command(OverrideCommand::Drain, 2);
-    harness.command(disable("a"), 3); // in force already, and acknowledged
+    harness.command(disable("a"), 3); // repeats a command that is in force and acknowledged
     harness.pass(200);
     assert!(harness.list.overrides().draining());
     let actions = harness.written(Err("no space".into()));
