--- a/crates/maintenance/src/outcome.rs
+++ b/crates/maintenance/src/outcome.rs
@@ -11,8 +11,8 @@
     Read,
     /// Write these overrides atomically, and call [`OverrideStore::handle_write`](crate::OverrideStore::handle_write).
     Write(OperatorOverrides),
-    /// Put a change of the overrides in force into effect. It affects these endpoints, and possibly whether the
-    /// balancer drains.
+    /// The overrides in force have changed. The change affects these endpoints, and possibly whether the balancer
+    /// drains.
     Changed(OverrideChange, Vec<String>),
     /// Answer the caller of a command.
     Answer(T, CommandOutcome),
--- a/crates/maintenance/src/overridden_list.rs
+++ b/crates/maintenance/src/overridden_list.rs
@@ -50,7 +50,7 @@
             };
             self.overrides.record_start(&member.id, member.up_since_ms);
         }
-        let members = list.members.iter().map(|member| self.with_overrides(member)).collect();
+        let members = list.members.iter().map(|member| self.overridden_entry(member)).collect();
         EndpointList { members, ..*list }
     }
 
@@ -64,7 +64,7 @@
     ) -> Result<Vec<String>, OverrideError> {
         if let OverrideCommand::Disable(id) | OverrideCommand::Enable(id) = command
             && !self.known_ids.contains_key(id)
-            && !self.overrides.is_out(id)
+            && !self.overrides.is_disabled(id)
         {
             return Err(OverrideError::Unknown(id.clone()));
         }
@@ -94,13 +94,13 @@
         EndpointList {
             revision: 0,
             complete: false,
-            members: listed.map(|member| self.with_overrides(member)).collect(),
+            members: listed.map(|member| self.overridden_entry(member)).collect(),
         }
     }
 
-    fn with_overrides(&self, member: &EndpointRecord) -> EndpointRecord {
+    fn overridden_entry(&self, member: &EndpointRecord) -> EndpointRecord {
         let mut entry = member.clone();
-        if self.overrides.is_out(&member.id) && member.phase == Phase::Ready {
+        if self.overrides.is_disabled(&member.id) && member.phase == Phase::Ready {
             entry.phase = Phase::Draining;
         }
         if let Some(enabled_at) = self.overrides.enabled_at(&member.id) {
--- a/crates/maintenance/src/overrides.rs
+++ b/crates/maintenance/src/overrides.rs
@@ -80,7 +80,7 @@
 impl OperatorOverrides {
     /// Returns whether this endpoint is disabled.
     #[must_use]
-    pub fn is_out(&self, id: &str) -> bool {
+    pub fn is_disabled(&self, id: &str) -> bool {
         self.disabled.contains_key(id)
     }
 
@@ -105,7 +105,7 @@
     /// Applies a command. Returns the endpoint whose state has changed, if any.
     pub(crate) fn apply(&mut self, now: Millis, command: &OverrideCommand) -> Option<String> {
         match command {
-            OverrideCommand::Disable(id) if !self.is_out(id) => {
+            OverrideCommand::Disable(id) if !self.is_disabled(id) => {
                 self.awaiting_start.remove(id);
                 self.disabled.insert(id.clone(), now);
                 Some(id.clone())
@@ -135,15 +135,16 @@
 
     /// Returns the endpoints whose state differs between these overrides and `other`.
     pub(crate) fn differences(&self, other: &Self) -> Vec<String> {
-        let all: BTreeSet<&String> = [&self.disabled, &other.disabled]
+        let ids: BTreeSet<&String> = [&self.disabled, &other.disabled]
             .into_iter()
             .flat_map(BTreeMap::keys)
             .chain(self.awaiting_start.keys())
             .chain(other.awaiting_start.keys())
             .collect();
-        let differs =
-            |id: &str| self.is_out(id) != other.is_out(id) || self.enabled_at(id) != other.enabled_at(id);
-        all.into_iter().filter(|id| differs(id)).cloned().collect()
+        let differs = |id: &str| {
+            self.is_disabled(id) != other.is_disabled(id) || self.enabled_at(id) != other.enabled_at(id)
+        };
+        ids.into_iter().filter(|id| differs(id)).cloned().collect()
     }
 
     /// Encodes the overrides as the text that the next process reads.
--- a/crates/maintenance/src/store.rs
+++ b/crates/maintenance/src/store.rs
@@ -23,22 +23,22 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Operation {
     Idle,
-    /// A read that started after the first `commands` pending commands arrived.
+    /// A read that started after the first `pending_commands` pending commands arrived.
     Read {
-        commands: usize,
+        pending_commands: usize,
     },
-    /// A write that covers the first `commands` unwritten commands, and for which the first `callers` waiting callers
-    /// wait.
+    /// A write that covers the first `unwritten_commands` unwritten commands, and for which the first `waiting_callers`
+    /// waiting callers wait.
     Write {
-        callers: usize,
-        commands: usize,
+        waiting_callers: usize,
+        unwritten_commands: usize,
     },
 }
 
 /// A command that waits for a read of the file before it is applied.
 #[derive(Debug)]
 struct PendingCommand<T> {
-    since: Millis,
+    received_at: Millis,
     command: OverrideCommand,
     caller: T,
 }
@@ -46,16 +46,16 @@
 /// A command that is in force but not yet written.
 #[derive(Debug)]
 struct UnwrittenCommand {
-    number: u64,
-    at: Millis,
+    sequence: u64,
+    applied_at: Millis,
     command: OverrideCommand,
 }
 
-/// A caller that waits until all commands up to and including `number` are written.
+/// A caller that waits until all commands up to and including `sequence` are written.
 #[derive(Debug)]
 struct WaitingCaller<T> {
-    number: u64,
-    since: Millis,
+    sequence: u64,
+    received_at: Millis,
     caller: T,
 }
 
@@ -73,13 +73,13 @@
     /// Commands in force that are not yet written. They are reapplied over the overrides that the other process has
     /// written.
     unwritten: VecDeque<UnwrittenCommand>,
-    /// The number of the last command that was added to `unwritten`.
-    last_number: u64,
+    /// The sequence number of the last command that was added to `unwritten`.
+    last_sequence: u64,
     /// Whether the overrides in force differ from those of the last write that was requested.
     dirty: bool,
-    /// Commands up to and including this number were acknowledged as applied before they were written. They are never
-    /// rolled back.
-    acknowledged: u64,
+    /// Commands up to and including this sequence number were acknowledged as applied before they were written. They
+    /// are never rolled back.
+    acknowledged_sequence: u64,
     /// The overrides that the file contains.
     persisted: OperatorOverrides,
     /// The overrides that are being written to the file.
@@ -99,9 +99,9 @@
             pending: VecDeque::new(),
             waiting: VecDeque::new(),
             unwritten: VecDeque::new(),
-            last_number: 0,
+            last_sequence: 0,
             dirty: false,
-            acknowledged: 0,
+            acknowledged_sequence: 0,
             persisted: OperatorOverrides::default(),
             writing: OperatorOverrides::default(),
             retry_at: 0,
@@ -118,19 +118,19 @@
     pub fn handle_command(
         &mut self, now: Millis, list: &mut OverriddenList, command: OverrideCommand, caller: T,
     ) {
-        self.pending.push_back(PendingCommand { since: now, command, caller });
+        self.pending.push_back(PendingCommand { received_at: now, command, caller });
         self.start_operation(now, list);
     }
 
     /// Handles the result of a read. `loaded` contains the overrides in the file if the file has changed.
     pub fn handle_read(&mut self, now: Millis, list: &mut OverriddenList, loaded: Option<OperatorOverrides>) {
-        let Operation::Read { commands } = self.operation else { return };
+        let Operation::Read { pending_commands } = self.operation else { return };
         self.operation = Operation::Idle;
         if let Some(loaded) = loaded {
             self.persisted = loaded;
-            self.rebuild(list, OverrideChange::Loaded);
+            self.rebuild_overrides(list, OverrideChange::Loaded);
         }
-        for _ in 0..commands {
+        for _ in 0..pending_commands {
             self.apply_next_command(now, list);
         }
         self.start_operation(now, list);
@@ -138,18 +138,18 @@
 
     /// Handles the result of a write.
     pub fn handle_write(&mut self, now: Millis, list: &mut OverriddenList, written: Result<(), WriteError>) {
-        let Operation::Write { callers, commands } = self.operation else { return };
+        let Operation::Write { waiting_callers, unwritten_commands } = self.operation else { return };
         self.operation = Operation::Idle;
         match written {
             Ok(()) => {
                 self.persisted = std::mem::take(&mut self.writing);
-                self.unwritten.drain(..commands.min(self.unwritten.len()));
-                let answered = if self.dirty { callers } else { self.waiting.len() };
-                self.answer_first(answered, &CommandOutcome::Persisted);
+                self.unwritten.drain(..unwritten_commands.min(self.unwritten.len()));
+                let answered = if self.dirty { waiting_callers } else { self.waiting.len() };
+                self.answer_waiting(answered, &CommandOutcome::Persisted);
             }
             Err(WriteError::Changed(loaded)) => {
                 self.persisted = loaded;
-                self.rebuild(list, OverrideChange::Loaded);
+                self.rebuild_overrides(list, OverrideChange::Loaded);
                 self.dirty = true;
             }
             Err(WriteError::Failed(reason)) => self.roll_back(now, list, &reason),
@@ -161,14 +161,14 @@
     /// later.
     fn roll_back(&mut self, now: Millis, list: &mut OverriddenList, reason: &str) {
         let before = self.unwritten.len();
-        self.unwritten.retain(|unwritten| unwritten.number <= self.acknowledged);
+        self.unwritten.retain(|unwritten| unwritten.sequence <= self.acknowledged_sequence);
         if self.unwritten.len() < before {
-            self.rebuild(list, OverrideChange::RolledBack);
+            self.rebuild_overrides(list, OverrideChange::RolledBack);
         }
         self.dirty = !self.unwritten.is_empty();
         self.retry_at = now + RETRY_INTERVAL;
         for waiting in std::mem::take(&mut self.waiting) {
-            let outcome = if waiting.number <= self.acknowledged {
+            let outcome = if waiting.sequence <= self.acknowledged_sequence {
                 CommandOutcome::Applied
             } else {
                 CommandOutcome::NotPersisted(reason.to_owned())
@@ -178,12 +178,12 @@
     }
 
     /// Puts the overrides of the file into force, with the unwritten commands reapplied over them.
-    fn rebuild(&mut self, list: &mut OverriddenList, change: OverrideChange) {
+    fn rebuild_overrides(&mut self, list: &mut OverriddenList, change: OverrideChange) {
         let before = list.overrides().clone();
         list.replace_overrides(self.persisted.clone());
         for unwritten in &self.unwritten {
             // The command was valid when it was accepted. If it fails now, its endpoint has left the list since then.
-            let _ = list.apply_command(unwritten.at, &unwritten.command);
+            let _ = list.apply_command(unwritten.applied_at, &unwritten.command);
         }
         let hosts = list.changed_since(&before);
         self.actions.push_back(StoreAction::Changed(change, hosts));
@@ -192,10 +192,10 @@
     /// Handles timeouts, and starts a read of the file if no operation is in progress. Call this about ten times a
     /// second.
     pub fn tick(&mut self, now: Millis, list: &mut OverriddenList) {
-        while self.pending.front().is_some_and(|pending| now >= pending.since + READ_TIMEOUT) {
+        while self.pending.front().is_some_and(|pending| now >= pending.received_at + READ_TIMEOUT) {
             self.apply_next_command(now, list);
-            if let Operation::Read { commands } = &mut self.operation {
-                *commands = commands.saturating_sub(1);
+            if let Operation::Read { pending_commands } = &mut self.operation {
+                *pending_commands = pending_commands.saturating_sub(1);
             }
         }
         self.acknowledge_late_callers(now);
@@ -207,19 +207,19 @@
 
     /// Answers the callers whose [`ANSWER_TIMEOUT`] has expired.
     fn acknowledge_late_callers(&mut self, now: Millis) {
-        let is_late = |waiting: &&WaitingCaller<T>| now >= waiting.since + ANSWER_TIMEOUT;
+        let is_late = |waiting: &&WaitingCaller<T>| now >= waiting.received_at + ANSWER_TIMEOUT;
         let late = self.waiting.iter().take_while(is_late).count();
         let Some(last) = late.checked_sub(1).and_then(|index| self.waiting.get(index)) else { return };
-        self.acknowledged = last.number;
-        self.answer_first(late, &CommandOutcome::Applied);
-        if let Operation::Write { callers, .. } = &mut self.operation {
-            *callers = callers.saturating_sub(late);
+        self.acknowledged_sequence = last.sequence;
+        self.answer_waiting(late, &CommandOutcome::Applied);
+        if let Operation::Write { waiting_callers, .. } = &mut self.operation {
+            *waiting_callers = waiting_callers.saturating_sub(late);
         }
     }
 
     /// Starts a read of the file on behalf of all pending commands.
     fn start_read(&mut self) {
-        self.operation = Operation::Read { commands: self.pending.len() };
+        self.operation = Operation::Read { pending_commands: self.pending.len() };
         self.actions.push_back(StoreAction::Read);
     }
 
@@ -234,7 +234,10 @@
         if self.dirty && now >= self.retry_at {
             self.dirty = false;
             self.writing = list.overrides().clone();
-            self.operation = Operation::Write { callers: self.waiting.len(), commands: self.unwritten.len() };
+            self.operation = Operation::Write {
+                waiting_callers: self.waiting.len(),
+                unwritten_commands: self.unwritten.len(),
+            };
             self.actions.push_back(StoreAction::Write(self.writing.clone()));
         } else if !self.pending.is_empty() {
             self.start_read();
@@ -248,12 +251,12 @@
         }
         self.dirty = false;
         self.unwritten.clear();
-        self.answer_first(self.waiting.len(), &CommandOutcome::Persisted);
+        self.answer_waiting(self.waiting.len(), &CommandOutcome::Persisted);
     }
 
     /// Applies the first pending command, or answers why it is rejected.
     fn apply_next_command(&mut self, now: Millis, list: &mut OverriddenList) {
-        let Some(PendingCommand { since, command, caller }) = self.pending.pop_front() else { return };
+        let Some(PendingCommand { received_at, command, caller }) = self.pending.pop_front() else { return };
         let before = list.overrides().clone();
         let hosts = match list.apply_command(now, &command) {
             Ok(hosts) => hosts,
@@ -263,32 +266,32 @@
             }
         };
         if *list.overrides() != before {
-            self.remember(now, command.clone());
+            self.remember_unwritten(now, command.clone());
         }
         self.actions.push_back(StoreAction::Changed(OverrideChange::Command(command), hosts));
         // A command that changes nothing is already persisted, unless the command that it repeats is not yet written.
         if self.dirty || matches!(self.operation, Operation::Write { .. }) {
-            self.waiting.push_back(WaitingCaller { number: self.last_number, since, caller });
+            self.waiting.push_back(WaitingCaller { sequence: self.last_sequence, received_at, caller });
         } else {
             self.actions.push_back(StoreAction::Answer(caller, CommandOutcome::Persisted));
         }
     }
 
     /// Remembers a command that is in force, until it is written.
-    fn remember(&mut self, at: Millis, command: OverrideCommand) {
+    fn remember_unwritten(&mut self, applied_at: Millis, command: OverrideCommand) {
         self.dirty = true;
-        self.last_number += 1;
-        self.unwritten.push_back(UnwrittenCommand { number: self.last_number, at, command });
+        self.last_sequence += 1;
+        self.unwritten.push_back(UnwrittenCommand { sequence: self.last_sequence, applied_at, command });
         if self.unwritten.len() > MAX_UNWRITTEN {
             self.unwritten.pop_front();
-            if let Operation::Write { commands, .. } = &mut self.operation {
-                *commands = commands.saturating_sub(1);
+            if let Operation::Write { unwritten_commands, .. } = &mut self.operation {
+                *unwritten_commands = unwritten_commands.saturating_sub(1);
             }
         }
     }
 
     /// Answers the first `count` waiting callers.
-    fn answer_first(&mut self, count: usize, outcome: &CommandOutcome) {
+    fn answer_waiting(&mut self, count: usize, outcome: &CommandOutcome) {
         let answered = self.waiting.drain(..count.min(self.waiting.len()));
         self.actions.extend(answered.map(|it| StoreAction::Answer(it.caller, outcome.clone())));
     }
