--- a/crates/calendar/src/calendar.rs
+++ b/crates/calendar/src/calendar.rs
@@ -21,7 +21,7 @@
     Added,
     /// The entry was revoked.
     Revoked,
-    /// The proposal has no effect, at any balancer.
+    /// The proposal is refused and has no effect, at all balancers alike.
     Refused(ProposalError),
     /// The proposal has no effect, because the calendar has already applied its revision.
     Known,
@@ -121,10 +121,10 @@
                 entry: entry.clone(),
             }),
             Proposal::Revoke(revoke) => {
-                let open = self.entries.get(&revoke.id);
-                let open = open.filter(|it| it.committed.revoked_at.is_none() && at < it.end);
-                let open = open.ok_or_else(|| ProposalError::Unknown(revoke.id.clone()))?;
-                let revoked = CommittedEntry { revoked_at: Some(at), ..open.committed.clone() };
+                let revocable = self.entries.get(&revoke.id);
+                let revocable = revocable.filter(|it| it.committed.revoked_at.is_none() && at < it.end);
+                let revocable = revocable.ok_or_else(|| ProposalError::Unknown(revoke.id.clone()))?;
+                let revoked = CommittedEntry { revoked_at: Some(at), ..revocable.committed.clone() };
                 Ok(ScheduledEntry::new(revoked, self.activation_delay))
             }
         }
--- a/crates/calendar/src/change.rs
+++ b/crates/calendar/src/change.rs
@@ -32,7 +32,7 @@
     Discovery,
     /// The configuration changes.
     Configuration,
-    /// A balancer is restarted as planned.
+    /// A balancer restarts as planned.
     Restart,
     /// The fleet of balancers grows.
     Growth,
--- a/crates/calendar/src/entry.rs
+++ b/crates/calendar/src/entry.rs
@@ -70,27 +70,27 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Recurrence {
-    /// Every given number of days.
+    /// Recurs every N days.
     Daily(u16),
-    /// On the given weekdays, every given number of ISO weeks.
+    /// Recurs on the given weekdays of every Nth ISO week.
     Weekly {
-        /// The interval in weeks; 1 for every week.
+        /// The interval N in weeks; 1 for every week.
         every: u16,
         /// The weekdays. If empty, the weekday of the start.
         days: Vec<Day>,
     },
-    /// On the day of month of the start, every given number of months. In a shorter month, on its last day.
+    /// Recurs every N months, on the day of month of the start. In a shorter month, on its last day.
     Monthly(u16),
-    /// On the nth given weekday of a month, every given number of months. Months without such a day are skipped.
+    /// Recurs every N months, on the `nth` weekday `day` of the month. Months without such a day are skipped.
     MonthlyByDay {
-        /// The interval in months; 1 for every month.
+        /// The interval N in months; 1 for every month.
         every: u16,
         /// The position of the weekday in the month: 1 to 5 from its start, or -1 to -5 from its end.
         nth: i8,
         /// The weekday.
         day: Day,
     },
-    /// On the date of the start, every given number of years.
+    /// Recurs every N years, on the date of the start.
     Yearly(u16),
 }
 
--- a/crates/calendar/src/index.rs
+++ b/crates/calendar/src/index.rs
@@ -45,9 +45,9 @@
                 disjoint.push(interval);
             }
         }
-        for at in (1..disjoint.len()).rev() {
-            if disjoint[at - 1].end == disjoint[at].start {
-                disjoint[at - 1].contiguous_end = disjoint[at].contiguous_end;
+        for index in (1..disjoint.len()).rev() {
+            if disjoint[index - 1].end == disjoint[index].start {
+                disjoint[index - 1].contiguous_end = disjoint[index].contiguous_end;
             }
         }
         disjoint.shrink_to_fit();
@@ -55,8 +55,8 @@
     }
     /// Returns the first interval that overlaps the span.
     fn overlapping(&self, span: TimeInterval) -> Option<&IndexedInterval> {
-        let at = self.0.partition_point(|it| it.end <= span.earliest);
-        self.0.get(at).filter(|it| it.start <= span.latest)
+        let index = self.0.partition_point(|it| it.end <= span.earliest);
+        self.0.get(index).filter(|it| it.start <= span.latest)
     }
     /// Returns the interval that contains the start of the span, if the whole span is covered.
     fn covering(&self, span: TimeInterval) -> Option<&IndexedInterval> {
--- a/crates/maintenance/src/outcome.rs
+++ b/crates/maintenance/src/outcome.rs
@@ -46,7 +46,7 @@
     }
 }
 
-/// The outcome of a command, which its caller is answered with.
+/// The outcome of a command, sent to its caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CommandOutcome {
     /// The command is in force and written, so that the next process loads it.
--- a/crates/maintenance/src/store.rs
+++ b/crates/maintenance/src/store.rs
@@ -254,7 +254,7 @@
         self.answer_waiting(self.waiting.len(), &CommandOutcome::Persisted);
     }
 
-    /// Applies the first pending command, or answers why it is rejected.
+    /// Applies the first pending command, or answers its caller with the reason for its rejection.
     fn apply_next_command(&mut self, now: Millis, list: &mut OverriddenList) {
         let Some(PendingCommand { received_at, command, caller }) = self.pending.pop_front() else { return };
         let before = list.overrides().clone();
