--- a/crates/calendar/src/calendar.rs
+++ b/crates/calendar/src/calendar.rs
@@ -1,8 +1,8 @@
-//! The calendar: the committed entries, applied in log order, and the check of topology changes against them.
+//! The calendar: the committed entries, and the check of topology changes against them.
 
 use crate::entry::{Entry, Proposal};
 use crate::errors::{ProposalError, RestoreError};
-use crate::index::{EntryKind, EntryTitle, Index};
+use crate::index::{EntryKind, EntrySummary, Index};
 use crate::limits::{MAX_ENTRIES, MAX_OCCURRENCES, RETENTION_MS};
 use crate::occurrences::Interval;
 use crate::schedule::{CommittedEntry, ScheduledEntry};
@@ -21,13 +21,13 @@
     Added,
     /// The entry was revoked.
     Revoked,
-    /// Without effect, at all balancers alike.
+    /// The proposal is refused and has no effect, at all balancers alike.
     Refused(ProposalError),
-    /// Without effect, since the calendar has applied that revision before.
+    /// The proposal has no effect, because the calendar has already applied its revision.
     Known,
 }
 
-/// The phase of an entry's life.
+/// The phase of an entry in its lifecycle.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EntryPhase {
     /// Committed and not yet in force.
@@ -44,7 +44,8 @@
 #[derive(Serialize, Deserialize)]
 struct Snapshot {
     version: u16,
-    binding: Millis,
+    #[serde(rename = "binding")]
+    activation_delay: Millis,
     revision: u64,
     entries: Vec<CommittedEntry>,
 }
@@ -52,7 +53,7 @@
 /// The freezes and overrides that a fleet has committed.
 #[derive(Debug, Clone)]
 pub struct Calendar {
-    binding: Millis,
+    activation_delay: Millis,
     revision: u64,
     entries: BTreeMap<String, ScheduledEntry>,
     index: OnceLock<Index>,
@@ -60,37 +61,38 @@
 
 impl PartialEq for Calendar {
     fn eq(&self, other: &Self) -> bool {
-        (self.binding, self.revision, &self.entries) == (other.binding, other.revision, &other.entries)
+        (self.activation_delay, self.revision, &self.entries)
+            == (other.activation_delay, other.revision, &other.entries)
     }
 }
 
 impl Calendar {
-    /// Creates an empty calendar. A freeze is in force no sooner than `binding` after its commit, which covers the duration of
-    /// a lease and its clock error.
-    pub fn new(binding: Millis) -> Self {
-        Self { binding, revision: 0, entries: BTreeMap::new(), index: OnceLock::new() }
+    /// Creates an empty calendar. A freeze comes into force no earlier than `activation_delay` after its commit. This
+    /// delay covers the duration of a lease and its clock error.
+    pub fn new(activation_delay: Millis) -> Self {
+        Self { activation_delay, revision: 0, entries: BTreeMap::new(), index: OnceLock::new() }
     }
 
-    /// The last applied revision.
+    /// Returns the last applied revision.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// All entries ordered by id, including ended ones.
+    /// Returns all entries ordered by id, including ended ones.
     pub fn entries(&self) -> impl Iterator<Item = &Entry> {
         self.entries.values().map(|it| &it.committed.entry)
     }
 
-    /// The fleet time and the revision at which an entry was committed.
+    /// Returns the fleet time and the revision at which an entry was committed.
     pub fn agreed_at(&self, id: &str) -> Option<(Millis, u64)> {
-        self.entries.get(id).map(|it| (it.committed.at, it.committed.revision))
+        self.entries.get(id).map(|it| (it.committed.committed_at, it.committed.revision))
     }
 
-    /// The phase of an entry at a fleet time.
+    /// Returns the phase of an entry at a fleet time.
     pub fn phase(&self, id: &str, fleet_time: Millis) -> Option<EntryPhase> {
         let scheduled = self.entries.get(id)?;
         let first = scheduled.in_force.first().map_or(Millis::MAX, |it| it.start);
-        Some(match scheduled.committed.revoked {
+        Some(match scheduled.committed.revoked_at {
             Some(at) if at <= fleet_time => EntryPhase::Revoked,
             _ if fleet_time < first => EntryPhase::Agreed,
             _ if fleet_time < scheduled.end => EntryPhase::InForce,
@@ -98,34 +100,37 @@
         })
     }
 
-    /// Checks that the proposal would have an effect if it were committed at `at`. Callers check before they propose.
+    /// Checks that the proposal would have an effect if it were committed at `at`. Call this before proposing it.
     ///
     /// # Errors
-    /// Why the proposal would have no effect.
+    /// Returns the reason why the proposal would have no effect.
     pub fn validate_proposal(&self, at: Millis, proposal: &Proposal) -> Result<(), ProposalError> {
         self.evaluate(0, at, proposal).map(|_| ())
     }
 
-    /// The entry as it is after the proposal.
+    /// Returns the entry as it would be after the proposal.
     fn evaluate(
         &self, revision: u64, at: Millis, proposal: &Proposal,
     ) -> Result<ScheduledEntry, ProposalError> {
         proposal.validate()?;
         match proposal {
-            Proposal::Add(entry) => {
-                self.evaluate_new(CommittedEntry { at, revision, revoked: None, entry: entry.clone() })
-            }
+            Proposal::Add(entry) => self.evaluate_added(CommittedEntry {
+                committed_at: at,
+                revision,
+                revoked_at: None,
+                entry: entry.clone(),
+            }),
             Proposal::Revoke(revoke) => {
-                let open = self.entries.get(&revoke.id);
-                let open = open.filter(|it| it.committed.revoked.is_none() && at < it.end);
-                let open = open.ok_or_else(|| ProposalError::Unknown(revoke.id.clone()))?;
-                let revoked = CommittedEntry { revoked: Some(at), ..open.committed.clone() };
-                Ok(ScheduledEntry::new(revoked, self.binding))
+                let revocable = self.entries.get(&revoke.id);
+                let revocable = revocable.filter(|it| it.committed.revoked_at.is_none() && at < it.end);
+                let revocable = revocable.ok_or_else(|| ProposalError::Unknown(revoke.id.clone()))?;
+                let revoked = CommittedEntry { revoked_at: Some(at), ..revocable.committed.clone() };
+                Ok(ScheduledEntry::new(revoked, self.activation_delay))
             }
         }
     }
 
-    fn evaluate_new(&self, committed: CommittedEntry) -> Result<ScheduledEntry, ProposalError> {
+    fn evaluate_added(&self, committed: CommittedEntry) -> Result<ScheduledEntry, ProposalError> {
         let id = committed.entry.id().to_owned();
         if self.entries.contains_key(&id) {
             return Err(ProposalError::Duplicate(id));
@@ -133,8 +138,8 @@
         if self.entries.len() >= MAX_ENTRIES {
             return Err(ProposalError::Full);
         }
-        let scheduled = ScheduledEntry::new(committed, self.binding);
-        if scheduled.in_force.is_empty() && scheduled.committed.revoked.is_none() {
+        let scheduled = ScheduledEntry::new(committed, self.activation_delay);
+        if scheduled.in_force.is_empty() && scheduled.committed.revoked_at.is_none() {
             return Err(ProposalError::Over(id));
         }
         let occurrences: usize = self.entries.values().map(|it| it.occurrences).sum();
@@ -144,7 +149,8 @@
         Ok(scheduled)
     }
 
-    /// Applies a log entry. Calendars that apply the same log are equal.
+    /// Applies a proposal that was committed at `revision` and fleet time `at`. Calendars that apply the same log are
+    /// equal.
     pub fn apply(&mut self, revision: u64, at: Millis, proposal: &Proposal) -> Applied {
         if revision <= self.revision {
             return Applied::Known;
@@ -161,31 +167,36 @@
         }
     }
 
-    /// Encodes the whole calendar.
+    /// Encodes the calendar as a snapshot for [`Calendar::restore`].
     pub fn snapshot(&self) -> Vec<u8> {
         let entries = self.entries.values().map(|it| it.committed.clone()).collect();
-        let snapshot =
-            Snapshot { version: SNAPSHOT_VERSION, binding: self.binding, revision: self.revision, entries };
-        postcard::to_stdvec(&snapshot).expect("numbers, texts and dates always encode")
+        let snapshot = Snapshot {
+            version: SNAPSHOT_VERSION,
+            activation_delay: self.activation_delay,
+            revision: self.revision,
+            entries,
+        };
+        postcard::to_stdvec(&snapshot)
+            .expect("a calendar snapshot consists of numbers and strings, which postcard always encodes")
     }
 
-    /// Decodes a calendar from [`Calendar::snapshot`].
+    /// Decodes a calendar from the bytes of [`Calendar::snapshot`].
     ///
     /// # Errors
-    /// When the bytes are no snapshot, or contain entries that could not have been committed.
+    /// Returns an error if the bytes are not a snapshot, or contain an entry that could not have been committed.
     pub fn restore(bytes: &[u8]) -> Result<Self, RestoreError> {
         let (snapshot, rest): (Snapshot, _) =
-            postcard::take_from_bytes(bytes).map_err(|_| RestoreError::Form)?;
-        let known_form = snapshot.version == SNAPSHOT_VERSION && rest.is_empty();
-        if !known_form || snapshot.entries.len() > MAX_ENTRIES {
-            return Err(RestoreError::Form);
+            postcard::take_from_bytes(bytes).map_err(|_| RestoreError::UnknownFormat)?;
+        let known_format = snapshot.version == SNAPSHOT_VERSION && rest.is_empty();
+        if !known_format || snapshot.entries.len() > MAX_ENTRIES {
+            return Err(RestoreError::UnknownFormat);
         }
-        let mut calendar = Self { revision: snapshot.revision, ..Self::new(snapshot.binding) };
+        let mut calendar = Self { revision: snapshot.revision, ..Self::new(snapshot.activation_delay) };
         let mut occurrences = 0;
         for committed in snapshot.entries {
             Proposal::Add(committed.entry.clone()).validate().map_err(ProposalError::from)?;
             let id = committed.entry.id().to_owned();
-            let scheduled = ScheduledEntry::new(committed, snapshot.binding);
+            let scheduled = ScheduledEntry::new(committed, snapshot.activation_delay);
             occurrences += scheduled.occurrences;
             if occurrences > MAX_OCCURRENCES {
                 return Err(ProposalError::TooMany.into());
@@ -197,8 +208,8 @@
         Ok(calendar)
     }
 
-    /// Builds the index for [`Calendar::check`], unless it is current. The first check builds it too, so call this before the
-    /// calendar goes to a thread that must not block.
+    /// Builds the index for [`Calendar::check`], unless it is up to date. Otherwise the next check builds it, so call
+    /// this before passing the calendar to a thread that must not block.
     pub fn build_index(&self) {
         self.index();
     }
@@ -208,19 +219,19 @@
             let mut index = Index::default();
             for scheduled in self.entries.values() {
                 let entry = &scheduled.committed.entry;
-                let title = EntryTitle { id: entry.id().into(), reason: entry.reason().into() };
+                let summary = EntrySummary { id: entry.id().into(), reason: entry.reason().into() };
                 let kind = match entry {
                     Entry::Freeze(_) => EntryKind::Freeze,
                     Entry::Override(_) => EntryKind::Override,
                 };
-                index.add(title, kind, entry.scope(), &scheduled.in_force);
+                index.add(summary, kind, entry.scope(), &scheduled.in_force);
             }
             index.finish();
             index
         })
     }
 
-    /// The freezes in force at any time of `span`, each with the start of its occurrence.
+    /// Returns the freezes in force at any time in `span`, each with the start of its occurrence.
     pub(crate) fn freezes_in_force(&self, span: TimeInterval) -> impl Iterator<Item = (&Entry, Millis)> {
         let overlaps = move |it: &&Interval| it.start <= span.latest && span.earliest < it.end;
         let freezes = self.entries.values().filter(|it| matches!(it.committed.entry, Entry::Freeze(_)));
@@ -230,8 +241,8 @@
         })
     }
 
-    /// Checks a change of topology: whether it is allowed now, or held and why. A change is frozen if a freeze is in force at
-    /// any time that fleet time may be.
+    /// Checks whether a topology change is allowed now, or held and why. A freeze holds a change if it is in force at
+    /// any time within the bounds of fleet time, and no override allows the change.
     pub fn check(&self, fleet_time: Option<TimeInterval>, lease: LeaseState, change: &Change<'_>) -> Verdict {
         let allow = |override_id| Verdict::Allow { revision: self.revision, override_id };
         if !change.kind.is_planned() {
@@ -243,14 +254,14 @@
             _ => return Verdict::Hold { reason: HoldReason::NoLease, until: None },
         };
         let index = self.index();
-        let Some(freeze) = index.freeze(span, change) else { return allow(None) };
-        if let Some(title) = index.override_of(span, change).and_then(|it| index.title(it)) {
-            return allow(Some(Arc::clone(&title.id)));
+        let Some(freeze) = index.find_freeze(span, change) else { return allow(None) };
+        if let Some(summary) = index.find_override(span, change).and_then(|it| index.summary(it)) {
+            return allow(Some(Arc::clone(&summary.id)));
         }
-        let reason = index.title(freeze).map_or(HoldReason::NoLease, |title| HoldReason::Freeze {
-            id: Arc::clone(&title.id),
-            reason: Arc::clone(&title.reason),
+        let reason = index.summary(freeze).map_or(HoldReason::NoLease, |summary| HoldReason::Freeze {
+            id: Arc::clone(&summary.id),
+            reason: Arc::clone(&summary.reason),
         });
-        Verdict::Hold { reason, until: Some(freeze.until) }
+        Verdict::Hold { reason, until: Some(freeze.contiguous_end) }
     }
 }
--- a/crates/calendar/src/gate.rs
+++ b/crates/calendar/src/gate.rs
@@ -1,6 +1,6 @@
-//! The gate in front of the decision module: which parts of discovery's lists apply now, and which are held.
+//! The gate in front of the decision module, which splits discovery's lists into accepted and held changes.
 
-use crate::accepted::{AcceptedEndpoints, CheckInput, HeldChange, MAX_MEMBERS, Queueing};
+use crate::accepted::{AcceptedEndpoints, CheckInput, HeldChange, MAX_ACCEPTED_ENDPOINTS, Queueing};
 use crate::list_delta::{factual_change, planned_changes, with_facts};
 use crate::pending::Review;
 use crate::records::{ChangeOutcome, GateContext, GateResult};
@@ -8,41 +8,43 @@
 use hashlink::LinkedHashMap;
 use proto::discovery::{EndpointList, EndpointRecord, Phase};
 
-/// The last state of each endpoint in a list, by id.
+/// The last state of each endpoint in a list, keyed by id.
 type NewestStates<'a> = LinkedHashMap<&'a str, &'a EndpointRecord>;
 
-/// Splits discovery's lists into what is accepted now and what is held until the end of a freeze.
+/// Splits discovery's lists into the changes that are accepted now and those that are held until the end of a freeze.
 #[derive(Debug, Clone)]
 pub struct TopologyGate {
     accepted: AcceptedEndpoints,
     pending: PendingChanges<EndpointRecord>,
-    /// Whether there is an accepted list that tells new endpoints from old ones.
+    /// Whether there is an accepted list, against which new endpoints can be told from old ones.
     has_baseline: bool,
 }
 
 impl TopologyGate {
-    /// Creates the gate of a process that inherits the list `known`, or none. Without an inherited list the first complete
-    /// list is accepted as a whole, also during a freeze: the process must serve, and cannot tell which endpoints are new.
+    /// Creates a gate. `known` is the endpoint list that the process inherits, if any. Without it, all lists up to and
+    /// including the first complete one are accepted whole, even during a freeze, because the process must serve and
+    /// cannot tell which endpoints are new.
     pub fn new(known: Option<Vec<EndpointRecord>>, pace: ReleasePace) -> Self {
         let has_baseline = known.is_some();
         let mut accepted = AcceptedEndpoints::default();
-        for member in known.into_iter().flatten().take(MAX_MEMBERS) {
+        for member in known.into_iter().flatten().take(MAX_ACCEPTED_ENDPOINTS) {
             accepted.insert(member);
         }
         Self { accepted, pending: PendingChanges::new(pace), has_baseline }
     }
 
-    /// The accepted endpoints.
+    /// Returns the accepted endpoints.
     pub fn members(&self) -> impl Iterator<Item = &EndpointRecord> {
         self.accepted.members.values()
     }
 
-    /// The held changes.
-    pub fn held_changes(&self) -> &PendingChanges<EndpointRecord> {
+    /// Returns the held changes.
+    pub fn pending_changes(&self) -> &PendingChanges<EndpointRecord> {
         &self.pending
     }
 
-    /// When to call [`TopologyGate::release`] next, on the owner's clock. Each step also reviews what a freeze still holds.
+    /// Returns when to call [`TopologyGate::release`] next, on the owner's clock. Each call also reviews the changes
+    /// that a freeze still holds.
     pub fn next_release_at(&self) -> Option<Millis> {
         self.pending.next_release_at()
     }
@@ -63,44 +65,45 @@
         }
     }
 
-    /// Applies what is allowed of a list now. Losses and facts apply first, whatever is frozen.
+    /// Applies the changes of a list that are allowed now. Losses and other facts are applied first, even during a
+    /// freeze.
     pub fn apply_list(
         &mut self, context: &GateContext, calendar: &Calendar, list: &EndpointList,
     ) -> GateResult {
         let input = CheckInput { context, calendar };
         self.update_freezes(input);
         self.accepted.list_revision = list.revision;
-        // Of several states of one endpoint only the last counts.
+        // If a list contains several states of an endpoint, only the last one counts.
         let newest: NewestStates<'_> = list.members.iter().map(|it| (it.id.as_str(), it)).collect();
         if !self.has_baseline {
             return self.apply_initial_list(input, list, &newest);
         }
-        let mut lost = self.remove_unlisted(calendar, list, &newest);
-        let mut touched = Vec::new();
+        let mut reduced_hosts = self.remove_unlisted(calendar, list, &newest);
+        let mut changed_hosts = Vec::new();
         for (host, new) in &newest {
             match self.apply_facts(input, new) {
                 Some(ChangeKind::Drain | ChangeKind::Gone | ChangeKind::Less) => {
-                    lost.push((*host).to_owned());
+                    reduced_hosts.push((*host).to_owned());
                 }
-                Some(_) => touched.push((*host).to_owned()),
+                Some(_) => changed_hosts.push((*host).to_owned()),
                 None => {}
             }
         }
         let mut queueing = None;
         for (host, new) in &newest {
             if self.apply_planned(input, new, &mut queueing) {
-                touched.push((*host).to_owned());
+                changed_hosts.push((*host).to_owned());
             }
         }
         let members = if list.complete {
             newest.keys().filter_map(|host| self.accepted.members.get(*host).cloned()).collect()
         } else {
-            self.changed_records(lost.iter().chain(&touched), &newest)
+            self.changed_records(reduced_hosts.iter().chain(&changed_hosts), &newest)
         };
         self.finish(list.complete, members)
     }
 
-    /// The result of a call, with the records made in it.
+    /// Returns the result of a call, with the records that it made.
     fn finish(&mut self, complete: bool, members: Vec<EndpointRecord>) -> GateResult {
         let records = std::mem::take(&mut self.accepted.records);
         GateResult {
@@ -112,17 +115,17 @@
     fn apply_initial_list(
         &mut self, input: CheckInput<'_>, list: &EndpointList, newest: &NewestStates<'_>,
     ) -> GateResult {
-        for (host, new) in newest.iter().take(MAX_MEMBERS) {
+        for (host, new) in newest.iter().take(MAX_ACCEPTED_ENDPOINTS) {
             self.accepted.insert((*new).clone());
             self.accepted.record(input.calendar, host, ChangeKind::Join, ChangeOutcome::InitialList);
         }
         self.has_baseline = list.complete;
         self.update_freezes(input);
-        let members = newest.values().take(MAX_MEMBERS).map(|it| (*it).clone()).collect();
+        let members = newest.values().take(MAX_ACCEPTED_ENDPOINTS).map(|it| (*it).clone()).collect();
         self.finish(list.complete, members)
     }
 
-    /// Removes the endpoints that a complete list does not contain any more.
+    /// Removes the endpoints that a complete list no longer contains, and returns their ids.
     fn remove_unlisted(
         &mut self, calendar: &Calendar, list: &EndpointList, newest: &NewestStates<'_>,
     ) -> Vec<String> {
@@ -144,11 +147,11 @@
         gone.into_iter().map(|it| it.id).collect()
     }
 
-    /// Applies the fact in an endpoint's new state, if any. Returns its kind.
+    /// Applies the fact in an endpoint's new state, if any, and returns its kind.
     fn apply_facts(&mut self, input: CheckInput<'_>, new: &EndpointRecord) -> Option<ChangeKind> {
         let old = self.accepted.members.get(&new.id);
         let kind = factual_change(old, new)?;
-        // An endpoint that drains before it was ever accepted is not listed if it could not have joined.
+        // An endpoint that was never accepted and is draining is not listed unless it would be allowed to join.
         if old.is_none()
             && kind == ChangeKind::Drain
             && !self.accepted.is_allowed(input, new, ChangeKind::Join)
@@ -156,15 +159,15 @@
             return None;
         }
         let member = old.map_or_else(|| new.clone(), |it| with_facts(it, new));
-        if old.is_some() || self.accepted.members.len() < MAX_MEMBERS {
+        if old.is_some() || self.accepted.members.len() < MAX_ACCEPTED_ENDPOINTS {
             self.accepted.insert(member);
             self.accepted.record(input.calendar, &new.id, kind, ChangeOutcome::Applied);
         }
         Some(kind)
     }
 
-    /// Applies the planned changes in an endpoint's new state that are allowed, and holds the rest. Returns whether any was
-    /// applied. `queueing` is determined once in a list, where it is first needed.
+    /// Applies the allowed planned changes in an endpoint's new state, and holds the rest. Returns whether any was
+    /// applied. `queueing` is determined once for each list, when it is first needed.
     fn apply_planned(
         &mut self, input: CheckInput<'_>, new: &EndpointRecord, queueing: &mut Option<Queueing>,
     ) -> bool {
@@ -172,7 +175,7 @@
             self.pending.cancel(&new.id);
             return false;
         }
-        let queueing = *queueing.get_or_insert_with(|| self.queueing(input));
+        let queueing = *queueing.get_or_insert_with(|| self.required_queueing(input));
         let result = self.accepted.apply_planned(input, new, queueing);
         match result.held {
             None => drop(self.pending.cancel(&new.id)),
@@ -181,9 +184,9 @@
         result.applied
     }
 
-    /// While queued changes are released in steps, no new change overtakes them. Changes that a freeze still holds are in
-    /// nobody's way.
-    fn queueing(&self, input: CheckInput<'_>) -> Queueing {
+    /// Returns whether new changes must queue. They must not overtake queued changes that are being released in steps.
+    /// Queued changes that a freeze still holds do not block new ones.
+    fn required_queueing(&self, input: CheckInput<'_>) -> Queueing {
         let releasable =
             |it: &PendingChange<EndpointRecord>| self.accepted.is_allowed(input, &it.state, it.kind);
         if self.pending.iter().any(|(_, it)| releasable(it)) {
@@ -193,7 +196,7 @@
         }
     }
 
-    /// Queues a held change. Records it if that is new.
+    /// Queues a held change, and records it unless the queue already contained it unchanged.
     fn hold(&mut self, input: CheckInput<'_>, new: &EndpointRecord, held: HeldChange) {
         let HeldChange { kind, outcome } = held;
         if let ChangeOutcome::Held { reason, until } = &outcome {
@@ -215,7 +218,8 @@
         self.accepted.record(input.calendar, &new.id, kind, outcome);
     }
 
-    /// The current states of endpoints that changed. For an endpoint that is gone, its state in the list.
+    /// Returns the accepted states of endpoints that changed. For an endpoint that is gone, returns its state in the
+    /// list.
     fn changed_records<'a>(
         &self, hosts: impl Iterator<Item = &'a String>, newest: &NewestStates<'_>,
     ) -> Vec<EndpointRecord> {
@@ -231,7 +235,7 @@
         changed.into_iter().map(|(_, member)| member).collect()
     }
 
-    /// Releases the next step of the held changes that are allowed now; `None` when there are none.
+    /// Releases the next step of the held changes that are allowed now. Returns `None` if none is released.
     pub fn release(&mut self, context: &GateContext, calendar: &Calendar) -> Option<GateResult> {
         let input = CheckInput { context, calendar };
         self.update_freezes(input);
@@ -242,7 +246,7 @@
             if result.applied {
                 hosts.push(host.to_owned());
             }
-            review_of(change, result.applied, result.held)
+            update_reviewed(change, result.applied, result.held)
         });
         if hosts.is_empty() {
             return None;
@@ -252,8 +256,10 @@
     }
 }
 
-/// The outcome of a review, after which a change that stays queued has its new reason.
-fn review_of(change: &mut PendingChange<EndpointRecord>, applied: bool, held: Option<HeldChange>) -> Review {
+/// Returns the result of a review. Updates the kind, reason and time of a change that stays queued.
+fn update_reviewed(
+    change: &mut PendingChange<EndpointRecord>, applied: bool, held: Option<HeldChange>,
+) -> Review {
     match held {
         None => Review::Applied,
         Some(HeldChange { kind, outcome: ChangeOutcome::Held { reason, until } }) => {
--- a/crates/calendar/src/index.rs
+++ b/crates/calendar/src/index.rs
@@ -1,5 +1,5 @@
-//! An index of the calendar: the intervals of freezes and overrides by scope and kind, sorted, so that a check is a few binary
-//! searches.
+//! An index of the calendar's freezes and overrides. It keeps their intervals sorted by scope and kind, so that a check
+//! takes a few binary searches.
 
 use crate::entry::{Scope, ScopeTarget};
 use crate::occurrences::Interval;
@@ -15,82 +15,87 @@
 pub(crate) struct IndexedInterval {
     start: Millis,
     end: Millis,
-    /// The end of the intervals that follow one another without a gap.
-    pub(crate) until: Millis,
-    /// Index of the entry's title.
-    entry: u32,
+    /// The end of the run of contiguous intervals that contains this one.
+    pub(crate) contiguous_end: Millis,
+    /// The index of the entry in [`Index::summaries`].
+    entry_index: u32,
 }
 
-/// Intervals, ordered and without overlaps once [`Timeline::merge_overlaps`] was called.
+/// Intervals of entries. [`Timeline::merge_overlaps`] orders them and removes overlaps.
 #[derive(Debug, Clone, Default)]
 struct Timeline(Vec<IndexedInterval>);
 
 impl Timeline {
-    fn push(&mut self, interval: Interval, entry: u32) {
-        self.0.push(IndexedInterval { start: interval.start, end: interval.end, until: interval.end, entry });
+    fn push(&mut self, interval: Interval, entry_index: u32) {
+        self.0.push(IndexedInterval {
+            start: interval.start,
+            end: interval.end,
+            contiguous_end: interval.end,
+            entry_index,
+        });
     }
-    /// Sorts the intervals, and cuts each to the part that no earlier one covers.
+    /// Sorts the intervals and cuts each to the part that no earlier interval covers.
     fn merge_overlaps(&mut self) {
-        self.0.sort_by_key(|it| (it.start, std::cmp::Reverse(it.end), it.entry));
-        let mut done: Vec<IndexedInterval> = Vec::with_capacity(self.0.len());
+        self.0.sort_by_key(|it| (it.start, std::cmp::Reverse(it.end), it.entry_index));
+        let mut disjoint: Vec<IndexedInterval> = Vec::with_capacity(self.0.len());
         for mut interval in self.0.drain(..) {
-            let covered_until = done.last().map_or(0, |it| it.end);
+            let covered_until = disjoint.last().map_or(0, |it| it.end);
             interval.start = interval.start.max(covered_until);
             if interval.start < interval.end {
-                done.push(interval);
+                disjoint.push(interval);
             }
         }
-        for at in (1..done.len()).rev() {
-            if done[at - 1].end == done[at].start {
-                done[at - 1].until = done[at].until;
+        for index in (1..disjoint.len()).rev() {
+            if disjoint[index - 1].end == disjoint[index].start {
+                disjoint[index - 1].contiguous_end = disjoint[index].contiguous_end;
             }
         }
-        done.shrink_to_fit();
-        self.0 = done;
+        disjoint.shrink_to_fit();
+        self.0 = disjoint;
     }
-    /// The first interval that overlaps the span.
+    /// Returns the first interval that overlaps the span.
     fn overlapping(&self, span: TimeInterval) -> Option<&IndexedInterval> {
-        let at = self.0.partition_point(|it| it.end <= span.earliest);
-        self.0.get(at).filter(|it| it.start <= span.latest)
+        let index = self.0.partition_point(|it| it.end <= span.earliest);
+        self.0.get(index).filter(|it| it.start <= span.latest)
     }
-    /// The interval that contains the start of the span, if the whole span is covered.
+    /// Returns the interval that contains the start of the span, if the whole span is covered.
     fn covering(&self, span: TimeInterval) -> Option<&IndexedInterval> {
-        self.overlapping(span).filter(|it| it.start <= span.earliest && span.latest < it.until)
+        self.overlapping(span).filter(|it| it.start <= span.earliest && span.latest < it.contiguous_end)
     }
 }
 
 /// One timeline for each planned kind of change.
 type KindTimelines = [Timeline; PLANNED_KINDS];
 
-/// The timelines of each scope.
+/// The timelines of all scopes.
 #[derive(Debug, Clone, Default)]
 struct ScopeTimelines {
     fleet: KindTimelines,
-    /// All scopes together, for changes of the whole fleet.
+    /// The intervals of all scopes, for changes of the whole fleet.
     any_scope: KindTimelines,
     zones: FxHashMap<Arc<str>, KindTimelines>,
     hosts: FxHashMap<Arc<str>, KindTimelines>,
 }
 
-/// Adds the intervals of an entry to the timelines of the kinds that it covers.
-fn add_to_kinds(kinds: &mut KindTimelines, scope: &Scope, in_force: &[Interval], entry: u32) {
+/// Adds the intervals of an entry to the timeline of each kind that the entry covers.
+fn add_to_kinds(kinds: &mut KindTimelines, scope: &Scope, in_force: &[Interval], entry_index: u32) {
     for (timeline, kind) in kinds.iter_mut().zip(ChangeKind::PLANNED) {
         if scope.kinds.is_empty() || scope.kinds.contains(&kind) {
-            in_force.iter().for_each(|it| timeline.push(*it, entry));
+            in_force.iter().for_each(|it| timeline.push(*it, entry_index));
         }
     }
 }
 
 impl ScopeTimelines {
-    fn add(&mut self, scope: &Scope, in_force: &[Interval], entry: u32) {
-        add_to_kinds(&mut self.any_scope, scope, in_force, entry);
+    fn add(&mut self, scope: &Scope, in_force: &[Interval], entry_index: u32) {
+        add_to_kinds(&mut self.any_scope, scope, in_force, entry_index);
         let (map, names) = match &scope.place {
-            ScopeTarget::Fleet => return add_to_kinds(&mut self.fleet, scope, in_force, entry),
+            ScopeTarget::Fleet => return add_to_kinds(&mut self.fleet, scope, in_force, entry_index),
             ScopeTarget::Zones(zones) => (&mut self.zones, zones),
             ScopeTarget::Group { hosts, .. } => (&mut self.hosts, hosts),
         };
         for name in names {
-            add_to_kinds(map.entry(Arc::from(name.as_str())).or_default(), scope, in_force, entry);
+            add_to_kinds(map.entry(Arc::from(name.as_str())).or_default(), scope, in_force, entry_index);
         }
     }
     fn merge_overlaps(&mut self) {
@@ -101,9 +106,9 @@
     }
 }
 
-/// What the reason of a hold contains of an entry.
+/// The parts of an entry that the reason of a hold contains.
 #[derive(Debug, Clone)]
-pub(crate) struct EntryTitle {
+pub(crate) struct EntrySummary {
     pub(crate) id: Arc<str>,
     pub(crate) reason: Arc<str>,
 }
@@ -120,29 +125,33 @@
 pub(crate) struct Index {
     freezes: ScopeTimelines,
     overrides: ScopeTimelines,
-    titles: Vec<EntryTitle>,
+    summaries: Vec<EntrySummary>,
 }
 
 impl Index {
-    pub(crate) fn add(&mut self, title: EntryTitle, kind: EntryKind, scope: &Scope, in_force: &[Interval]) {
-        let entry = u32::try_from(self.titles.len()).unwrap_or(u32::MAX);
-        self.titles.push(title);
+    /// Adds an entry and the intervals in which it is in force.
+    pub(crate) fn add(
+        &mut self, summary: EntrySummary, kind: EntryKind, scope: &Scope, in_force: &[Interval],
+    ) {
+        let entry_index = u32::try_from(self.summaries.len()).unwrap_or(u32::MAX);
+        self.summaries.push(summary);
         let timelines = match kind {
             EntryKind::Freeze => &mut self.freezes,
             EntryKind::Override => &mut self.overrides,
         };
-        timelines.add(scope, in_force, entry);
+        timelines.add(scope, in_force, entry_index);
     }
-    /// Sorts all timelines. To be called after the last entry was added, and before the first search.
+    /// Sorts all timelines. Call this after the last entry is added and before the first search.
     pub(crate) fn finish(&mut self) {
         self.freezes.merge_overlaps();
         self.overrides.merge_overlaps();
     }
-    pub(crate) fn title(&self, interval: IndexedInterval) -> Option<&EntryTitle> {
-        self.titles.get(interval.entry as usize)
+    /// Returns the summary of the entry that an interval belongs to.
+    pub(crate) fn summary(&self, interval: IndexedInterval) -> Option<&EntrySummary> {
+        self.summaries.get(interval.entry_index as usize)
     }
-    /// The freeze that holds the change in the span. Of several, the one that lasts longest.
-    pub(crate) fn freeze(&self, span: TimeInterval, change: &Change<'_>) -> Option<IndexedInterval> {
+    /// Returns the freeze that holds the change in the span. If there are several, returns the one that lasts longest.
+    pub(crate) fn find_freeze(&self, span: TimeInterval, change: &Change<'_>) -> Option<IndexedInterval> {
         let kind = ChangeKind::PLANNED.iter().position(|it| *it == change.kind)?;
         let Some(host) = change.host else {
             return self.freezes.any_scope[kind].overlapping(span).copied();
@@ -152,11 +161,13 @@
             map.get(name)?[kind].overlapping(span).copied()
         };
         let zones = change.zones.iter().flatten().filter_map(|zone| in_map(&timelines.zones, zone));
-        let others = [timelines.fleet[kind].overlapping(span).copied(), in_map(&timelines.hosts, host)];
-        zones.chain(others.into_iter().flatten()).max_by_key(|it| it.until)
+        let fleet_and_host =
+            [timelines.fleet[kind].overlapping(span).copied(), in_map(&timelines.hosts, host)];
+        zones.chain(fleet_and_host.into_iter().flatten()).max_by_key(|it| it.contiguous_end)
     }
-    /// The override that allows the change. One scope of it must cover the whole change during the whole span.
-    pub(crate) fn override_of(&self, span: TimeInterval, change: &Change<'_>) -> Option<IndexedInterval> {
+    /// Returns the override that allows the change. An override of the fleet, or of the host, or overrides of all
+    /// affected zones must cover the change during the whole span.
+    pub(crate) fn find_override(&self, span: TimeInterval, change: &Change<'_>) -> Option<IndexedInterval> {
         let kind = ChangeKind::PLANNED.iter().position(|it| *it == change.kind)?;
         let timelines = &self.overrides;
         if let Some(found) = timelines.fleet[kind].covering(span) {
@@ -167,8 +178,8 @@
             return Some(*found);
         }
         let in_zone = |zone: &str| timelines.zones.get(zone)?[kind].covering(span).copied();
-        let mut all = change.zones.iter().flatten().map(|zone| in_zone(zone));
-        let first = all.next()??;
-        all.all(|it| it.is_some()).then_some(first)
+        let mut zone_overrides = change.zones.iter().flatten().map(|zone| in_zone(zone));
+        let first = zone_overrides.next()??;
+        zone_overrides.all(|it| it.is_some()).then_some(first)
     }
 }
