--- a/crates/agreement/src/action.rs
+++ b/crates/agreement/src/action.rs
@@ -1,4 +1,5 @@
-//! What the log yields to its owner: actions, outcomes of proposals and reasons why a voter does not vote.
+//! The actions that the log returns to its owner, the outcomes of proposals, and the reasons that block a voter
+//! from voting.
 use crate::{
     limits::{MAX_ENTRY_BYTES, MAX_PENDING_PROPOSALS},
     message::Message,
@@ -24,8 +25,8 @@
         /// The entry and its stamp.
         stamped: Stamped<E>,
     },
-    /// A new segment of the log starts, with other voters or with the same ones. It takes a revision of its
-    /// own.
+    /// A new segment of the log starts, with other voters or with the same ones. The change has a revision of
+    /// its own.
     VotersChanged {
         /// Its index in the log.
         revision: Revision,
@@ -34,7 +35,7 @@
         /// The voters from now on.
         voters: Vec<Voter>,
     },
-    /// Replace the owner's state by a snapshot, because the entries before it are trimmed.
+    /// Replace the owner's state by a snapshot, because the entries that led to it are trimmed.
     Restore {
         /// The last revision that the snapshot holds.
         revision: Revision,
@@ -43,49 +44,49 @@
         /// The bytes that an owner passed to [`crate::Agreement::snapshot`].
         snapshot: Bytes,
     },
-    /// This balancer became the leader, or is the leader no longer.
+    /// This balancer became the leader (`true`) or stopped being the leader (`false`).
     LeadershipChanged(bool),
-    /// This voter must not vote.
+    /// This voter must not vote, for the given reason.
     VotingBlocked(VotingBlock),
     /// A proposal ended.
     ProposalFinished {
         /// The identifier that [`crate::Agreement::propose`] returned.
         id: u64,
-        /// How it ended.
+        /// The outcome of the proposal.
         outcome: ProposalOutcome,
     },
 }
 
-/// How a proposal ended.
+/// The outcome of a proposal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProposalOutcome {
-    /// Committed at this revision.
+    /// The proposal is committed at this revision.
     Committed(Revision),
-    /// Not known to be committed within [`crate::PROPOSAL_TIMEOUT_US`]. It may still be committed, at most
-    /// once.
+    /// The proposal was not known to be committed within [`crate::PROPOSAL_TIMEOUT_US`]. It may still be
+    /// committed later, at most once.
     TimedOut,
 }
 
-/// Why a voter does not vote.
+/// The reason that blocks a voter from voting.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum VotingBlock {
-    /// It started without stored state while others have some, so it may have voted before.
+    /// The voter started without stored state while other voters have some, so it may have voted before.
     LostState,
-    /// Its store is older than the one that others have received messages from.
+    /// The store holds fewer writes than other voters have observed, so it is an older copy.
     StaleStore {
-        /// Writes that the store counts.
+        /// Number of writes recorded in the store.
         stored: u64,
-        /// Writes that others have seen.
+        /// Number of writes that another voter has observed.
         observed: u64,
     },
-    /// Its store failed; the text is that of the store's error.
+    /// The store failed. Holds the text of the store's error.
     StorageFailed(String),
 }
 
-/// Why a proposal is rejected.
+/// The reason why a proposal is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ProposeError {
-    /// [`MAX_PENDING_PROPOSALS`] are pending.
+    /// [`MAX_PENDING_PROPOSALS`] proposals are already pending.
     #[error("{MAX_PENDING_PROPOSALS} proposals are under way")]
     TooManyPending,
     /// The entry is longer than [`MAX_ENTRY_BYTES`].
--- a/crates/agreement/src/agreement.rs
+++ b/crates/agreement/src/agreement.rs
@@ -1,5 +1,5 @@
-//! The public interface of the log: passes each input to the module concerned, and sends nothing before it is
-//! durable.
+//! The public interface of the log. Passes each input to the module that handles it, and sends messages only
+//! after the changes that they depend on are durable.
 mod apply;
 mod dispatch;
 mod propose;
@@ -29,8 +29,8 @@
 use bytes::Bytes;
 use std::collections::VecDeque;
 
-/// The generation of a voter to add until that of its store is known; any but 0, which marks a founding
-/// voter.
+/// The generation of a voter to add while the generation of its store is unknown. Not 0, which marks a
+/// founding voter.
 const UNKNOWN_GENERATION: u64 = 1;
 
 /// A balancer's participation in the log; see the crate's documentation.
@@ -39,7 +39,7 @@
     store: S,
     journal: SharedJournal<E>,
     log: CommittedLog<E>,
-    /// Present while this balancer votes.
+    /// `Some` while this balancer votes.
     replica: Option<Replica<E>>,
     voting_guard: VotingGuard,
     catch_up: CatchUp,
@@ -49,7 +49,7 @@
     actions: VecDeque<Action<E>>,
     /// The highest link session used so far.
     link_session: u32,
-    /// The timestamp of a leader's entries, as of the last tick.
+    /// The lowest timestamp of entries appended by this balancer as the leader; set by each tick.
     unix: u64,
     fleet_clock: FleetClock,
     is_leader: bool,
@@ -57,7 +57,7 @@
 }
 
 impl<E: Entry, S: Store> Agreement<E, S> {
-    /// Starts from the content of the store. The first actions restore the owner's state from it.
+    /// Starts with the state in the store. The first actions restore the owner's state from it.
     pub fn new(settings: Settings, mut store: S, seed: u64, now: Micros) -> Self {
         let mut random = fastrand::Rng::with_seed(seed ^ settings.incarnation);
         let founding = founding_segment(&settings);
@@ -95,7 +95,7 @@
     /// Advances time. The owner calls it every [`crate::TICK_INTERVAL_US`], with the machine's Unix time in
     /// microseconds.
     pub fn tick(&mut self, now: Micros, unix: u64) {
-        // Fleet time continues from where it was if the leader's clock is behind or was set back.
+        // If the leader's clock is behind or was set back, fleet time continues from its previous value.
         self.fleet_clock.observe(now, self.log.last_timestamp());
         self.unix = unix.max(self.fleet_clock.now(now));
         if self.is_leader {
@@ -126,8 +126,8 @@
         self.add_proposal(now, Command::Entry(entry), None)
     }
 
-    /// Proposes to remove one voter, to add one, or both. Adding a present voter renews it with the store
-    /// that it has now.
+    /// Proposes to remove one voter, to add one, or both. Adding a current voter updates the generation of its
+    /// store.
     ///
     /// # Errors
     /// If the change is invalid or too many proposals are pending.
@@ -145,13 +145,13 @@
         self.add_proposal(now, Command::ChangeVoters(change), awaits_generation_of)
     }
 
-    /// The next action for the owner.
+    /// Returns the next action for the owner.
     pub fn poll(&mut self) -> Option<Action<E>> {
         self.actions.pop_front()
     }
 
-    /// Supplies a snapshot of the owner's state after the entry at `revision`, at most [`MAX_SNAPSHOT_BYTES`]
-    /// long. Items well before it are trimmed.
+    /// Supplies a snapshot of the owner's state after the entry at `revision`. A snapshot longer than
+    /// [`MAX_SNAPSHOT_BYTES`] is ignored. Items well before the snapshot are trimmed.
     pub fn snapshot(&mut self, now: Micros, revision: Revision, state: Bytes) {
         if state.len() > MAX_SNAPSHOT_BYTES {
             return;
@@ -166,27 +166,27 @@
         self.drive(now);
     }
 
-    /// The commit index: the revision of the last item that was handed to the owner.
+    /// Returns the commit index: the revision of the last item that was reported to the owner.
     pub fn applied(&self) -> Revision {
         self.log.last_revision()
     }
 
-    /// The highest advertised commit index, if it is above the own one.
+    /// Returns the highest commit index advertised by a peer, if it is above this balancer's own.
     pub fn lag(&self) -> Option<Revision> {
         Some(self.catch_up.highest_advertised()).filter(|highest| *highest > self.log.last_revision())
     }
 
-    /// The leader, as far as it is known.
+    /// Returns the leader if this balancer knows of one.
     pub fn leader(&self) -> Option<NodeId> {
         self.leader_hint().map(|leader| leader.node_id)
     }
 
-    /// The current voters.
+    /// Returns the current voters.
     pub fn voters(&self) -> &[Voter] {
         &self.log.segment().voters
     }
 
-    /// Whether this balancer votes.
+    /// Returns whether this balancer votes.
     pub fn is_voting(&self) -> bool {
         self.replica.is_some()
     }
@@ -198,7 +198,7 @@
         own.max(self.catch_up.leader)
     }
 
-    /// Applies what is committed, makes changes durable, and only then sends messages.
+    /// Applies committed items, makes all changes durable, and only then sends messages.
     fn drive(&mut self, now: Micros) {
         self.apply_committed(now);
         self.start_voting_if_allowed(now);
--- a/crates/agreement/src/agreement/apply.rs
+++ b/crates/agreement/src/agreement/apply.rs
@@ -1,4 +1,4 @@
-//! Applies committed items and snapshots to the log, and hands them to the owner.
+//! Applies committed items and snapshots to the log, and reports them to the owner.
 use super::Agreement;
 use crate::{
     action::Action,
@@ -10,7 +10,7 @@
 };
 
 impl<E: Entry, S: Store> Agreement<E, S> {
-    /// Applies what the store held.
+    /// Applies the snapshot and the items that were loaded from the store.
     pub(super) fn apply_recovered(
         &mut self, now: Micros, snapshot: Option<LogSnapshot>, items: Vec<LogItem<E>>,
     ) {
@@ -25,7 +25,7 @@
 
     /// Applies the items that the replica has committed since the last call.
     pub(super) fn apply_committed(&mut self, now: Micros) {
-        // A stop sign replaces the replica, so each round asks the current one.
+        // Applying a stop sign replaces the replica, so each iteration polls the current replica.
         while let Some(replica) = &mut self.replica {
             let committed = replica.poll_committed();
             if committed.is_empty() {
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Appends the next item to the log and hands it to the owner.
+    /// Appends the next item to the log and reports it to the owner.
     fn commit(&mut self, item: LogItem<E>) {
         self.log.push(item.clone());
         let revision = self.log.last_revision();
--- a/crates/agreement/src/agreement/dispatch.rs
+++ b/crates/agreement/src/agreement/dispatch.rs
@@ -1,4 +1,5 @@
-//! Receives messages and passes each to the module concerned; sends messages, in fragments if they are long.
+//! Passes each received message to the module that handles it, and sends messages, in fragments if they are
+//! long.
 use super::Agreement;
 use crate::{
     action::Action,
@@ -10,7 +11,7 @@
 };
 
 impl<E: Entry, S: Store> Agreement<E, S> {
-    /// Handles a message of another balancer. The owner identifies `from` by the address of the datagram.
+    /// Handles a message from another balancer. The owner identifies `from` by the address of the datagram.
     pub fn handle_message(&mut self, now: Micros, from: NodeId, message: Message<E>) {
         if !self.catch_up.is_peer(from) {
             return;
@@ -64,7 +65,7 @@
         is_known && leader.segment <= self.log.segment().id + 1
     }
 
-    /// Sends a message; one to this balancer itself is dropped.
+    /// Sends a message. Drops it if the receiver is this balancer itself.
     pub(super) fn send(&mut self, to: NodeId, body: MessageBody<E>) {
         if to == self.settings.node_id {
             return;
--- a/crates/agreement/src/agreement/propose.rs
+++ b/crates/agreement/src/agreement/propose.rs
@@ -1,5 +1,5 @@
-//! Sends this balancer's proposals to the leader, and appends the proposals of all balancers while it is the
-//! leader itself.
+//! Sends this balancer's proposals to the leader. While this balancer is the leader, appends the proposals of all
+//! balancers.
 use super::Agreement;
 use crate::{
     action::{Action, ProposeError},
@@ -11,7 +11,8 @@
     types::{Entry, Micros, NodeId, Stamped},
 };
 
-/// Every so many attempts a proposal goes to a random voter, because the known leader may be an old one.
+/// Each attempt whose number is a multiple of this goes to a random voter, because the known leader may be
+/// outdated.
 const ATTEMPTS_PER_DETOUR: u32 = 3;
 
 impl<E: Entry, S: Store> Agreement<E, S> {
@@ -58,7 +59,7 @@
         self.actions.push_back(Action::ProposalFinished { id, outcome });
     }
 
-    /// The leader, or any voter if no leader is known or a detour is due.
+    /// The leader, or a random voter if no other balancer is known to lead or this attempt goes to a random voter.
     fn proposal_target(&mut self, attempts: u32) -> Option<NodeId> {
         let leader = self.leader().filter(|leader| *leader != self.settings.node_id);
         if let Some(leader) = leader.filter(|_| !attempts.is_multiple_of(ATTEMPTS_PER_DETOUR)) {
@@ -104,7 +105,7 @@
         }
     }
 
-    /// The timestamp of the next entry: Unix time, but after the last entry's.
+    /// The timestamp of the next entry: Unix time, but later than the timestamp of the last entry.
     fn next_timestamp(&self) -> u64 {
         let accepted = self.replica.as_ref().map_or(0, Replica::last_timestamp);
         self.unix.max(self.log.last_timestamp() + 1).max(accepted + 1)
--- a/crates/agreement/src/agreement/synchronize.rs
+++ b/crates/agreement/src/agreement/synchronize.rs
@@ -1,5 +1,5 @@
-//! Keeps all balancers up to date: advertises the commit index, requests missing items and serves the
-//! requests of others.
+//! Keeps all balancers up to date: advertises the commit index, requests missing items, and responds to the
+//! requests of other balancers.
 use super::Agreement;
 use crate::{
     message::MessageBody,
@@ -7,7 +7,8 @@
     types::{Entry, Micros, NodeId, Revision},
 };
 
-/// Bytes of new items in an advertisement; with its header it stays below [`crate::MAX_MESSAGE_BYTES`].
+/// Maximum size of the new items in an advertisement, in bytes. With its header, an advertisement stays below
+/// [`crate::MAX_MESSAGE_BYTES`].
 const MAX_ADVERTISED_BYTES: usize = 900;
 
 impl<E: Entry, S: Store> Agreement<E, S> {
@@ -26,7 +27,7 @@
         }
     }
 
-    /// Advertises the commit index to some balancers if it is time, and new items as soon as there are any.
+    /// Advertises the commit index to some balancers when an advertisement is due, and new items immediately.
     pub(super) fn advertise(&mut self, now: Micros) {
         let receivers = self.catch_up.poll_advertisement(now, &mut self.random);
         let has_news = std::mem::take(&mut self.catch_up.has_news);
--- a/crates/agreement/src/agreement/voting.rs
+++ b/crates/agreement/src/agreement/voting.rs
@@ -11,7 +11,8 @@
 };
 
 impl<E: Entry, S: Store> Agreement<E, S> {
-    /// Moves on to the log's segment, if it is not the one that this balancer voted in so far.
+    /// Enters the current segment of the log if the journal is in an earlier one. Starts the replica if this
+    /// balancer may vote and has none.
     pub(super) fn enter_segment(&mut self, now: Micros) {
         let segment = self.log.segment().clone();
         let local = segment.voter(self.settings.node_id).copied();
@@ -40,7 +41,7 @@
         self.replica = Replica::new(self.settings.node_id, self.journal.clone(), self.link_session);
     }
 
-    /// Starts the replica once the histories of the other voters allow this one to vote.
+    /// Starts the replica when the histories of the other voters allow this voter to vote.
     pub(super) fn start_voting_if_allowed(&mut self, now: Micros) {
         let mut journal = self.journal.lock();
         let segment = self.log.segment();
@@ -86,8 +87,8 @@
         let mut journal = self.journal.lock();
         let known = journal.hard_state().founders.iter().find(|founder| founder.node_id == from).copied();
         let is_voter = self.log.segment().voter(from).is_some();
-        // Only the first store counts: a second one without state on the same balancer has lost the votes of
-        // the first.
+        // Only the first store of a balancer is recorded: a second one without state has lost the votes of the
+        // first.
         if known.is_none() && !requester.has_state && !own.has_state && is_voter {
             journal.hard_state_mut().founders.push(requesting_store);
         }
--- a/crates/agreement/src/catch_up.rs
+++ b/crates/agreement/src/catch_up.rs
@@ -1,18 +1,18 @@
-//! Whom to send commit advertisements, and whom a lagging balancer requests missing items from.
+//! Chooses the receivers of commit advertisements and the peer from which a lagging balancer requests missing
+//! items.
 use crate::{
     message::LeaderHint,
     types::{Micros, NodeId, Revision},
 };
 use rustc_hash::FxHashMap;
 
-/// Interval of unprompted commit advertisements, in microseconds.
+/// Interval of commit advertisements while no items are committed, in microseconds.
 const ADVERTISE_INTERVAL_US: Micros = 250_000;
-/// Receivers of each advertisement.
+/// Number of receivers of each advertisement.
 const ADVERTISE_FANOUT: usize = 3;
-/// Interval after which a lagging balancer requests from another one, in microseconds: longer than a round
-/// trip.
+/// Interval after which a lagging balancer sends another request, in microseconds: longer than a round trip.
 const REQUEST_INTERVAL_US: Micros = 200_000;
-/// Responses between two ticks: bounds what a starting fleet costs one balancer.
+/// Maximum number of responses between two ticks: limits the load of one balancer while the fleet starts.
 const MAX_RESPONSES_PER_TICK: u32 = 32;
 
 /// Another balancer of the fleet.
@@ -28,7 +28,7 @@
 
 pub(crate) struct CatchUp {
     peers: Vec<Peer>,
-    /// The commit index that each peer advertised last.
+    /// The last commit index that each peer advertised.
     advertised: FxHashMap<NodeId, Revision>,
     pub(crate) leader: Option<LeaderHint>,
     pending_request: Option<PendingRequest>,
@@ -66,12 +66,12 @@
         self.leader = self.leader.max(leader);
     }
 
-    /// The highest commit index that a peer advertised last.
+    /// The highest of the last commit indices that the peers advertised.
     pub(crate) fn highest_advertised(&self) -> Revision {
         self.advertised.values().copied().max().unwrap_or(0)
     }
 
-    /// The receivers of an advertisement, if one is due or there is news.
+    /// The receivers of an advertisement. Empty unless one is due or new items are committed.
     pub(crate) fn poll_advertisement(&mut self, now: Micros, random: &mut fastrand::Rng) -> Vec<NodeId> {
         if now < self.next_advertisement && !self.has_news {
             return Vec::new();
@@ -107,7 +107,7 @@
         Some(node_id)
     }
 
-    /// Ends the pending request, so that the next one need not wait.
+    /// Ends the pending request, so that the next one can be sent immediately.
     pub(crate) fn handle_response(&mut self) {
         self.pending_request = None;
     }
--- a/crates/agreement/src/codec.rs
+++ b/crates/agreement/src/codec.rs
@@ -5,7 +5,8 @@
 /// Encodes a value in postcard.
 ///
 /// # Panics
-/// If an owner's [`crate::Entry`] has an implementation of `Serialize` that fails. Encoding into memory cannot fail otherwise.
+/// Panics if the `Serialize` implementation of an owner's [`crate::Entry`] fails. Encoding into memory cannot
+/// fail otherwise.
 pub(crate) fn encode<T: Serialize>(value: &T) -> Bytes {
-    postcard::to_allocvec(value).expect("values of the log can be encoded").into()
+    postcard::to_allocvec(value).expect("the `Serialize` implementation of a log entry must not fail").into()
 }
--- a/crates/agreement/src/committed_log.rs
+++ b/crates/agreement/src/committed_log.rs
@@ -1,4 +1,4 @@
-//! The committed part of the log that this balancer retains, after a snapshot of what came before.
+//! The committed items that this balancer retains, and the snapshot that replaces trimmed ones.
 use crate::{
     codec::encode,
     message::LogSnapshot,
@@ -9,17 +9,18 @@
 use rustc_hash::FxHashSet;
 use std::collections::VecDeque;
 
-/// Items retained before the snapshot's revision: serve slightly lagging balancers and detect repeated
-/// proposals.
+/// Number of items retained before the snapshot's revision, to serve slightly lagging balancers and to detect
+/// repeated proposals.
 const RETAINED_ITEMS: u64 = 2_048;
-/// Items at which the log is full: a leader then accepts no proposals until its owner supplies a snapshot.
+/// Number of items at which the log is full: a leader then accepts no proposals until its owner supplies a
+/// snapshot.
 const MAX_ITEMS: u64 = 16_384;
-/// Bytes of items in one catch-up response.
+/// Maximum size of the items in one catch-up response, in bytes.
 const MAX_RESPONSE_BYTES: usize = 64 * 1024;
-/// Items in one commit advertisement.
+/// Maximum number of items in one commit advertisement.
 const MAX_ADVERTISED_ITEMS: usize = 8;
 
-/// What [`CommittedLog::install_owner_snapshot`] changed.
+/// The changes made by [`CommittedLog::install_owner_snapshot`].
 pub(crate) struct Compaction<'a> {
     pub(crate) snapshot: &'a LogSnapshot,
     /// Items up to this revision are trimmed.
@@ -78,8 +79,8 @@
         self.snapshot.as_ref()
     }
 
-    /// Whether a proposal made at the commit index `proposed_after` is in the log; `None` if the items needed
-    /// to tell are trimmed.
+    /// Whether a proposal made at the commit index `proposed_after` is in the log; `None` if items that
+    /// may hold it are trimmed.
     pub(crate) fn contains(&self, key: ProposalKey, proposed_after: Revision) -> Option<bool> {
         (proposed_after + 1 >= self.first).then(|| self.proposals.contains(&key))
     }
@@ -95,14 +96,14 @@
         }
     }
 
-    /// The items from a revision on that fit one catch-up response; `None` if the first of them is trimmed.
+    /// The items from `revision` on that fit one catch-up response; `None` if the first of them is trimmed.
     pub(crate) fn items_from(&self, revision: Revision) -> Option<Vec<LogItem<E>>> {
         let skipped = revision.checked_sub(self.first)? as usize;
         let fits = fits_within(MAX_RESPONSE_BYTES);
         Some(self.items.iter().skip(skipped).take_while(fits).cloned().collect())
     }
 
-    /// The newest items that together are no longer than `max_bytes`.
+    /// The newest items whose total size is at most `max_bytes`.
     pub(crate) fn newest_items(&self, max_bytes: usize) -> ItemRange<E> {
         let newest = self.items.iter().rev().take(MAX_ADVERTISED_ITEMS);
         let mut items: Vec<_> = newest.take_while(fits_within(max_bytes)).cloned().collect();
@@ -121,8 +122,8 @@
         segment
     }
 
-    /// Stores a snapshot of the owner's state and trims the items well before it. Ignores one that is not
-    /// newer than the last, or that is not of a retained revision.
+    /// Stores a snapshot of the owner's state and trims the items well before it. Ignores a snapshot that is not
+    /// newer than the last one, or whose revision is not retained.
     pub(crate) fn install_owner_snapshot(
         &mut self, revision: Revision, state: Bytes,
     ) -> Option<Compaction<'_>> {
@@ -148,7 +149,7 @@
         self.first = to + 1;
     }
 
-    /// Restarts the log after a snapshot that another balancer sent, or that was stored.
+    /// Restarts the log after a snapshot, either received from another balancer or loaded from the store.
     pub(crate) fn restore(&mut self, snapshot: LogSnapshot) {
         self.first = snapshot.revision + 1;
         self.items.clear();
@@ -160,7 +161,7 @@
     }
 }
 
-/// A predicate that holds while the items seen so far are together no longer than `max_bytes`.
+/// Returns a predicate that holds while the total size of the items passed to it is at most `max_bytes`.
 fn fits_within<E: Entry>(max_bytes: usize) -> impl FnMut(&&LogItem<E>) -> bool {
     let mut bytes = 0;
     move |item| {
--- a/crates/agreement/src/fleet_clock.rs
+++ b/crates/agreement/src/fleet_clock.rs
@@ -3,9 +3,9 @@
 
 /// The latest fleet time observed, and when it was observed on the local clock.
 ///
-/// A leader whose clock is behind continues from here. Only an observation ahead of the extrapolated time
-/// moves it. If every timestamp that comes out of the log set it back, fleet time would lose the delay of
-/// each entry and freezes would start late.
+/// A leader whose clock is behind continues from this time. Only an observation ahead of the extrapolated time
+/// changes it. If every timestamp from the log set it back, fleet time would fall behind by the delay of each
+/// entry, and freezes would start late.
 #[derive(Debug, Default)]
 pub(crate) struct FleetClock {
     fleet_time: u64,
--- a/crates/agreement/src/fragment.rs
+++ b/crates/agreement/src/fragment.rs
@@ -3,9 +3,9 @@
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 
-/// Bytes of the message in one fragment.
+/// Size of the part of a message in one fragment, in bytes.
 pub(crate) const FRAGMENT_BYTES: usize = 1_000;
-/// Fragments of the longest message: a snapshot and its header.
+/// Maximum number of fragments of a message: a snapshot and its header.
 pub(crate) const MAX_FRAGMENTS: u32 = (MAX_SNAPSHOT_BYTES / FRAGMENT_BYTES) as u32 + 64;
 
 // A fragment and its header must fit one message.
@@ -22,6 +22,6 @@
         index: u32,
         bytes: Bytes,
     },
-    /// The receiver of the message requests these fragments.
+    /// Sent by the receiver of the message to request the missing fragments.
     Request { message_id: u64, missing: Vec<u32> },
 }
--- a/crates/agreement/src/fragment_transfer.rs
+++ b/crates/agreement/src/fragment_transfer.rs
@@ -1,8 +1,8 @@
 //! Transfers messages that are too long for a datagram, in fragments.
 //!
-//! The sender transmits the first few fragments; the receiver requests those it misses. A loss costs one
-//! request, and the receiver determines the rate. Partial messages, and sent ones retained for requests, are
-//! bounded; beyond the bounds the oldest are dropped.
+//! The sender transmits the first few fragments, and the receiver requests the missing ones. A lost fragment
+//! costs one request, and the receiver determines the rate. Partial messages and sent messages retained for
+//! requests are limited in number and size; the oldest are dropped first.
 use crate::{
     fragment::{FRAGMENT_BYTES, Fragment, MAX_FRAGMENTS},
     limits::MAX_SNAPSHOT_BYTES,
@@ -11,25 +11,27 @@
 use bytes::Bytes;
 use std::collections::VecDeque;
 
-/// Messages partially received at once; usually each is from another peer.
+/// Maximum number of partially received messages; usually each is from a different peer.
 const MAX_PARTIAL_MESSAGES: usize = 16;
-/// Bytes partially received at once: a few snapshots.
+/// Maximum size of all partially received messages, in bytes: a few snapshots.
 const MAX_PARTIAL_BYTES: usize = 4 * MAX_SNAPSHOT_BYTES;
-/// Sent messages retained for requests.
+/// Maximum number of sent messages retained for requests.
 const MAX_RETAINED_MESSAGES: usize = 64;
-/// Bytes of sent messages retained for requests; the fragments share the memory of the message.
+/// Maximum size of all sent messages retained for requests, in bytes; the fragments share the memory of the
+/// message.
 const MAX_RETAINED_BYTES: usize = 8 * MAX_SNAPSHOT_BYTES;
-/// Received messages remembered, so that a late fragment does not start a message again.
+/// Maximum number of completed messages whose keys are retained, so that a late fragment does not start the
+/// same message again.
 const MAX_COMPLETED_MESSAGES: usize = 4 * MAX_RETAINED_MESSAGES;
-/// Fragments of one request.
+/// Maximum number of fragments in one request.
 const MAX_REQUESTED_FRAGMENTS: usize = 64;
-/// Fragments sent without a request.
+/// Number of fragments sent without a request.
 const UNREQUESTED_FRAGMENTS: u32 = 16;
-/// Fragments sent between two ticks to all receivers together: about 5 MB a second.
+/// Maximum number of fragments sent to all receivers together between two ticks: about 5 MB per second.
 const MAX_FRAGMENTS_PER_TICK: usize = 256;
 /// Interval after which a request is repeated, in microseconds.
 const REQUEST_INTERVAL_US: Micros = 100_000;
-/// How long a partial message is retained without a new fragment, in microseconds.
+/// Time after which a partial message without a new fragment is dropped, in microseconds.
 const PARTIAL_TIMEOUT_US: Micros = 3_000_000;
 
 /// Identifies a received message in the whole fleet.
@@ -52,7 +54,7 @@
     fragments: Vec<Option<Bytes>>,
     received: usize,
     bytes: usize,
-    /// The count of received fragments at which all that were sent or requested have arrived.
+    /// Number of received fragments at which all fragments sent or requested so far have arrived.
     expected: usize,
     last_received: Micros,
     last_request: Micros,
@@ -88,7 +90,7 @@
         }
     }
 
-    /// Sends a message; drops one of more than [`MAX_FRAGMENTS`].
+    /// Sends a message. Drops it if it is empty or needs more than [`MAX_FRAGMENTS`].
     pub(crate) fn send(&mut self, to: NodeId, message: Bytes) {
         let count = message.len().div_ceil(FRAGMENT_BYTES);
         if count == 0 || count > MAX_FRAGMENTS as usize {
@@ -125,7 +127,7 @@
         self.outgoing.push(OutgoingFragment { to, fragment });
     }
 
-    /// Handles a fragment; returns the message once it is complete.
+    /// Handles a fragment. Returns the message when it is complete.
     pub(crate) fn handle_fragment(
         &mut self, now: Micros, from: NodeId, fragment: Fragment,
     ) -> Option<Vec<u8>> {
@@ -203,7 +205,7 @@
         }
     }
 
-    /// Drops partial messages that timed out and repeats requests.
+    /// Drops partial messages that timed out and repeats the requests of the others.
     pub(crate) fn tick(&mut self, now: Micros) {
         self.sent_this_tick = 0;
         self.partial.retain(|partial| now < partial.last_received + PARTIAL_TIMEOUT_US);
--- a/crates/agreement/src/hard_state.rs
+++ b/crates/agreement/src/hard_state.rs
@@ -3,7 +3,7 @@
 use omnipaxos::{ballot_leader_election::Ballot, storage::StopSign};
 use serde::{Deserialize, Serialize};
 
-/// Writes observed of a voter's store.
+/// The number of writes observed of a voter's store.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct ObservedWrites {
     pub(crate) voter: Voter,
@@ -12,13 +12,14 @@
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct HardState {
-    /// Identifies the store; drawn when it was created.
+    /// Identifies the store; drawn at random when the store was created.
     pub(crate) generation: u64,
-    /// How often a process was started with this store.
+    /// Number of times that a process was started with this store.
     pub(crate) epoch: u64,
-    /// Batches written.
+    /// Number of batches written.
     pub(crate) writes: u64,
-    /// Whether the founding voters let this voter vote without stored state.
+    /// Whether this voter has been allowed to vote with this store. A founding voter for which this is false
+    /// starts without state and must be verified by the other founding voters.
     pub(crate) founded: bool,
     /// The segment that the ballots and indices below belong to.
     pub(crate) segment: Segment,
@@ -26,9 +27,9 @@
     pub(crate) accepted_ballot: Ballot,
     pub(crate) decided_index: u64,
     pub(crate) stop_sign: Option<StopSign>,
-    /// The most writes observed of each voter's store.
+    /// The highest number of writes observed of each voter's store.
     pub(crate) observed_writes: Vec<ObservedWrites>,
-    /// Stores that had no state at the founding.
+    /// Voters whose stores had no state when the quorum group was founded.
     pub(crate) founders: Vec<Voter>,
 }
 
@@ -50,7 +51,7 @@
         }
     }
 
-    /// Starts a segment: resets what belongs to the previous one.
+    /// Starts a segment. Resets the ballots, the decided index and the stop sign of the previous one.
     pub(crate) fn enter_segment(&mut self, segment: Segment) {
         self.segment = segment;
         self.promised = Ballot::default();
@@ -59,7 +60,7 @@
         self.stop_sign = None;
     }
 
-    /// Records the writes that a voter's store counts, and forgets any earlier store of the same balancer.
+    /// Records the number of writes of a voter's store, and removes any other store of the same balancer.
     pub(crate) fn observe_writes(&mut self, voter: Voter, writes: u64) {
         match self.observed_writes.iter_mut().find(|observed| observed.voter == voter) {
             Some(observed) => observed.writes = observed.writes.max(writes),
--- a/crates/agreement/src/journal.rs
+++ b/crates/agreement/src/journal.rs
@@ -1,7 +1,8 @@
 //! A voter's state in memory, with the changes that must be durable before the voter sends anything.
 //!
-//! `omnipaxos` panics when a write fails. Here no write fails: changes are recorded, and [`Journal::flush`]
-//! makes them durable in one batch before anything is sent. If that fails, the voter sends nothing any more.
+//! `omnipaxos` panics when a write fails. No write to the journal fails: it records the changes, and
+//! [`Journal::flush`] makes them durable in one batch before anything is sent. If the flush fails, the voter
+//! stops sending.
 use crate::{
     codec::encode,
     hard_state::HardState,
@@ -27,7 +28,7 @@
         &self.hard_state
     }
 
-    /// The hard state, to be changed; it becomes durable with the next flush.
+    /// Gives write access to the hard state. The change becomes durable with the next flush.
     pub(crate) fn hard_state_mut(&mut self) -> &mut HardState {
         self.hard_state_changed = true;
         &mut self.hard_state
@@ -44,7 +45,7 @@
         }
     }
 
-    /// Records the writes that a voter's store counts; becomes durable along with the next other change.
+    /// Records the number of writes of a voter's store. It becomes durable together with the next other change.
     pub(crate) fn observe_writes(&mut self, voter: Voter, writes: u64) {
         self.hard_state.observe_writes(voter, writes);
     }
@@ -55,7 +56,7 @@
         self.replace_accepted(0, Vec::new());
     }
 
-    /// Truncates the accepted entries at `from` and appends.
+    /// Truncates the accepted entries at `from` and appends `entries`.
     pub(crate) fn replace_accepted(&mut self, from: usize, entries: Vec<Stamped<E>>) {
         let from = from.min(self.accepted.len());
         let encoded = entries.iter().map(encode).collect();
--- a/crates/agreement/src/lib.rs
+++ b/crates/agreement/src/lib.rs
@@ -1,10 +1,10 @@
-//! A replicated log: a quorum group of 3, 5 or 7 voters commits it, and all other balancers of the fleet
-//! learn it.
+//! A replicated log: a quorum group of 3, 5 or 7 voters commits its entries, and all other balancers of the
+//! fleet receive them.
 //!
 //! Any balancer may [`Agreement::propose`] an entry. Each committed entry is reported by
 //! [`Action::Committed`], in order and once per incarnation, on every balancer. The consensus protocol itself
-//! is `omnipaxos`. It was chosen over `raft` because it needs no randomness of its own and makes progress
-//! with partial connectivity. This crate adds what it leaves open: ordered links over datagrams, segments and
+//! is `omnipaxos`, used instead of `raft` because it needs no randomness of its own and makes progress with
+//! partial connectivity. This crate adds what `omnipaxos` lacks: ordered links over datagrams, segments and
 //! changes of the voters, protection against voters that lost their state, timestamps, proposals that are
 //! committed at most once, and catch-up of balancers that do not vote.
 //!
--- a/crates/agreement/src/link.rs
+++ b/crates/agreement/src/link.rs
@@ -1,35 +1,38 @@
 //! An ordered, reliable link between two voters over datagrams.
 //!
-//! `omnipaxos` forgets accepted entries when an old message arrives after a newer one. The link therefore
+//! `omnipaxos` loses accepted entries when an old message arrives after a newer one. The link therefore
 //! delivers messages in order, each once, and reports a [`LinkEvent::Reset`] whenever some may be missing.
 use crate::types::Micros;
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Bytes of a message in one chunk: with the header of its frame it stays below [`crate::MAX_MESSAGE_BYTES`].
+/// Size of the part of a message in one chunk, in bytes. With the header of its frame, a chunk stays below
+/// [`crate::MAX_MESSAGE_BYTES`].
 const CHUNK_BYTES: usize = 960;
-/// Chunks in flight: the bits of an acknowledgement and the chunk before them.
+/// Maximum number of chunks in flight: the next expected chunk and those covered by the bits of an
+/// acknowledgement.
 const WINDOW: usize = 64;
-/// Chunks queued for a peer that does not respond; beyond them the link is reset. A whole segment fits.
+/// Maximum number of chunks queued for a peer that does not respond. The link is reset if more are queued. A
+/// whole segment fits.
 const MAX_QUEUED_CHUNKS: usize = 4_096;
-/// Longest reassembled message: a whole segment and its longest entry.
+/// Maximum size of a reassembled message, in bytes: a whole segment and its longest entry.
 const MAX_REASSEMBLED_BYTES: usize = MAX_QUEUED_CHUNKS * CHUNK_BYTES;
-/// Retransmission interval: longer than a round trip.
+/// Interval of retransmissions, in microseconds: longer than a round trip.
 const RETRANSMIT_INTERVAL_US: Micros = 100_000;
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct Packet {
-    /// How often a process was started with the sender's store.
+    /// Number of times that a process was started with the sender's store.
     pub(crate) epoch: u64,
-    /// The receiver's epoch as far as the sender knows, 0 if unknown.
+    /// The receiver's epoch that the sender knows of; 0 if unknown.
     pub(crate) receiver_epoch: u64,
     pub(crate) payload: Payload,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) enum Payload {
-    /// A heartbeat of the election; may be late or lost.
+    /// A heartbeat of the leader election; may arrive late or be lost.
     Heartbeat(Bytes),
     Chunk(Chunk),
     Ack(Ack),
@@ -44,7 +47,7 @@
     bytes: Bytes,
 }
 
-/// Everything before `next` has arrived, and of the chunks after it those whose bits are set.
+/// Acknowledges all chunks before `next`, and the chunks after `next` whose bits are set in `received`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct Ack {
     session: u32,
@@ -61,7 +64,7 @@
     Reset,
 }
 
-/// A chunk that is not acknowledged yet, or not together with all before it.
+/// A chunk that is not acknowledged, or that follows one that is not acknowledged.
 struct QueuedChunk {
     is_last: bool,
     bytes: Bytes,
@@ -82,12 +85,13 @@
     /// Sequence number of the first queued chunk.
     first_sequence: u64,
     queue: VecDeque<QueuedChunk>,
-    /// Whether messages were dropped since the peer was last heard of.
+    /// Whether queued messages were dropped since the last packet from the peer.
     was_reset: bool,
     peer_session: u32,
     next_expected: u64,
     received: BTreeMap<u64, ReceivedChunk>,
     reassembled: Vec<u8>,
+    /// Heartbeats and acknowledgements to send, which bypass the queue.
     immediate: Vec<Payload>,
 }
 
@@ -187,8 +191,8 @@
         events
     }
 
-    /// Drops what is queued, so that no message to the peer's previous process reaches the new one, and the
-    /// reverse.
+    /// Drops queued chunks and incomplete messages: no message for the peer's previous process may reach the new
+    /// one, and no chunk of the previous process may become part of a message of the new one.
     fn handle_peer_restart(&mut self, epoch: u64, events: &mut Vec<LinkEvent>) {
         if self.peer_epoch != 0 {
             self.session += 1;
@@ -253,7 +257,7 @@
         }
     }
 
-    /// Replaces an acknowledgement that was not sent yet by the current one.
+    /// Queues an acknowledgement of the chunks received so far, in place of any that is not sent yet.
     fn queue_ack(&mut self, session: u32) {
         let next = self.next_expected;
         let received = self.received.keys().fold(0, |bits, sequence| bits | 1 << (sequence - next - 1));
--- a/crates/agreement/src/message.rs
+++ b/crates/agreement/src/message.rs
@@ -8,20 +8,20 @@
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 
-/// One message; opaque to the owner, at most [`crate::MAX_MESSAGE_BYTES`] in postcard.
+/// A message between two balancers. Opaque to the owner; at most [`crate::MAX_MESSAGE_BYTES`] in postcard.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Message<E>(pub(crate) MessageBody<E>);
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) enum MessageBody<E> {
-    /// The sender's commit index, the leader as far as it knows, and the newest items if they fit.
+    /// The sender's commit index, the leader that it knows of, and the newest items if they fit.
     CommitAdvertisement {
         revision: Revision,
         leader: Option<LeaderHint>,
         first: Revision,
         items: Vec<LogItem<E>>,
     },
-    /// The sender has applied everything up to `applied` and requests what follows.
+    /// The sender has applied all items up to `applied` and requests the next ones.
     CatchUpRequest {
         applied: Revision,
     },
@@ -36,7 +36,7 @@
     StoreGeneration {
         generation: u64,
     },
-    /// A voter requests what the receiver knows of its history, to find out whether it may vote.
+    /// A voter sends its own history and requests the receiver's observations of it, to verify that it may vote.
     VoterHistoryRequest(VoterHistory),
     VoterHistoryResponse {
         sender: VoterHistory,
@@ -46,7 +46,7 @@
     Fragment(Fragment),
 }
 
-/// The leader that a balancer knows of. A greater hint is a newer one.
+/// The leader that a balancer knows of. A greater hint is newer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub(crate) struct LeaderHint {
     pub(crate) segment: u32,
@@ -61,7 +61,7 @@
     pub(crate) proposer: NodeId,
     /// The proposer's commit index when it made the proposal.
     pub(crate) proposed_after: Revision,
-    /// How often the proposal was forwarded; bounds detours by old leader hints.
+    /// Number of times that the proposal was forwarded. Limits forwarding along outdated leader hints.
     pub(crate) hops: u8,
     pub(crate) command: Command<E>,
 }
@@ -79,7 +79,7 @@
     ChangeVoters(VoterChange),
 }
 
-/// A snapshot of the owner's state with what the log needs to continue after it.
+/// A snapshot of the owner's state, with the metadata that the log needs to continue after it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct LogSnapshot {
     pub(crate) revision: Revision,
@@ -88,32 +88,32 @@
     pub(crate) state: Bytes,
 }
 
-/// What a balancer knows of its own past.
+/// A balancer's own record of its store and its participation.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct VoterHistory {
     pub(crate) generation: u64,
-    /// Whether it may have voted, or knows of any committed item.
+    /// Whether the balancer may have voted or knows of any committed item.
     pub(crate) has_state: bool,
-    /// Durable writes of its store.
+    /// Number of durable writes of its store.
     pub(crate) writes: u64,
 }
 
-/// What a balancer has observed of another one's past.
+/// A balancer's observations of the store of another balancer.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct ObservedHistory {
-    /// The highest count of writes observed.
+    /// The highest number of writes observed.
     pub(crate) writes: u64,
-    /// The generation of the store that had no state at the founding.
+    /// The generation of the store that had no state when the quorum group was founded.
     pub(crate) founding_generation: Option<u64>,
 }
 
-/// A packet of the ordered link between two voters.
+/// A packet of the ordered link between two voters, with the state of its sender.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct ReplicationFrame {
     pub(crate) segment: u32,
     pub(crate) writes: u64,
     pub(crate) generation: u64,
-    /// The sender's fleet time. The next leader continues from it even if it has not learned of the last
+    /// The sender's fleet time. The next leader continues from it even if it has not received the last
     /// timestamp.
     pub(crate) fleet_time: u64,
     pub(crate) packet: Packet,
--- a/crates/agreement/src/message_filter.rs
+++ b/crates/agreement/src/message_filter.rs
@@ -1,4 +1,4 @@
-//! Guards against messages that no correct voter sends and on which `omnipaxos` panics.
+//! Rejects messages that no correct voter sends and on which `omnipaxos` panics.
 use crate::{
     limits::MAX_VOTERS,
     paxos::{decode_stop_sign, to_node_id},
@@ -12,18 +12,18 @@
     util::{LogSync, NodeId as PaxosId},
 };
 
-/// Indices above this are not a correct voter's.
+/// Exclusive upper bound of the log indices that a correct voter sends.
 const MAX_INDEX: usize = 1 << 20;
-/// Ballots above this are not a correct voter's.
+/// Exclusive upper bound of the ballot numbers that a correct voter sends.
 const MAX_BALLOT: u32 = 1 << 30;
-/// Fewest voters that a stop sign may name.
+/// Minimum number of voters in a stop sign.
 const MIN_STOP_SIGN_VOTERS: usize = 2;
 
 /// The state of the replica that a message is checked against.
 pub(crate) struct MessageFilter<'a> {
     pub(crate) local: PaxosId,
     pub(crate) segment: &'a Segment,
-    /// Accepted entries, without the stop sign.
+    /// Number of accepted entries, without the stop sign.
     pub(crate) log_length: usize,
     pub(crate) has_stop_sign: bool,
     pub(crate) decided_index: usize,
@@ -31,7 +31,7 @@
 }
 
 impl MessageFilter<'_> {
-    /// Whether the ballot is of a voter of this segment.
+    /// Whether the ballot belongs to a voter of this segment.
     pub(crate) fn is_valid_ballot(&self, ballot: &Ballot) -> bool {
         ballot.config_id == self.segment.id
             && ballot.n < MAX_BALLOT
@@ -45,7 +45,8 @@
         paxos_id == self.local || is_other_voter
     }
 
-    /// Whether `omnipaxos` can handle the message. Removes or moves parts of it that are valid but of no use.
+    /// Whether `omnipaxos` can handle the message. Removes the log suffix of a late promise, and adjusts an index
+    /// that points behind the stop sign.
     pub(crate) fn accept<E: Entry>(&self, message: &mut PaxosMsg<Stamped<E>>) -> bool {
         let accepted_index = self.log_length + usize::from(self.has_stop_sign);
         match message {
@@ -69,8 +70,8 @@
     }
 
     fn accept_promise<E: Entry>(&self, promise: &mut Promise<Stamped<E>>, accepted_index: usize) -> bool {
-        // Once a quorum has promised, the suffix of a late promise is of no use, and may start before newly
-        // decided entries.
+        // Once a quorum has promised, the leader does not need the log suffix of a late promise. The suffix may
+        // also start before newly decided entries.
         if self.is_leader {
             promise.log_sync = None;
         }
@@ -96,8 +97,8 @@
     }
 
     fn accept_log_sync<E: Entry>(&self, sync: &mut LogSync<Stamped<E>>) -> bool {
-        // The index of a stop sign counts as accepted but holds no entry: a suffix after it would count it
-        // twice.
+        // The index of a stop sign counts as accepted but holds no entry. A suffix that starts after it would
+        // count the stop sign twice.
         if self.has_stop_sign && sync.sync_idx == self.log_length + 1 && sync.suffix.is_empty() {
             sync.sync_idx = self.log_length;
         }
--- a/crates/agreement/src/pending_proposals.rs
+++ b/crates/agreement/src/pending_proposals.rs
@@ -17,7 +17,7 @@
     pub(crate) proposal_id: u64,
     pub(crate) proposed_after: Revision,
     pub(crate) command: Command<E>,
-    /// The balancer whose store generation has to be known before the proposal can be sent.
+    /// The balancer whose store generation must be known before the proposal can be sent.
     pub(crate) awaits_generation_of: Option<NodeId>,
     pub(crate) attempts: u32,
     created_at: Micros,
@@ -63,7 +63,7 @@
         proposal_id
     }
 
-    /// The proposals to send now; counts an attempt for each.
+    /// The proposals to send now. Counts an attempt for each.
     pub(crate) fn poll_due(&mut self, now: Micros) -> Vec<PendingProposal<E>> {
         let mut due = Vec::new();
         for proposal in self.pending.iter_mut().filter(|proposal| now >= proposal.next_attempt) {
@@ -74,7 +74,7 @@
         due
     }
 
-    /// Completes the voter changes that wait for the generation of this balancer's store.
+    /// Sets the generation in the voter changes that wait for the generation of the store of `node_id`.
     pub(crate) fn set_generation(&mut self, node_id: NodeId, generation: u64) {
         let waiting = |proposal: &&mut PendingProposal<E>| proposal.awaits_generation_of == Some(node_id);
         for proposal in self.pending.iter_mut().filter(waiting) {
@@ -94,7 +94,7 @@
         Some(FinishedProposal { proposal_id, outcome: ProposalOutcome::Committed(revision) })
     }
 
-    /// Removes the proposals that timed out.
+    /// Removes and returns the proposals that timed out.
     pub(crate) fn poll_timed_out(&mut self, now: Micros) -> Vec<FinishedProposal> {
         let is_late = |proposal: &mut PendingProposal<E>| now >= proposal.created_at + PROPOSAL_TIMEOUT_US;
         let timed_out = self.pending.extract_if(.., is_late);
--- a/crates/agreement/src/recovery.rs
+++ b/crates/agreement/src/recovery.rs
@@ -17,14 +17,14 @@
     pub(crate) items: Vec<LogItem<E>>,
 }
 
-/// Why a store cannot be used.
+/// The reason why the state cannot be recovered from a store.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum RecoveryError<E: std::error::Error> {
     #[error(transparent)]
     Store(E),
     #[error("store holds {what} that cannot be read: {source}")]
     Undecodable { what: &'static str, source: postcard::Error },
-    #[error("store holds nothing of what lies between revisions {after} and {first}")]
+    #[error("store has no items between revisions {after} and {first}")]
     Gap { after: Revision, first: Revision },
 }
 
@@ -36,7 +36,7 @@
     }
 }
 
-/// Loads what the store holds, or creates the state of a new store if it holds nothing.
+/// Loads the state from the store, or creates a new state if the store is empty.
 pub(crate) fn recover<E: Entry, S: Store>(
     store: &mut S, founding: &Segment, random: &mut fastrand::Rng,
 ) -> Result<RecoveredState<E>, RecoveryError<S::Error>> {
--- a/crates/agreement/src/replica.rs
+++ b/crates/agreement/src/replica.rs
@@ -20,17 +20,18 @@
 };
 use std::collections::BTreeMap;
 
-/// Ticks of an election round: three attempts of a heartbeat fit.
+/// Ticks of an election round: enough for three attempts of a heartbeat.
 const ELECTION_TIMEOUT_TICKS: u64 = 6;
-/// Ticks between two attempts of a heartbeat, so that one lost datagram does not cost a leader.
+/// Ticks between two attempts of a heartbeat. Repeated so that one lost datagram does not end a leadership.
 const HEARTBEAT_RETRY_TICKS: u64 = 2;
 /// Ticks after which `omnipaxos` repeats a request; the links retransmit what is lost.
 const RESEND_TICKS: u64 = 10;
-/// Messages that `omnipaxos` reserves memory for.
+/// Number of outgoing messages for which `omnipaxos` reserves memory.
 const OUTGOING_BUFFER: usize = 64;
-/// Accepted but undecided entries of a leader: what is lost with it.
+/// Maximum number of accepted but undecided entries of a leader: these are lost if the leader fails.
 const MAX_UNDECIDED_ENTRIES: usize = 256;
-/// Bytes of entries after which a leader ends its segment, so that a whole segment fits the queue of a link.
+/// Size of all entries at which a leader ends its segment, in bytes, so that a whole segment fits the queue of
+/// a link.
 const MAX_SEGMENT_BYTES: usize = 1024 * 1024;
 
 /// A committed item and its index in the log.
@@ -57,7 +58,7 @@
     bytes: Bytes,
 }
 
-/// The encoded size of the accepted entries, counted up to a number of them.
+/// The encoded size, in bytes, of the first `entries` accepted entries.
 #[derive(Default)]
 struct CountedSize {
     entries: usize,
@@ -74,7 +75,7 @@
     last_reply_rounds: BTreeMap<PaxosId, u32>,
     heartbeat_requests: Vec<HeartbeatRequest>,
     ticks: u64,
-    /// Decided items already returned by [`Replica::poll_committed`].
+    /// Number of decided items already returned by [`Replica::poll_committed`].
     returned: usize,
     size: CountedSize,
 }
@@ -129,19 +130,20 @@
         }
     }
 
-    /// Campaigns at once. The leader of the last segment does so to save an election.
+    /// Campaigns immediately. Called if this balancer was elected in the previous segment, which saves an
+    /// election.
     pub(crate) fn campaign(&mut self) {
         self.paxos.try_become_leader();
     }
 
-    /// The leader as this replica knows it.
+    /// The leader that this replica knows of.
     pub(crate) fn leader(&self) -> Option<CurrentLeader> {
         let ballot = self.journal.lock().hard_state().promised.n;
         let (leader, _) = self.paxos.get_current_leader()?;
         Some(CurrentLeader { node_id: to_node_id(leader), ballot })
     }
 
-    /// Whether this replica is elected, perhaps without having prepared yet.
+    /// Whether this replica is elected. Its prepare phase may not be complete.
     pub(crate) fn is_elected(&self) -> bool {
         self.leader().is_some_and(|leader| to_paxos_id(leader.node_id) == self.local)
     }
@@ -151,7 +153,8 @@
         self.paxos.get_current_leader() == Some((self.local, true))
     }
 
-    /// Whether this replica is a leader that can append an entry. It cannot once the segment is about to end.
+    /// Whether this replica is the leader and can append an entry: the segment has no stop sign, and fewer than
+    /// [`MAX_UNDECIDED_ENTRIES`] entries are undecided.
     pub(crate) fn can_append(&self) -> bool {
         let journal = self.journal.lock();
         let undecided = journal.accepted().len().saturating_sub(journal.hard_state().decided_index as usize);
@@ -177,13 +180,14 @@
         self.journal.lock().accepted().last().map_or(0, |stamped| stamped.timestamp)
     }
 
-    /// Appends an entry; it is dropped if this replica is not the leader any more, and proposed again by its
-    /// proposer.
+    /// Appends an entry. It is dropped if this replica is no longer the leader; its proposer then proposes it
+    /// again.
     pub(crate) fn append(&mut self, stamped: Stamped<E>) {
         let _ = self.paxos.append(stamped);
     }
 
-    /// Ends the segment; as [`Replica::append`].
+    /// Ends the segment with a stop sign. It is dropped if this replica is no longer the leader, like an entry in
+    /// [`Replica::append`].
     pub(crate) fn append_stop_sign(&mut self, stamped: &Stamped<Vec<Voter>>) {
         let next = cluster_config(self.segment.id + 1, &stamped.entry);
         let _ = self.paxos.reconfigure(next, Some(encode(stamped).to_vec()));
--- a/crates/agreement/src/segment.rs
+++ b/crates/agreement/src/segment.rs
@@ -6,16 +6,17 @@
 };
 use serde::{Deserialize, Serialize};
 
-/// Entries after which the leader starts a new segment with the same voters. Bounds what a lagging voter is
-/// sent.
+/// Number of entries after which the leader starts a new segment with the same voters. Limits the amount of
+/// data sent to a lagging voter.
 pub(crate) const MAX_SEGMENT_ENTRIES: usize = 1_024;
 
 /// A member of the quorum group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Voter {
-    /// The balancer.
+    /// The balancer that votes.
     pub node_id: NodeId,
-    /// Identifies the store that it votes with: drawn when the store was created, 0 for a founding voter.
+    /// Identifies the store that the balancer votes with: drawn at random when the store was created, 0 for a
+    /// founding voter.
     pub generation: u64,
 }
 
--- a/crates/agreement/src/store.rs
+++ b/crates/agreement/src/store.rs
@@ -8,7 +8,7 @@
 pub enum StoreChange {
     /// Replaces the hard state: ballots, counters and the current segment.
     HardState(Bytes),
-    /// Truncates the accepted entries at `from` and appends.
+    /// Truncates the accepted entries at `from` and appends `entries`.
     Accepted {
         /// Index of the first replaced entry, from 0 in the current segment.
         from: u64,
@@ -45,23 +45,24 @@
 
 /// The durable storage of a voter.
 pub trait Store {
-    /// The error of the store; its text names what failed and in which file.
+    /// The error of the store. Its text names the failed operation and the file.
     type Error: Error;
 
     /// Reads the whole content.
     ///
     /// # Errors
-    /// If the content cannot be read. It must not be replaced by an empty one: that would forget a vote.
+    /// If the content cannot be read. Unreadable content must not be treated as an empty store: that would lose
+    /// votes.
     fn load(&mut self) -> Result<StoredState, Self::Error>;
 
     /// Makes all changes durable, or none of them.
     ///
     /// # Errors
-    /// If the changes are not durable. Nothing more is written after a failure.
+    /// If the changes are not durable. The caller writes nothing more after a failure.
     fn write(&mut self, changes: &[StoreChange]) -> Result<(), Self::Error>;
 }
 
-/// A store that is lost with the process: for balancers that do not vote, and for tests.
+/// A store in memory, which is lost when the process ends. For balancers that do not vote, and for tests.
 #[derive(Clone, Debug, Default)]
 pub struct MemoryStore(StoredState);
 
--- a/crates/agreement/src/types.rs
+++ b/crates/agreement/src/types.rs
@@ -9,7 +9,7 @@
 /// Microseconds on the owner's monotonic clock.
 pub type Micros = u64;
 
-/// The bounds of a type that can be an entry of the log.
+/// The traits that a type of log entry implements.
 pub trait Entry: Clone + Debug + PartialEq + Serialize + DeserializeOwned {}
 impl<T: Clone + Debug + PartialEq + Serialize + DeserializeOwned> Entry for T {}
 
--- a/crates/agreement/src/voting_guard.rs
+++ b/crates/agreement/src/voting_guard.rs
@@ -1,4 +1,4 @@
-//! Decides whether a voter may vote. One that may have voted before and has lost its state must not.
+//! Decides whether a voter may vote. A voter that may have voted before and has lost its state must not.
 use crate::{
     action::VotingBlock,
     hard_state::HardState,
@@ -10,7 +10,7 @@
 
 /// Interval of requests to the other voters, in microseconds.
 const REQUEST_INTERVAL_US: Micros = 500_000;
-/// How long to wait for all other voters before a quorum of responses suffices, in microseconds.
+/// Time to wait for the responses of all other voters before those of a quorum suffice, in microseconds.
 const WAIT_FOR_ALL_US: Micros = 2_000_000;
 
 #[derive(Clone, Debug, PartialEq)]
@@ -23,7 +23,7 @@
     Blocked(VotingBlock),
 }
 
-/// A response of another voter: its own history, and what it observed of this voter.
+/// A response of another voter: its own history, and its observations of this voter.
 struct HistoryResponse {
     sender: VoterHistory,
     observed: ObservedHistory,
@@ -36,7 +36,7 @@
     next_request: Micros,
 }
 
-/// The verdict on a founding voter that starts without state.
+/// The result of verifying a founding voter that starts without state.
 enum FoundingVerdict {
     Allowed,
     LostState,
@@ -53,8 +53,8 @@
         }
     }
 
-    /// Starts a segment in which this balancer is `local`. A voter that is allowed to vote stays so while it
-    /// keeps its store.
+    /// Starts a segment. `local` is this balancer as a voter of the segment, or `None` if it is not one. A voter
+    /// that is allowed to vote remains so while it keeps its store.
     pub(crate) fn enter_segment(&mut self, now: Micros, local: Option<&Voter>, hard_state: &HardState) {
         let Some(voter) = local else {
             self.state = VotingState::NotVoter;
@@ -94,7 +94,8 @@
         self.state = VotingState::Blocked(reason);
     }
 
-    /// Records a response; `writes` is what this voter's own store counts.
+    /// Records a response. `writes` is the number of writes of this voter's own store. Blocks voting if the sender
+    /// has observed more.
     pub(crate) fn handle_response(
         &mut self, from: NodeId, sender: VoterHistory, observed: ObservedHistory, writes: u64,
     ) {
@@ -137,7 +138,7 @@
         true
     }
 
-    /// The stores of the other voters that had no state either.
+    /// The other voters that responded that they have no state, and the generations of their stores.
     pub(crate) fn founders(&self) -> Vec<Voter> {
         let without_state = self.responses.iter().filter(|(_, response)| !response.sender.has_state);
         without_state
@@ -149,7 +150,7 @@
 fn founding_verdict(responses: &[&HistoryResponse], generation: u64, all_known: bool) -> FoundingVerdict {
     let own = Some(generation);
     let founding = |response: &&HistoryResponse| response.observed.founding_generation;
-    // A voter that had no state itself has seen this very store without any.
+    // A voter that had no state itself has observed this store without state.
     let is_vouched_for = responses.iter().any(|response| founding(response) == own);
     let had_other_store =
         responses.iter().any(|response| founding(response).is_some_and(|other| Some(other) != own));
