--- a/crates/agreement/src/agreement.rs
+++ b/crates/agreement/src/agreement.rs
@@ -50,7 +50,7 @@
     /// The highest link session used so far.
     link_session: u32,
     /// The lowest timestamp of entries appended by this balancer as the leader; set by each tick.
-    unix: u64,
+    min_timestamp: u64,
     fleet_clock: FleetClock,
     is_leader: bool,
     reported_block: Option<VotingBlock>,
@@ -77,7 +77,7 @@
             random,
             actions: VecDeque::new(),
             link_session: 0,
-            unix: 0,
+            min_timestamp: 0,
             fleet_clock: FleetClock::default(),
             is_leader: false,
             reported_block: None,
@@ -88,18 +88,18 @@
         if let Some(error) = error {
             agreement.voting_guard.block(VotingBlock::StorageFailed(error));
         }
-        agreement.drive(now);
+        agreement.flush_and_send(now);
         agreement
     }
 
     /// Advances time. The owner calls it every [`crate::TICK_INTERVAL_US`], with the machine's Unix time in
     /// microseconds.
-    pub fn tick(&mut self, now: Micros, unix: u64) {
+    pub fn tick(&mut self, now: Micros, unix_time: u64) {
         // If the leader's clock is behind or was set back, fleet time continues from its previous value.
         self.fleet_clock.observe(now, self.log.last_timestamp());
-        self.unix = unix.max(self.fleet_clock.now(now));
+        self.min_timestamp = unix_time.max(self.fleet_clock.now(now));
         if self.is_leader {
-            self.fleet_clock.observe(now, unix);
+            self.fleet_clock.observe(now, unix_time);
         }
         self.catch_up.tick();
         self.fragments.tick(now);
@@ -110,7 +110,7 @@
         self.end_long_segment();
         self.send_proposals(now);
         self.request_missing_items(now);
-        self.drive(now);
+        self.flush_and_send(now);
     }
 
     /// Proposes an entry and returns the identifier of the proposal. Its outcome is reported by
@@ -163,7 +163,7 @@
                 journal.record(StoreChange::Trim(revision));
             }
         }
-        self.drive(now);
+        self.flush_and_send(now);
     }
 
     /// Returns the commit index: the revision of the last item that was reported to the owner.
@@ -199,7 +199,7 @@
     }
 
     /// Applies committed items, makes all changes durable, and only then sends messages.
-    fn drive(&mut self, now: Micros) {
+    fn flush_and_send(&mut self, now: Micros) {
         self.apply_committed(now);
         self.start_voting_if_allowed(now);
         let flushed = self.journal.lock().flush(&mut self.store);
--- a/crates/agreement/src/agreement/apply.rs
+++ b/crates/agreement/src/agreement/apply.rs
@@ -18,7 +18,7 @@
             self.restore(snapshot);
         }
         for item in items {
-            self.commit(item);
+            self.append_committed(item);
         }
         self.enter_segment(now);
     }
@@ -52,15 +52,15 @@
         let ends_segment = matches!(item, LogItem::StopSign(_));
         let change = StoreChange::Items { from: revision, items: vec![encode(&item)] };
         self.journal.lock().record(change);
-        self.catch_up.has_news = true;
-        self.commit(item);
+        self.catch_up.has_new_items = true;
+        self.append_committed(item);
         if ends_segment {
             self.enter_segment(now);
         }
     }
 
     /// Appends the next item to the log and reports it to the owner.
-    fn commit(&mut self, item: LogItem<E>) {
+    fn append_committed(&mut self, item: LogItem<E>) {
         self.log.push(item.clone());
         let revision = self.log.last_revision();
         let key = item.proposal_key();
@@ -91,7 +91,7 @@
         }
         self.restore(snapshot);
         self.catch_up.handle_response();
-        self.catch_up.has_news = true;
+        self.catch_up.has_new_items = true;
         self.enter_segment(now);
         self.request_missing_items(now);
     }
--- a/crates/agreement/src/agreement/dispatch.rs
+++ b/crates/agreement/src/agreement/dispatch.rs
@@ -25,13 +25,13 @@
             }
             body => self.dispatch(now, from, body),
         }
-        self.drive(now);
+        self.flush_and_send(now);
     }
 
     fn dispatch(&mut self, now: Micros, from: NodeId, body: MessageBody<E>) {
         match body {
             MessageBody::CommitAdvertisement { revision, leader, first, items } => {
-                let leader = leader.filter(|leader| self.is_credible(leader));
+                let leader = leader.filter(|leader| self.is_plausible_leader(leader));
                 self.catch_up.record_advertisement(from, revision, leader);
                 self.apply_items(now, first, items);
                 self.request_missing_items(now);
@@ -60,7 +60,7 @@
         }
     }
 
-    fn is_credible(&self, leader: &LeaderHint) -> bool {
+    fn is_plausible_leader(&self, leader: &LeaderHint) -> bool {
         let is_known = self.catch_up.is_peer(leader.node_id) || leader.node_id == self.settings.node_id;
         is_known && leader.segment <= self.log.segment().id + 1
     }
--- a/crates/agreement/src/agreement/propose.rs
+++ b/crates/agreement/src/agreement/propose.rs
@@ -13,7 +13,7 @@
 
 /// Each attempt whose number is a multiple of this goes to a random voter, because the known leader may be
 /// outdated.
-const ATTEMPTS_PER_DETOUR: u32 = 3;
+const RANDOM_VOTER_INTERVAL: u32 = 3;
 
 impl<E: Entry, S: Store> Agreement<E, S> {
     pub(super) fn add_proposal(
@@ -25,7 +25,7 @@
         let proposed_after = self.log.last_revision();
         let proposal_id = self.proposals.add(now, proposed_after, command, awaits_generation_of);
         self.send_proposals(now);
-        self.drive(now);
+        self.flush_and_send(now);
         Ok(proposal_id)
     }
 
@@ -62,7 +62,7 @@
     /// The leader, or a random voter if no other balancer is known to lead or this attempt goes to a random voter.
     fn proposal_target(&mut self, attempts: u32) -> Option<NodeId> {
         let leader = self.leader().filter(|leader| *leader != self.settings.node_id);
-        if let Some(leader) = leader.filter(|_| !attempts.is_multiple_of(ATTEMPTS_PER_DETOUR)) {
+        if let Some(leader) = leader.filter(|_| !attempts.is_multiple_of(RANDOM_VOTER_INTERVAL)) {
             return Some(leader);
         }
         self.random.choice(&self.log.segment().voters).map(|voter| voter.node_id)
@@ -108,7 +108,7 @@
     /// The timestamp of the next entry: Unix time, but later than the timestamp of the last entry.
     fn next_timestamp(&self) -> u64 {
         let accepted = self.replica.as_ref().map_or(0, Replica::last_timestamp);
-        self.unix.max(self.log.last_timestamp() + 1).max(accepted + 1)
+        self.min_timestamp.max(self.log.last_timestamp() + 1).max(accepted + 1)
     }
 
     /// Ends a long segment, so that the next one starts with the same voters.
--- a/crates/agreement/src/agreement/synchronize.rs
+++ b/crates/agreement/src/agreement/synchronize.rs
@@ -30,11 +30,11 @@
     /// Advertises the commit index to some balancers when an advertisement is due, and new items immediately.
     pub(super) fn advertise(&mut self, now: Micros) {
         let receivers = self.catch_up.poll_advertisement(now, &mut self.random);
-        let has_news = std::mem::take(&mut self.catch_up.has_news);
+        let has_new_items = std::mem::take(&mut self.catch_up.has_new_items);
         if receivers.is_empty() {
             return;
         }
-        let max_item_bytes = if has_news { MAX_ADVERTISED_BYTES } else { 0 };
+        let max_item_bytes = if has_new_items { MAX_ADVERTISED_BYTES } else { 0 };
         let advertisement = self.commit_advertisement_with(max_item_bytes);
         for receiver in receivers {
             self.send(receiver, advertisement.clone());
--- a/crates/agreement/src/agreement/voting.rs
+++ b/crates/agreement/src/agreement/voting.rs
@@ -17,10 +17,10 @@
         let segment = self.log.segment().clone();
         let local = segment.voter(self.settings.node_id).copied();
         let was_elected = self.replica.as_ref().is_some_and(Replica::is_elected);
-        let mut campaigns = false;
+        let mut should_campaign = false;
         let mut journal = self.journal.lock();
         if journal.hard_state().segment.id < segment.id {
-            campaigns = was_elected;
+            should_campaign = was_elected;
             journal.enter_segment(segment);
             if let Some(replica) = self.replica.take() {
                 self.link_session = replica.max_session() + 1;
@@ -30,7 +30,7 @@
         drop(journal);
         if self.voting_guard.state == VotingState::Allowed && self.replica.is_none() {
             self.start_replica();
-            if let Some(replica) = self.replica.as_mut().filter(|_| campaigns) {
+            if let Some(replica) = self.replica.as_mut().filter(|_| should_campaign) {
                 replica.campaign();
             }
         }
@@ -82,23 +82,23 @@
     }
 
     pub(super) fn handle_history_request(&mut self, from: NodeId, requester: VoterHistory) {
-        let own = self.voter_history();
+        let own_history = self.voter_history();
         let requesting_store = Voter { node_id: from, generation: requester.generation };
         let mut journal = self.journal.lock();
         let known = journal.hard_state().founders.iter().find(|founder| founder.node_id == from).copied();
         let is_voter = self.log.segment().voter(from).is_some();
         // Only the first store of a balancer is recorded: a second one without state has lost the votes of the
         // first.
-        if known.is_none() && !requester.has_state && !own.has_state && is_voter {
+        if known.is_none() && !requester.has_state && !own_history.has_state && is_voter {
             journal.hard_state_mut().founders.push(requesting_store);
         }
-        let founder = known.or((!own.has_state).then_some(requesting_store));
+        let founder = known.or((!own_history.has_state).then_some(requesting_store));
         let receiver = ObservedHistory {
             writes: journal.hard_state().writes_of(requesting_store),
             founding_generation: founder.map(|founder| founder.generation),
         };
         drop(journal);
-        self.send(from, MessageBody::VoterHistoryResponse { sender: own, receiver });
+        self.send(from, MessageBody::VoterHistoryResponse { sender: own_history, receiver });
     }
 
     pub(super) fn handle_replication_frame(&mut self, now: Micros, from: NodeId, frame: ReplicationFrame) {
--- a/crates/agreement/src/catch_up.rs
+++ b/crates/agreement/src/catch_up.rs
@@ -34,7 +34,7 @@
     pending_request: Option<PendingRequest>,
     next_advertisement: Micros,
     /// Whether items were committed since the last advertisement.
-    pub(crate) has_news: bool,
+    pub(crate) has_new_items: bool,
     responses_this_tick: u32,
 }
 
@@ -50,7 +50,7 @@
             leader: None,
             pending_request: None,
             next_advertisement: 0,
-            has_news: false,
+            has_new_items: false,
             responses_this_tick: 0,
         }
     }
@@ -73,7 +73,7 @@
 
     /// The receivers of an advertisement. Empty unless one is due or new items are committed.
     pub(crate) fn poll_advertisement(&mut self, now: Micros, random: &mut fastrand::Rng) -> Vec<NodeId> {
-        if now < self.next_advertisement && !self.has_news {
+        if now < self.next_advertisement && !self.has_new_items {
             return Vec::new();
         }
         if now >= self.next_advertisement {
--- a/crates/agreement/src/link.rs
+++ b/crates/agreement/src/link.rs
@@ -158,8 +158,8 @@
     fn transmit_chunks(&mut self, now: Micros, payloads: &mut Vec<Payload>) {
         let in_window = (self.first_sequence..).zip(self.queue.iter_mut()).take(WINDOW);
         for (sequence, chunk) in in_window {
-            let was_sent = chunk.last_sent.is_some_and(|sent| now < sent + RETRANSMIT_INTERVAL_US);
-            if chunk.acknowledged || was_sent {
+            let recently_sent = chunk.last_sent.is_some_and(|sent| now < sent + RETRANSMIT_INTERVAL_US);
+            if chunk.acknowledged || recently_sent {
                 continue;
             }
             chunk.last_sent = Some(now);
--- a/crates/agreement/src/message_filter.rs
+++ b/crates/agreement/src/message_filter.rs
@@ -47,15 +47,15 @@
 
     /// Whether `omnipaxos` can handle the message. Removes the log suffix of a late promise, and adjusts an index
     /// that points behind the stop sign.
-    pub(crate) fn accept<E: Entry>(&self, message: &mut PaxosMsg<Stamped<E>>) -> bool {
+    pub(crate) fn normalize_and_check<E: Entry>(&self, message: &mut PaxosMsg<Stamped<E>>) -> bool {
         let accepted_index = self.log_length + usize::from(self.has_stop_sign);
         match message {
             PaxosMsg::PrepareReq(request) => request.n.n < MAX_BALLOT,
             PaxosMsg::Prepare(prepare) => {
                 self.is_valid_ballot(&prepare.n) && prepare.decided_idx.max(prepare.accepted_idx) < MAX_INDEX
             }
-            PaxosMsg::Promise(promise) => self.accept_promise(promise, accepted_index),
-            PaxosMsg::AcceptSync(sync) => self.accept_sync(sync),
+            PaxosMsg::Promise(promise) => self.check_promise(promise, accepted_index),
+            PaxosMsg::AcceptSync(sync) => self.check_accept_sync(sync),
             PaxosMsg::AcceptDecide(accept) => self.is_valid_ballot(&accept.n) && !self.has_stop_sign,
             PaxosMsg::Accepted(accepted) => {
                 self.is_valid_ballot(&accepted.n) && accepted.accepted_idx <= accepted_index
@@ -69,7 +69,7 @@
         }
     }
 
-    fn accept_promise<E: Entry>(&self, promise: &mut Promise<Stamped<E>>, accepted_index: usize) -> bool {
+    fn check_promise<E: Entry>(&self, promise: &mut Promise<Stamped<E>>, accepted_index: usize) -> bool {
         // Once a quorum has promised, the leader does not need the log suffix of a late promise. The suffix may
         // also start before newly decided entries.
         if self.is_leader {
@@ -77,7 +77,7 @@
         }
         let end = match promise.log_sync.as_mut() {
             Some(sync) => {
-                if !self.accept_log_sync(sync) {
+                if !self.check_log_sync(sync) {
                     return false;
                 }
                 sync_end(sync)
@@ -90,13 +90,13 @@
             && promise.accepted_idx < MAX_INDEX
     }
 
-    fn accept_sync<E: Entry>(&self, sync: &mut AcceptSync<Stamped<E>>) -> bool {
+    fn check_accept_sync<E: Entry>(&self, sync: &mut AcceptSync<Stamped<E>>) -> bool {
         self.is_valid_ballot(&sync.n)
-            && self.accept_log_sync(&mut sync.log_sync)
+            && self.check_log_sync(&mut sync.log_sync)
             && sync.decided_idx <= sync_end(&sync.log_sync)
     }
 
-    fn accept_log_sync<E: Entry>(&self, sync: &mut LogSync<Stamped<E>>) -> bool {
+    fn check_log_sync<E: Entry>(&self, sync: &mut LogSync<Stamped<E>>) -> bool {
         // The index of a stop sign counts as accepted but holds no entry. A suffix that starts after it would
         // count the stop sign twice.
         if self.has_stop_sign && sync.sync_idx == self.log_length + 1 && sync.suffix.is_empty() {
--- a/crates/agreement/src/pending_proposals.rs
+++ b/crates/agreement/src/pending_proposals.rs
@@ -76,8 +76,8 @@
 
     /// Sets the generation in the voter changes that wait for the generation of the store of `node_id`.
     pub(crate) fn set_generation(&mut self, node_id: NodeId, generation: u64) {
-        let waiting = |proposal: &&mut PendingProposal<E>| proposal.awaits_generation_of == Some(node_id);
-        for proposal in self.pending.iter_mut().filter(waiting) {
+        let is_waiting = |proposal: &&mut PendingProposal<E>| proposal.awaits_generation_of == Some(node_id);
+        for proposal in self.pending.iter_mut().filter(is_waiting) {
             if let Command::ChangeVoters(VoterChange { added: Some(voter), .. }) = &mut proposal.command {
                 voter.generation = generation;
                 proposal.awaits_generation_of = None;
@@ -96,8 +96,9 @@
 
     /// Removes and returns the proposals that timed out.
     pub(crate) fn poll_timed_out(&mut self, now: Micros) -> Vec<FinishedProposal> {
-        let is_late = |proposal: &mut PendingProposal<E>| now >= proposal.created_at + PROPOSAL_TIMEOUT_US;
-        let timed_out = self.pending.extract_if(.., is_late);
+        let has_timed_out =
+            |proposal: &mut PendingProposal<E>| now >= proposal.created_at + PROPOSAL_TIMEOUT_US;
+        let timed_out = self.pending.extract_if(.., has_timed_out);
         timed_out
             .map(|proposal| FinishedProposal {
                 proposal_id: proposal.proposal_id,
--- a/crates/agreement/src/recovery.rs
+++ b/crates/agreement/src/recovery.rs
@@ -22,8 +22,8 @@
 pub(crate) enum RecoveryError<E: std::error::Error> {
     #[error(transparent)]
     Store(E),
-    #[error("store holds {what} that cannot be read: {source}")]
-    Undecodable { what: &'static str, source: postcard::Error },
+    #[error("stored {kind} cannot be read: {source}")]
+    Undecodable { kind: &'static str, source: postcard::Error },
     #[error("store has no items between revisions {after} and {first}")]
     Gap { after: Revision, first: Revision },
 }
@@ -66,7 +66,7 @@
 }
 
 fn decode<T: DeserializeOwned, E: std::error::Error>(
-    what: &'static str, bytes: &Bytes,
+    kind: &'static str, bytes: &Bytes,
 ) -> Result<T, RecoveryError<E>> {
-    postcard::from_bytes(bytes).map_err(|source| RecoveryError::Undecodable { what, source })
+    postcard::from_bytes(bytes).map_err(|source| RecoveryError::Undecodable { kind, source })
 }
--- a/crates/agreement/src/replica.rs
+++ b/crates/agreement/src/replica.rs
@@ -60,7 +60,7 @@
 
 /// The encoded size, in bytes, of the first `entries` accepted entries.
 #[derive(Default)]
-struct CountedSize {
+struct EncodedSize {
     entries: usize,
     bytes: usize,
 }
@@ -76,8 +76,8 @@
     heartbeat_requests: Vec<HeartbeatRequest>,
     ticks: u64,
     /// Number of decided items already returned by [`Replica::poll_committed`].
-    returned: usize,
-    size: CountedSize,
+    returned_count: usize,
+    accepted_size: EncodedSize,
 }
 
 impl<E: Entry> Replica<E> {
@@ -108,8 +108,8 @@
             last_reply_rounds: BTreeMap::new(),
             heartbeat_requests: Vec::new(),
             ticks: 0,
-            returned: 0,
-            size: CountedSize::default(),
+            returned_count: 0,
+            accepted_size: EncodedSize::default(),
         })
     }
 
@@ -165,10 +165,11 @@
     pub(crate) fn is_segment_long(&mut self) -> bool {
         let journal = self.journal.lock();
         let accepted = journal.accepted();
-        let counted = self.size.entries.min(accepted.len());
+        let counted = self.accepted_size.entries.min(accepted.len());
         let uncounted: usize = accepted[counted..].iter().map(|entry| encode(entry).len()).sum();
-        self.size = CountedSize { entries: accepted.len(), bytes: self.size.bytes + uncounted };
-        accepted.len() >= MAX_SEGMENT_ENTRIES || self.size.bytes >= MAX_SEGMENT_BYTES
+        self.accepted_size =
+            EncodedSize { entries: accepted.len(), bytes: self.accepted_size.bytes + uncounted };
+        accepted.len() >= MAX_SEGMENT_ENTRIES || self.accepted_size.bytes >= MAX_SEGMENT_BYTES
     }
 
     /// Whether a proposal is among the accepted entries of this segment.
@@ -201,17 +202,17 @@
         let first = self.segment.base + 1;
         let revision = |index: usize| first + index as u64;
         let mut items = Vec::new();
-        for index in self.returned..end {
+        for index in self.returned_count..end {
             let item = LogItem::Entry(journal.accepted()[index].clone());
             items.push(CommittedItem { revision: revision(index), item });
         }
         if decided > end
-            && self.returned <= end
+            && self.returned_count <= end
             && let Some(stop_sign) = journal.hard_state().stop_sign.as_ref().and_then(decode_stop_sign)
         {
             items.push(CommittedItem { revision: revision(end), item: LogItem::StopSign(stop_sign) });
         }
-        self.returned = self.returned.max(decided);
+        self.returned_count = self.returned_count.max(decided);
         items
     }
 
@@ -251,7 +252,7 @@
 
     fn handle_paxos_message(&mut self, from: NodeId, mut message: PaxosMessage<Stamped<E>>) {
         let is_addressed = message.from == to_paxos_id(from) && message.to == self.local;
-        if is_addressed && self.filter().accept(&mut message.msg) {
+        if is_addressed && self.filter().normalize_and_check(&mut message.msg) {
             self.paxos.handle_incoming(Message::SequencePaxos(message));
         }
     }
--- a/crates/agreement/src/voting_guard.rs
+++ b/crates/agreement/src/voting_guard.rs
@@ -37,7 +37,7 @@
 }
 
 /// The result of verifying a founding voter that starts without state.
-enum FoundingVerdict {
+enum FoundingStatus {
     Allowed,
     LostState,
     Undecided,
@@ -120,18 +120,20 @@
             .filter(|(node_id, _)| segment.voter(**node_id).is_some())
             .map(|(_, response)| response)
             .collect();
-        let known = responses.len() + 1; // this voter knows its own history
-        let all_known = known >= segment.voters.len();
+        let known_count = responses.len() + 1; // this voter knows its own history
+        let all_known = known_count >= segment.voters.len();
         if voter.generation == 0 && !hard_state.founded {
-            match founding_verdict(&responses, hard_state.generation, all_known) {
-                FoundingVerdict::Allowed => {}
-                FoundingVerdict::Undecided => return false,
-                FoundingVerdict::LostState => {
+            match founding_status(&responses, hard_state.generation, all_known) {
+                FoundingStatus::Allowed => {}
+                FoundingStatus::Undecided => return false,
+                FoundingStatus::LostState => {
                     self.block(VotingBlock::LostState);
                     return false;
                 }
             }
-        } else if !all_known && (known < segment.quorum() || now < self.verifying_since + WAIT_FOR_ALL_US) {
+        } else if !all_known
+            && (known_count < segment.quorum() || now < self.verifying_since + WAIT_FOR_ALL_US)
+        {
             return false;
         }
         self.state = VotingState::Allowed;
@@ -147,19 +149,19 @@
     }
 }
 
-fn founding_verdict(responses: &[&HistoryResponse], generation: u64, all_known: bool) -> FoundingVerdict {
+fn founding_status(responses: &[&HistoryResponse], generation: u64, all_known: bool) -> FoundingStatus {
     let own = Some(generation);
     let founding = |response: &&HistoryResponse| response.observed.founding_generation;
     // A voter that had no state itself has observed this store without state.
-    let is_vouched_for = responses.iter().any(|response| founding(response) == own);
+    let is_known_founder = responses.iter().any(|response| founding(response) == own);
     let had_other_store =
         responses.iter().any(|response| founding(response).is_some_and(|other| Some(other) != own));
-    let others_have_state = !is_vouched_for && responses.iter().any(|response| response.sender.has_state);
+    let others_have_state = !is_known_founder && responses.iter().any(|response| response.sender.has_state);
     if had_other_store || (all_known && others_have_state) {
-        FoundingVerdict::LostState
+        FoundingStatus::LostState
     } else if others_have_state || !all_known {
-        FoundingVerdict::Undecided
+        FoundingStatus::Undecided
     } else {
-        FoundingVerdict::Allowed
+        FoundingStatus::Allowed
     }
 }
