--- a/crates/agreement/src/agreement.rs
+++ b/crates/agreement/src/agreement.rs
@@ -117,7 +117,7 @@
     /// [`Action::ProposalFinished`].
     ///
     /// # Errors
-    /// If the entry is too long or too many proposals are pending.
+    /// Returns an error if the entry is too long or too many proposals are pending.
     pub fn propose(&mut self, now: Micros, entry: E) -> Result<u64, ProposeError> {
         let bytes = encode(&entry).len();
         if bytes > MAX_ENTRY_BYTES {
@@ -130,7 +130,7 @@
     /// store.
     ///
     /// # Errors
-    /// If the change is invalid or too many proposals are pending.
+    /// Returns an error if the change is invalid or too many proposals are pending.
     pub fn change_voters(
         &mut self, now: Micros, removed: Option<NodeId>, added: Option<NodeId>,
     ) -> Result<u64, ProposeError> {
--- a/crates/agreement/src/store.rs
+++ b/crates/agreement/src/store.rs
@@ -51,14 +51,14 @@
     /// Reads the whole content.
     ///
     /// # Errors
-    /// If the content cannot be read. Unreadable content must not be treated as an empty store: that would lose
-    /// votes.
+    /// Returns an error if the content cannot be read. Unreadable content must not be treated as an empty store:
+    /// that would lose votes.
     fn load(&mut self) -> Result<StoredState, Self::Error>;
 
     /// Makes all changes durable, or none of them.
     ///
     /// # Errors
-    /// If the changes are not durable. The caller writes nothing more after a failure.
+    /// Returns an error if the changes are not durable. The caller writes nothing more after a failure.
     fn write(&mut self, changes: &[StoreChange]) -> Result<(), Self::Error>;
 }
 
