--- a/crates/storage/src/disk_store.rs
+++ b/crates/storage/src/disk_store.rs
@@ -1,4 +1,4 @@
-//! The storage of a voter in one `redb` file.
+//! Durable storage of a voter in one `redb` file.
 use crate::error::Error;
 use agreement::{Revision, Store, StoreChange, StoredState};
 use bytes::Bytes;
@@ -13,7 +13,7 @@
     path::{Path, PathBuf},
 };
 
-/// Memory for cached pages, in bytes. Little suffices, because the log is read only once at a start.
+/// Size of the page cache, in bytes. A small cache suffices, because the log is read only once, at startup.
 pub const CACHE_BYTES: usize = 4 * 1024 * 1024;
 
 const SINGLE: TableDefinition<&str, &[u8]> = TableDefinition::new("single");
@@ -22,20 +22,20 @@
 const HARD_STATE: &str = "head";
 const SNAPSHOT: &str = "snapshot";
 
-/// An open file. One process has it open at a time.
+/// An open storage file. Only one process can have it open at a time.
 #[derive(Debug)]
 pub struct DiskStore {
     pub(crate) database: Database,
     pub(crate) file: PathBuf,
-    /// Whether a write failed. Nothing is written after that.
+    /// Whether a write has failed. All further writes are rejected.
     failed: bool,
 }
 
 impl DiskStore {
-    /// Opens the file, or creates it, and checks its integrity.
+    /// Opens the file, creates it if it does not exist, and checks its integrity.
     ///
     /// # Errors
-    /// If the file cannot be opened or is damaged.
+    /// Returns an error if the file cannot be opened or is damaged.
     pub fn open(file: impl AsRef<Path>) -> Result<Self, Error> {
         let file = file.as_ref();
         let open_error = |source: redb::Error| Error::Open { file: file.to_owned(), source };
@@ -45,10 +45,10 @@
         DiskStore::with_backend(file, backend)
     }
 
-    /// As [`DiskStore::open`], on another backend; `file` names it in errors.
+    /// Opens a store on the given backend, like [`DiskStore::open`]. `file` is the name used in errors.
     ///
     /// # Errors
-    /// If the content of the backend cannot be opened or is damaged.
+    /// Returns an error if the content of the backend cannot be opened or is damaged.
     #[doc(hidden)]
     pub fn with_backend(file: impl AsRef<Path>, backend: impl StorageBackend) -> Result<Self, Error> {
         let file = file.as_ref().to_owned();
@@ -61,12 +61,12 @@
         })?;
         match opened {
             Ok((database, true)) => Ok(DiskStore { database, file, failed: false }),
-            Ok((_, false)) => Err(Error::Damaged { file, what: "checksums do not fit".into() }),
+            Ok((_, false)) => Err(Error::Damaged { file, what: "checksums do not match the content".into() }),
             Err(source) => Err(Error::Open { file, source }),
         }
     }
 
-    /// Runs one durable transaction. All further ones are rejected once one has failed.
+    /// Runs one durable transaction. After a transaction has failed, all further ones are rejected.
     pub(crate) fn write_transaction(
         &mut self, write: impl FnOnce(&WriteTransaction) -> Result<(), redb::Error>,
     ) -> Result<(), Error> {
@@ -86,7 +86,7 @@
     fn read(&self) -> Result<StoredState, redb::Error> {
         let transaction = self.database.begin_read()?;
         let mut stored = StoredState::default();
-        let Some(single) = existing(transaction.open_table(SINGLE))? else { return Ok(stored) };
+        let Some(single) = table_if_exists(transaction.open_table(SINGLE))? else { return Ok(stored) };
         stored.hard_state = single.get(HARD_STATE)?.map(|value| Bytes::copy_from_slice(value.value()));
         stored.snapshot = single.get(SNAPSHOT)?.map(|snapshot| Bytes::copy_from_slice(snapshot.value()));
         for row in transaction.open_table(ACCEPTED)?.iter()? {
@@ -113,12 +113,12 @@
     Ok(())
 }
 
-/// Guards against a damaged file on which `redb` panics: the panic becomes an error.
+/// Converts a panic of `redb`, which can be caused by a damaged file, into an error.
 fn catch_redb_panic<T>(
     file: &Path, work: impl FnOnce() -> Result<T, redb::Error>,
 ) -> Result<Result<T, redb::Error>, Error> {
     catch_unwind(AssertUnwindSafe(work)).map_err(|panic| {
-        let what = panic_message(panic.as_ref()).unwrap_or_else(|| "redb panicked".into());
+        let what = panic_message(panic.as_ref()).unwrap_or_else(|| "redb panicked without a message".into());
         Error::Damaged { file: file.to_owned(), what }
     })
 }
@@ -128,8 +128,8 @@
     owned.or_else(|| panic.downcast_ref::<&str>().map(|text| (*text).to_owned()))
 }
 
-/// The table, or `None` if it was never written.
-pub(crate) fn existing<T>(table: Result<T, redb::TableError>) -> Result<Option<T>, redb::Error> {
+/// Returns the table, or `None` if it does not exist because it was never written.
+pub(crate) fn table_if_exists<T>(table: Result<T, redb::TableError>) -> Result<Option<T>, redb::Error> {
     match table {
         Ok(table) => Ok(Some(table)),
         Err(redb::TableError::TableDoesNotExist(_)) => Ok(None),
@@ -166,7 +166,7 @@
 fn append_items(transaction: &WriteTransaction, from: Revision, items: &[Bytes]) -> Result<(), redb::Error> {
     let mut table = transaction.open_table(ITEMS)?;
     let next = table.last()?.map(|last| last.0.value() + 1);
-    // The items after a snapshot of another balancer do not continue those before it.
+    // After a snapshot from another balancer, the new items do not follow the stored ones, which are removed.
     if next.is_some_and(|next| next != from) {
         table.retain(|_, _| false)?;
     }
@@ -186,7 +186,8 @@
 
     fn write(&mut self, changes: &[StoreChange]) -> Result<(), Error> {
         self.write_transaction(|transaction| {
-            // The first batch creates all tables, so that one missing later is damage and not an empty store.
+            // The first batch creates all tables, so that a table missing later is reported as damage and not read
+            // as an empty store.
             transaction.open_table(SINGLE)?;
             transaction.open_table(ACCEPTED)?;
             transaction.open_table(ITEMS)?;
--- a/crates/storage/src/error.rs
+++ b/crates/storage/src/error.rs
@@ -1,4 +1,4 @@
-//! The errors of the file. Each names the file.
+//! The errors of the storage file. Each error names the file.
 use std::path::PathBuf;
 
 /// An operation on the file failed.
@@ -12,7 +12,7 @@
         /// The error of `redb`.
         source: redb::Error,
     },
-    /// The file is open, but its content cannot be read.
+    /// The file was opened, but its content cannot be read.
     #[error("{}: cannot be read: {source}", file.display())]
     Read {
         /// The file.
@@ -20,7 +20,7 @@
         /// The error of `redb`.
         source: redb::Error,
     },
-    /// A write failed; no change of its batch is stored.
+    /// A write failed. None of the changes of its batch is stored.
     #[error("{}: cannot be written: {source}", file.display())]
     Write {
         /// The file.
@@ -33,11 +33,11 @@
     Damaged {
         /// The file.
         file: PathBuf,
-        /// The damage.
+        /// A description of the damage.
         what: String,
     },
     /// The write was rejected because an earlier one failed.
-    #[error("{}: not written since an earlier write failed", file.display())]
+    #[error("{}: not written because an earlier write failed", file.display())]
     AfterFailure {
         /// The file.
         file: PathBuf,
--- a/crates/storage/src/lib.rs
+++ b/crates/storage/src/lib.rs
@@ -1,14 +1,14 @@
 //! Durable storage of the replicated log and of the ledger's records, in one `redb` file.
 //!
 //! [`DiskStore`] implements [`agreement::Store`] for a voter: each batch of changes is one transaction,
-//! durable before [`agreement::Store::write`] returns, and applied atomically. A file that is truncated,
-//! damaged or not writable gives an error that names it. After a failed write nothing more is written through
-//! the same [`DiskStore`], so that no later write stands without an earlier one. An unreadable file is never
-//! treated as an empty store: that would forget a vote.
+//! applied atomically and durable before [`agreement::Store::write`] returns. A file that is truncated,
+//! damaged or not writable causes an error that names it. After a failed write, the same [`DiskStore`] rejects
+//! all further writes, so that no write is stored without the earlier ones. An unreadable file is never treated
+//! as an empty store: that would lose votes.
 //!
 //! The ledger's records are opaque bytes with increasing numbers, bounded by [`MAX_RECORDS_BYTES`] and
-//! [`MAX_RECORDS`]; the oldest are removed first. The crate leaves to its owner the path of the file, the
-//! reaction to errors, and the thread that waits for the disk.
+//! [`MAX_RECORDS`]; the oldest are removed first. The owner chooses the path of the file, handles errors, and
+//! provides the thread that waits for the disk.
 #![forbid(unsafe_code)]
 #![warn(unreachable_pub)]
 
