--- a/crates/storage/tests/golden.rs
+++ b/crates/storage/tests/golden.rs
@@ -1,4 +1,4 @@
-//! The file on disk in the form that the next version finds: tables, keys and values.
+//! The format of the file on disk stays compatible with the first version: tables, keys and values.
 
 use agreement::{Store, StoreChange};
 use bytes::Bytes;
@@ -12,7 +12,8 @@
     Bytes::from(vec![value; usize::from(value)])
 }
 
-fn write(file: &Path) {
+/// Creates a file with hard state, accepted entries, items, a snapshot and records.
+fn write_file(file: &Path) {
     let mut store = DiskStore::open(file).unwrap();
     store
         .write(&[
@@ -31,28 +32,29 @@
     store.append_records(&[bytes(10), bytes(11)]).unwrap();
 }
 
-/// Every table, key and value of the file, as redb itself finds them.
+/// Formats every table, key and value of the file, read by `redb` directly.
 fn dump(file: &Path) -> String {
     let database = Database::open(file).unwrap();
     let transaction = database.begin_read().unwrap();
-    let mut names: Vec<String> = transaction.list_tables().unwrap().map(|it| it.name().to_owned()).collect();
+    let mut names: Vec<String> =
+        transaction.list_tables().unwrap().map(|table| table.name().to_owned()).collect();
     names.sort();
     let mut text = String::new();
     for name in names {
         writeln!(text, "table {name}").unwrap();
-        let by_text: TableDefinition<&str, &[u8]> = TableDefinition::new(&name);
-        let by_number: TableDefinition<u64, &[u8]> = TableDefinition::new(&name);
-        let single: TableDefinition<(), u64> = TableDefinition::new(&name);
-        if let Ok(table) = transaction.open_table(by_text) {
+        let text_keys: TableDefinition<&str, &[u8]> = TableDefinition::new(&name);
+        let number_keys: TableDefinition<u64, &[u8]> = TableDefinition::new(&name);
+        let unit_key: TableDefinition<(), u64> = TableDefinition::new(&name);
+        if let Ok(table) = transaction.open_table(text_keys) {
             for (key, value) in table.iter().unwrap().map(Result::unwrap) {
                 writeln!(text, "  {:?} {:02x?}", key.value(), value.value()).unwrap();
             }
-        } else if let Ok(table) = transaction.open_table(by_number) {
+        } else if let Ok(table) = transaction.open_table(number_keys) {
             for (key, value) in table.iter().unwrap().map(Result::unwrap) {
                 writeln!(text, "  {} {:02x?}", key.value(), value.value()).unwrap();
             }
         } else {
-            let table = transaction.open_table(single).unwrap();
+            let table = transaction.open_table(unit_key).unwrap();
             writeln!(text, "  () {}", table.get(()).unwrap().unwrap().value()).unwrap();
         }
     }
@@ -60,19 +62,19 @@
 }
 
 #[test]
-fn a_file_has_the_tables_keys_and_values_of_the_first_version() {
-    let folder = tempfile::tempdir().unwrap();
-    let file = folder.path().join("new.redb");
-    write(&file);
+fn new_file_has_the_format_of_the_first_version() {
+    let directory = tempfile::tempdir().unwrap();
+    let file = directory.path().join("new.redb");
+    write_file(&file);
     expect_file!["golden/tables.txt"].assert_eq(&dump(&file));
 }
 
 #[test]
-fn a_file_of_the_first_version_is_read_and_written_on() {
-    let golden = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden/first-version.redb");
-    let folder = tempfile::tempdir().unwrap();
-    let file = folder.path().join("old.redb");
-    std::fs::copy(golden, &file).unwrap();
+fn file_of_the_first_version_can_be_read_and_written() {
+    let first_version = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden/first-version.redb");
+    let directory = tempfile::tempdir().unwrap();
+    let file = directory.path().join("old.redb");
+    std::fs::copy(first_version, &file).unwrap();
     assert_eq!(dump(&file), include_str!("golden/tables.txt"));
     let mut store = DiskStore::open(&file).unwrap();
     let stored = store.load().unwrap();
