--- a/crates/agreement/src/agreement/dispatch.rs
+++ b/crates/agreement/src/agreement/dispatch.rs
@@ -28,6 +28,7 @@
         self.flush_and_send(now);
     }
 
+    /// Handles a complete message.
     fn dispatch(&mut self, now: Micros, from: NodeId, body: MessageBody<E>) {
         match body {
             MessageBody::CommitAdvertisement { revision, leader, first, items } => {
@@ -60,6 +61,7 @@
         }
     }
 
+    /// Whether the leader is a balancer of the fleet and its segment is at most the next one.
     fn is_plausible_leader(&self, leader: &LeaderHint) -> bool {
         let is_known = self.catch_up.is_peer(leader.node_id) || leader.node_id == self.settings.node_id;
         is_known && leader.segment <= self.log.segment().id + 1
--- a/crates/agreement/src/agreement/propose.rs
+++ b/crates/agreement/src/agreement/propose.rs
@@ -16,6 +16,7 @@
 const RANDOM_VOTER_INTERVAL: u32 = 3;
 
 impl<E: Entry, S: Store> Agreement<E, S> {
+    /// Adds a pending proposal, sends it and returns its identifier.
     pub(super) fn add_proposal(
         &mut self, now: Micros, command: Command<E>, awaits_generation_of: Option<NodeId>,
     ) -> Result<u64, ProposeError> {
@@ -79,14 +80,15 @@
             return;
         }
         let key = proposal.key();
-        let is_new =
-            self.log.contains(key, proposal.proposed_after) == Some(false) && !replica.has_accepted(key);
+        let is_new = self.log.contains_proposal(key, proposal.proposed_after) == Some(false)
+            && !replica.has_accepted(key);
         if is_new && !self.log.is_full() && replica.can_append() {
-            self.append(proposal);
+            self.append_proposal(proposal);
         }
     }
 
-    fn append(&mut self, proposal: ForwardedProposal<E>) {
+    /// Appends a proposal as the leader. Drops a change of voters that is invalid.
+    fn append_proposal(&mut self, proposal: ForwardedProposal<E>) {
         let timestamp = self.next_timestamp();
         let ForwardedProposal { proposer, proposal_id, command, .. } = proposal;
         let Some(replica) = &mut self.replica else { return };
--- a/crates/agreement/src/agreement/voting.rs
+++ b/crates/agreement/src/agreement/voting.rs
@@ -64,6 +64,7 @@
         self.start_replica();
     }
 
+    /// This voter's own history.
     fn voter_history(&self) -> VoterHistory {
         let journal = self.journal.lock();
         let hard_state = journal.hard_state();
@@ -71,6 +72,7 @@
         VoterHistory { generation: hard_state.generation, has_state, writes: hard_state.writes }
     }
 
+    /// Requests the histories of the other voters when a request is due.
     pub(super) fn request_voter_histories(&mut self, now: Micros) {
         if !self.voting_guard.poll_request(now) {
             return;
@@ -81,6 +83,8 @@
         }
     }
 
+    /// Responds with this balancer's history and its observations of the requester. Records the requester as a
+    /// founder if it is a voter and neither balancer has state.
     pub(super) fn handle_history_request(&mut self, from: NodeId, requester: VoterHistory) {
         let own_history = self.voter_history();
         let requesting_store = Voter { node_id: from, generation: requester.generation };
@@ -101,6 +105,8 @@
         self.send(from, MessageBody::VoterHistoryResponse { sender: own_history, receiver });
     }
 
+    /// Passes a frame of the current segment to the replica. Records that items are missing if the frame's segment is
+    /// newer. Responds with the commit index if the segment is older or the sender is not a voter.
     pub(super) fn handle_replication_frame(&mut self, now: Micros, from: NodeId, frame: ReplicationFrame) {
         let segment = self.log.segment();
         if frame.segment > segment.id {
@@ -125,6 +131,7 @@
         }
     }
 
+    /// Sends the packets of the replica. The journal must be flushed before.
     pub(super) fn send_replication_frames(&mut self, now: Micros) {
         let Some(replica) = &mut self.replica else { return };
         let outgoing = replica.poll_transmit(now);
--- a/crates/agreement/src/catch_up.rs
+++ b/crates/agreement/src/catch_up.rs
@@ -21,15 +21,18 @@
     in_same_zone: bool,
 }
 
+/// A request for missing items without a response so far.
 struct PendingRequest {
     node_id: NodeId,
     sent_at: Micros,
 }
 
+/// The peers, their advertised commit indices and the pending request.
 pub(crate) struct CatchUp {
     peers: Vec<Peer>,
     /// The last commit index that each peer advertised.
     advertised: FxHashMap<NodeId, Revision>,
+    /// The newest leader hint received.
     pub(crate) leader: Option<LeaderHint>,
     pending_request: Option<PendingRequest>,
     next_advertisement: Micros,
@@ -118,6 +121,7 @@
         self.responses_this_tick <= MAX_RESPONSES_PER_TICK
     }
 
+    /// Starts a new interval for the limit on responses.
     pub(crate) fn tick(&mut self) {
         self.responses_this_tick = 0;
     }
--- a/crates/agreement/src/committed_log.rs
+++ b/crates/agreement/src/committed_log.rs
@@ -33,22 +33,24 @@
     pub(crate) items: Vec<LogItem<E>>,
 }
 
+/// The committed items from `first_revision` on. Detects proposals that are already committed.
 pub(crate) struct CommittedLog<E> {
-    first: Revision,
+    first_revision: Revision,
     items: VecDeque<LogItem<E>>,
-    /// The segment of `first`.
+    /// The segment of `first_revision`.
     first_segment: Segment,
     /// The segment of the next item.
     segment: Segment,
     snapshot: Option<LogSnapshot>,
     last_timestamp: u64,
+    /// The keys of the proposals in `items`.
     proposals: FxHashSet<ProposalKey>,
 }
 
 impl<E: Entry> CommittedLog<E> {
     pub(crate) fn new(founding: Segment) -> Self {
         CommittedLog {
-            first: 1,
+            first_revision: 1,
             items: VecDeque::new(),
             first_segment: founding.clone(),
             segment: founding,
@@ -60,7 +62,7 @@
 
     /// The commit index: the revision of the last item.
     pub(crate) fn last_revision(&self) -> Revision {
-        self.first + self.items.len() as u64 - 1
+        self.first_revision + self.items.len() as u64 - 1
     }
 
     pub(crate) fn segment(&self) -> &Segment {
@@ -71,6 +73,7 @@
         self.last_timestamp
     }
 
+    /// Whether the log is full: it retains [`MAX_ITEMS`] or more.
     pub(crate) fn is_full(&self) -> bool {
         self.items.len() as u64 >= MAX_ITEMS
     }
@@ -81,8 +84,8 @@
 
     /// Whether a proposal made at the commit index `proposed_after` is in the log; `None` if items that
     /// may hold it are trimmed.
-    pub(crate) fn contains(&self, key: ProposalKey, proposed_after: Revision) -> Option<bool> {
-        (proposed_after + 1 >= self.first).then(|| self.proposals.contains(&key))
+    pub(crate) fn contains_proposal(&self, key: ProposalKey, proposed_after: Revision) -> Option<bool> {
+        (proposed_after + 1 >= self.first_revision).then(|| self.proposals.contains(&key))
     }
 
     /// Appends the next item.
@@ -98,7 +101,7 @@
 
     /// The items from `revision` on that fit one catch-up response; `None` if the first of them is trimmed.
     pub(crate) fn items_from(&self, revision: Revision) -> Option<Vec<LogItem<E>>> {
-        let skipped = revision.checked_sub(self.first)? as usize;
+        let skipped = revision.checked_sub(self.first_revision)? as usize;
         let fits = fits_within(MAX_RESPONSE_BYTES);
         Some(self.items.iter().skip(skipped).take_while(fits).cloned().collect())
     }
@@ -114,7 +117,7 @@
     /// The segment that follows the item at `revision`.
     fn segment_after(&self, revision: Revision) -> Segment {
         let mut segment = self.first_segment.clone();
-        for (at, item) in (self.first..=revision).zip(&self.items) {
+        for (at, item) in (self.first_revision..=revision).zip(&self.items) {
             if let LogItem::StopSign(stamped) = item {
                 segment = segment.next(at, stamped.entry.clone());
             }
@@ -128,12 +131,13 @@
         &mut self, revision: Revision, state: Bytes,
     ) -> Option<Compaction<'_>> {
         let is_newer = self.snapshot.as_ref().is_none_or(|snapshot| snapshot.revision < revision);
-        if !is_newer || revision < self.first || revision > self.last_revision() {
+        if !is_newer || revision < self.first_revision || revision > self.last_revision() {
             return None;
         }
-        let timestamp = self.items[(revision - self.first) as usize].timestamp();
+        let timestamp = self.items[(revision - self.first_revision) as usize].timestamp();
         let segment = self.segment_after(revision);
-        let trimmed_to = Some(revision.saturating_sub(RETAINED_ITEMS)).filter(|to| *to >= self.first);
+        let trimmed_to =
+            Some(revision.saturating_sub(RETAINED_ITEMS)).filter(|to| *to >= self.first_revision);
         if let Some(to) = trimmed_to {
             self.trim(to);
         }
@@ -141,17 +145,18 @@
         Some(Compaction { snapshot, trimmed_to })
     }
 
+    /// Removes the items up to and including revision `to`.
     fn trim(&mut self, to: Revision) {
         self.first_segment = self.segment_after(to);
-        for item in self.items.drain(..(to + 1 - self.first) as usize) {
+        for item in self.items.drain(..(to + 1 - self.first_revision) as usize) {
             self.proposals.remove(&item.proposal_key());
         }
-        self.first = to + 1;
+        self.first_revision = to + 1;
     }
 
     /// Restarts the log after a snapshot, either received from another balancer or loaded from the store.
     pub(crate) fn restore(&mut self, snapshot: LogSnapshot) {
-        self.first = snapshot.revision + 1;
+        self.first_revision = snapshot.revision + 1;
         self.items.clear();
         self.proposals.clear();
         self.first_segment = snapshot.segment.clone();
--- a/crates/agreement/src/fragment_transfer.rs
+++ b/crates/agreement/src/fragment_transfer.rs
@@ -72,6 +72,7 @@
     sent: VecDeque<SentMessage>,
     partial: VecDeque<PartialMessage>,
     completed: VecDeque<MessageKey>,
+    /// Number of fragments sent since the last tick.
     sent_this_tick: usize,
     outgoing: Vec<OutgoingFragment>,
 }
@@ -159,6 +160,7 @@
         }
     }
 
+    /// Returns the message if it is complete. Requests the missing fragments if all expected ones have arrived.
     fn complete_or_request(&mut self, now: Micros, position: usize) -> Option<Vec<u8>> {
         let partial = &mut self.partial[position];
         if partial.received == partial.fragments.len() {
@@ -173,6 +175,7 @@
         None
     }
 
+    /// The position of the partial message with this key, which is added if it is new.
     fn find_or_start(&mut self, now: Micros, key: MessageKey, count: u32) -> usize {
         if let Some(position) = self.partial.iter().position(|partial| partial.key == key) {
             return position;
@@ -234,6 +237,7 @@
         }
     }
 
+    /// Creates a request for the first missing fragments.
     fn request_missing(&mut self, now: Micros) -> OutgoingFragment {
         let missing = self.fragments.iter().zip(0..).filter(|(fragment, _)| fragment.is_none());
         let missing: Vec<u32> = missing.take(MAX_REQUESTED_FRAGMENTS).map(|(_, index)| index).collect();
--- a/crates/agreement/src/hard_state.rs
+++ b/crates/agreement/src/hard_state.rs
@@ -10,6 +10,7 @@
     pub(crate) writes: u64,
 }
 
+/// The durable state of a voter. Stored in postcard, so the order of the fields must not change.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct HardState {
     /// Identifies the store; drawn at random when the store was created.
@@ -71,6 +72,7 @@
         }
     }
 
+    /// The number of writes observed of the voter's store; 0 if none.
     pub(crate) fn writes_of(&self, voter: Voter) -> u64 {
         let observed = self.observed_writes.iter().find(|observed| observed.voter == voter);
         observed.map_or(0, |observed| observed.writes)
--- a/crates/agreement/src/journal.rs
+++ b/crates/agreement/src/journal.rs
@@ -11,6 +11,7 @@
     types::{Entry, Stamped},
 };
 
+/// The hard state and the accepted entries of a voter, and the changes that are not durable yet.
 pub(crate) struct Journal<E> {
     hard_state: HardState,
     accepted: Vec<Stamped<E>>,
@@ -39,6 +40,7 @@
         &self.accepted
     }
 
+    /// Records a change for the next flush. Has no effect after a flush has failed.
     pub(crate) fn record(&mut self, change: StoreChange) {
         if !self.failed {
             self.changes.push(change);
--- a/crates/agreement/src/link.rs
+++ b/crates/agreement/src/link.rs
@@ -21,6 +21,7 @@
 /// Interval of retransmissions, in microseconds: longer than a round trip.
 const RETRANSMIT_INTERVAL_US: Micros = 100_000;
 
+/// A datagram of the link.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct Packet {
     /// Number of times that a process was started with the sender's store.
@@ -58,7 +59,9 @@
 /// An event of the receiving side.
 #[derive(Debug, PartialEq)]
 pub(crate) enum LinkEvent {
+    /// The next message, complete and in order.
     Message(Vec<u8>),
+    /// A heartbeat; not ordered with respect to messages.
     Heartbeat(Bytes),
     /// Messages may be missing before the next one.
     Reset,
@@ -78,6 +81,7 @@
     bytes: Bytes,
 }
 
+/// The local end of a link to one peer.
 pub(crate) struct Link {
     epoch: u64,
     peer_epoch: u64,
@@ -136,6 +140,7 @@
         }
     }
 
+    /// Drops all queued chunks. Starts a new session unless one was started since the last packet from the peer.
     fn reset_queue(&mut self) {
         if !self.was_reset {
             self.was_reset = true;
@@ -168,6 +173,8 @@
         }
     }
 
+    /// Handles a packet from the peer and returns the resulting events. Ignores the payload
+    /// of packets that are not from the peer's latest process or not for this process.
     pub(crate) fn handle_packet(&mut self, packet: Packet) -> Vec<LinkEvent> {
         let mut events = Vec::new();
         if packet.epoch < self.peer_epoch || packet.epoch == 0 {
@@ -244,6 +251,7 @@
         self.queue_ack(session);
     }
 
+    /// Appends the received chunks that are next in order and reports each complete message.
     fn reassemble(&mut self, events: &mut Vec<LinkEvent>) {
         while let Some(chunk) = self.received.remove(&self.next_expected) {
             self.next_expected += 1;
--- a/crates/agreement/src/message.rs
+++ b/crates/agreement/src/message.rs
@@ -12,6 +12,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Message<E>(pub(crate) MessageBody<E>);
 
+/// The kinds of messages. The wire form depends on the order of the variants.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) enum MessageBody<E> {
     /// The sender's commit index, the leader that it knows of, and the newest items if they fit.
@@ -22,27 +23,24 @@
         items: Vec<LogItem<E>>,
     },
     /// The sender has applied all items up to `applied` and requests the next ones.
-    CatchUpRequest {
-        applied: Revision,
-    },
-    CatchUpItems {
-        first: Revision,
-        items: Vec<LogItem<E>>,
-    },
+    CatchUpRequest { applied: Revision },
+    /// Responds to a catch-up request with the items from `first` on.
+    CatchUpItems { first: Revision, items: Vec<LogItem<E>> },
+    /// Responds to a catch-up request with a snapshot, because the requested items are trimmed.
     SnapshotTransfer(LogSnapshot),
+    /// A proposal for the leader.
     Propose(ForwardedProposal<E>),
     /// Requests the generation of the receiver's store.
     StoreGenerationRequest,
-    StoreGeneration {
-        generation: u64,
-    },
+    /// Responds with the generation of the sender's store.
+    StoreGeneration { generation: u64 },
     /// A voter sends its own history and requests the receiver's observations of it, to verify that it may vote.
     VoterHistoryRequest(VoterHistory),
-    VoterHistoryResponse {
-        sender: VoterHistory,
-        receiver: ObservedHistory,
-    },
+    /// Responds with the histories that a voter requested.
+    VoterHistoryResponse { sender: VoterHistory, receiver: ObservedHistory },
+    /// A packet of the consensus protocol between two voters.
     Replication(ReplicationFrame),
+    /// A part of a message that is too long for a datagram, or a request for such parts.
     Fragment(Fragment),
 }
 
--- a/crates/agreement/src/pending_proposals.rs
+++ b/crates/agreement/src/pending_proposals.rs
@@ -15,6 +15,7 @@
 #[derive(Clone)]
 pub(crate) struct PendingProposal<E> {
     pub(crate) proposal_id: u64,
+    /// The commit index when the proposal was made.
     pub(crate) proposed_after: Revision,
     pub(crate) command: Command<E>,
     /// The balancer whose store generation must be known before the proposal can be sent.
@@ -30,6 +31,7 @@
     pub(crate) outcome: ProposalOutcome,
 }
 
+/// The pending proposals and the identifier of the next one.
 pub(crate) struct PendingProposals<E> {
     next_id: u64,
     pending: Vec<PendingProposal<E>>,
@@ -45,6 +47,7 @@
         self.pending.len()
     }
 
+    /// Adds a proposal and returns its identifier.
     pub(crate) fn add(
         &mut self, now: Micros, proposed_after: Revision, command: Command<E>,
         awaits_generation_of: Option<NodeId>,
@@ -86,6 +89,7 @@
         }
     }
 
+    /// Removes and returns the proposal if it is pending.
     pub(crate) fn handle_committed(
         &mut self, proposal_id: u64, revision: Revision,
     ) -> Option<FinishedProposal> {
--- a/crates/agreement/src/recovery.rs
+++ b/crates/agreement/src/recovery.rs
@@ -9,6 +9,7 @@
 use bytes::Bytes;
 use serde::de::DeserializeOwned;
 
+/// The decoded content of a store.
 pub(crate) struct RecoveredState<E> {
     pub(crate) hard_state: HardState,
     pub(crate) accepted: Vec<Stamped<E>>,
--- a/crates/agreement/src/replica.rs
+++ b/crates/agreement/src/replica.rs
@@ -22,9 +22,9 @@
 
 /// Ticks of an election round: enough for three attempts of a heartbeat.
 const ELECTION_TIMEOUT_TICKS: u64 = 6;
-/// Ticks between two attempts of a heartbeat. Repeated so that one lost datagram does not end a leadership.
+/// Ticks between two attempts of a heartbeat. It is repeated so that one lost datagram does not cause an election.
 const HEARTBEAT_RETRY_TICKS: u64 = 2;
-/// Ticks after which `omnipaxos` repeats a request; the links retransmit what is lost.
+/// Ticks after which `omnipaxos` repeats a request. Lost messages are retransmitted by the links.
 const RESEND_TICKS: u64 = 10;
 /// Number of outgoing messages for which `omnipaxos` reserves memory.
 const OUTGOING_BUFFER: usize = 64;
@@ -65,6 +65,7 @@
     bytes: usize,
 }
 
+/// A voter's participation in the consensus protocol of one segment.
 pub(crate) struct Replica<E: Entry> {
     local: PaxosId,
     paxos: OmniPaxos<Stamped<E>, SharedJournal<E>>,
@@ -177,6 +178,7 @@
         self.journal.lock().accepted().iter().rev().any(|stamped| stamped.proposal_key() == key)
     }
 
+    /// The timestamp of the last accepted entry; 0 if there is none.
     pub(crate) fn last_timestamp(&self) -> u64 {
         self.journal.lock().accepted().last().map_or(0, |stamped| stamped.timestamp)
     }
@@ -216,6 +218,7 @@
         items
     }
 
+    /// Handles a packet of a voter's link and passes the valid messages in it to `omnipaxos`.
     pub(crate) fn handle_packet(&mut self, from: NodeId, packet: Packet) {
         let Some(link) = self.links.get_mut(&from) else { return };
         for event in link.handle_packet(packet) {
@@ -235,6 +238,7 @@
         }
     }
 
+    /// Handles a heartbeat. Drops repeated replies and replies with invalid ballots.
     fn handle_heartbeat(&mut self, from: NodeId, message: BLEMessage) {
         if message.from != to_paxos_id(from) || message.to != self.local {
             return;
--- a/crates/agreement/src/segment.rs
+++ b/crates/agreement/src/segment.rs
@@ -20,6 +20,7 @@
     pub generation: u64,
 }
 
+/// A segment of the log and its voters.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Segment {
     pub(crate) id: u32,
@@ -29,11 +30,13 @@
 }
 
 impl Segment {
+    /// The voter with this identifier, if the segment has one.
     pub(crate) fn voter(&self, node_id: NodeId) -> Option<&Voter> {
         self.voters.iter().find(|voter| voter.node_id == node_id)
     }
 
-    pub(crate) fn quorum(&self) -> usize {
+    /// Number of voters of a quorum.
+    pub(crate) fn quorum_size(&self) -> usize {
         self.voters.len() / 2 + 1
     }
 
--- a/crates/agreement/src/voting_guard.rs
+++ b/crates/agreement/src/voting_guard.rs
@@ -13,13 +13,16 @@
 /// Time to wait for the responses of all other voters before those of a quorum suffice, in microseconds.
 const WAIT_FOR_ALL_US: Micros = 2_000_000;
 
+/// Whether this balancer may vote.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum VotingState {
     /// Not a voter of the segment.
     NotVoter,
     /// Waits for the responses of the other voters.
     Verifying,
+    /// May vote.
     Allowed,
+    /// Must not vote, for the given reason.
     Blocked(VotingBlock),
 }
 
@@ -29,6 +32,7 @@
     observed: ObservedHistory,
 }
 
+/// Collects the responses of the other voters until this voter may vote.
 pub(crate) struct VotingGuard {
     pub(crate) state: VotingState,
     responses: BTreeMap<NodeId, HistoryResponse>,
@@ -40,6 +44,7 @@
 enum FoundingStatus {
     Allowed,
     LostState,
+    /// More responses are needed.
     Undecided,
 }
 
@@ -90,6 +95,7 @@
         is_due
     }
 
+    /// Blocks voting.
     pub(crate) fn block(&mut self, reason: VotingBlock) {
         self.state = VotingState::Blocked(reason);
     }
@@ -132,7 +138,7 @@
                 }
             }
         } else if !all_known
-            && (known_count < segment.quorum() || now < self.verifying_since + WAIT_FOR_ALL_US)
+            && (known_count < segment.quorum_size() || now < self.verifying_since + WAIT_FOR_ALL_US)
         {
             return false;
         }
@@ -149,13 +155,15 @@
     }
 }
 
+/// Verifies a founding voter whose store, with this generation, holds no state.
 fn founding_status(responses: &[&HistoryResponse], generation: u64, all_known: bool) -> FoundingStatus {
-    let own = Some(generation);
+    let own_generation = Some(generation);
     let founding = |response: &&HistoryResponse| response.observed.founding_generation;
     // A voter that had no state itself has observed this store without state.
-    let is_known_founder = responses.iter().any(|response| founding(response) == own);
-    let had_other_store =
-        responses.iter().any(|response| founding(response).is_some_and(|other| Some(other) != own));
+    let is_known_founder = responses.iter().any(|response| founding(response) == own_generation);
+    let had_other_store = responses
+        .iter()
+        .any(|response| founding(response).is_some_and(|other| Some(other) != own_generation));
     let others_have_state = !is_known_founder && responses.iter().any(|response| response.sender.has_state);
     if had_other_store || (all_known && others_have_state) {
         FoundingStatus::LostState
