--- a/crates/storage/src/disk_store.rs
+++ b/crates/storage/src/disk_store.rs
@@ -61,7 +61,9 @@
         })?;
         match opened {
             Ok((database, true)) => Ok(DiskStore { database, file, failed: false }),
-            Ok((_, false)) => Err(Error::Damaged { file, what: "checksums do not match the content".into() }),
+            Ok((_, false)) => {
+                Err(Error::Damaged { file, damage: "checksums do not match the content".into() })
+            }
             Err(source) => Err(Error::Open { file, source }),
         }
     }
@@ -118,8 +120,9 @@
     file: &Path, work: impl FnOnce() -> Result<T, redb::Error>,
 ) -> Result<Result<T, redb::Error>, Error> {
     catch_unwind(AssertUnwindSafe(work)).map_err(|panic| {
-        let what = panic_message(panic.as_ref()).unwrap_or_else(|| "redb panicked without a message".into());
-        Error::Damaged { file: file.to_owned(), what }
+        let damage =
+            panic_message(panic.as_ref()).unwrap_or_else(|| "redb panicked without a message".into());
+        Error::Damaged { file: file.to_owned(), damage }
     })
 }
 
--- a/crates/storage/src/error.rs
+++ b/crates/storage/src/error.rs
@@ -29,12 +29,12 @@
         source: redb::Error,
     },
     /// The file is damaged: its checksums do not match its content, or `redb` panicked on it.
-    #[error("{}: is damaged: {what}", file.display())]
+    #[error("{}: is damaged: {damage}", file.display())]
     Damaged {
         /// The file.
         file: PathBuf,
         /// A description of the damage.
-        what: String,
+        damage: String,
     },
     /// The write was rejected because an earlier one failed.
     #[error("{}: not written because an earlier write failed", file.display())]
