--- a/crates/agreement/src/agreement/dispatch.rs
+++ b/crates/agreement/src/agreement/dispatch.rs
@@ -1,4 +1,5 @@
-//! Receives messages and passes each to the module concerned; sends messages, in fragments if they are long.
+//! Passes each received message to the module that handles it, and sends messages, in fragments if they are
+//! long.
 use super::Agreement;
 use crate::{
     action::Action,
@@ -10,7 +11,7 @@
 };
 
 impl<E: Entry, S: Store> Agreement<E, S> {
-    /// Handles a message of another balancer. The owner identifies `from` by the address of the datagram.
+    /// Handles a message from another balancer. The owner identifies `from` by the address of the datagram.
     pub fn handle_message(&mut self, now: Micros, from: NodeId, message: Message<E>) {
         if !self.catch_up.is_peer(from) {
             return;
@@ -24,13 +25,14 @@
             }
             body => self.dispatch(now, from, body),
         }
-        self.drive(now);
+        self.flush_and_send(now);
     }
 
+    /// Handles a complete message.
     fn dispatch(&mut self, now: Micros, from: NodeId, body: MessageBody<E>) {
         match body {
             MessageBody::CommitAdvertisement { revision, leader, first, items } => {
-                let leader = leader.filter(|leader| self.is_credible(leader));
+                let leader = leader.filter(|leader| self.is_plausible_leader(leader));
                 self.catch_up.record_advertisement(from, revision, leader);
                 self.apply_items(now, first, items);
                 self.request_missing_items(now);
@@ -59,12 +61,13 @@
         }
     }
 
-    fn is_credible(&self, leader: &LeaderHint) -> bool {
+    /// Whether the leader is a balancer of the fleet and its segment is at most the next one.
+    fn is_plausible_leader(&self, leader: &LeaderHint) -> bool {
         let is_known = self.catch_up.is_peer(leader.node_id) || leader.node_id == self.settings.node_id;
         is_known && leader.segment <= self.log.segment().id + 1
     }
 
-    /// Sends a message; one to this balancer itself is dropped.
+    /// Sends a message. Drops it if the receiver is this balancer itself.
     pub(super) fn send(&mut self, to: NodeId, body: MessageBody<E>) {
         if to == self.settings.node_id {
             return;
--- a/crates/agreement/src/agreement/propose.rs
+++ b/crates/agreement/src/agreement/propose.rs
@@ -1,5 +1,5 @@
-//! Sends this balancer's proposals to the leader, and appends the proposals of all balancers while it is the
-//! leader itself.
+//! Sends this balancer's proposals to the leader. While this balancer is the leader, appends the proposals of all
+//! balancers.
 use super::Agreement;
 use crate::{
     action::{Action, ProposeError},
@@ -11,10 +11,12 @@
     types::{Entry, Micros, NodeId, Stamped},
 };
 
-/// Every so many attempts a proposal goes to a random voter, because the known leader may be an old one.
-const ATTEMPTS_PER_DETOUR: u32 = 3;
+/// Each attempt whose number is a multiple of this goes to a random voter, because the known leader may be
+/// outdated.
+const RANDOM_VOTER_INTERVAL: u32 = 3;
 
 impl<E: Entry, S: Store> Agreement<E, S> {
+    /// Adds a pending proposal, sends it and returns its identifier.
     pub(super) fn add_proposal(
         &mut self, now: Micros, command: Command<E>, awaits_generation_of: Option<NodeId>,
     ) -> Result<u64, ProposeError> {
@@ -24,7 +26,7 @@
         let proposed_after = self.log.last_revision();
         let proposal_id = self.proposals.add(now, proposed_after, command, awaits_generation_of);
         self.send_proposals(now);
-        self.drive(now);
+        self.flush_and_send(now);
         Ok(proposal_id)
     }
 
@@ -58,10 +60,10 @@
         self.actions.push_back(Action::ProposalFinished { id, outcome });
     }
 
-    /// The leader, or any voter if no leader is known or a detour is due.
+    /// The leader, or a random voter if no other balancer is known to lead or this attempt goes to a random voter.
     fn proposal_target(&mut self, attempts: u32) -> Option<NodeId> {
         let leader = self.leader().filter(|leader| *leader != self.settings.node_id);
-        if let Some(leader) = leader.filter(|_| !attempts.is_multiple_of(ATTEMPTS_PER_DETOUR)) {
+        if let Some(leader) = leader.filter(|_| !attempts.is_multiple_of(RANDOM_VOTER_INTERVAL)) {
             return Some(leader);
         }
         self.random.choice(&self.log.segment().voters).map(|voter| voter.node_id)
@@ -78,14 +80,15 @@
             return;
         }
         let key = proposal.key();
-        let is_new =
-            self.log.contains(key, proposal.proposed_after) == Some(false) && !replica.has_accepted(key);
+        let is_new = self.log.contains_proposal(key, proposal.proposed_after) == Some(false)
+            && !replica.has_accepted(key);
         if is_new && !self.log.is_full() && replica.can_append() {
-            self.append(proposal);
+            self.append_proposal(proposal);
         }
     }
 
-    fn append(&mut self, proposal: ForwardedProposal<E>) {
+    /// Appends a proposal as the leader. Drops a change of voters that is invalid.
+    fn append_proposal(&mut self, proposal: ForwardedProposal<E>) {
         let timestamp = self.next_timestamp();
         let ForwardedProposal { proposer, proposal_id, command, .. } = proposal;
         let Some(replica) = &mut self.replica else { return };
@@ -104,10 +107,10 @@
         }
     }
 
-    /// The timestamp of the next entry: Unix time, but after the last entry's.
+    /// The timestamp of the next entry: Unix time, but later than the timestamp of the last entry.
     fn next_timestamp(&self) -> u64 {
         let accepted = self.replica.as_ref().map_or(0, Replica::last_timestamp);
-        self.unix.max(self.log.last_timestamp() + 1).max(accepted + 1)
+        self.min_timestamp.max(self.log.last_timestamp() + 1).max(accepted + 1)
     }
 
     /// Ends a long segment, so that the next one starts with the same voters.
--- a/crates/agreement/src/agreement/voting.rs
+++ b/crates/agreement/src/agreement/voting.rs
@@ -11,15 +11,16 @@
 };
 
 impl<E: Entry, S: Store> Agreement<E, S> {
-    /// Moves on to the log's segment, if it is not the one that this balancer voted in so far.
+    /// Enters the current segment of the log if the journal is in an earlier one. Starts the replica if this
+    /// balancer may vote and has none.
     pub(super) fn enter_segment(&mut self, now: Micros) {
         let segment = self.log.segment().clone();
         let local = segment.voter(self.settings.node_id).copied();
         let was_elected = self.replica.as_ref().is_some_and(Replica::is_elected);
-        let mut campaigns = false;
+        let mut should_campaign = false;
         let mut journal = self.journal.lock();
         if journal.hard_state().segment.id < segment.id {
-            campaigns = was_elected;
+            should_campaign = was_elected;
             journal.enter_segment(segment);
             if let Some(replica) = self.replica.take() {
                 self.link_session = replica.max_session() + 1;
@@ -29,7 +30,7 @@
         drop(journal);
         if self.voting_guard.state == VotingState::Allowed && self.replica.is_none() {
             self.start_replica();
-            if let Some(replica) = self.replica.as_mut().filter(|_| campaigns) {
+            if let Some(replica) = self.replica.as_mut().filter(|_| should_campaign) {
                 replica.campaign();
             }
         }
@@ -40,7 +41,7 @@
         self.replica = Replica::new(self.settings.node_id, self.journal.clone(), self.link_session);
     }
 
-    /// Starts the replica once the histories of the other voters allow this one to vote.
+    /// Starts the replica when the histories of the other voters allow this voter to vote.
     pub(super) fn start_voting_if_allowed(&mut self, now: Micros) {
         let mut journal = self.journal.lock();
         let segment = self.log.segment();
@@ -63,6 +64,7 @@
         self.start_replica();
     }
 
+    /// This voter's own history.
     fn voter_history(&self) -> VoterHistory {
         let journal = self.journal.lock();
         let hard_state = journal.hard_state();
@@ -70,6 +72,7 @@
         VoterHistory { generation: hard_state.generation, has_state, writes: hard_state.writes }
     }
 
+    /// Requests the histories of the other voters when a request is due.
     pub(super) fn request_voter_histories(&mut self, now: Micros) {
         if !self.voting_guard.poll_request(now) {
             return;
@@ -80,26 +83,30 @@
         }
     }
 
+    /// Responds with this balancer's history and its observations of the requester. Records the requester as a
+    /// founder if it is a voter and neither balancer has state.
     pub(super) fn handle_history_request(&mut self, from: NodeId, requester: VoterHistory) {
-        let own = self.voter_history();
+        let own_history = self.voter_history();
         let requesting_store = Voter { node_id: from, generation: requester.generation };
         let mut journal = self.journal.lock();
         let known = journal.hard_state().founders.iter().find(|founder| founder.node_id == from).copied();
         let is_voter = self.log.segment().voter(from).is_some();
-        // Only the first store counts: a second one without state on the same balancer has lost the votes of
-        // the first.
-        if known.is_none() && !requester.has_state && !own.has_state && is_voter {
+        // Only the first store of a balancer is recorded: a second one without state has lost the votes of the
+        // first.
+        if known.is_none() && !requester.has_state && !own_history.has_state && is_voter {
             journal.hard_state_mut().founders.push(requesting_store);
         }
-        let founder = known.or((!own.has_state).then_some(requesting_store));
+        let founder = known.or((!own_history.has_state).then_some(requesting_store));
         let receiver = ObservedHistory {
             writes: journal.hard_state().writes_of(requesting_store),
             founding_generation: founder.map(|founder| founder.generation),
         };
         drop(journal);
-        self.send(from, MessageBody::VoterHistoryResponse { sender: own, receiver });
+        self.send(from, MessageBody::VoterHistoryResponse { sender: own_history, receiver });
     }
 
+    /// Passes a frame of the current segment to the replica. Records that items are missing if the frame's segment is
+    /// newer. Responds with the commit index if the segment is older or the sender is not a voter.
     pub(super) fn handle_replication_frame(&mut self, now: Micros, from: NodeId, frame: ReplicationFrame) {
         let segment = self.log.segment();
         if frame.segment > segment.id {
@@ -124,6 +131,7 @@
         }
     }
 
+    /// Sends the packets of the replica. The journal must be flushed before.
     pub(super) fn send_replication_frames(&mut self, now: Micros) {
         let Some(replica) = &mut self.replica else { return };
         let outgoing = replica.poll_transmit(now);
--- a/crates/agreement/src/committed_log.rs
+++ b/crates/agreement/src/committed_log.rs
@@ -1,4 +1,4 @@
-//! The committed part of the log that this balancer retains, after a snapshot of what came before.
+//! The committed items that this balancer retains, and the snapshot that replaces trimmed ones.
 use crate::{
     codec::encode,
     message::LogSnapshot,
@@ -9,17 +9,18 @@
 use rustc_hash::FxHashSet;
 use std::collections::VecDeque;
 
-/// Items retained before the snapshot's revision: serve slightly lagging balancers and detect repeated
-/// proposals.
+/// Number of items retained before the snapshot's revision, to serve slightly lagging balancers and to detect
+/// repeated proposals.
 const RETAINED_ITEMS: u64 = 2_048;
-/// Items at which the log is full: a leader then accepts no proposals until its owner supplies a snapshot.
+/// Number of items at which the log is full: a leader then accepts no proposals until its owner supplies a
+/// snapshot.
 const MAX_ITEMS: u64 = 16_384;
-/// Bytes of items in one catch-up response.
+/// Maximum size of the items in one catch-up response, in bytes.
 const MAX_RESPONSE_BYTES: usize = 64 * 1024;
-/// Items in one commit advertisement.
+/// Maximum number of items in one commit advertisement.
 const MAX_ADVERTISED_ITEMS: usize = 8;
 
-/// What [`CommittedLog::install_owner_snapshot`] changed.
+/// The changes made by [`CommittedLog::install_owner_snapshot`].
 pub(crate) struct Compaction<'a> {
     pub(crate) snapshot: &'a LogSnapshot,
     /// Items up to this revision are trimmed.
@@ -32,22 +33,24 @@
     pub(crate) items: Vec<LogItem<E>>,
 }
 
+/// The committed items from `first_revision` on. Detects proposals that are already committed.
 pub(crate) struct CommittedLog<E> {
-    first: Revision,
+    first_revision: Revision,
     items: VecDeque<LogItem<E>>,
-    /// The segment of `first`.
+    /// The segment of `first_revision`.
     first_segment: Segment,
     /// The segment of the next item.
     segment: Segment,
     snapshot: Option<LogSnapshot>,
     last_timestamp: u64,
+    /// The keys of the proposals in `items`.
     proposals: FxHashSet<ProposalKey>,
 }
 
 impl<E: Entry> CommittedLog<E> {
     pub(crate) fn new(founding: Segment) -> Self {
         CommittedLog {
-            first: 1,
+            first_revision: 1,
             items: VecDeque::new(),
             first_segment: founding.clone(),
             segment: founding,
@@ -59,7 +62,7 @@
 
     /// The commit index: the revision of the last item.
     pub(crate) fn last_revision(&self) -> Revision {
-        self.first + self.items.len() as u64 - 1
+        self.first_revision + self.items.len() as u64 - 1
     }
 
     pub(crate) fn segment(&self) -> &Segment {
@@ -70,6 +73,7 @@
         self.last_timestamp
     }
 
+    /// Whether the log is full: it retains [`MAX_ITEMS`] or more.
     pub(crate) fn is_full(&self) -> bool {
         self.items.len() as u64 >= MAX_ITEMS
     }
@@ -78,10 +82,10 @@
         self.snapshot.as_ref()
     }
 
-    /// Whether a proposal made at the commit index `proposed_after` is in the log; `None` if the items needed
-    /// to tell are trimmed.
-    pub(crate) fn contains(&self, key: ProposalKey, proposed_after: Revision) -> Option<bool> {
-        (proposed_after + 1 >= self.first).then(|| self.proposals.contains(&key))
+    /// Whether a proposal made at the commit index `proposed_after` is in the log; `None` if items that
+    /// may hold it are trimmed.
+    pub(crate) fn contains_proposal(&self, key: ProposalKey, proposed_after: Revision) -> Option<bool> {
+        (proposed_after + 1 >= self.first_revision).then(|| self.proposals.contains(&key))
     }
 
     /// Appends the next item.
@@ -95,14 +99,14 @@
         }
     }
 
-    /// The items from a revision on that fit one catch-up response; `None` if the first of them is trimmed.
+    /// The items from `revision` on that fit one catch-up response; `None` if the first of them is trimmed.
     pub(crate) fn items_from(&self, revision: Revision) -> Option<Vec<LogItem<E>>> {
-        let skipped = revision.checked_sub(self.first)? as usize;
+        let skipped = revision.checked_sub(self.first_revision)? as usize;
         let fits = fits_within(MAX_RESPONSE_BYTES);
         Some(self.items.iter().skip(skipped).take_while(fits).cloned().collect())
     }
 
-    /// The newest items that together are no longer than `max_bytes`.
+    /// The newest items whose total size is at most `max_bytes`.
     pub(crate) fn newest_items(&self, max_bytes: usize) -> ItemRange<E> {
         let newest = self.items.iter().rev().take(MAX_ADVERTISED_ITEMS);
         let mut items: Vec<_> = newest.take_while(fits_within(max_bytes)).cloned().collect();
@@ -113,7 +117,7 @@
     /// The segment that follows the item at `revision`.
     fn segment_after(&self, revision: Revision) -> Segment {
         let mut segment = self.first_segment.clone();
-        for (at, item) in (self.first..=revision).zip(&self.items) {
+        for (at, item) in (self.first_revision..=revision).zip(&self.items) {
             if let LogItem::StopSign(stamped) = item {
                 segment = segment.next(at, stamped.entry.clone());
             }
@@ -121,18 +125,19 @@
         segment
     }
 
-    /// Stores a snapshot of the owner's state and trims the items well before it. Ignores one that is not
-    /// newer than the last, or that is not of a retained revision.
+    /// Stores a snapshot of the owner's state and trims the items well before it. Ignores a snapshot that is not
+    /// newer than the last one, or whose revision is not retained.
     pub(crate) fn install_owner_snapshot(
         &mut self, revision: Revision, state: Bytes,
     ) -> Option<Compaction<'_>> {
         let is_newer = self.snapshot.as_ref().is_none_or(|snapshot| snapshot.revision < revision);
-        if !is_newer || revision < self.first || revision > self.last_revision() {
+        if !is_newer || revision < self.first_revision || revision > self.last_revision() {
             return None;
         }
-        let timestamp = self.items[(revision - self.first) as usize].timestamp();
+        let timestamp = self.items[(revision - self.first_revision) as usize].timestamp();
         let segment = self.segment_after(revision);
-        let trimmed_to = Some(revision.saturating_sub(RETAINED_ITEMS)).filter(|to| *to >= self.first);
+        let trimmed_to =
+            Some(revision.saturating_sub(RETAINED_ITEMS)).filter(|to| *to >= self.first_revision);
         if let Some(to) = trimmed_to {
             self.trim(to);
         }
@@ -140,17 +145,18 @@
         Some(Compaction { snapshot, trimmed_to })
     }
 
+    /// Removes the items up to and including revision `to`.
     fn trim(&mut self, to: Revision) {
         self.first_segment = self.segment_after(to);
-        for item in self.items.drain(..(to + 1 - self.first) as usize) {
+        for item in self.items.drain(..(to + 1 - self.first_revision) as usize) {
             self.proposals.remove(&item.proposal_key());
         }
-        self.first = to + 1;
+        self.first_revision = to + 1;
     }
 
-    /// Restarts the log after a snapshot that another balancer sent, or that was stored.
+    /// Restarts the log after a snapshot, either received from another balancer or loaded from the store.
     pub(crate) fn restore(&mut self, snapshot: LogSnapshot) {
-        self.first = snapshot.revision + 1;
+        self.first_revision = snapshot.revision + 1;
         self.items.clear();
         self.proposals.clear();
         self.first_segment = snapshot.segment.clone();
@@ -160,7 +166,7 @@
     }
 }
 
-/// A predicate that holds while the items seen so far are together no longer than `max_bytes`.
+/// Returns a predicate that holds while the total size of the items passed to it is at most `max_bytes`.
 fn fits_within<E: Entry>(max_bytes: usize) -> impl FnMut(&&LogItem<E>) -> bool {
     let mut bytes = 0;
     move |item| {
--- a/crates/agreement/src/hard_state.rs
+++ b/crates/agreement/src/hard_state.rs
@@ -3,22 +3,24 @@
 use omnipaxos::{ballot_leader_election::Ballot, storage::StopSign};
 use serde::{Deserialize, Serialize};
 
-/// Writes observed of a voter's store.
+/// The number of writes observed of a voter's store.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct ObservedWrites {
     pub(crate) voter: Voter,
     pub(crate) writes: u64,
 }
 
+/// The durable state of a voter. Stored in postcard, so the order of the fields must not change.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct HardState {
-    /// Identifies the store; drawn when it was created.
+    /// Identifies the store; drawn at random when the store was created.
     pub(crate) generation: u64,
-    /// How often a process was started with this store.
+    /// Number of times that a process was started with this store.
     pub(crate) epoch: u64,
-    /// Batches written.
+    /// Number of batches written.
     pub(crate) writes: u64,
-    /// Whether the founding voters let this voter vote without stored state.
+    /// Whether this voter has been allowed to vote with this store. A founding voter for which this is false
+    /// starts without state and must be verified by the other founding voters.
     pub(crate) founded: bool,
     /// The segment that the ballots and indices below belong to.
     pub(crate) segment: Segment,
@@ -26,9 +28,9 @@
     pub(crate) accepted_ballot: Ballot,
     pub(crate) decided_index: u64,
     pub(crate) stop_sign: Option<StopSign>,
-    /// The most writes observed of each voter's store.
+    /// The highest number of writes observed of each voter's store.
     pub(crate) observed_writes: Vec<ObservedWrites>,
-    /// Stores that had no state at the founding.
+    /// Voters whose stores had no state when the quorum group was founded.
     pub(crate) founders: Vec<Voter>,
 }
 
@@ -50,7 +52,7 @@
         }
     }
 
-    /// Starts a segment: resets what belongs to the previous one.
+    /// Starts a segment. Resets the ballots, the decided index and the stop sign of the previous one.
     pub(crate) fn enter_segment(&mut self, segment: Segment) {
         self.segment = segment;
         self.promised = Ballot::default();
@@ -59,7 +61,7 @@
         self.stop_sign = None;
     }
 
-    /// Records the writes that a voter's store counts, and forgets any earlier store of the same balancer.
+    /// Records the number of writes of a voter's store, and removes any other store of the same balancer.
     pub(crate) fn observe_writes(&mut self, voter: Voter, writes: u64) {
         match self.observed_writes.iter_mut().find(|observed| observed.voter == voter) {
             Some(observed) => observed.writes = observed.writes.max(writes),
@@ -70,6 +72,7 @@
         }
     }
 
+    /// The number of writes observed of the voter's store; 0 if none.
     pub(crate) fn writes_of(&self, voter: Voter) -> u64 {
         let observed = self.observed_writes.iter().find(|observed| observed.voter == voter);
         observed.map_or(0, |observed| observed.writes)
--- a/crates/agreement/src/pending_proposals.rs
+++ b/crates/agreement/src/pending_proposals.rs
@@ -15,9 +15,10 @@
 #[derive(Clone)]
 pub(crate) struct PendingProposal<E> {
     pub(crate) proposal_id: u64,
+    /// The commit index when the proposal was made.
     pub(crate) proposed_after: Revision,
     pub(crate) command: Command<E>,
-    /// The balancer whose store generation has to be known before the proposal can be sent.
+    /// The balancer whose store generation must be known before the proposal can be sent.
     pub(crate) awaits_generation_of: Option<NodeId>,
     pub(crate) attempts: u32,
     created_at: Micros,
@@ -30,6 +31,7 @@
     pub(crate) outcome: ProposalOutcome,
 }
 
+/// The pending proposals and the identifier of the next one.
 pub(crate) struct PendingProposals<E> {
     next_id: u64,
     pending: Vec<PendingProposal<E>>,
@@ -45,6 +47,7 @@
         self.pending.len()
     }
 
+    /// Adds a proposal and returns its identifier.
     pub(crate) fn add(
         &mut self, now: Micros, proposed_after: Revision, command: Command<E>,
         awaits_generation_of: Option<NodeId>,
@@ -63,7 +66,7 @@
         proposal_id
     }
 
-    /// The proposals to send now; counts an attempt for each.
+    /// The proposals to send now. Counts an attempt for each.
     pub(crate) fn poll_due(&mut self, now: Micros) -> Vec<PendingProposal<E>> {
         let mut due = Vec::new();
         for proposal in self.pending.iter_mut().filter(|proposal| now >= proposal.next_attempt) {
@@ -74,10 +77,10 @@
         due
     }
 
-    /// Completes the voter changes that wait for the generation of this balancer's store.
+    /// Sets the generation in the voter changes that wait for the generation of the store of `node_id`.
     pub(crate) fn set_generation(&mut self, node_id: NodeId, generation: u64) {
-        let waiting = |proposal: &&mut PendingProposal<E>| proposal.awaits_generation_of == Some(node_id);
-        for proposal in self.pending.iter_mut().filter(waiting) {
+        let is_waiting = |proposal: &&mut PendingProposal<E>| proposal.awaits_generation_of == Some(node_id);
+        for proposal in self.pending.iter_mut().filter(is_waiting) {
             if let Command::ChangeVoters(VoterChange { added: Some(voter), .. }) = &mut proposal.command {
                 voter.generation = generation;
                 proposal.awaits_generation_of = None;
@@ -86,6 +89,7 @@
         }
     }
 
+    /// Removes and returns the proposal if it is pending.
     pub(crate) fn handle_committed(
         &mut self, proposal_id: u64, revision: Revision,
     ) -> Option<FinishedProposal> {
@@ -94,10 +98,11 @@
         Some(FinishedProposal { proposal_id, outcome: ProposalOutcome::Committed(revision) })
     }
 
-    /// Removes the proposals that timed out.
+    /// Removes and returns the proposals that timed out.
     pub(crate) fn poll_timed_out(&mut self, now: Micros) -> Vec<FinishedProposal> {
-        let is_late = |proposal: &mut PendingProposal<E>| now >= proposal.created_at + PROPOSAL_TIMEOUT_US;
-        let timed_out = self.pending.extract_if(.., is_late);
+        let has_timed_out =
+            |proposal: &mut PendingProposal<E>| now >= proposal.created_at + PROPOSAL_TIMEOUT_US;
+        let timed_out = self.pending.extract_if(.., has_timed_out);
         timed_out
             .map(|proposal| FinishedProposal {
                 proposal_id: proposal.proposal_id,
--- a/crates/agreement/src/replica.rs
+++ b/crates/agreement/src/replica.rs
@@ -20,17 +20,18 @@
 };
 use std::collections::BTreeMap;
 
-/// Ticks of an election round: three attempts of a heartbeat fit.
+/// Ticks of an election round: enough for three attempts of a heartbeat.
 const ELECTION_TIMEOUT_TICKS: u64 = 6;
-/// Ticks between two attempts of a heartbeat, so that one lost datagram does not cost a leader.
+/// Ticks between two attempts of a heartbeat. It is repeated so that one lost datagram does not cause an election.
 const HEARTBEAT_RETRY_TICKS: u64 = 2;
-/// Ticks after which `omnipaxos` repeats a request; the links retransmit what is lost.
+/// Ticks after which `omnipaxos` repeats a request. Lost messages are retransmitted by the links.
 const RESEND_TICKS: u64 = 10;
-/// Messages that `omnipaxos` reserves memory for.
+/// Number of outgoing messages for which `omnipaxos` reserves memory.
 const OUTGOING_BUFFER: usize = 64;
-/// Accepted but undecided entries of a leader: what is lost with it.
+/// Maximum number of accepted but undecided entries of a leader: these are lost if the leader fails.
 const MAX_UNDECIDED_ENTRIES: usize = 256;
-/// Bytes of entries after which a leader ends its segment, so that a whole segment fits the queue of a link.
+/// Size of all entries at which a leader ends its segment, in bytes, so that a whole segment fits the queue of
+/// a link.
 const MAX_SEGMENT_BYTES: usize = 1024 * 1024;
 
 /// A committed item and its index in the log.
@@ -57,13 +58,14 @@
     bytes: Bytes,
 }
 
-/// The encoded size of the accepted entries, counted up to a number of them.
+/// The encoded size, in bytes, of the first `entries` accepted entries.
 #[derive(Default)]
-struct CountedSize {
+struct EncodedSize {
     entries: usize,
     bytes: usize,
 }
 
+/// A voter's participation in the consensus protocol of one segment.
 pub(crate) struct Replica<E: Entry> {
     local: PaxosId,
     paxos: OmniPaxos<Stamped<E>, SharedJournal<E>>,
@@ -74,9 +76,9 @@
     last_reply_rounds: BTreeMap<PaxosId, u32>,
     heartbeat_requests: Vec<HeartbeatRequest>,
     ticks: u64,
-    /// Decided items already returned by [`Replica::poll_committed`].
-    returned: usize,
-    size: CountedSize,
+    /// Number of decided items already returned by [`Replica::poll_committed`].
+    returned_count: usize,
+    accepted_size: EncodedSize,
 }
 
 impl<E: Entry> Replica<E> {
@@ -107,8 +109,8 @@
             last_reply_rounds: BTreeMap::new(),
             heartbeat_requests: Vec::new(),
             ticks: 0,
-            returned: 0,
-            size: CountedSize::default(),
+            returned_count: 0,
+            accepted_size: EncodedSize::default(),
         })
     }
 
@@ -129,19 +131,20 @@
         }
     }
 
-    /// Campaigns at once. The leader of the last segment does so to save an election.
+    /// Campaigns immediately. Called if this balancer was elected in the previous segment, which saves an
+    /// election.
     pub(crate) fn campaign(&mut self) {
         self.paxos.try_become_leader();
     }
 
-    /// The leader as this replica knows it.
+    /// The leader that this replica knows of.
     pub(crate) fn leader(&self) -> Option<CurrentLeader> {
         let ballot = self.journal.lock().hard_state().promised.n;
         let (leader, _) = self.paxos.get_current_leader()?;
         Some(CurrentLeader { node_id: to_node_id(leader), ballot })
     }
 
-    /// Whether this replica is elected, perhaps without having prepared yet.
+    /// Whether this replica is elected. Its prepare phase may not be complete.
     pub(crate) fn is_elected(&self) -> bool {
         self.leader().is_some_and(|leader| to_paxos_id(leader.node_id) == self.local)
     }
@@ -151,7 +154,8 @@
         self.paxos.get_current_leader() == Some((self.local, true))
     }
 
-    /// Whether this replica is a leader that can append an entry. It cannot once the segment is about to end.
+    /// Whether this replica is the leader and can append an entry: the segment has no stop sign, and fewer than
+    /// [`MAX_UNDECIDED_ENTRIES`] entries are undecided.
     pub(crate) fn can_append(&self) -> bool {
         let journal = self.journal.lock();
         let undecided = journal.accepted().len().saturating_sub(journal.hard_state().decided_index as usize);
@@ -162,10 +166,11 @@
     pub(crate) fn is_segment_long(&mut self) -> bool {
         let journal = self.journal.lock();
         let accepted = journal.accepted();
-        let counted = self.size.entries.min(accepted.len());
+        let counted = self.accepted_size.entries.min(accepted.len());
         let uncounted: usize = accepted[counted..].iter().map(|entry| encode(entry).len()).sum();
-        self.size = CountedSize { entries: accepted.len(), bytes: self.size.bytes + uncounted };
-        accepted.len() >= MAX_SEGMENT_ENTRIES || self.size.bytes >= MAX_SEGMENT_BYTES
+        self.accepted_size =
+            EncodedSize { entries: accepted.len(), bytes: self.accepted_size.bytes + uncounted };
+        accepted.len() >= MAX_SEGMENT_ENTRIES || self.accepted_size.bytes >= MAX_SEGMENT_BYTES
     }
 
     /// Whether a proposal is among the accepted entries of this segment.
@@ -173,17 +178,19 @@
         self.journal.lock().accepted().iter().rev().any(|stamped| stamped.proposal_key() == key)
     }
 
+    /// The timestamp of the last accepted entry; 0 if there is none.
     pub(crate) fn last_timestamp(&self) -> u64 {
         self.journal.lock().accepted().last().map_or(0, |stamped| stamped.timestamp)
     }
 
-    /// Appends an entry; it is dropped if this replica is not the leader any more, and proposed again by its
-    /// proposer.
+    /// Appends an entry. It is dropped if this replica is no longer the leader; its proposer then proposes it
+    /// again.
     pub(crate) fn append(&mut self, stamped: Stamped<E>) {
         let _ = self.paxos.append(stamped);
     }
 
-    /// Ends the segment; as [`Replica::append`].
+    /// Ends the segment with a stop sign. It is dropped if this replica is no longer the leader, like an entry in
+    /// [`Replica::append`].
     pub(crate) fn append_stop_sign(&mut self, stamped: &Stamped<Vec<Voter>>) {
         let next = cluster_config(self.segment.id + 1, &stamped.entry);
         let _ = self.paxos.reconfigure(next, Some(encode(stamped).to_vec()));
@@ -197,20 +204,21 @@
         let first = self.segment.base + 1;
         let revision = |index: usize| first + index as u64;
         let mut items = Vec::new();
-        for index in self.returned..end {
+        for index in self.returned_count..end {
             let item = LogItem::Entry(journal.accepted()[index].clone());
             items.push(CommittedItem { revision: revision(index), item });
         }
         if decided > end
-            && self.returned <= end
+            && self.returned_count <= end
             && let Some(stop_sign) = journal.hard_state().stop_sign.as_ref().and_then(decode_stop_sign)
         {
             items.push(CommittedItem { revision: revision(end), item: LogItem::StopSign(stop_sign) });
         }
-        self.returned = self.returned.max(decided);
+        self.returned_count = self.returned_count.max(decided);
         items
     }
 
+    /// Handles a packet of a voter's link and passes the valid messages in it to `omnipaxos`.
     pub(crate) fn handle_packet(&mut self, from: NodeId, packet: Packet) {
         let Some(link) = self.links.get_mut(&from) else { return };
         for event in link.handle_packet(packet) {
@@ -230,6 +238,7 @@
         }
     }
 
+    /// Handles a heartbeat. Drops repeated replies and replies with invalid ballots.
     fn handle_heartbeat(&mut self, from: NodeId, message: BLEMessage) {
         if message.from != to_paxos_id(from) || message.to != self.local {
             return;
@@ -247,7 +256,7 @@
 
     fn handle_paxos_message(&mut self, from: NodeId, mut message: PaxosMessage<Stamped<E>>) {
         let is_addressed = message.from == to_paxos_id(from) && message.to == self.local;
-        if is_addressed && self.filter().accept(&mut message.msg) {
+        if is_addressed && self.filter().normalize_and_check(&mut message.msg) {
             self.paxos.handle_incoming(Message::SequencePaxos(message));
         }
     }
--- a/crates/agreement/src/segment.rs
+++ b/crates/agreement/src/segment.rs
@@ -6,19 +6,21 @@
 };
 use serde::{Deserialize, Serialize};
 
-/// Entries after which the leader starts a new segment with the same voters. Bounds what a lagging voter is
-/// sent.
+/// Number of entries after which the leader starts a new segment with the same voters. Limits the amount of
+/// data sent to a lagging voter.
 pub(crate) const MAX_SEGMENT_ENTRIES: usize = 1_024;
 
 /// A member of the quorum group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Voter {
-    /// The balancer.
+    /// The balancer that votes.
     pub node_id: NodeId,
-    /// Identifies the store that it votes with: drawn when the store was created, 0 for a founding voter.
+    /// Identifies the store that the balancer votes with: drawn at random when the store was created, 0 for a
+    /// founding voter.
     pub generation: u64,
 }
 
+/// A segment of the log and its voters.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Segment {
     pub(crate) id: u32,
@@ -28,11 +30,13 @@
 }
 
 impl Segment {
+    /// The voter with this identifier, if the segment has one.
     pub(crate) fn voter(&self, node_id: NodeId) -> Option<&Voter> {
         self.voters.iter().find(|voter| voter.node_id == node_id)
     }
 
-    pub(crate) fn quorum(&self) -> usize {
+    /// Number of voters of a quorum.
+    pub(crate) fn quorum_size(&self) -> usize {
         self.voters.len() / 2 + 1
     }
 
--- a/crates/agreement/src/voting_guard.rs
+++ b/crates/agreement/src/voting_guard.rs
@@ -1,4 +1,4 @@
-//! Decides whether a voter may vote. One that may have voted before and has lost its state must not.
+//! Decides whether a voter may vote. A voter that may have voted before and has lost its state must not.
 use crate::{
     action::VotingBlock,
     hard_state::HardState,
@@ -10,25 +10,29 @@
 
 /// Interval of requests to the other voters, in microseconds.
 const REQUEST_INTERVAL_US: Micros = 500_000;
-/// How long to wait for all other voters before a quorum of responses suffices, in microseconds.
+/// Time to wait for the responses of all other voters before those of a quorum suffice, in microseconds.
 const WAIT_FOR_ALL_US: Micros = 2_000_000;
 
+/// Whether this balancer may vote.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum VotingState {
     /// Not a voter of the segment.
     NotVoter,
     /// Waits for the responses of the other voters.
     Verifying,
+    /// May vote.
     Allowed,
+    /// Must not vote, for the given reason.
     Blocked(VotingBlock),
 }
 
-/// A response of another voter: its own history, and what it observed of this voter.
+/// A response of another voter: its own history, and its observations of this voter.
 struct HistoryResponse {
     sender: VoterHistory,
     observed: ObservedHistory,
 }
 
+/// Collects the responses of the other voters until this voter may vote.
 pub(crate) struct VotingGuard {
     pub(crate) state: VotingState,
     responses: BTreeMap<NodeId, HistoryResponse>,
@@ -36,10 +40,11 @@
     next_request: Micros,
 }
 
-/// The verdict on a founding voter that starts without state.
-enum FoundingVerdict {
+/// The result of verifying a founding voter that starts without state.
+enum FoundingStatus {
     Allowed,
     LostState,
+    /// More responses are needed.
     Undecided,
 }
 
@@ -53,8 +58,8 @@
         }
     }
 
-    /// Starts a segment in which this balancer is `local`. A voter that is allowed to vote stays so while it
-    /// keeps its store.
+    /// Starts a segment. `local` is this balancer as a voter of the segment, or `None` if it is not one. A voter
+    /// that is allowed to vote remains so while it keeps its store.
     pub(crate) fn enter_segment(&mut self, now: Micros, local: Option<&Voter>, hard_state: &HardState) {
         let Some(voter) = local else {
             self.state = VotingState::NotVoter;
@@ -90,11 +95,13 @@
         is_due
     }
 
+    /// Blocks voting.
     pub(crate) fn block(&mut self, reason: VotingBlock) {
         self.state = VotingState::Blocked(reason);
     }
 
-    /// Records a response; `writes` is what this voter's own store counts.
+    /// Records a response. `writes` is the number of writes of this voter's own store. Blocks voting if the sender
+    /// has observed more.
     pub(crate) fn handle_response(
         &mut self, from: NodeId, sender: VoterHistory, observed: ObservedHistory, writes: u64,
     ) {
@@ -119,25 +126,27 @@
             .filter(|(node_id, _)| segment.voter(**node_id).is_some())
             .map(|(_, response)| response)
             .collect();
-        let known = responses.len() + 1; // this voter knows its own history
-        let all_known = known >= segment.voters.len();
+        let known_count = responses.len() + 1; // this voter knows its own history
+        let all_known = known_count >= segment.voters.len();
         if voter.generation == 0 && !hard_state.founded {
-            match founding_verdict(&responses, hard_state.generation, all_known) {
-                FoundingVerdict::Allowed => {}
-                FoundingVerdict::Undecided => return false,
-                FoundingVerdict::LostState => {
+            match founding_status(&responses, hard_state.generation, all_known) {
+                FoundingStatus::Allowed => {}
+                FoundingStatus::Undecided => return false,
+                FoundingStatus::LostState => {
                     self.block(VotingBlock::LostState);
                     return false;
                 }
             }
-        } else if !all_known && (known < segment.quorum() || now < self.verifying_since + WAIT_FOR_ALL_US) {
+        } else if !all_known
+            && (known_count < segment.quorum_size() || now < self.verifying_since + WAIT_FOR_ALL_US)
+        {
             return false;
         }
         self.state = VotingState::Allowed;
         true
     }
 
-    /// The stores of the other voters that had no state either.
+    /// The other voters that responded that they have no state, and the generations of their stores.
     pub(crate) fn founders(&self) -> Vec<Voter> {
         let without_state = self.responses.iter().filter(|(_, response)| !response.sender.has_state);
         without_state
@@ -146,19 +155,21 @@
     }
 }
 
-fn founding_verdict(responses: &[&HistoryResponse], generation: u64, all_known: bool) -> FoundingVerdict {
-    let own = Some(generation);
+/// Verifies a founding voter whose store, with this generation, holds no state.
+fn founding_status(responses: &[&HistoryResponse], generation: u64, all_known: bool) -> FoundingStatus {
+    let own_generation = Some(generation);
     let founding = |response: &&HistoryResponse| response.observed.founding_generation;
-    // A voter that had no state itself has seen this very store without any.
-    let is_vouched_for = responses.iter().any(|response| founding(response) == own);
-    let had_other_store =
-        responses.iter().any(|response| founding(response).is_some_and(|other| Some(other) != own));
-    let others_have_state = !is_vouched_for && responses.iter().any(|response| response.sender.has_state);
+    // A voter that had no state itself has observed this store without state.
+    let is_known_founder = responses.iter().any(|response| founding(response) == own_generation);
+    let had_other_store = responses
+        .iter()
+        .any(|response| founding(response).is_some_and(|other| Some(other) != own_generation));
+    let others_have_state = !is_known_founder && responses.iter().any(|response| response.sender.has_state);
     if had_other_store || (all_known && others_have_state) {
-        FoundingVerdict::LostState
+        FoundingStatus::LostState
     } else if others_have_state || !all_known {
-        FoundingVerdict::Undecided
+        FoundingStatus::Undecided
     } else {
-        FoundingVerdict::Allowed
+        FoundingStatus::Allowed
     }
 }
