--- a/crates/decide/src/policy/attempts.rs
+++ b/crates/decide/src/policy/attempts.rs
@@ -1,20 +1,21 @@
-//! Which attempts a request may make, when one is hedged, and what follows one that did not serve.
+//! Rules for attempts: when a request may be sent or hedged, and the next step after a failed attempt.
 
 use super::context::Context;
-use super::retry_budget::failed_by_load;
+use super::retry_budget::indicates_overload;
 use crate::api::{Effect, EndpointEntry, Micros, Mode, Outcome, Presence, Reason};
 use crate::in_flight::{Attempt, InFlightRequest, RequestState, Target};
 
-/// A read without an answer for this fraction of the time to its objective is hedged or cut short.
+/// Fraction of the time to a read's objective after which an attempt without an answer is hedged or cut
+/// short.
 pub(super) const HEDGE_DELAY_FRACTION: f64 = 0.5;
 
-/// A repeat with an idempotency key is sent this many ticks before the end of the span at the latest.
+/// A retry with an idempotency key must be sent at least this many ticks before the end of the key's span.
 const DEDUP_MARGIN_TICKS: Micros = 2;
 
-/// Attempts that must be left for a request to wait for a value, or to hedge: this one and its fallback.
-pub(super) const WITH_FALLBACK: usize = 2;
+/// Attempts that a request must have left to wait for a value or to be hedged: this one and a fallback.
+pub(super) const ATTEMPTS_WITH_FALLBACK: usize = 2;
 
-/// Whether the request may be sent to this endpoint, given its earlier attempts.
+/// Returns whether the request may be sent to this endpoint, given its earlier attempts.
 pub(super) fn may_send(request: &InFlightRequest, entry: &EndpointEntry, context: &Context) -> bool {
     let settings = &context.settings;
     let max_outstanding = 1 + usize::from(settings.hedged_requests);
@@ -31,27 +32,27 @@
         Effect::Idempotent => true,
         Effect::NonIdempotent => may_have_run.next().is_none(),
         Effect::IdempotentWithKey { scope, span_us } => {
-            let latest = context.now + DEDUP_MARGIN_TICKS * settings.tick_us;
+            let arrives_by = context.now + DEDUP_MARGIN_TICKS * settings.tick_us;
             let is_dropped = |attempt: &Attempt| {
-                latest < attempt.sent_at + span_us && attempt.shares_dedup_scope(scope, entry)
+                arrives_by < attempt.sent_at + span_us && attempt.shares_dedup_scope(scope, entry)
             };
             may_have_run.all(is_dropped)
         }
     }
 }
 
-/// After which delay a new attempt is hedged or cut short; `None` when it is left alone.
+/// Returns the delay after which a new attempt is hedged or cut short; `None` if neither may happen.
 pub(super) fn hedge_delay(request: &InFlightRequest, target: Target, context: &Context) -> Option<Micros> {
     let to_objective_us = request.objective_at.saturating_sub(context.now);
     let delay_us = (to_objective_us as f64 * HEDGE_DELAY_FRACTION) as Micros;
     let may_hedge = target == Target::Cache
-        && request.attempts_left(&context.settings) >= WITH_FALLBACK
+        && request.attempts_left(&context.settings) >= ATTEMPTS_WITH_FALLBACK
         && delay_us > 0
         && request.effect == Effect::Idempotent;
     may_hedge.then_some(delay_us)
 }
 
-/// How an attempt ended.
+/// The result of an attempt that ended.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct AttemptResult {
     /// Number of the attempt.
@@ -62,16 +63,16 @@
     pub(super) latency_us: Micros,
     /// Whether the request is finished.
     pub(super) finished: bool,
-    /// On a miss: whether another request fetches the key already.
+    /// On a miss: whether another request is already fetching the key.
     pub(super) fetch_pending: bool,
-    /// Whether it was lost with a stale connection.
+    /// Whether the attempt was lost with a stale connection.
     pub(super) stale: bool,
 }
 
-/// What follows an attempt that did not serve.
+/// The next step of a request after an attempt that did not serve it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum NextStep {
-    /// Nothing: the request's own fetch is under way and decides.
+    /// Do nothing: the request's own fetch is in progress and decides.
     AwaitOwnFetch,
     /// Wait once for the fetch of another balancer, then read again.
     AwaitRemoteFetch,
@@ -83,12 +84,13 @@
     RetryFetch,
     /// Send the write again after a pause, if the retry budget allows it.
     RetryWrite,
-    /// Give the request up.
+    /// Give up the request for this reason.
     GiveUp(Reason),
 }
 
-/// Decides what follows an attempt to `target` that ended with `result` and did not serve. `pause_us` is the
-/// origin's usual latency: the time to wait for a fetch elsewhere, or before a write is sent again.
+/// Decides the next step after an attempt to `target` ended with `result` and did not serve the request.
+/// `pause_us` is the origin's smoothed latency: the time to wait for the fetch of another balancer, or before
+/// a write is retried.
 pub(super) fn next_step(
     request: &InFlightRequest, target: Target, result: &AttemptResult, pause_us: Micros,
     origin: Option<&EndpointEntry>, context: &Context,
@@ -100,7 +102,7 @@
         }
         if outcome == Outcome::Miss && context.settings.mode == Mode::CacheAside {
             let may_wait = result.fetch_pending
-                && request.attempts_left(&context.settings) >= WITH_FALLBACK
+                && request.attempts_left(&context.settings) >= ATTEMPTS_WITH_FALLBACK
                 && !request.awaited_remote_fetch
                 && context.now + 2 * pause_us < request.objective_at;
             return if may_wait { NextStep::AwaitRemoteFetch } else { NextStep::Fetch };
@@ -113,7 +115,7 @@
         return NextStep::RetryRead;
     }
     let is_write = request.request.write;
-    if !is_write && !failed_by_load(outcome) {
+    if !is_write && !indicates_overload(outcome) {
         return NextStep::RetryFetch;
     }
     let in_time = context.now + pause_us < request.objective_at;
--- a/crates/decide/src/policy/context.rs
+++ b/crates/decide/src/policy/context.rs
@@ -1,14 +1,14 @@
-//! What every decision may read: the time, the settings and a source of randomness.
+//! The inputs that all decisions share.
 
 use crate::api::{Micros, Settings};
 
-/// The inputs that all decisions share.
+/// The time, the settings and the random number generator.
 #[derive(Debug)]
 pub(super) struct Context {
-    /// The time of the event that is being handled.
+    /// The time of the current event.
     pub(super) now: Micros,
     /// The settings of this instance.
     pub(super) settings: Settings,
-    /// The seeded generator: the same events and seed always give the same actions.
+    /// The random number generator, seeded so that the same events and seed always give the same actions.
     pub(super) rng: fastrand::Rng,
 }
--- a/crates/decide/src/policy/dispatcher.rs
+++ b/crates/decide/src/policy/dispatcher.rs
@@ -1,6 +1,6 @@
-//! Carries out what was decided for the requests in flight: attempts, fetches, waits and final answers.
+//! The dispatcher: carries out attempts, fetches, waits and final answers for the requests in flight.
 
-use super::attempts::{self, AttemptResult, NextStep, WITH_FALLBACK};
+use super::attempts::{self, ATTEMPTS_WITH_FALLBACK, AttemptResult, NextStep};
 use super::context::Context;
 use super::endpoints::Endpoints;
 use super::keys::{self, KeyPlacement};
@@ -13,27 +13,27 @@
 use rustc_hash::FxHashMap;
 use std::mem;
 
-/// What becomes of the outstanding attempts of a request that is finished.
+/// The treatment of the outstanding attempts of a finished request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum OutstandingAttempts {
-    /// They are cancelled where that is permitted.
+    /// Cancel them if that is permitted.
     Cancel,
-    /// They go on.
+    /// Let them go on.
     Keep,
 }
 
-/// The requests in flight, and all that an attempt of theirs draws on.
+/// The requests in flight, and the state that their attempts depend on.
 #[derive(Debug)]
 pub(super) struct Dispatcher {
-    /// The time, the settings and the source of randomness.
+    /// The time, the settings and the random number generator.
     pub(super) context: Context,
-    /// The actions of the event that is being handled.
+    /// The actions that the current event has led to.
     pub(super) actions: Vec<Action>,
     /// The requests in flight.
     pub(super) requests: FxHashMap<RequestId, InFlightRequest>,
     /// The endpoints and their load.
     pub(super) endpoints: Endpoints,
-    /// Which endpoints keys are assigned to.
+    /// The assignment of keys to endpoints.
     pub(super) keys: KeyPlacement,
     /// The limiter of fetches.
     pub(super) origin: OriginLimiter,
@@ -45,11 +45,11 @@
 /// An attempt that has just ended.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct EndedAttempt {
-    /// Its endpoint.
+    /// The endpoint of the attempt.
     pub(super) slot: Slot,
-    /// Whether that is a cache or the origin.
+    /// Whether the endpoint is a cache or the origin.
     pub(super) target: Target,
-    /// Whether its request needs no further attempt.
+    /// Whether the request needs no further attempt.
     pub(super) request_is_finished: bool,
 }
 
@@ -94,8 +94,8 @@
         }
     }
 
-    /// Records the end of an outstanding attempt. The cancellation of one that was cut short becomes a
-    /// timeout.
+    /// Records the end of an attempt; returns `None` if there is no such attempt outstanding. The
+    /// cancellation of an attempt that was cut short becomes a timeout.
     pub(super) fn record_end(&mut self, id: RequestId, result: &mut AttemptResult) -> Option<EndedAttempt> {
         let request = self.requests.get_mut(&id)?;
         let request_is_finished = result.finished || request.state == RequestState::Finished;
@@ -122,7 +122,7 @@
         Some(EndedAttempt { slot, target, request_is_finished })
     }
 
-    /// Learns the origin's rate from the outcome of a fetch or write.
+    /// Adjusts the fetch rate after the outcome of a fetch or write.
     pub(super) fn learn_from_origin(&mut self, id: RequestId, slot: Slot, result: &AttemptResult) {
         if result.stale || matches!(result.outcome, Outcome::NotSent | Outcome::Cancelled) {
             return;
@@ -134,10 +134,10 @@
         }
     }
 
-    /// Carries out what follows an attempt that did not serve.
+    /// Takes the next step after an attempt that did not serve its request.
     pub(super) fn continue_after(&mut self, id: RequestId, target: Target, result: &AttemptResult) {
         if target == Target::Origin {
-            self.complete_fetch(id); // a fetch that failed must not hold up those who wait for it
+            self.complete_fetch(id); // a failed fetch must not hold up the requests that wait for it
         }
         let Some(request) = self.requests.get_mut(&id) else { return };
         let pause_us = self.origin.latency_us();
@@ -166,7 +166,7 @@
         }
     }
 
-    /// Starts an attempt if the request may be sent to the endpoint; returns whether it was.
+    /// Starts an attempt if the request may be sent to the endpoint; returns whether it was sent.
     fn send(&mut self, id: RequestId, slot: Slot, target: Target) -> bool {
         let now = self.context.now;
         let entry = self.endpoints.table[slot].entry;
@@ -191,7 +191,8 @@
         true
     }
 
-    /// Sends a read to the endpoint chosen for it; without one it is fetched, or given up.
+    /// Sends a read to the endpoint chosen for it. If none can take it, a first attempt becomes a fetch, and
+    /// any other gives up.
     pub(super) fn send_read(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(&id) else { return };
         let (key, is_first) = (request.key, request.attempts.is_empty());
@@ -201,7 +202,8 @@
         if slot.is_some_and(|slot| self.send(id, slot, Target::Cache)) {
             return;
         }
-        // A first read that no cache endpoint may take can still be fetched, within the origin's permits.
+        // If no cache endpoint can take a new read, its value can still be fetched if the origin has a
+        // permit.
         if is_first && self.endpoints.table.origin().is_some() {
             self.fetch(id);
         } else {
@@ -209,7 +211,7 @@
         }
     }
 
-    /// Sends a fetch or a write to the origin; without one it is given up.
+    /// Sends a fetch or a write to the origin, or gives up if no origin can take it.
     pub(super) fn send_to_origin(&mut self, id: RequestId) {
         let origin = self.endpoints.table.origin();
         if !origin.is_some_and(|slot| self.send(id, slot, Target::Origin)) {
@@ -217,8 +219,8 @@
         }
     }
 
-    /// Fetches a value after a miss: joins the fetch of its key, or waits for a permit, or is rejected at
-    /// once.
+    /// Fetches a value: joins the fetch of its key, sends a fetch as soon as its permit allows, or gives up
+    /// at once.
     fn fetch(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(&id) else { return };
         if self.fetches.join(request.key, id) {
@@ -231,7 +233,7 @@
         let Some(at) = self.origin.try_reserve(request, &self.context) else {
             return self.give_up(id, Reason::NoPermit);
         };
-        self.fetches.lead(request.key, id);
+        self.fetches.start(request.key, id);
         if at <= self.context.now {
             self.send_to_origin(id);
         } else {
@@ -239,7 +241,8 @@
         }
     }
 
-    /// Ends the fetch that `id` leads. Those who waited read the cache, or one of them leads the next fetch.
+    /// Ends the fetch that `id` leads. The requests that waited for it read the stored value, or one of them
+    /// leads the next fetch.
     fn complete_fetch(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(&id) else { return };
         let stored_at = request.missed_at().filter(|_| request.origin_answered());
@@ -248,13 +251,14 @@
         }
     }
 
-    /// Reads where a fetch has stored the value, if an attempt is left for an own fetch; otherwise fetches.
+    /// Reads from the endpoint where a fetch stored the value, if an attempt is left for the request's own
+    /// fetch. Otherwise fetches.
     fn read_again(&mut self, id: RequestId, stored_at: Option<Slot>) {
         let Some(request) = self.requests.get(&id) else { return };
         if !matches!(request.state, RequestState::WaitingForFetch { .. }) {
             return;
         }
-        let has_fallback = request.attempts_left(&self.context.settings) >= WITH_FALLBACK;
+        let has_fallback = request.attempts_left(&self.context.settings) >= ATTEMPTS_WITH_FALLBACK;
         // The endpoint where this request missed takes the read without a further slow-start permit.
         let missed_there = stored_at == request.missed_at();
         let readable = stored_at.filter(|&slot| {
@@ -265,7 +269,7 @@
         }
     }
 
-    /// Makes a request wait in `state` until its timer is due, unless what it waits for happens first.
+    /// Puts a request into `state` and sets the timer that ends the wait at the latest.
     fn wait(&mut self, id: RequestId, state: RequestState) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         request.state = state;
@@ -273,7 +277,7 @@
         self.actions.push(Action::Timer { delay_us, token: Token(id.0) });
     }
 
-    /// Cancels a read's attempt if it looks lost, or checks again later: most endpoints are only slow.
+    /// Cancels a read's attempt if it looks lost. Otherwise checks again later: most endpoints are only slow.
     fn cut_short_if_lost(&mut self, id: RequestId) {
         let now = self.context.now;
         let Some(request) = self.requests.get_mut(&id) else { return };
@@ -281,8 +285,8 @@
         let number = request.attempts.len() - 1;
         let attempt = &mut request.attempts[number];
         let endpoint = &self.endpoints.table[attempt.slot];
-        // An attempt that later ones overtook is lost; one to an endpoint that is silent since may be. What
-        // is withdrawn here is reserved for the retry, which must not meet an empty budget.
+        // An attempt is lost if the endpoint has answered two later ones, and may be lost if the endpoint has
+        // answered nothing since it was sent. The retry is reserved here, so that its budget cannot run out.
         let reserved = if endpoint.answered_two_since(attempt.sent_at) {
             self.retry_budget.reserve_retry()
         } else {
@@ -299,7 +303,7 @@
         }
     }
 
-    /// Makes no further attempt: gives the final answer, unless an outstanding attempt may still bring one.
+    /// Stops making attempts: gives the final answer, unless an outstanding attempt may still bring one.
     pub(super) fn give_up(&mut self, id: RequestId, cause: Reason) {
         let context = &self.context;
         let Some(request) = self.requests.get_mut(&id) else { return };
@@ -307,7 +311,7 @@
             return;
         }
         if !request.all_attempts_ended() {
-            // A request that waited must not go on waiting for a timer that nothing answers any more.
+            // The request leaves a waiting state, because nothing would handle the end of that wait any more.
             request.state = RequestState::Attempting { check_at: request.state.due() };
             return;
         }
@@ -320,13 +324,12 @@
         self.finish(id, OutstandingAttempts::Cancel);
     }
 
-    /// Ends a request that needs no further answer. Attempts that are outstanding still report their
-    /// outcomes.
+    /// Finishes a request that needs no further answer. Its outstanding attempts still report their outcomes.
     pub(super) fn finish(&mut self, id: RequestId, outstanding: OutstandingAttempts) {
         let Some(request) = self.requests.get_mut(&id) else { return };
-        let before = mem::replace(&mut request.state, RequestState::Finished);
+        let previous_state = mem::replace(&mut request.state, RequestState::Finished);
         let cancels = outstanding == OutstandingAttempts::Cancel && self.context.settings.cancel;
-        if before != RequestState::Finished && cancels {
+        if previous_state != RequestState::Finished && cancels {
             let attempts = (0..).zip(&request.attempts).filter(|(_, attempt)| attempt.is_outstanding());
             self.actions.extend(attempts.map(|(attempt, _)| Action::Cancel { id, attempt }));
         }
--- a/crates/decide/src/policy/endpoints.rs
+++ b/crates/decide/src/policy/endpoints.rs
@@ -1,4 +1,4 @@
-//! The load of endpoints: which are within their bounds, and what one in slow start may be sent.
+//! The load of endpoints: in-flight bounds, and permits for endpoints in slow start.
 
 use super::context::Context;
 use super::slow_start::EarningReads;
@@ -10,14 +10,14 @@
 use crate::in_flight::Target;
 use std::mem;
 
-const IN_FLIGHT_FACTOR: f64 = 1.25; // in-flight bound: this multiple of the endpoint's share of the mean ...
-pub(super) const MIN_IN_FLIGHT_BOUND: f64 = 2.0; // ... and at least this, so that chance alone moves no key
-const SLOW_START_RATE: f64 = 1.5; // sends in slow start, as a multiple of its ramped share of our reads
-const MAX_OVERLOAD_RATE: f64 = 0.5; // and at most this part of the multiple that overloads it
-const SAVED_OVERLOAD_FACTOR: f64 = 2.5; // permits saved by all balancers, of what overloads it
-const MAX_SAVED_PERMITS: f64 = 3.0; // and by one balancer, in permits
+const IN_FLIGHT_FACTOR: f64 = 1.25; // in-flight bound, as a multiple of the endpoint's share of the mean
+pub(super) const MIN_IN_FLIGHT_BOUND: f64 = 2.0; // lowest in-flight bound: random bursts must not move keys
+const SLOW_START_RATE: f64 = 1.5; // sends in slow start, as a multiple of the ramped share of our reads
+const MAX_OVERLOAD_RATE: f64 = 0.5; // limit of SLOW_START_RATE, as a fraction of the overload multiple
+const SAVED_OVERLOAD_FACTOR: f64 = 2.5; // permits saved by all balancers, as a multiple of an overload
+const MAX_SAVED_PERMITS: f64 = 3.0; // permits saved by one balancer
 
-/// The reads of all keys.
+/// Counts of the reads of all keys.
 #[derive(Debug, Default)]
 pub(super) struct ReadTraffic {
     /// Reads accepted since the start.
@@ -36,18 +36,18 @@
         self.earning.record_read(now, self.recent(now), settings.overload_window_us);
     }
 
-    /// Counts an answer of an endpoint to a read: its value, or a miss.
+    /// Counts an endpoint's answer to a read: a value or a miss.
     pub(super) fn record_answer(&mut self, now: Micros) {
         self.earning.record_answer(now);
     }
 
-    /// The reads within the last [`READS_WINDOW_US`].
+    /// Returns the number of reads accepted within the last [`READS_WINDOW_US`].
     pub(super) fn recent(&self, now: Micros) -> f64 {
         self.recent.value(now, READS_WINDOW_US)
     }
 }
 
-/// The listed endpoints and the reads that are spread over them.
+/// The listed endpoints, and the reads that are spread over them.
 #[derive(Debug, Default)]
 pub(super) struct Endpoints {
     pub(super) table: EndpointTable,
@@ -55,10 +55,10 @@
 }
 
 impl Endpoints {
-    /// Applies a list of endpoints. One that appears or restarts begins with a random part of a permit.
+    /// Applies a list of endpoints. An endpoint that appears or restarts gets a random fraction of a permit.
     pub(super) fn apply_list(&mut self, kind: ListKind, entries: &[EndpointEntry], context: &mut Context) {
         if matches!(kind, ListKind::Full | ListKind::Cached) {
-            self.table.mark_all_gone(); // except for those that the complete list names below
+            self.table.mark_all_gone(); // the entries of the complete list follow below
         }
         for &entry in entries {
             let budget =
@@ -84,15 +84,16 @@
         f64::from(self.reads.in_flight) / f64::from(self.table.ready().max(1))
     }
 
-    /// The attempts in flight at an endpoint. A new or restarted one looks idle before its first answers, so
-    /// it counts at the others' mean.
+    /// Returns the number of attempts in flight at an endpoint. An endpoint without an answer since its start
+    /// only looks idle, so it counts with at least the mean of all endpoints.
     pub(super) fn load(&self, slot: Slot) -> f64 {
         let endpoint = &self.table[slot];
-        let least = if endpoint.has_answered { 0.0 } else { self.mean_in_flight() };
-        f64::from(endpoint.in_flight()).max(least)
+        let min_load = if endpoint.has_answered { 0.0 } else { self.mean_in_flight() };
+        f64::from(endpoint.in_flight()).max(min_load)
     }
 
-    /// Whether an endpoint may take a further read without more than its share of those in flight.
+    /// Returns whether an endpoint may take a further read: it has less than its share of the reads in flight
+    /// and is not full.
     pub(super) fn is_within_bounds(&self, slot: Slot, now: Micros) -> bool {
         let endpoint = &self.table[slot];
         let share =
@@ -104,8 +105,9 @@
     /// Credits an endpoint in slow start with the permits earned since the last call, and returns whether it
     /// may be sent a read.
     ///
-    /// All balancers may spend what they saved at once, so that each saves only its part of what overloads
-    /// the endpoint, or a chance of one permit where that part is less than one.
+    /// All balancers may spend their saved permits at once. Each one therefore saves only its part of the
+    /// permits that overload the endpoint; a part of less than one permit becomes the probability of one
+    /// permit.
     pub(super) fn has_slow_start_permit(&mut self, slot: Slot, context: &mut Context) -> bool {
         let total_weight = self.table.total_weight();
         let endpoint = &mut self.table[slot];
--- a/crates/decide/src/policy/keys.rs
+++ b/crates/decide/src/policy/keys.rs
@@ -1,4 +1,4 @@
-//! Which endpoints a key is assigned to, and which of them serves a read.
+//! The assignment of keys to endpoints, and the choice of the endpoint that serves a read.
 
 use super::context::Context;
 use super::endpoints::{Endpoints, ReadTraffic};
@@ -10,22 +10,22 @@
 use crate::key_table::{KeyAssignment, KeyTable, MAX_RANKS};
 use std::mem;
 
-const READS_PER_REPLICA: f64 = 0.6; // of a mean endpoint's reads, per endpoint that a key is spread over
-const MIN_HOT_READS: f64 = 2.0; // reads that make a key hot: at least ...
-const HOT_READS_OF_ALL: f64 = 36.0; // ... this many of all balancers together ...
-const MAX_HOT_READS: f64 = 6.0; // ... but this many of one are enough
+const READS_PER_REPLICA: f64 = 0.6; // of an average endpoint's reads, per endpoint that a key is spread over
+const TOTAL_HOT_READS: f64 = 36.0; // reads at all balancers together that make a key hot
+const MIN_HOT_READS: f64 = 2.0; // lowest number of reads at one balancer that makes a key hot
+const MAX_HOT_READS: f64 = 6.0; // number of reads at one balancer that always makes a key hot
 const FAULTY_SHARE: f64 = 0.2; // smoothed fault share from which retries avoid an endpoint
-const MIN_CROSS_ZONE_PRICE: f64 = 0.05; // from this price on a key's home is in the balancer's zone
-const REMOTE_PENALTY: f64 = 1_000.0; // how much less endpoints of other zones weigh then
+const MIN_CROSS_ZONE_PRICE: f64 = 0.05; // from this price on, endpoints of the balancer's own zone rank first
+const REMOTE_PENALTY: f64 = 1_000.0; // factor by which endpoints of other zones then rank worse
 
-/// Assigns keys to endpoints by weighted rendezvous hashing: balancers that share nothing agree.
+/// Assigns keys to endpoints by weighted rendezvous hashing, on which balancers agree without communication.
 #[derive(Debug, Default)]
 pub(super) struct KeyPlacement {
     table: KeyTable,
 }
 
 impl KeyPlacement {
-    /// The endpoints of a key, ranked again when the weights have changed.
+    /// Returns the endpoints assigned to a key, and ranks them again if the weights have changed.
     pub(super) fn assignment(
         &mut self, key: Key, endpoints: &EndpointTable, settings: &Settings,
     ) -> KeyAssignment {
@@ -34,7 +34,7 @@
         assignment
     }
 
-    /// The same for a read that has just arrived, which is counted.
+    /// Counts a read of a key that has just arrived, and returns the endpoints assigned to the key.
     pub(super) fn assignment_for_read(
         &mut self, key: Key, endpoints: &EndpointTable, context: &Context,
     ) -> KeyAssignment {
@@ -44,6 +44,7 @@
         assignment
     }
 
+    /// Removes the assignment of a key from the table and returns it, ranked again if it is out of date.
     fn remove_current(&mut self, key: Key, endpoints: &EndpointTable, settings: &Settings) -> KeyAssignment {
         let Some(stored) = self.table.remove(key) else { return rank(key, endpoints, settings, |_, _| true) };
         if stored.generation == endpoints.generation() {
@@ -55,7 +56,7 @@
     }
 }
 
-/// Ranks the ready cache endpoints for a key, best first, those among them that `is_allowed` accepts.
+/// Ranks the ready cache endpoints that `is_allowed` accepts for a key, best first.
 fn rank(
     key: Key, endpoints: &EndpointTable, settings: &Settings, is_allowed: impl Fn(Slot, &Endpoint) -> bool,
 ) -> KeyAssignment {
@@ -69,7 +70,7 @@
         len = (len + 1).min(MAX_RANKS);
         let uniform = uniform_hash(key, endpoint);
         let weight = endpoint.ramped_weight() * endpoint.weight_factor;
-        // -ln(u) is never below 1 - u: in a large fleet most endpoints are passed over without a logarithm.
+        // -ln(u) is never below 1 - u, so in a large fleet most endpoints are skipped without a logarithm.
         if 1.0 - uniform >= best[MAX_RANKS - 1].0 * weight {
             continue;
         }
@@ -86,7 +87,7 @@
     KeyAssignment::new(best.map(|(_, slot)| slot), len, endpoints.generation())
 }
 
-/// Hashes a key and an endpoint to a number from 0 to 1.
+/// Hashes a key and an endpoint to a number that is uniformly distributed from 0 to 1.
 fn uniform_hash(key: Key, endpoint: &Endpoint) -> f64 {
     let hash = splitmix64(key.0 ^ splitmix64(endpoint.entry.id.0));
     (hash >> 11) as f64 / (1_u64 << 53) as f64
@@ -99,27 +100,27 @@
     bits ^ (bits >> 31)
 }
 
-/// Over how many of its endpoints the reads of a key are spread: a hot one exceeds the part of one endpoint.
-fn replicas(assignment: &KeyAssignment, reads: &ReadTraffic, ready: u32, context: &Context) -> usize {
-    let of_key = assignment.reads.value(context.now, READS_WINDOW_US);
-    let extra = of_key / reads.recent(context.now) * f64::from(ready) / READS_PER_REPLICA;
+/// Returns the number of endpoints that the reads of a key are spread over: more than one for a hot key.
+fn replica_count(assignment: &KeyAssignment, reads: &ReadTraffic, ready: u32, context: &Context) -> usize {
+    let key_reads = assignment.reads.value(context.now, READS_WINDOW_US);
+    let extra = key_reads / reads.recent(context.now) * f64::from(ready) / READS_PER_REPLICA;
     let hot_reads =
-        (HOT_READS_OF_ALL / f64::from(context.settings.balancers)).clamp(MIN_HOT_READS, MAX_HOT_READS);
-    let wanted = if of_key >= hot_reads { 1 + extra as usize } else { 1 };
+        (TOTAL_HOT_READS / f64::from(context.settings.balancers)).clamp(MIN_HOT_READS, MAX_HOT_READS);
+    let wanted = if key_reads >= hot_reads { 1 + extra as usize } else { 1 };
     assignment.slots().len().min(wanted)
 }
 
-/// Chooses the endpoint for a read: the first of the key's ranks that is usable and within its bounds.
+/// Chooses the endpoint for a read: the best-ranked usable one within its bounds, or else the least loaded.
 pub(super) fn choose_endpoint(
     key: Key, assignment: &KeyAssignment, tried: &[Attempt], endpoints: &mut Endpoints, context: &mut Context,
 ) -> Option<Slot> {
     let now = context.now;
     let mut candidates = assignment.slots().to_vec();
-    let replicas = replicas(assignment, &endpoints.reads, endpoints.table.ready(), context);
+    let replicas = replica_count(assignment, &endpoints.reads, endpoints.table.ready(), context);
     candidates[..replicas].rotate_left(context.rng.usize(..replicas.max(1)));
     let was_tried = |slot: Slot| tried.iter().any(|attempt| attempt.slot == slot && !attempt.stale);
     candidates.retain(|&slot| endpoints.table.is_usable(slot, now) && !was_tried(slot));
-    // Few attempts are left after the first: those endpoints go first that do not fail intermittently.
+    // A retry has few attempts left, so it tries endpoints that fail intermittently last.
     let is_faulty = |slot: Slot| endpoints.table[slot].health.fault_share > FAULTY_SHARE;
     candidates.sort_by_key(|&slot| !tried.is_empty() && is_faulty(slot));
     for &slot in &candidates {
@@ -127,7 +128,7 @@
             return Some(slot);
         }
     }
-    // All are out of bounds: the one with the fewest in flight, ties going to the better rank.
+    // All are out of bounds: choose the endpoint with the lowest load, on a tie the one that ranks better.
     candidates.retain(|&slot| endpoints.has_slow_start_permit(slot, context));
     let least_loaded =
         candidates.into_iter().min_by(|&a, &b| endpoints.load(a).total_cmp(&endpoints.load(b)));
--- a/crates/decide/src/policy/limiter.rs
+++ b/crates/decide/src/policy/limiter.rs
@@ -1,11 +1,11 @@
-//! A rate limiter that warms up, by the formulas of Guava's `SmoothWarmingUp`; see `docs/design.md`.
+//! A rate limiter with a warm-up, by the formulas of Guava's `SmoothWarmingUp`; see `docs/design.md`.
 
 use crate::api::Micros;
 
-const WARM_UP_US: f64 = 500_000.0; // about a burst of misses, so that pauses are soon made up for
-const COLD_FACTOR: f64 = 3.0; // cold interval over stable interval, as in Guava
+const WARM_UP_US: f64 = 500_000.0; // about a burst of misses, so that the rate soon recovers after a pause
+const COLD_FACTOR: f64 = 3.0; // cold interval divided by stable interval, as in Guava
 
-/// Issues permits at a rate that rises from cold to stable while it is used.
+/// Issues permits at a rate that rises from the cold to the stable rate while the limiter is in use.
 ///
 /// Unused permits are stored. Stored permits above a threshold cost up to three times the stable interval.
 #[derive(Debug, Clone, Default)]
@@ -19,14 +19,14 @@
 }
 
 impl WarmUpLimiter {
-    /// Creates a limiter that starts cold: with all permits stored.
+    /// Creates a limiter that starts cold: with the maximum number of stored permits.
     pub fn new(permits_per_s: f64, now: Micros) -> Self {
         let mut limiter = Self { next_free_us: now as f64, ..Self::default() };
         limiter.set_rate(permits_per_s, now);
         limiter
     }
 
-    /// Changes the rate. The fill level of the store is kept, so a warm limiter stays warm.
+    /// Changes the rate. The stored permits keep their fraction of the maximum, so a warm limiter stays warm.
     pub fn set_rate(&mut self, permits_per_s: f64, now: Micros) {
         self.store_idle_time(now);
         let fill = if self.max_permits > 0.0 { self.stored_permits / self.max_permits } else { 1.0 };
@@ -40,7 +40,7 @@
         self.stored_permits = fill * self.max_permits;
     }
 
-    /// Stores the permits of the time since the last one was free.
+    /// Stores permits for the time that has passed since the next permit was free.
     fn store_idle_time(&mut self, now: Micros) {
         let idle_us = now as f64 - self.next_free_us;
         if idle_us > 0.0 {
@@ -50,15 +50,15 @@
         }
     }
 
-    /// When the next permit is free; `now` or earlier when it is free at once.
-    pub fn earliest(&self) -> Micros {
+    /// Returns when the next permit is free. A time that has passed means that it is free at once.
+    pub fn next_free_at(&self) -> Micros {
         self.next_free_us.ceil() as Micros
     }
 
-    /// Takes one permit and returns when it may be used. The next caller waits for its cost.
+    /// Takes one permit and returns when it may be used. Its cost delays the next caller, not this one.
     pub fn reserve(&mut self, now: Micros) -> Micros {
         self.store_idle_time(now);
-        let usable_at = self.earliest();
+        let usable_at = self.next_free_at();
         let from_store = self.stored_permits.min(1.0);
         let above_threshold = (self.stored_permits - self.threshold_permits).max(0.0);
         let on_slope = above_threshold.min(from_store);
@@ -70,8 +70,9 @@
         usable_at
     }
 
-    /// Takes a permit that is usable within `max_wait_us`, or none at all.
+    /// Takes one permit and returns when it may be used, or takes none if that is later than `max_wait_us`
+    /// from now.
     pub fn try_reserve(&mut self, now: Micros, max_wait_us: Micros) -> Option<Micros> {
-        (self.earliest() <= now + max_wait_us).then(|| self.reserve(now))
+        (self.next_free_at() <= now + max_wait_us).then(|| self.reserve(now))
     }
 }
--- a/crates/decide/src/policy/mod.rs
+++ b/crates/decide/src/policy/mod.rs
@@ -1,7 +1,8 @@
-//! All decisions, each in its file below its constants; `docs/design.md` gives the measurements behind those.
+//! The decisions of the balancer, one file each, with the constants at the top of the file. `docs/design.md`
+//! gives the measurements behind the constants.
 //!
-//! [`Router`] receives events and puts the decisions together. A read goes to an endpoint that its key is
-//! assigned to; after a miss its fetch from the origin passes the warm-up limiter.
+//! [`Router`] receives events and combines the decisions. It sends a read to one of the endpoints that the
+//! key is assigned to. After a miss, the fetch from the origin needs a permit from the warm-up limiter.
 
 mod attempts;
 mod context;
--- a/crates/decide/src/policy/retry_budget.rs
+++ b/crates/decide/src/policy/retry_budget.rs
@@ -1,19 +1,20 @@
-//! The budgets for retries and hedged requests: both grow with the requests accepted.
+//! The budgets for retries and hedged requests. Each accepted request adds to both.
 
 use crate::api::Outcome;
 
 const RETRY_FRACTION: f64 = 0.25; // retries of failed attempts per accepted request
 const HEDGE_FRACTION: f64 = 0.01; // hedged requests, or attempts cut short, per accepted request
-const MAX_SAVED: f64 = 10.0; // how many of each may be saved up
-const MAX_RETURNED: f64 = MAX_SAVED + 1.0; // the same while a reserved retry is returned
+const MAX_BALANCE: f64 = 10.0; // highest balance of each budget
+const MAX_BALANCE_AFTER_RELEASE: f64 = MAX_BALANCE + 1.0; // highest balance after a reservation is released
 
-/// What a retry costs whose attempt failed by load: it adds to the load.
+/// Cost of a hedged request, of an attempt cut short, and of a retry after a failure caused by load, to which
+/// the retry adds.
 const FULL_COST: f64 = 1.0;
 
-/// What a retry costs whose attempt was broken, unreachable or answered badly, without load as the cause.
+/// Cost of a retry after a failure that load did not cause: a broken or failed connection, or a bad answer.
 const FAULT_COST: f64 = 0.2;
 
-/// Bounds how many attempts are made beyond the first of each request.
+/// Limits the number of attempts beyond the first one of each request.
 #[derive(Debug)]
 pub(super) struct RetryBudget {
     retries: f64,
@@ -21,42 +22,45 @@
 }
 
 impl RetryBudget {
-    /// Creates a budget with all that may be saved up.
+    /// Creates budgets with the highest balance.
     pub(super) fn new() -> Self {
-        Self { retries: MAX_SAVED, hedges: MAX_SAVED }
+        Self { retries: MAX_BALANCE, hedges: MAX_BALANCE }
     }
 
-    /// Adds the share of an accepted request.
+    /// Credits both budgets for an accepted request.
     pub(super) fn deposit(&mut self) {
-        self.retries = (self.retries + RETRY_FRACTION).min(MAX_SAVED);
-        self.hedges = (self.hedges + HEDGE_FRACTION).min(MAX_SAVED);
+        self.retries = (self.retries + RETRY_FRACTION).min(MAX_BALANCE);
+        self.hedges = (self.hedges + HEDGE_FRACTION).min(MAX_BALANCE);
     }
 
-    /// Takes a retry after an attempt that ended with `outcome`; returns whether there was one.
+    /// Withdraws a retry after an attempt that ended with `outcome`. Returns false if the balance is too low.
     pub(super) fn withdraw_retry(&mut self, outcome: Outcome) -> bool {
-        let cost = if failed_by_load(outcome) { FULL_COST } else { FAULT_COST };
+        let cost = if indicates_overload(outcome) { FULL_COST } else { FAULT_COST };
         withdraw(&mut self.retries, cost)
     }
 
-    /// Takes a retry for an attempt that is about to be cut short; returns whether there was one.
+    /// Withdraws a retry for an attempt that is about to be cut short. Returns false if the balance is too
+    /// low.
     pub(super) fn reserve_retry(&mut self) -> bool {
         withdraw(&mut self.retries, FULL_COST)
     }
 
-    /// Takes a hedged request, or one for an attempt that is cut short; returns whether there was one.
+    /// Withdraws a hedged request, or the retry of an attempt that is about to be cut short, from the hedge
+    /// budget. Returns false if the balance is too low.
     pub(super) fn withdraw_hedge(&mut self) -> bool {
         withdraw(&mut self.hedges, FULL_COST)
     }
 
-    /// Returns what was reserved for an attempt that was cut short: after a timeout it pays for the retry.
+    /// Releases the reserved retry of an attempt that was cut short. After a timeout the retry budget gets
+    /// it, to pay for the retry; after any other outcome the hedge budget does.
     pub(super) fn release_reserved(&mut self, outcome: Outcome) {
         let budget = if outcome == Outcome::Timeout { &mut self.retries } else { &mut self.hedges };
-        *budget = (*budget + FULL_COST).min(MAX_RETURNED);
+        *budget = (*budget + FULL_COST).min(MAX_BALANCE_AFTER_RELEASE);
     }
 }
 
-/// Whether an attempt failed because its endpoint had too much to do.
-pub(super) fn failed_by_load(outcome: Outcome) -> bool {
+/// Returns whether the outcome of an attempt indicates that its endpoint was overloaded.
+pub(super) fn indicates_overload(outcome: Outcome) -> bool {
     matches!(outcome, Outcome::Rejected | Outcome::Timeout)
 }
 
--- a/crates/decide/src/policy/router.rs
+++ b/crates/decide/src/policy/router.rs
@@ -1,10 +1,10 @@
-//! The router: receives events, and combines what is learned from them with what is decided.
+//! The router: receives events, learns from them, and decides which actions to take.
 
 use super::attempts::AttemptResult;
 use super::dispatcher::{Dispatcher, OutstandingAttempts};
 use super::outliers::OutlierDetector;
 use super::polling::PollBackoff;
-use super::shedding::LoadShedding;
+use super::shedding::LoadShedder;
 use crate::api::{
     Action, EndpointEntry, Event, Key, ListKind, Micros, Mode, Outcome, Reason, Request, RequestId, Settings,
     Token,
@@ -13,30 +13,30 @@
 use crate::in_flight::{InFlightRequest, Target};
 use crate::latency_estimate::LatencyEstimate;
 
-/// The timer of the next poll of discovery. Every other timer bears the id of its request.
+/// The token of the timer for the next poll of discovery. Any other token is the id of a request.
 const POLL_TIMER: Token = Token(u64::MAX);
 
-/// The decisions of one balancer.
+/// The decision module of one balancer: turns events into actions.
 #[derive(Debug)]
 pub struct Router {
     dispatcher: Dispatcher,
     outliers: OutlierDetector,
-    shedding: LoadShedding,
+    shedder: LoadShedder,
     poll_backoff: PollBackoff,
 }
 
 impl Router {
-    /// Creates an instance that has just started and knows only its settings.
+    /// Creates a router that knows its settings and no endpoints.
     pub fn new(settings: Settings, seed: u64, now: Micros) -> Self {
         Self {
             outliers: OutlierDetector::default(),
-            shedding: LoadShedding::new(settings.tenants.len()),
+            shedder: LoadShedder::new(settings.tenants.len()),
             poll_backoff: PollBackoff::default(),
             dispatcher: Dispatcher::new(settings, seed, now),
         }
     }
 
-    /// Handles one event and appends the actions to carry out.
+    /// Handles one event and appends the actions that the caller must carry out.
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         let dispatcher = &mut self.dispatcher;
         dispatcher.context.now = now;
@@ -44,12 +44,12 @@
         match event {
             Event::EndpointList(kind, entries) => self.apply_endpoint_list(kind, &entries),
             Event::Request(request) if dispatcher.requests.contains_key(&request.id) => {}
-            Event::Request(request) => self.accept(request),
+            Event::Request(request) => self.accept_request(request),
             Event::Outcome { id, attempt, outcome, latency_us, finished, fetch_pending, stale } => {
                 let result = AttemptResult { attempt, outcome, latency_us, finished, fetch_pending, stale };
                 self.end_attempt(id, result);
             }
-            // From its first byte on the stream belongs to the client: nothing is sent or cancelled for it.
+            // From the first byte on, the stream belongs to the client: no attempt is sent or cancelled.
             Event::FirstByte(id) => dispatcher.finish(id, OutstandingAttempts::Keep),
             Event::ClientLeft(id) => dispatcher.finish(id, OutstandingAttempts::Cancel),
             Event::Timer(POLL_TIMER) => dispatcher.actions.push(Action::Watch),
@@ -63,7 +63,7 @@
         actions.append(&mut self.dispatcher.actions);
     }
 
-    /// The listed endpoints.
+    /// Returns the table of listed endpoints.
     pub(crate) fn endpoint_table(&self) -> &EndpointTable {
         &self.dispatcher.endpoints.table
     }
@@ -82,16 +82,16 @@
         }
     }
 
-    fn accept(&mut self, request: Request) {
+    fn accept_request(&mut self, request: Request) {
         let Dispatcher { context, endpoints, keys, origin, requests, retry_budget, .. } =
             &mut self.dispatcher;
         let (id, now) = (request.id, context.now);
-        // A read without a key goes to any endpoint.
+        // A read without a key may go to any endpoint, so it gets a random key.
         let key = request.key.unwrap_or_else(|| Key(context.rng.u64(..)));
         let class = context.settings.classes.get(request.class.0 as usize);
         let weight = class.map_or(1.0, |class| class.priority_weight);
         let mut in_flight = InFlightRequest::new(now, request, key, class);
-        in_flight.priority = self.shedding.classify(&in_flight, weight, context);
+        in_flight.priority = self.shedder.classify(&in_flight, weight, context);
         retry_budget.deposit();
         if request.write && context.settings.mode == Mode::CacheAside {
             origin.reserve_for_write(now);
@@ -100,7 +100,7 @@
         }
         endpoints.reads.record(now, &context.settings);
         let assignment = keys.assignment_for_read(key, &endpoints.table, context);
-        let shed = self.shedding.sheds(&in_flight, &assignment, endpoints, now);
+        let shed = self.shedder.should_shed(&in_flight, &assignment, endpoints, now);
         requests.insert(id, in_flight);
         if shed {
             self.dispatcher.give_up(id, Reason::Shed);
@@ -109,7 +109,7 @@
         }
     }
 
-    /// Records the end of an attempt, and continues if it left the request unanswered.
+    /// Records the end of an attempt, and takes the next step if the request is still unanswered.
     fn end_attempt(&mut self, id: RequestId, mut result: AttemptResult) {
         let Some(ended) = self.dispatcher.record_end(id, &mut result) else { return };
         match ended.target {
@@ -126,9 +126,9 @@
     fn learn_from_read(&mut self, slot: Slot, result: &AttemptResult) {
         let Dispatcher { context, endpoints, .. } = &mut self.dispatcher;
         if matches!(result.outcome, Outcome::Ok | Outcome::Miss | Outcome::Error | Outcome::Reset) {
-            self.shedding.record_answer(context.now);
+            self.shedder.record_answer(context.now);
         }
-        // What was lost with a stale connection says nothing of the endpoint.
+        // An attempt that was lost with a stale connection says nothing about the endpoint's health.
         let outcome = if result.stale { Outcome::NotSent } else { result.outcome };
         self.outliers.record(&mut endpoints.table, slot, outcome, result.latency_us, context);
     }
--- a/crates/decide/src/policy/shedding.rs
+++ b/crates/decide/src/policy/shedding.rs
@@ -1,4 +1,4 @@
-//! Load shedding: requests of low weight first, then any read when those in flight will take too long.
+//! Load shedding: rejects reads when those in flight would take too long, and low-priority reads first.
 
 use super::context::Context;
 use super::endpoints::Endpoints;
@@ -8,18 +8,18 @@
 use crate::in_flight::{InFlightRequest, Priority};
 use crate::key_table::KeyAssignment;
 
-const LOW_WEIGHT_FRACTION: f64 = 0.5; // at most this part of the best read's weight passes without a wait
-const QUOTA_FACTOR: f64 = 2.0; // of an equal part of the quota: how the balancers share a tenant is not known
-const QUOTA_ALLOWANCE: f64 = 2.0; // requests beyond that, so that chance alone exceeds no quota
+const LOW_WEIGHT_FRACTION: f64 = 0.5; // low weights: up to this fraction of the highest read weight
+const QUOTA_FACTOR: f64 = 2.0; // of an equal share of the quota: the balancers do not know their shares
+const QUOTA_ALLOWANCE: f64 = 2.0; // requests allowed above that, so that random bursts exceed no quota
 const SHED_FRACTION: f64 = 0.6; // reads are shed when those in flight take this part of the time left
-const LOW_SHED_FRACTION: f64 = 0.5 * SHED_FRACTION; // the same for requests of low priority
-const MIN_IN_FLIGHT: f64 = 16.0; // but never with fewer than this many in flight
-const BUSY_FROM: f64 = 8.0; // reads in flight above which a busy period begins
-const YOUNG_MAX_IN_FLIGHT: f64 = 64.0; // the most in flight while a busy period is young
-const YOUNG_FRACTION: f64 = 0.5; // it is young for this part of the time that sheds
-const MEAN_OVER: f64 = 100.0; // reads over which the time left is averaged
+const LOW_SHED_FRACTION: f64 = 0.5 * SHED_FRACTION; // SHED_FRACTION for requests of low priority
+const MIN_IN_FLIGHT: f64 = 16.0; // no read is shed up to this many in flight
+const BUSY_THRESHOLD: f64 = 8.0; // reads in flight above which a busy period begins
+const EARLY_MAX_IN_FLIGHT: f64 = 64.0; // reads are shed above this many early in a busy period
+const EARLY_FRACTION: f64 = 0.5; // length of that early part, as a fraction of the time that sheds
+const TIME_LEFT_SAMPLES: f64 = 100.0; // reads over which the time left is averaged
 
-/// A period in which reads are in flight without a break, and the answers since its start.
+/// A period with more than [`BUSY_THRESHOLD`] reads in flight throughout, and the answers since its start.
 #[derive(Debug, Clone, Copy, Default)]
 struct BusyPeriod {
     started_at: Micros,
@@ -27,8 +27,8 @@
 }
 
 impl BusyPeriod {
-    /// Its answers, extrapolated to `window_us`; 0 once it has lasted that long.
-    fn answers_per(&self, now: Micros, window_us: f64) -> f64 {
+    /// Returns the answers of the period extrapolated to `window_us`; 0 once the period has lasted that long.
+    fn extrapolated_answers(&self, now: Micros, window_us: f64) -> f64 {
         let elapsed_us = (now.saturating_sub(self.started_at) as f64).max(1.0);
         if elapsed_us < window_us { self.answers * window_us / elapsed_us } else { 0.0 }
     }
@@ -36,7 +36,7 @@
 
 /// Decides which requests are rejected on arrival.
 #[derive(Debug)]
-pub(super) struct LoadShedding {
+pub(super) struct LoadShedder {
     answers: DecayingCounter,
     busy_period: BusyPeriod,
     mean_time_left_us: f64,
@@ -44,8 +44,8 @@
     tenants: Vec<DecayingCounter>,
 }
 
-impl LoadShedding {
-    /// Creates the state for this number of tenants.
+impl LoadShedder {
+    /// Creates a load shedder for this number of tenants.
     pub(super) fn new(tenants: usize) -> Self {
         Self {
             answers: DecayingCounter::default(),
@@ -56,7 +56,8 @@
         }
     }
 
-    /// Classifies a request by the weight of its class and its tenant's quota, and counts it to its tenant.
+    /// Returns the priority of a request, by the weight of its class and the quota of its tenant. Counts the
+    /// request against the quota.
     pub(super) fn classify(
         &mut self, in_flight: &InFlightRequest, weight: f64, context: &Context,
     ) -> Priority {
@@ -73,7 +74,7 @@
         }
     }
 
-    /// Counts a request of a tenant, and returns whether the tenant is beyond its quota.
+    /// Counts a request of a tenant, and returns whether the tenant is over its quota.
     fn count_for_tenant(&mut self, index: usize, context: &Context) -> bool {
         let settings = &context.settings;
         let Some((requests, tenant)) = self.tenants.get_mut(index).zip(settings.tenants.get(index)) else {
@@ -90,36 +91,37 @@
         self.busy_period.answers += 1.0;
     }
 
-    /// Whether a read that arrives now is shed: those in flight would take too much of its time.
-    pub(super) fn sheds(
+    /// Returns whether to shed a read that arrives now: the reads in flight would take too much of its time.
+    pub(super) fn should_shed(
         &mut self, in_flight: &InFlightRequest, assignment: &KeyAssignment, endpoints: &Endpoints,
         now: Micros,
     ) -> bool {
         let reads_in_flight = f64::from(endpoints.reads.in_flight);
-        // One mean for all: by its own time, the most urgent class would be shed first, though its weight is
-        // highest.
+        // All classes share one mean. By its own time left, the most urgent class would be shed first,
+        // although its weight is the highest.
         let time_left_us = (in_flight.useful_until - now) as f64;
         self.mean_time_left_us +=
-            (time_left_us - self.mean_time_left_us) / endpoints.reads.total.min(MEAN_OVER);
-        if reads_in_flight <= BUSY_FROM {
+            (time_left_us - self.mean_time_left_us) / endpoints.reads.total.min(TIME_LEFT_SAMPLES);
+        if reads_in_flight <= BUSY_THRESHOLD {
             self.busy_period = BusyPeriod { started_at: now, answers: 0.0 };
         }
-        // An overloaded endpoint must not shut out the reads of an idle one.
+        // Reads for an idle endpoint are not shed because another endpoint is overloaded.
         let home_is_idle = assignment.home().is_some_and(|home| endpoints.load(home) < 1.0);
         !home_is_idle && reads_in_flight > self.max_in_flight(in_flight.priority, now)
     }
 
-    /// The number of reads in flight beyond which one of this priority is shed.
+    /// Returns the number of reads in flight above which a read of this priority is shed.
     fn max_in_flight(&self, priority: Priority, now: Micros) -> f64 {
         let fraction = if priority == Priority::Normal { SHED_FRACTION } else { LOW_SHED_FRACTION };
         let elapsed_us = (now - self.busy_period.started_at) as f64;
-        if elapsed_us < YOUNG_FRACTION * fraction * self.mean_time_left_us {
-            return YOUNG_MAX_IN_FLIGHT;
+        if elapsed_us < EARLY_FRACTION * fraction * self.mean_time_left_us {
+            return EARLY_MAX_IN_FLIGHT;
         }
-        // Few recent answers may mean that few reads arrived: a busy period counts its own.
+        // A low count of recent answers may mean that few reads arrived, so the busy period's rate counts
+        // too.
         let recent = self.answers.value(now, RATE_WINDOW_US);
-        let answers_per_s = recent.max(self.busy_period.answers_per(now, RATE_WINDOW_US));
-        // Little's law: what is in flight takes `in flight / answers a second`.
+        let answers_per_s = recent.max(self.busy_period.extrapolated_answers(now, RATE_WINDOW_US));
+        // Little's law: the reads in flight take `in_flight / answers_per_s` seconds.
         (answers_per_s * self.mean_time_left_us / 1e6 * fraction).max(MIN_IN_FLIGHT)
     }
 }
--- a/crates/decide/src/policy/slow_start.rs
+++ b/crates/decide/src/policy/slow_start.rs
@@ -1,44 +1,46 @@
-//! Which reads earn permits for endpoints in slow start: as many as the fleet has shown that it can answer.
+//! Counts the reads that earn permits for endpoints in slow start: at most as many as the fleet can answer.
 //!
-//! What is asked beyond the capacity of the fleet says nothing of what a cold endpoint can do. So each read
-//! takes one token. Each answer of an endpoint, be it a miss, gives one back, and where answers are fewer
-//! than at the best of late, the difference comes back with time.
+//! Reads beyond the capacity of the fleet do not show what a cold endpoint can handle, so they earn nothing.
+//! A token bucket tells them apart. Each read takes one token, and each answer of an endpoint, a value or a
+//! miss, returns one. While the fleet answers fewer reads than at its recent peak, the difference is refilled
+//! over time.
 
 use super::windows::READS_WINDOW_US;
 use crate::api::Micros;
 use crate::decaying_counter::DecayingCounter;
 
-const TOKENS_SPAN_US: f64 = 1e6; // tokens saved, as the time in which as many reads can be answered
-const PEAK_DECAY_US: f64 = 30e6; // the highest rate is forgotten over this time: the fleet may have shrunk
-const MIN_EARNING_SHARE: f64 = 0.2; // of the reads accepted: a fleet that answers nothing is still tried
+const BUCKET_SPAN_US: f64 = 1e6; // bucket size: the reads that the fleet can answer in this time
+const PEAK_DECAY_US: f64 = 30e6; // time constant of the peak's decay: the fleet may have shrunk
+const MIN_EARNING_SHARE: f64 = 0.2; // of the accepted reads: a fleet that answers nothing is still tried
 
 /// Counts the reads that earn permits.
 #[derive(Debug, Default)]
 pub(super) struct EarningReads {
-    /// Those since the start.
+    /// Reads since the start that earned permits.
     total: f64,
     first_read_at: Option<Micros>,
     tokens: f64,
     max_tokens: f64,
     refilled_at: Micros,
     answered: DecayingCounter,
-    /// The most answers within [`READS_WINDOW_US`], when last determined.
+    /// The highest value of `answered`, decayed up to `peak_at`.
     peak: f64,
     peak_at: Micros,
 }
 
 impl EarningReads {
-    /// The reads since the start that earn permits.
+    /// Returns the number of reads since the start that earned permits.
     pub(super) fn total(&self) -> f64 {
         self.total
     }
 
-    /// Counts an accepted read, of `accepted` within the last [`READS_WINDOW_US`]. All reads of the first
-    /// `learning_us` earn permits: nothing is known of the fleet yet.
+    /// Counts an accepted read, where `accepted` reads were accepted within the last [`READS_WINDOW_US`].
+    /// During the first `learning_us` every read earns permits, because the capacity of the fleet is not
+    /// known yet.
     pub(super) fn record_read(&mut self, now: Micros, accepted: f64, learning_us: Micros) {
         let first_read_at = *self.first_read_at.get_or_insert(now);
         let sustainable = self.sustainable(now, accepted);
-        self.max_tokens = (sustainable * TOKENS_SPAN_US / READS_WINDOW_US).max(1.0);
+        self.max_tokens = (sustainable * BUCKET_SPAN_US / READS_WINDOW_US).max(1.0);
         let missing_per_us =
             (sustainable - self.answered.value(now, READS_WINDOW_US)).max(0.0) / READS_WINDOW_US;
         let elapsed_us = now.saturating_sub(self.refilled_at) as f64;
@@ -50,7 +52,7 @@
         self.total += earning;
     }
 
-    /// Counts an answer of an endpoint to a read: its value, or a miss.
+    /// Counts an endpoint's answer to a read: a value or a miss.
     pub(super) fn record_answer(&mut self, now: Micros) {
         self.answered.increment(now, READS_WINDOW_US);
         self.tokens = (self.tokens + 1.0).min(self.max_tokens);
@@ -58,8 +60,8 @@
         self.peak_at = now;
     }
 
-    /// How many reads within [`READS_WINDOW_US`] the fleet can answer for all that is known, where `accepted`
-    /// were accepted.
+    /// Estimates how many reads the fleet can answer within [`READS_WINDOW_US`]: its recent peak, but at
+    /// least a fixed share of the `accepted` reads.
     pub(super) fn sustainable(&self, now: Micros, accepted: f64) -> f64 {
         self.peak(now).max(MIN_EARNING_SHARE * accepted)
     }
--- a/crates/decide/src/policy/windows.rs
+++ b/crates/decide/src/policy/windows.rs
@@ -1,7 +1,7 @@
-//! The time constants over which events are counted.
+//! Time constants of the decaying event counters.
 
-/// Reads, by key and of all keys.
+/// Time constant of the read counters, per key and over all keys.
 pub(super) const READS_WINDOW_US: f64 = 10e6;
 
-/// Answers, fetches and tenants' requests, where they are used as rates.
+/// Time constant of the counters that are used as rates: answers, fetches, and requests per tenant.
 pub(super) const RATE_WINDOW_US: f64 = 1e6;
--- a/crates/decide/tests/limiter.rs
+++ b/crates/decide/tests/limiter.rs
@@ -36,7 +36,7 @@
     for _ in 0..10 {
         limiter.reserve(0);
     }
-    let first = limiter.earliest();
+    let first = limiter.next_free_at();
     assert_eq!(first, 750 * MS, "500 ms of warm-up and five permits at 50 ms");
     for n in 0..5 {
         assert_eq!(limiter.reserve(first + n * 50 * MS), first + n * 50 * MS);
@@ -52,10 +52,10 @@
     // The store is empty at 750 ms; one permit comes back each 500 / 10 = 50 ms of idleness.
     // After 350 ms there are 7, two of them above the threshold: from 7 to 6, (90 + 70) / 2 = 80 ms.
     assert_eq!(limiter.reserve(1_100 * MS), 1_100 * MS);
-    assert_eq!(limiter.earliest(), 1_180 * MS);
+    assert_eq!(limiter.next_free_at(), 1_180 * MS);
     // Idleness beyond the warm-up fills it to the maximum and no further: 140 ms again.
     assert_eq!(limiter.reserve(60_000 * MS), 60_000 * MS);
-    assert_eq!(limiter.earliest(), 60_140 * MS);
+    assert_eq!(limiter.next_free_at(), 60_140 * MS);
 }
 
 #[test]
@@ -67,7 +67,7 @@
     // 275 ms of idleness store 5.5 permits; half a permit lies above the threshold:
     // 0.5 * (60 + 50) / 2 = 27.5 ms, and the other half costs 25 ms.
     limiter.reserve(1_025 * MS);
-    assert_eq!(limiter.earliest(), 1_025 * MS + 52_500);
+    assert_eq!(limiter.next_free_at(), 1_025 * MS + 52_500);
 }
 
 #[test]
@@ -88,5 +88,5 @@
     // Half full at 500 ms; at 40 a second half of the maximum (20) is the threshold: 25 ms each from here.
     limiter.set_rate(40.0, 0);
     assert_eq!(limiter.reserve(0), 500 * MS, "time already owed stays owed");
-    assert_eq!(limiter.earliest(), 525 * MS);
+    assert_eq!(limiter.next_free_at(), 525 * MS);
 }
