--- a/crates/decide/src/api.rs
+++ b/crates/decide/src/api.rs
@@ -1,77 +1,77 @@
-//! The interface of the decision module: what goes in ([`Settings`], [`Event`]) and what comes out ([`Action`]).
+//! The interface of the decision module: its input ([`Settings`], [`Event`]) and its output ([`Action`]).
 //!
-//! Plain data only. Times are integer microseconds on the caller's clock.
+//! All types are plain data. Times are whole microseconds on the caller's clock.
 
 pub use crate::configuration::{Class, DedupScope, Discovery, Effect, Mode, Reporting, Settings, Tenant};
 pub use crate::ids::{CellId, ClassId, EndpointId, Key, Micros, RequestId, TenantId, Token, ZoneId};
 pub use crate::outcome::{Outcome, Reason};
 
-/// What the list says of an endpoint's process.
+/// The state of an endpoint's process, according to the endpoint list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Presence {
-    /// Running; accepts work.
+    /// Running; accepts new requests.
     Ready,
-    /// Finishes the work it has; accepts no more.
+    /// Finishes its current requests and accepts no new ones.
     Draining,
-    /// Removed.
+    /// Removed from the list.
     Gone,
 }
 
 /// One entry of the endpoint list.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct EndpointEntry {
-    /// The endpoint.
+    /// Id of the endpoint.
     pub id: EndpointId,
     /// State of its process.
     pub presence: Presence,
-    /// Machine kind; tells the origin from cache nodes.
+    /// Kind of machine, which distinguishes the origin from cache nodes.
     pub kind: u16,
-    /// Listed weight.
+    /// Listed weight of the endpoint.
     pub weight: f64,
-    /// Its cell.
+    /// Cell of the endpoint.
     pub cell: CellId,
-    /// Its zone.
+    /// Zone of the endpoint.
     pub zone: ZoneId,
-    /// Time of its last start; 0 for long ago.
+    /// Time of the endpoint's last start; 0 if that was long ago.
     pub online_since: Micros,
 }
 
-/// What kind of list arrived.
+/// The kind of a received endpoint list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ListKind {
     /// Changed entries only.
     Delta,
-    /// The complete list: endpoints that are not on it are gone.
+    /// The complete list: endpoints that are not on it were removed.
     Full,
-    /// The complete list from before a restart, perhaps stale.
+    /// The complete list as saved before a restart; it may be out of date.
     Cached,
-    /// A poll failed, or the subscription broke; no entries.
+    /// No list: a poll failed, or the subscription broke.
     Failed,
 }
 
-/// A request of a client.
+/// A client's request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Request {
-    /// Its id.
+    /// Id of the request.
     pub id: RequestId,
-    /// Its class.
+    /// Class of the request.
     pub class: ClassId,
-    /// Its tenant, where there are any.
+    /// Tenant of the request; ignored if the settings name no tenants.
     pub tenant: TenantId,
-    /// What it reads or writes.
+    /// The key that is read or written, if the request has one.
     pub key: Option<Key>,
-    /// Whether it changes its key.
+    /// Whether the request is a write.
     pub write: bool,
-    /// Time until the client gives up.
+    /// Time until the client gives up on the request.
     pub remaining_us: Micros,
 }
 
-/// What happened.
+/// An input of the decision module.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
-    /// A change of the endpoint list.
+    /// An endpoint list was received, or could not be received.
     EndpointList(ListKind, Vec<EndpointEntry>),
-    /// A client's request. It gets exactly one final answer.
+    /// A client's request arrived. It gets exactly one final answer.
     Request(Request),
     /// An attempt ended.
     Outcome {
@@ -79,47 +79,48 @@
         id: RequestId,
         /// Number of the attempt, from 0 in the order of [`Action::Forward`].
         attempt: u16,
-        /// How it ended.
+        /// Outcome of the attempt.
         outcome: Outcome,
-        /// Time since it was sent.
+        /// Time since the attempt was sent.
         latency_us: Micros,
         /// Whether the request is finished.
         finished: bool,
-        /// On a miss: whether the endpoint has told another request to fetch the key.
+        /// On a miss: whether the endpoint has already told another request to fetch the key.
         fetch_pending: bool,
-        /// Whether it was lost with a stale connection, which says nothing of the endpoint: a reused connection broke
-        /// without a byte of an answer, or an open one before the request was written completely. What the outcome
-        /// says of having run is still true.
+        /// Whether the attempt was lost with a stale connection, which says nothing about the endpoint: a reused
+        /// connection broke before the first byte of an answer, or an open connection broke before the request was
+        /// written completely. `outcome` still tells whether the request may have run.
         stale: bool,
     },
-    /// The answer of an attempt has begun to stream to the client; the attempt is no longer the module's.
+    /// The answer of an attempt has begun to stream to the client; the module leaves the attempt alone from now on.
     FirstByte(RequestId),
-    /// The client left: the request needs no answer any more.
+    /// The client left; the request needs no answer any more.
     ClientLeft(RequestId),
     /// A load report is due; the module responds with [`Action::PublishLoad`].
     PublishLoad,
-    /// For each endpoint, the fraction of its listed weight to place keys by, from the reports of all instances.
+    /// Weight factors from the load reports of all instances: the fraction of its listed weight by which each endpoint
+    /// is assigned keys.
     WeightFactors(Vec<(EndpointId, f64)>),
-    /// A timer is due.
+    /// A timer that [`Action::Timer`] asked for is due.
     Timer(Token),
 }
 
 /// The load that this instance put on an endpoint since its last report.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LoadReport {
-    /// The endpoint.
+    /// Id of the endpoint.
     pub endpoint: EndpointId,
     /// Its listed weight.
     pub weight: f64,
-    /// Requests in flight, as the mean over the time.
+    /// Mean number of requests in flight since the last report.
     pub in_flight: f64,
-    /// Requests answered, misses included.
+    /// Number of requests answered, misses included.
     pub answered: u32,
-    /// Requests that failed with an error, a broken connection or none.
+    /// Number of requests that failed with an error, a broken connection or no connection.
     pub failed: u32,
 }
 
-/// What to do, in order.
+/// An instruction to the caller. The caller carries out actions in their order.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
     /// Start an attempt.
@@ -128,26 +129,26 @@
         id: RequestId,
         /// The endpoint.
         endpoint: EndpointId,
-        /// Timeout; 0 for as long as the client waits.
+        /// Timeout of the attempt; 0 to wait as long as the client does.
         timeout_us: Micros,
     },
-    /// Final answer: rejected; a retry is harmless.
+    /// Final answer: the request is rejected, and a retry is harmless.
     Reject {
         /// The request.
         id: RequestId,
         /// How long the client should wait before a retry; 0 for no advice.
         retry_after_us: Micros,
-        /// Why.
+        /// Reason for the rejection.
         reason: Reason,
     },
-    /// Final answer: failed; the request may have run.
+    /// Final answer: the request failed, and may have run.
     Fail {
         /// The request.
         id: RequestId,
-        /// Why.
+        /// Reason for the failure.
         reason: Reason,
     },
-    /// Stop waiting for an attempt.
+    /// Cancel an attempt: stop waiting for its answer.
     Cancel {
         /// The request.
         id: RequestId,
@@ -156,15 +157,15 @@
     },
     /// Ask for [`Event::Timer`] after a delay.
     Timer {
-        /// The delay.
+        /// Delay until the timer is due.
         delay_us: Micros,
-        /// The timer.
+        /// Token to return in the event.
         token: Token,
     },
     /// Close the idle connections to an endpoint.
     CloseIdle(EndpointId),
-    /// Subscribe to the endpoint list, or poll it.
+    /// Subscribe to the endpoint list, or poll it once.
     Watch,
-    /// Publish these reports, of all ready cache endpoints, and return [`Event::WeightFactors`].
+    /// Publish load reports of all ready cache endpoints, and return [`Event::WeightFactors`].
     PublishLoad(Vec<LoadReport>),
 }
--- a/crates/decide/src/configuration.rs
+++ b/crates/decide/src/configuration.rs
@@ -1,57 +1,57 @@
-//! The settings that an instance of the decision module starts with.
+//! The settings of an instance of the decision module.
 
 use crate::ids::{Micros, ZoneId};
 
-/// Which endpoints drop a repeat of a request with an idempotency key.
+/// The endpoints that drop a repeat of a request with an idempotency key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DedupScope {
-    /// Every endpoint.
+    /// All endpoints.
     All,
-    /// Those in the zone of the endpoint that it was first sent to.
+    /// Endpoints in the zone of the endpoint that the request was first sent to.
     Zone,
-    /// Those in the cell of the endpoint that it was first sent to.
+    /// Endpoints in the cell of the endpoint that the request was first sent to.
     Cell,
 }
 
-/// What a repeat of a request may do.
+/// The effect of a repeated request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Effect {
     /// A repeat changes nothing.
     Idempotent,
     /// Repeats are dropped inside `scope`, for `span_us` after the first send that may have run.
     IdempotentWithKey {
-        /// Which endpoints drop the repeats.
+        /// The endpoints that drop the repeats.
         scope: DedupScope,
-        /// For how long.
+        /// How long they drop repeats.
         span_us: Micros,
     },
-    /// Must never run twice.
+    /// The request must never run twice.
     NonIdempotent,
 }
 
 /// A class of requests.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Class {
-    /// An answer within this time has the full weight.
+    /// Time within which an answer has the full weight.
     pub latency_objective_us: Micros,
-    /// The longest a client waits, over all its attempts.
+    /// Longest time that a client waits for its answer, over all attempts.
     pub deadline_us: Micros,
-    /// Weight of one request (or of one unit of its work).
+    /// Weight of one request, or of one unit of its work.
     pub priority_weight: f64,
-    /// Fraction of the weight that an answer after the objective still has.
+    /// Fraction of the weight that an answer after the latency objective still has.
     pub late_weight: f64,
-    /// What a repeat may do.
+    /// Effect of a repeated request.
     pub effect: Effect,
 }
 
 /// A tenant.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Tenant {
-    /// Requests a second within its quota, over all instances.
+    /// Quota in requests per second, over all instances.
     pub quota_per_s: f64,
 }
 
-/// How changes of the endpoint list arrive.
+/// The way in which changes of the endpoint list arrive.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Discovery {
     /// Changes are pushed.
@@ -60,81 +60,82 @@
     Poll,
 }
 
-/// Where load reports come from.
+/// The source of load reports.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Reporting {
-    /// Nowhere.
+    /// There are no load reports.
     Off,
-    /// With every answer.
+    /// Every answer carries a load report.
     Inline,
-    /// With the results of health checks only.
+    /// Only the results of health checks carry load reports.
     OnProbe,
 }
 
-/// How a cache node treats a key that it lacks.
+/// The way in which a cache node handles a key that it does not hold.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Mode {
-    /// It answers [`Outcome::Miss`](crate::api::Outcome::Miss), and the module fetches from the origin. Writes go to the origin.
+    /// The node answers [`Outcome::Miss`](crate::api::Outcome::Miss), and the module fetches the value from the origin.
+    /// Writes go to the origin.
     CacheAside,
-    /// It fetches the value by itself and forwards writes.
+    /// The node fetches the value from the origin by itself, and forwards writes.
     ReadThrough,
 }
 
-/// The settings an instance starts with; [`Settings::default`] documents what a missing one means.
+/// The settings of an instance. [`Settings::default`] documents the values of missing settings.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Settings {
     /// Number of instances in this tier, this one included.
     pub balancers: u32,
-    /// The number of this instance among them, from 0.
+    /// Index of this instance in the tier, from 0.
     pub instance: u32,
-    /// The zone of this instance.
+    /// Zone of this instance.
     pub zone: ZoneId,
     /// Number of zones.
     pub zones: u32,
     /// Request classes.
     pub classes: Vec<Class>,
-    /// Tenants; may be empty.
+    /// Tenants; empty if there are no quotas.
     pub tenants: Vec<Tenant>,
-    /// Weight of a request beyond its tenant's quota, as a fraction of its class's.
+    /// Weight of a request over its tenant's quota, as a fraction of the weight of its class.
     pub over_quota_weight: f64,
-    /// Treatment of missing keys.
+    /// Handling of keys that a cache node does not hold.
     pub mode: Mode,
-    /// The kind of list entry that is the origin, in [`Mode::CacheAside`].
+    /// Kind of the list entries that are the origin, in [`Mode::CacheAside`].
     pub origin_kind: Option<u16>,
-    /// How changes of the list arrive.
+    /// Way in which changes of the endpoint list arrive.
     pub discovery: Discovery,
-    /// Where load reports come from.
+    /// Source of load reports.
     pub reporting: Reporting,
-    /// Whether listed weights are lasting, so that keys can be placed by them.
+    /// Whether listed weights are lasting, so that keys can be assigned by them.
     pub weights_are_lasting: bool,
-    /// Attempts allowed for one request.
+    /// Maximum number of attempts per request.
     pub max_attempts: u32,
     /// Whether two attempts of a request may be outstanding at once.
     pub hedged_requests: bool,
-    /// Whether an attempt may be cancelled.
+    /// Whether attempts may be cancelled.
     pub cancel: bool,
     /// Whether instances may send each other messages.
     pub peers: bool,
-    /// The longest retry-after that a client honours; 0 where none is passed on.
+    /// Longest retry-after time that clients honour; 0 if none is passed on to them.
     pub max_retry_after_us: Micros,
-    /// Price of one attempt that crosses zones, per request.
+    /// Price of an attempt that crosses zones, per request.
     pub cross_zone_price: f64,
-    /// The fraction of its work that an endpoint can do at its start.
+    /// Fraction of its capacity that an endpoint has at its start.
     pub slow_start_fraction: f64,
-    /// The longest time after its start until an endpoint is warm.
+    /// Longest time that an endpoint takes to warm up after its start.
     pub slow_start_us: Micros,
-    /// An endpoint in slow start is overloaded by this multiple of what it can do ...
+    /// Multiple of its capacity that overloads an endpoint in slow start, within `overload_window_us`.
     pub overload_multiple: f64,
-    /// ... within this time.
+    /// Time over which `overload_multiple` applies.
     pub overload_window_us: Micros,
-    /// With [`Discovery::Poll`]: the longest an instance may go without a poll.
+    /// With [`Discovery::Poll`]: the longest time between two polls of an instance.
     pub max_poll_interval_us: Micros,
-    /// The shortest span between two batches of events.
+    /// Shortest time between two batches of events.
     pub tick_us: Micros,
 }
 
 impl Settings {
-    /// The shortest latency objective of the idempotent classes; a second where there are none.
+    /// Returns the shortest latency objective of the idempotent classes, or one second if there are none.
     #[must_use]
     pub fn shortest_latency_objective(&self) -> Micros {
         let idempotent = self.classes.iter().filter(|class| class.effect == Effect::Idempotent);
@@ -143,9 +144,9 @@
 }
 
 impl Default for Settings {
-    /// One instance, one zone, no classes, cache-aside without an origin, three attempts one at a time, a pushed
-    /// list, and endpoints that start at a tenth of their capacity, take 30 s to warm up, and are overloaded by three
-    /// times their work of a second.
+    /// Returns settings for one instance in one zone, without classes: cache-aside mode without an origin, up to three
+    /// attempts one at a time, and a pushed endpoint list. Endpoints start at a tenth of their capacity, take 30 s to
+    /// warm up, and are overloaded by three times their work within a second.
     fn default() -> Self {
         Settings {
             balancers: 1,
--- a/crates/decide/src/decaying_counter.rs
+++ b/crates/decide/src/decaying_counter.rs
@@ -1,4 +1,4 @@
-//! A counter of events whose weight decays with age.
+//! A counter of events with exponential decay.
 
 use crate::api::Micros;
 
--- a/crates/decide/src/endpoint.rs
+++ b/crates/decide/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! What is known of one listed endpoint.
+//! The state of one listed endpoint: its list entry, health, load and slow start.
 
 use crate::api::{EndpointEntry, LoadReport, Micros, Mode, Outcome, Presence, Settings};
 use std::mem;
@@ -24,51 +24,52 @@
 pub(crate) struct Health {
     /// Smoothed share of attempts without an answer or a connection.
     pub(crate) silent_share: f64,
-    /// Smoothed share of attempts that broke, or were answered badly or too late.
+    /// Smoothed share of attempts with a broken connection, a bad answer or a late answer.
     pub(crate) fault_share: f64,
-    /// When an ejected endpoint may be tried again; 0 when it is not ejected.
+    /// Time from which an ejected endpoint may be tried again; 0 if it is not ejected.
     pub(crate) ejected_until: Micros,
-    /// Ejections since it was last healthy.
+    /// Number of ejections since the endpoint was last healthy.
     pub(crate) ejections: u32,
-    /// Until when it counts as full, because it rejected a read.
+    /// Time until which the endpoint counts as full, because it rejected a read.
     pub(crate) full_until: Micros,
 }
 
 /// The budget of sends to an endpoint in slow start.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct SlowStartBudget {
-    /// Permits saved up.
+    /// Saved permits.
     pub(crate) permits: f64,
-    /// The number of reads that earn permits when some were last earned.
+    /// Total of permit-earning reads when the endpoint was last credited with permits.
     pub(crate) reads_seen: f64,
 }
 
 /// A listed endpoint.
 #[derive(Debug, Clone)]
 pub(crate) struct Endpoint {
-    /// Its line of the list.
+    /// Its entry in the endpoint list.
     pub(crate) entry: EndpointEntry,
-    /// Whether it is the origin.
+    /// Whether the endpoint is the origin.
     pub(crate) is_origin: bool,
-    /// Its listed weight where weights are lasting, 1 otherwise.
+    /// Its listed weight if listed weights are lasting, 1 otherwise.
     pub(crate) weight: f64,
-    /// The fraction of its work that it can do for certain, by the slow-start ramp.
+    /// The fraction of its capacity that it has for certain, by the slow-start ramp; 1 once it is warm.
     pub(crate) slow_start_factor: f64,
-    /// The fraction of its weight to place keys by, as the balancers determine it together.
+    /// The fraction of its weight by which it is assigned keys, from the load reports of all balancers.
     pub(crate) weight_factor: f64,
-    /// Whether it has answered a read since its start.
+    /// Whether the endpoint has answered a read since its start.
     pub(crate) has_answered: bool,
-    /// When it last answered any attempt.
+    /// Time of its last answer to any attempt.
     pub(crate) last_answer_at: Micros,
-    /// The send times of the two most recently sent attempts that it answered, newest first.
+    /// Send times of the two most recently sent attempts that were answered, newest first.
     newest_answered: [Micros; 2],
-    /// Its health.
+    /// Its health, from the outcomes of its reads.
     pub(crate) health: Health,
-    /// Its budget while in slow start.
+    /// Its budget of sends while in slow start.
     pub(crate) slow_start: SlowStartBudget,
     in_flight: InFlightGauge,
-    /// Reads answered and failed since the last load report.
+    /// Reads answered since the last load report.
     answered: u32,
+    /// Reads failed since the last load report.
     failed: u32,
 }
 
@@ -92,48 +93,48 @@
         }
     }
 
-    /// The same record with the attempts in flight of an earlier one, from before a restart.
+    /// Returns this record with the attempts in flight of an earlier record, from before a restart.
     pub(crate) fn with_attempts_of(self, earlier: &Endpoint) -> Self {
         Self { in_flight: earlier.in_flight, ..self }
     }
 
-    /// Whether it is ready but ejected for its faults. One that drains or is gone does not count as ejected.
+    /// Returns whether the endpoint is ready but ejected. A draining or removed endpoint does not count as ejected.
     pub(crate) fn is_ejected(&self) -> bool {
         self.health.ejected_until > 0 && self.entry.presence == Presence::Ready
     }
 
-    /// Whether it is a cache endpoint that is listed as ready.
+    /// Returns whether this is a cache endpoint that is listed as ready.
     pub(crate) fn is_ready_cache(&self) -> bool {
         self.entry.presence == Presence::Ready && !self.is_origin
     }
 
-    /// Whether it is past its slow start.
+    /// Returns whether the endpoint is past its slow start.
     pub(crate) fn is_warm(&self) -> bool {
         self.slow_start_factor >= 1.0
     }
 
-    /// Its weight as reduced by slow start.
+    /// Returns the endpoint's weight as reduced by slow start.
     pub(crate) fn ramped_weight(&self) -> f64 {
         self.weight * self.slow_start_factor
     }
 
-    /// The number of attempts in flight.
+    /// Returns the number of attempts in flight.
     pub(crate) fn in_flight(&self) -> u32 {
         self.in_flight.count
     }
 
-    /// Records that an attempt was sent.
+    /// Records that an attempt was sent to the endpoint.
     pub(crate) fn record_send(&mut self, now: Micros) {
         self.in_flight.change(now, 1);
         self.slow_start.permits -= 1.0;
     }
 
-    /// Records that an attempt ended.
+    /// Records that an attempt at the endpoint ended.
     pub(crate) fn record_end(&mut self, now: Micros) {
         self.in_flight.change(now, -1);
     }
 
-    /// Counts the outcome of a read for load reports. Timeouts are not counted: they show in the reads in flight.
+    /// Counts the outcome of a read for load reports. Timeouts are not counted: they raise the reads in flight.
     pub(crate) fn count_outcome(&mut self, outcome: Outcome) {
         match outcome {
             Outcome::Ok | Outcome::Miss => self.answered += 1,
@@ -153,12 +154,12 @@
         }
     }
 
-    /// Whether it has answered two attempts that were sent after `sent_at`.
+    /// Returns whether the endpoint has answered two attempts that were sent after `sent_at`.
     pub(crate) fn answered_two_since(&self, sent_at: Micros) -> bool {
         self.newest_answered[1] > sent_at
     }
 
-    /// Returns the load since the last call, `span_us` ago.
+    /// Returns the load since the previous call, `span_us` ago.
     pub(crate) fn take_load_report(&mut self, now: Micros, span_us: f64) -> LoadReport {
         self.in_flight.change(now, 0);
         LoadReport {
@@ -170,13 +171,13 @@
         }
     }
 
-    /// Whether its last start is less than the slow-start span ago.
+    /// Returns whether the endpoint started less than the slow-start span ago.
     pub(crate) fn is_in_slow_start(&self, now: Micros, settings: &Settings) -> bool {
         let since = self.entry.online_since;
         since != 0 && now.saturating_sub(since) < settings.slow_start_us
     }
 
-    /// Brings weight, slow start and kind up to date.
+    /// Updates the weight and the slow-start factor, and determines whether the endpoint is the origin.
     pub(crate) fn reweigh(&mut self, now: Micros, settings: &Settings) {
         let from = settings.slow_start_fraction;
         self.slow_start_factor = if self.is_in_slow_start(now, settings) {
--- a/crates/decide/src/endpoint_counts.rs
+++ b/crates/decide/src/endpoint_counts.rs
@@ -1,4 +1,4 @@
-//! Counts of the listed endpoints, for metrics. Nothing is decided by them.
+//! Counts of the listed endpoints for metrics. No decision depends on them.
 
 use crate::api::{Micros, Presence};
 use crate::policy::Router;
@@ -6,14 +6,14 @@
 /// Counts of the cache endpoints on the list.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct EndpointCounts {
-    /// All cache endpoints that are not gone.
+    /// All cache endpoints that are not removed from the list.
     pub known: u64,
-    /// Those that no new request would be sent to now, because they drain or are ejected.
+    /// Cache endpoints that would get no new request now, because they are draining or ejected.
     pub excluded: u64,
 }
 
 impl Router {
-    /// Counts the listed cache endpoints; the origin is not among them.
+    /// Counts the listed cache endpoints, without the origin.
     #[must_use]
     pub fn endpoint_counts(&self, now: Micros) -> EndpointCounts {
         let table = self.endpoint_table();
--- a/crates/decide/src/endpoint_table.rs
+++ b/crates/decide/src/endpoint_table.rs
@@ -1,4 +1,4 @@
-//! The table of listed endpoints, and sums over those that are ready.
+//! The table of listed endpoints, with the total weights of those that are ready.
 
 use crate::api::{EndpointEntry, EndpointId, LoadReport, Micros, Presence, Settings};
 use crate::endpoint::{Endpoint, SlowStartBudget};
@@ -6,14 +6,14 @@
 use std::mem;
 use std::ops::{Index, IndexMut};
 
-/// Weights of endpoints in slow start are brought up to date this many times over its span.
+/// Number of weight updates of an endpoint during its slow start.
 const SLOW_START_STEPS: Micros = 16;
 
-/// The place of an endpoint in the table. Slots of removed endpoints are reused.
+/// The position of an endpoint in the table. Slots of removed endpoints are reused.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub(crate) struct Slot(u32);
 
-/// The listed endpoints, and sums over the cache endpoints that are ready.
+/// The listed endpoints, and the number and total weights of the ready cache endpoints.
 #[derive(Debug, Default)]
 pub(crate) struct EndpointTable {
     endpoints: Vec<Endpoint>,
@@ -42,32 +42,32 @@
 }
 
 impl EndpointTable {
-    /// All endpoints with their slots, those that are gone included.
+    /// Iterates over all endpoints with their slots, including removed ones.
     pub(crate) fn iter(&self) -> impl Iterator<Item = (Slot, &Endpoint)> {
         (0..).map(Slot).zip(&self.endpoints)
     }
 
-    /// The first ready origin.
+    /// Returns the first ready origin.
     pub(crate) fn origin(&self) -> Option<Slot> {
         self.origin
     }
 
-    /// A number that grows with every change of weights; rankings of an earlier one are out of date.
+    /// Returns a number that grows with every change of weights; rankings of an earlier generation are out of date.
     pub(crate) fn generation(&self) -> u32 {
         self.generation
     }
 
-    /// The number of ready cache endpoints.
+    /// Returns the number of ready cache endpoints.
     pub(crate) fn ready(&self) -> u32 {
         self.ready
     }
 
-    /// The sum of the weights of ready cache endpoints.
+    /// Returns the sum of the weights of ready cache endpoints.
     pub(crate) fn total_weight(&self) -> f64 {
         self.total_weight
     }
 
-    /// The same sum, reduced by slow start.
+    /// Returns the sum of the weights of ready cache endpoints, as reduced by slow start.
     pub(crate) fn total_ramped_weight(&self) -> f64 {
         self.total_ramped_weight
     }
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Applies one line of the list. An endpoint that restarted keeps only its attempts in flight.
+    /// Applies one entry of the list. After a restart of an endpoint, only its attempts in flight are kept.
     pub(crate) fn apply(&mut self, entry: EndpointEntry, slow_start: SlowStartBudget) {
         let fresh = Endpoint::new(entry, slow_start);
         if let Some(&slot) = self.index.get(&entry.id) {
@@ -108,7 +108,7 @@
         self.index.insert(id, Slot(position as u32));
     }
 
-    /// Whether an endpoint is ready and not ejected. After its ejection it is on trial with one attempt at a time.
+    /// Returns whether an endpoint is ready and not ejected. After an ejection it gets one attempt at a time, on trial.
     pub(crate) fn is_usable(&self, slot: Slot, now: Micros) -> bool {
         let endpoint = &self[slot];
         let ejected_until = endpoint.health.ejected_until;
@@ -116,7 +116,7 @@
         endpoint.entry.presence == Presence::Ready && (ejected_until == 0 || on_trial)
     }
 
-    /// Returns the load of each ready cache endpoint since the last call.
+    /// Returns the load of each ready cache endpoint since the previous call.
     pub(crate) fn take_load_reports(&mut self, now: Micros) -> Vec<LoadReport> {
         let since = mem::replace(&mut self.last_report_at, now);
         let span_us = now.saturating_sub(since).max(1) as f64;
@@ -124,7 +124,7 @@
         ready.map(|endpoint| endpoint.take_load_report(now, span_us)).collect()
     }
 
-    /// Sets the weight factors of endpoints; a change makes rankings out of date.
+    /// Sets the weight factors of endpoints. A change puts rankings out of date.
     pub(crate) fn set_weight_factors(&mut self, factors: &[(EndpointId, f64)]) {
         for &(id, factor) in factors {
             let Some(&slot) = self.index.get(&id) else { continue };
@@ -135,14 +135,14 @@
         }
     }
 
-    /// Brings the weights of endpoints in slow start up to date when that is due.
+    /// Updates the weights of endpoints in slow start if an update is due.
     pub(crate) fn advance_slow_start(&mut self, now: Micros, settings: &Settings) {
         if self.next_reweigh.is_some_and(|at| now >= at) {
             self.reweigh(now, settings);
         }
     }
 
-    /// Brings weights and sums up to date; rankings are then out of date.
+    /// Updates the weights of all endpoints and their totals, which puts rankings out of date.
     pub(crate) fn reweigh(&mut self, now: Micros, settings: &Settings) {
         self.generation += 1;
         self.origin = None;
--- a/crates/decide/src/ids.rs
+++ b/crates/decide/src/ids.rs
@@ -1,17 +1,17 @@
 //! Identifiers and times that the caller and the decision module exchange.
 
-/// Microseconds: a span, or a point on the caller's clock.
+/// Microseconds: a time span, or a point in time on the caller's clock.
 pub type Micros = u64;
 
-/// A request, identified by the caller; returned unmodified.
+/// A request, identified by the caller; the module returns the id unmodified.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct RequestId(pub u64);
 
-/// A cache node or the origin, identified by the caller; opaque.
+/// A cache node or the origin, identified by the caller; the module does not interpret the id.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct EndpointId(pub u64);
 
-/// What a request reads or writes; requests that share a key read the same cached value.
+/// The key that a request reads or writes; requests with the same key read the same cached value.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Key(pub u64);
 
--- a/crates/decide/src/in_flight.rs
+++ b/crates/decide/src/in_flight.rs
@@ -5,7 +5,7 @@
 };
 use crate::endpoint_table::Slot;
 
-/// What an attempt is sent to.
+/// The kind of endpoint that an attempt is sent to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Target {
     /// A cache endpoint.
@@ -17,19 +17,19 @@
 /// One attempt of a request.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Attempt {
-    /// The endpoint.
+    /// Slot of its endpoint.
     pub(crate) slot: Slot,
-    /// When it was sent.
+    /// Time at which the attempt was sent.
     pub(crate) sent_at: Micros,
     /// Whether the endpoint is a cache or the origin.
     pub(crate) target: Target,
     zone: ZoneId,
     cell: CellId,
-    /// Whether it ends early, with a retry reserved for it in the retry budget.
+    /// Whether the attempt ends early, with a retry reserved in the retry budget.
     pub(crate) cut_short: bool,
-    /// Whether it was lost with a stale connection, so that its endpoint may be asked again.
+    /// Whether the attempt was lost with a stale connection, so that its endpoint may be tried again.
     pub(crate) stale: bool,
-    /// How it ended; `None` while it is outstanding.
+    /// Outcome of the attempt; `None` while it is outstanding.
     pub(crate) outcome: Option<Outcome>,
 }
 
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Whether `entry` drops repeats of what was sent in this attempt.
+    /// Returns whether the endpoint listed as `entry` drops repeats of this attempt.
     pub(crate) fn shares_dedup_scope(&self, scope: DedupScope, entry: &EndpointEntry) -> bool {
         match scope {
             DedupScope::All => true,
@@ -57,41 +57,41 @@
         }
     }
 
-    /// Whether the endpoint may have executed the request.
+    /// Returns whether the endpoint may have executed the request.
     pub(crate) fn may_have_run(&self) -> bool {
         self.outcome.is_none_or(|outcome| !outcome.proves_never_ran())
     }
 
-    /// Whether it has not ended.
+    /// Returns whether the attempt has not ended.
     pub(crate) fn is_outstanding(&self) -> bool {
         self.outcome.is_none()
     }
 }
 
-/// Where a request stands, and when its timer is due.
+/// The state of a request, and the time when its timer is due.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum RequestState {
-    /// An attempt is outstanding; from `check_at` on it may be hedged or cut short.
+    /// An attempt is outstanding; it may be hedged or cut short from `check_at` on.
     Attempting {
-        /// `Micros::MAX` when it is left alone.
+        /// Time of that check; `Micros::MAX` for none.
         check_at: Micros,
     },
     /// A fetch waits for its permit, or a write for its retry.
     WaitingForOrigin {
-        /// When it is sent.
+        /// Time at which the fetch or write is sent.
         until: Micros,
     },
-    /// Another request fetches the key, here or at another balancer.
+    /// The request waits while another one fetches its key, here or at another balancer.
     WaitingForFetch {
-        /// When the wait ends without that fetch.
+        /// Time at which the wait ends if that fetch has not ended.
         until: Micros,
     },
-    /// Streaming or answered; only outcomes of its attempts still arrive.
+    /// The request is answered or its answer is streaming; only outcomes of attempts still arrive.
     Finished,
 }
 
 impl RequestState {
-    /// When the request's timer is due; `Micros::MAX` for never.
+    /// Returns the time when the request's timer is due; `Micros::MAX` for never.
     pub(crate) fn due(self) -> Micros {
         match self {
             RequestState::Attempting { check_at } => check_at,
@@ -101,14 +101,14 @@
     }
 }
 
-/// How early a request is rejected under load.
+/// The priority of a request under load.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Priority {
-    /// Rejected last.
+    /// Rejected last; a fetch may wait for its permit.
     Normal,
-    /// Of low weight: rejected first.
+    /// Of low weight: rejected first; a fetch does not wait for its permit.
     Low,
-    /// Of low weight because its tenant is beyond its quota.
+    /// Of low weight because its tenant is over its quota; treated like [`Priority::Low`].
     OverQuota,
 }
 
@@ -117,28 +117,28 @@
 pub(crate) struct InFlightRequest {
     /// The request as it arrived.
     pub(crate) request: Request,
-    /// Its key; a random one where the request has none.
+    /// Its key; a random one if the request has none.
     pub(crate) key: Key,
-    /// What a repeat may do.
+    /// Effect of a repeat of the request.
     pub(crate) effect: Effect,
-    /// The latency objective as a point in time, never after the deadline.
+    /// End of its latency objective, never after the deadline.
     pub(crate) objective_at: Micros,
-    /// When the client gives up.
+    /// Time at which the client gives up.
     pub(crate) deadline: Micros,
-    /// Until when an answer still has a value.
+    /// Time until which an answer still has a weight.
     pub(crate) useful_until: Micros,
-    /// How early it is rejected under load.
+    /// Its priority under load.
     pub(crate) priority: Priority,
-    /// Where it stands.
+    /// Its state.
     pub(crate) state: RequestState,
-    /// Whether it has waited once for another balancer's fetch.
+    /// Whether the request has already waited for another balancer's fetch.
     pub(crate) awaited_remote_fetch: bool,
     /// Its attempts, in the order sent.
     pub(crate) attempts: Vec<Attempt>,
 }
 
 impl InFlightRequest {
-    /// Creates the record of a request that arrives now. Without a class it is never sent twice.
+    /// Creates the record of a request that arrives now. A request without a class counts as non-idempotent.
     pub(crate) fn new(now: Micros, request: Request, key: Key, class: Option<&Class>) -> Self {
         let deadline = now + request.remaining_us;
         let objective_at = class.map_or(deadline, |class| deadline.min(now + class.latency_objective_us));
@@ -157,36 +157,36 @@
         }
     }
 
-    /// The time from the first attempt to the latency objective, in microseconds.
+    /// Returns the time from the first attempt to the end of the latency objective, in microseconds.
     pub(crate) fn objective_span_us(&self) -> f64 {
         self.attempts.first().map_or(0.0, |first| self.objective_at.saturating_sub(first.sent_at) as f64)
     }
 
-    /// The first endpoint that lacked the key; a fetch stores the value there.
+    /// Returns the first endpoint that answered with a miss; a fetch stores the value there.
     pub(crate) fn missed_at(&self) -> Option<Slot> {
         let missed = self.attempts.iter().find(|attempt| attempt.outcome == Some(Outcome::Miss));
         missed.map(|attempt| attempt.slot)
     }
 
-    /// Whether the origin has answered, so that the value is stored at the endpoint that lacked it.
+    /// Returns whether the origin has served the request, so that the value is stored where the miss occurred.
     pub(crate) fn origin_answered(&self) -> bool {
         let answered =
             |attempt: &Attempt| attempt.target == Target::Origin && attempt.outcome == Some(Outcome::Ok);
         self.attempts.iter().any(answered)
     }
 
-    /// Whether its own fetch or write waits for its time or is outstanding.
+    /// Returns whether the request's own fetch or write is waiting to be sent or outstanding.
     pub(crate) fn is_fetching(&self) -> bool {
         let outstanding = |attempt: &Attempt| attempt.target == Target::Origin && attempt.is_outstanding();
         matches!(self.state, RequestState::WaitingForOrigin { .. }) || self.attempts.iter().any(outstanding)
     }
 
-    /// Whether any endpoint may have executed the request.
+    /// Returns whether any endpoint may have executed the request.
     pub(crate) fn may_have_run(&self) -> bool {
         self.attempts.iter().any(Attempt::may_have_run)
     }
 
-    /// Whether the client may send the request again without harm.
+    /// Returns whether the client may send the request again without harm.
     pub(crate) fn is_safe_to_repeat(&self) -> bool {
         let repeatable = matches!(
             self.effect,
@@ -195,8 +195,8 @@
         repeatable || !self.may_have_run()
     }
 
-    /// The reason to report for giving the request up: a lasting limit takes precedence over `cause`, which may have
-    /// been the limit by coincidence.
+    /// Returns the reason to report when the request is given up. A lasting limit takes precedence over `cause`, which
+    /// may have been reached first by coincidence.
     pub(crate) fn final_reason(&self, cause: Reason, now: Micros, settings: &Settings) -> Reason {
         let over_quota = self.priority == Priority::OverQuota;
         match cause {
@@ -208,17 +208,17 @@
         }
     }
 
-    /// The number of attempts that may still be made.
+    /// Returns the number of attempts that may still be made.
     pub(crate) fn attempts_left(&self, settings: &Settings) -> usize {
         (settings.max_attempts as usize).saturating_sub(self.attempts.len())
     }
 
-    /// The number of attempts that have not ended.
+    /// Returns the number of attempts that have not ended.
     pub(crate) fn outstanding_attempts(&self) -> usize {
         self.attempts.iter().filter(|attempt| attempt.is_outstanding()).count()
     }
 
-    /// Whether every attempt has ended.
+    /// Returns whether every attempt has ended.
     pub(crate) fn all_attempts_ended(&self) -> bool {
         self.outstanding_attempts() == 0
     }
--- a/crates/decide/src/key_table.rs
+++ b/crates/decide/src/key_table.rs
@@ -1,4 +1,4 @@
-//! The table of keys: which endpoints serve a key, and how often it was read recently.
+//! The table of keys: the endpoints that serve each key, and its recent reads.
 
 use crate::api::Key;
 use crate::decaying_counter::DecayingCounter;
@@ -6,10 +6,10 @@
 use rustc_hash::FxHashMap;
 use std::mem;
 
-/// Keys in the younger generation of the table.
+/// Maximum number of keys in the younger generation of the table.
 const GENERATION_KEYS: usize = 20_000;
 
-/// Endpoints kept per key: its home, then the fallbacks for when the home is overloaded or unusable.
+/// Maximum number of endpoints per key: its home, then fallbacks for an overloaded or unusable home.
 pub(crate) const MAX_RANKS: usize = 4;
 
 /// The endpoints assigned to a key, and its recent reads.
@@ -17,9 +17,9 @@
 pub(crate) struct KeyAssignment {
     slots: [Slot; MAX_RANKS],
     len: usize,
-    /// Generation of the endpoint table that the ranking was made from.
+    /// Generation of the endpoint table that the ranking is based on.
     pub(crate) generation: u32,
-    /// Recent reads of the key.
+    /// The counter of recent reads of the key.
     pub(crate) reads: DecayingCounter,
 }
 
@@ -29,18 +29,18 @@
         Self { slots, len, generation, reads: DecayingCounter::default() }
     }
 
-    /// The assigned endpoints, best first.
+    /// Returns the assigned endpoints, best first.
     pub(crate) fn slots(&self) -> &[Slot] {
         &self.slots[..self.len]
     }
 
-    /// The endpoint that holds the key unless it is overloaded or unusable.
+    /// Returns the key's home: the endpoint that serves the key unless it is overloaded or unusable.
     pub(crate) fn home(&self) -> Option<Slot> {
         self.slots().first().copied()
     }
 }
 
-/// Assignments by key, in two generations so that idle keys drop out without a scan.
+/// Assignments by key, in two generations, so that idle keys are dropped without a scan.
 #[derive(Debug, Default)]
 pub(crate) struct KeyTable {
     young: FxHashMap<Key, KeyAssignment>,
--- a/crates/decide/src/latency_estimate.rs
+++ b/crates/decide/src/latency_estimate.rs
@@ -1,11 +1,11 @@
-//! A streaming estimate of the median latency over all cache endpoints.
+//! A streaming estimate of the median latency of all cache endpoints.
 
 use crate::api::Micros;
 
-/// Relative step by which one answer moves the estimate: at most sevenfold within a hundred answers.
+/// Relative step by which one answer moves the estimate: by a factor of at most seven within 100 answers.
 const STEP: f64 = 0.02;
 
-/// The approximate median latency of all answers. A few slow endpoints hardly move it.
+/// The approximate median latency of all answers, on which a few slow endpoints have little influence.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct LatencyEstimate {
     median_us: f64,
@@ -13,8 +13,8 @@
 }
 
 impl LatencyEstimate {
-    /// Creates an estimate that starts at the shortest latency objective of the idempotent classes, so that no
-    /// answer counts as slow before the usual latency is known.
+    /// Creates an estimate that starts at `objective_us`, the shortest latency objective of the idempotent classes, so
+    /// that no answer counts as slow before the usual latency is known.
     pub(crate) fn new(objective_us: Micros) -> Self {
         let objective_us = objective_us as f64;
         Self { median_us: objective_us, objective_us }
@@ -25,12 +25,12 @@
         self.median_us *= 1.0 + if latency_us as f64 > self.median_us { STEP } else { -STEP };
     }
 
-    /// The estimated median, in microseconds.
+    /// Returns the estimated median, in microseconds.
     pub(crate) fn median_us(&self) -> f64 {
         self.median_us
     }
 
-    /// The latency objective that the estimate started from, in microseconds.
+    /// Returns the latency objective that the estimate started from, in microseconds.
     pub(crate) fn objective_us(&self) -> f64 {
         self.objective_us
     }
--- a/crates/decide/src/lib.rs
+++ b/crates/decide/src/lib.rs
@@ -1,13 +1,13 @@
-//! The decision module: which endpoint a request goes to, whether it is retried, and what is rejected.
+//! The decision module: chooses the endpoint of each request, and decides which requests are retried or rejected.
 //!
-//! [`policy`] is a sans-IO state machine that the gateway, the emulator and the simulator adapter share. The caller owns
-//! the clock and all input and output: it passes [`api::Event`]s to a [`policy::Router`] and carries out the
-//! [`api::Action`]s that it returns.
+//! [`policy`] is a sans-IO state machine that the gateway, the emulator and the simulator adapter share. The caller
+//! owns the clock and all input and output: it passes each [`api::Event`] to a [`policy::Router`] and carries out the
+//! [`api::Action`]s that the router returns.
 //!
 //! ```
 //! use decide::api::{
-//!     Action, CellId, Class, ClassId, Effect, EndpointEntry, EndpointId, Event, Key, ListKind, Outcome, Presence, Request,
-//!     RequestId, Settings, TenantId, ZoneId,
+//!     Action, CellId, Class, ClassId, Effect, EndpointEntry, EndpointId, Event, Key, ListKind, Outcome, Presence,
+//!     Request, RequestId, Settings, TenantId, ZoneId,
 //! };
 //! use decide::policy::Router;
 //!
--- a/crates/decide/src/outcome.rs
+++ b/crates/decide/src/outcome.rs
@@ -1,83 +1,84 @@
-//! How an attempt ended, and why a request was rejected or failed.
+//! Outcomes of attempts, and reasons for rejected and failed requests.
 
-/// How an attempt ended.
+/// The outcome of an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// Served.
+    /// The request was served.
     Ok,
-    /// The endpoint failed; the request may have run.
+    /// The endpoint answered with an error; the request may have run.
     Error,
-    /// Rejected unread; it never ran.
+    /// The endpoint rejected the request unread; it never ran.
     Rejected,
-    /// No answer in time; it may have run, or may yet.
+    /// No answer arrived in time; the request may have run, or may still run.
     Timeout,
-    /// No connection; it never ran.
+    /// No connection could be opened; the request never ran.
     ConnectFailed,
-    /// The connection broke; it may have run.
+    /// The connection broke; the request may have run.
     Reset,
-    /// Cancelled by this side; it may have run.
+    /// The balancer cancelled the attempt; the request may have run.
     Cancelled,
-    /// Never sent.
+    /// The attempt was never sent.
     NotSent,
-    /// No value is cached for the key; it never ran.
+    /// The cache node has no value for the key; the request never ran.
     Miss,
 }
 
 impl Outcome {
-    /// Whether this outcome proves that the request never ran.
+    /// Returns whether this outcome proves that the request never ran.
     #[must_use]
     pub fn proves_never_ran(self) -> bool {
         matches!(self, Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent | Outcome::Miss)
     }
 
-    /// Whether the endpoint responded in some way: neither silence nor this side's own doing.
+    /// Returns whether the endpoint responded in some way. Silence is no answer, nor is an attempt that the balancer
+    /// itself cancelled or did not send.
     #[must_use]
     pub fn is_answer(self) -> bool {
         !matches!(self, Outcome::NotSent | Outcome::Cancelled | Outcome::Timeout | Outcome::ConnectFailed)
     }
 
-    /// Whether the endpoint has done what a read asks of it: it gave the value, or looked it up in vain.
+    /// Returns whether the endpoint has completed a read: it returned the value, or has none.
     #[must_use]
     pub fn is_read_answer(self) -> bool {
         matches!(self, Outcome::Ok | Outcome::Miss)
     }
 }
 
-/// Why a request was rejected or failed: each final answer that does not serve has one.
+/// The reason for a rejected or failed request. Each final answer that does not serve the request has one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Reason {
-    /// Beyond its tenant's quota, when there was not enough for all.
+    /// The tenant is over its quota, and there is not enough capacity for all requests.
     OverQuota,
-    /// On arrival: more reads are in flight than the endpoints can answer in time.
+    /// Load shedding on arrival: more reads are in flight than the endpoints can answer in time.
     Shed,
-    /// After a miss: no permit for a fetch is free in time.
+    /// No permit for the fetch after a miss is free in time.
     NoPermit,
     /// An attempt failed, and the retry budget is spent.
     RetryBudget,
-    /// All the attempts that a request may make were made.
+    /// The request has made all attempts that it may make.
     AttemptLimit,
-    /// No endpoint that may be sent to.
+    /// No endpoint may be sent the request.
     NoEndpoint,
     /// The origin rejected the fetch or was too slow for it, and a retry would be no better.
     FetchFailed,
-    /// An attempt may have run, and must not be sent again.
+    /// An attempt may have run, and the request must not be sent again.
     MayHaveRun,
-    /// An attempt could not be sent: a connection limit of this side, or its time was over.
+    /// An attempt could not be sent: the balancer's connection limit was reached, or the request's time was over.
     NotSent,
-    /// Its time was over.
+    /// The request's deadline has passed.
     Deadline,
-    /// The memory for values or the slots for answers are used up; the module has not seen it.
+    /// The memory for values or the slots for answers are used up; the request did not reach the decision module.
     NoCapacity,
-    /// On arrival: this balancer holds no lease; the module has not seen it.
+    /// This balancer held no lease on arrival; the request did not reach the decision module.
     Fenced,
-    /// The balancer is draining, or its process ends.
+    /// The balancer is draining, or its process is ending.
     ShuttingDown,
-    /// Its record was lost: a fault of this program.
+    /// The record of the request was lost, which is a fault of this program.
     Forgotten,
 }
 
 impl Reason {
-    /// The word for logs and reports.
+    /// Returns the word for this reason in logs and reports.
     #[must_use]
     pub fn label(self) -> &'static str {
         match self {
--- a/crates/decide/src/settings.rs
+++ b/crates/decide/src/settings.rs
@@ -1,32 +1,32 @@
-//! The text form of [`Settings`]: `path=value`, one a line, as an instance receives it when it starts.
+//! The text form of [`Settings`] that an instance receives when it starts: one `path=value` per line.
 
 use crate::api::{Class, DedupScope, Discovery, Effect, Micros, Mode, Reporting, Settings, Tenant, ZoneId};
 use rustc_hash::FxHashMap;
 use std::str::FromStr;
 use thiserror::Error;
 
-/// The most classes or tenants a settings text may announce.
+/// Maximum number of classes, and of tenants, in a settings text.
 const MAX_ITEMS: usize = 1 << 16;
 
-/// The deadline of a class that states none.
+/// Deadline of a class whose text has none.
 const DEFAULT_DEADLINE_US: Micros = 1_000_000;
 
-/// The shortest window in which an endpoint in slow start is overloaded.
+/// Lower limit of [`Settings::overload_window_us`].
 const MIN_OVERLOAD_WINDOW_US: Micros = 100_000;
 
-/// A setting that cannot be used.
+/// An invalid setting.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("setting {path}: {value:?} is not {wanted}")]
 pub struct SettingsError {
-    /// The path of the setting.
+    /// Path of the setting.
     pub path: String,
-    /// The text that was found.
+    /// Its value in the text; empty if it is missing.
     pub value: String,
-    /// A description of a valid value.
+    /// Description of valid values.
     pub wanted: &'static str,
 }
 
-/// The lines of a settings text by path.
+/// The values of a settings text by path.
 struct Lines<'a>(FxHashMap<&'a str, &'a str>);
 
 impl<'a> Lines<'a> {
@@ -39,7 +39,7 @@
         SettingsError { path: path.to_owned(), value: value.to_owned(), wanted }
     }
 
-    /// Reads a value that `wanted` describes.
+    /// Parses a value, or returns `default` if it is missing. `wanted` describes valid values for the error.
     fn read<T: FromStr>(&self, path: &str, default: T, wanted: &'static str) -> Result<T, SettingsError> {
         match self.0.get(path) {
             None => Ok(default),
@@ -55,7 +55,7 @@
         self.read(path, default, "true or false")
     }
 
-    /// Reads a finite number of at least 0: a negative weight or price would reverse decisions.
+    /// Reads a finite number of at least 0; a negative weight or price would reverse decisions.
     fn read_number(&self, path: &str, default: f64) -> Result<f64, SettingsError> {
         let wanted = "a number of at least 0";
         let value = self.read(path, default, wanted)?;
@@ -77,7 +77,7 @@
         found.map(|(_, value)| *value).ok_or_else(|| self.error(path, wanted))
     }
 
-    /// Counts the items of a list that commas separate.
+    /// Counts the items of a comma-separated list.
     fn count_items(&self, path: &str) -> usize {
         self.0.get(path).map_or(0, |list| list.split(',').filter(|item| !item.is_empty()).count())
     }
@@ -95,10 +95,10 @@
         })
     }
 
-    /// Reads the scope and span of idempotency keys, whether or not the class uses them.
+    /// Reads the scope and span of idempotency keys; they are checked even if the class does not use them.
     fn read_idempotency_key(&self, path: impl Fn(&str) -> String) -> Result<Effect, SettingsError> {
         let scopes = [("all", DedupScope::All), ("zone", DedupScope::Zone), ("cell", DedupScope::Cell)];
-        // The narrowest scope is the safe reading of a missing one.
+        // The default for a missing scope is the narrowest one, which is always safe.
         let scope = self.read_word(&path("keyScope"), &scopes, DedupScope::Cell, "all, zone or cell")?;
         let span_us = self.read_integer(&path("memorySpanUs"), 0)?;
         Ok(Effect::IdempotentWithKey { scope, span_us })
@@ -107,7 +107,7 @@
     fn read_effect(&self, path: &str, with_key: Effect) -> Result<Effect, SettingsError> {
         let effects =
             [("retryable", Effect::Idempotent), ("dedup", with_key), ("fragile", Effect::NonIdempotent)];
-        // A class of unknown effect is never run twice.
+        // Requests of a class without a stated effect never run twice.
         self.read_word(path, &effects, Effect::NonIdempotent, "retryable, dedup or fragile")
     }
 
@@ -149,7 +149,7 @@
 impl FromStr for Settings {
     type Err = SettingsError;
 
-    /// Reads the text form. Unknown paths are ignored, missing ones take the defaults of [`Settings::default`].
+    /// Parses the text form. Unknown paths are ignored; missing ones take their values from [`Settings::default`].
     fn from_str(text: &str) -> Result<Self, SettingsError> {
         let lines = Lines::parse(text);
         let default = Settings::default();
@@ -179,7 +179,7 @@
             cross_zone_price: lines.read_number("prices.crossZone", default.cross_zone_price)?,
             slow_start_fraction: lines.read_number("rules.coldFrom", default.slow_start_fraction)?.min(1.0),
             slow_start_us: lines.read_integer("rules.coldUs", default.slow_start_us)?,
-            // An endpoint can bear what it can do, and a window too short for any call would block all calls.
+            // An endpoint can handle its own capacity, and a window too short for any request would block all requests.
             overload_multiple: lines.read_number("rules.fallMultiple", default.overload_multiple)?.max(1.0),
             overload_window_us: lines
                 .read_integer("rules.tipAfterUs", default.overload_window_us)?
