--- a/crates/decide/src/endpoint.rs
+++ b/crates/decide/src/endpoint.rs
@@ -8,12 +8,12 @@
 struct InFlightGauge {
     count: u32,
     changed_at: Micros,
-    count_us: Micros,
+    integral_us: Micros,
 }
 
 impl InFlightGauge {
-    fn change(&mut self, now: Micros, change: i32) {
-        self.count_us += now.saturating_sub(self.changed_at) * Micros::from(self.count);
+    fn add(&mut self, now: Micros, change: i32) {
+        self.integral_us += now.saturating_sub(self.changed_at) * Micros::from(self.count);
         self.changed_at = now;
         self.count = self.count.saturating_add_signed(change);
     }
@@ -125,13 +125,13 @@
 
     /// Records that an attempt was sent to the endpoint.
     pub(crate) fn record_send(&mut self, now: Micros) {
-        self.in_flight.change(now, 1);
+        self.in_flight.add(now, 1);
         self.slow_start.permits -= 1.0;
     }
 
     /// Records that an attempt at the endpoint ended.
     pub(crate) fn record_end(&mut self, now: Micros) {
-        self.in_flight.change(now, -1);
+        self.in_flight.add(now, -1);
     }
 
     /// Counts the outcome of a read for load reports. Timeouts are not counted: they raise the reads in flight.
@@ -161,11 +161,11 @@
 
     /// Returns the load since the previous call, `span_us` ago.
     pub(crate) fn take_load_report(&mut self, now: Micros, span_us: f64) -> LoadReport {
-        self.in_flight.change(now, 0);
+        self.in_flight.add(now, 0);
         LoadReport {
             endpoint: self.entry.id,
             weight: self.ramped_weight(),
-            in_flight: mem::take(&mut self.in_flight.count_us) as f64 / span_us,
+            in_flight: mem::take(&mut self.in_flight.integral_us) as f64 / span_us,
             answered: mem::take(&mut self.answered),
             failed: mem::take(&mut self.failed),
         }
@@ -178,12 +178,12 @@
     }
 
     /// Updates the weight and the slow-start factor, and determines whether the endpoint is the origin.
-    pub(crate) fn reweigh(&mut self, now: Micros, settings: &Settings) {
-        let from = settings.slow_start_fraction;
+    pub(crate) fn update_weight(&mut self, now: Micros, settings: &Settings) {
+        let initial = settings.slow_start_fraction;
         self.slow_start_factor = if self.is_in_slow_start(now, settings) {
             let age_us = now.saturating_sub(self.entry.online_since);
             let ramp = age_us as f64 / settings.slow_start_us as f64;
-            from + (1.0 - from) * ramp
+            initial + (1.0 - initial) * ramp
         } else {
             1.0
         };
--- a/crates/decide/src/endpoint_table.rs
+++ b/crates/decide/src/endpoint_table.rs
@@ -23,7 +23,7 @@
     ready: u32,
     total_weight: f64,
     total_ramped_weight: f64,
-    next_reweigh: Option<Micros>,
+    next_weight_update: Option<Micros>,
     last_report_at: Micros,
 }
 
@@ -81,16 +81,16 @@
 
     /// Applies one entry of the list. After a restart of an endpoint, only its attempts in flight are kept.
     pub(crate) fn apply(&mut self, entry: EndpointEntry, slow_start: SlowStartBudget) {
-        let fresh = Endpoint::new(entry, slow_start);
+        let new = Endpoint::new(entry, slow_start);
         if let Some(&slot) = self.index.get(&entry.id) {
             let endpoint = &mut self[slot];
             if endpoint.entry.online_since == entry.online_since {
                 endpoint.entry = entry;
             } else {
-                *endpoint = fresh.with_attempts_of(endpoint);
+                *endpoint = new.with_attempts_of(endpoint);
             }
         } else if entry.presence != Presence::Gone {
-            self.insert(fresh);
+            self.insert(new);
         }
     }
 
@@ -137,21 +137,21 @@
 
     /// Updates the weights of endpoints in slow start if an update is due.
     pub(crate) fn advance_slow_start(&mut self, now: Micros, settings: &Settings) {
-        if self.next_reweigh.is_some_and(|at| now >= at) {
-            self.reweigh(now, settings);
+        if self.next_weight_update.is_some_and(|at| now >= at) {
+            self.update_weights(now, settings);
         }
     }
 
     /// Updates the weights of all endpoints and their totals, which puts rankings out of date.
-    pub(crate) fn reweigh(&mut self, now: Micros, settings: &Settings) {
+    pub(crate) fn update_weights(&mut self, now: Micros, settings: &Settings) {
         self.generation += 1;
         self.origin = None;
         self.ready = 0;
         self.total_weight = 0.0;
         self.total_ramped_weight = 0.0;
-        self.next_reweigh = None;
+        self.next_weight_update = None;
         for (slot, endpoint) in (0..).map(Slot).zip(&mut self.endpoints) {
-            endpoint.reweigh(now, settings);
+            endpoint.update_weight(now, settings);
             if endpoint.entry.presence != Presence::Ready {
                 continue;
             }
@@ -163,7 +163,7 @@
             self.total_weight += endpoint.weight;
             self.total_ramped_weight += endpoint.ramped_weight();
             if endpoint.is_in_slow_start(now, settings) {
-                self.next_reweigh = Some(now + settings.slow_start_us / SLOW_START_STEPS);
+                self.next_weight_update = Some(now + settings.slow_start_us / SLOW_START_STEPS);
             }
         }
     }
--- a/crates/decide/src/in_flight.rs
+++ b/crates/decide/src/in_flight.rs
@@ -142,14 +142,14 @@
     pub(crate) fn new(now: Micros, request: Request, key: Key, class: Option<&Class>) -> Self {
         let deadline = now + request.remaining_us;
         let objective_at = class.map_or(deadline, |class| deadline.min(now + class.latency_objective_us));
-        let late_pays = class.is_some_and(|class| class.late_weight > 0.0);
+        let late_answer_counts = class.is_some_and(|class| class.late_weight > 0.0);
         Self {
             request,
             key,
             effect: class.map_or(Effect::NonIdempotent, |class| class.effect),
             objective_at,
             deadline,
-            useful_until: if late_pays { deadline } else { objective_at },
+            useful_until: if late_answer_counts { deadline } else { objective_at },
             priority: Priority::Normal,
             state: RequestState::Attempting { check_at: Micros::MAX },
             awaited_remote_fetch: false,
--- a/crates/decide/src/policy/endpoints.rs
+++ b/crates/decide/src/policy/endpoints.rs
@@ -65,7 +65,7 @@
                 SlowStartBudget { permits: context.rng.f64(), reads_seen: self.reads.earning.total() };
             self.table.apply(entry, budget);
         }
-        self.table.reweigh(context.now, &context.settings);
+        self.table.update_weights(context.now, &context.settings);
     }
 
     /// Records that an attempt was sent.
