--- a/crates/decide/tests/common/mod.rs
+++ b/crates/decide/tests/common/mod.rs
@@ -1,24 +1,27 @@
-//! A hand-driven router: tests feed events and look at the actions.
-#![allow(dead_code, unreachable_pub, reason = "shared by several test programs, each of which uses a part")]
+//! A router driven by hand: tests pass events to it and check the returned actions.
+#![allow(dead_code, unreachable_pub, reason = "each test program uses a part of this module")]
 
 use decide::api::*;
 use decide::policy::Router;
 
+/// Id of the origin in endpoint lists.
 pub const ORIGIN: u64 = 999;
+/// Microseconds per millisecond.
 pub const MS: Micros = 1_000;
 
-pub fn class(effect: Effect, worth: f64) -> Class {
+/// A class with a latency objective of 500 ms and a deadline of 1 s.
+pub fn class(effect: Effect, priority_weight: f64) -> Class {
     Class {
         latency_objective_us: 500 * MS,
         deadline_us: 1_000 * MS,
-        priority_weight: worth,
+        priority_weight,
         late_weight: 0.0,
         effect,
     }
 }
 
-/// Classes: 0 idempotent of weight 3, 1 with an idempotency key (all, 400 ms), 2 non-idempotent, 3 idempotent of weight 1,
-/// 4 with an idempotency key (zone, 400 ms).
+/// Settings with five classes: 0 idempotent of weight 3, 1 with an idempotency key (all endpoints, 400 ms),
+/// 2 non-idempotent, 3 idempotent of weight 1, 4 with an idempotency key (zone, 400 ms).
 pub fn settings() -> Settings {
     let dedup = |scope| Effect::IdempotentWithKey { scope, span_us: 400 * MS };
     Settings {
@@ -37,7 +40,8 @@
     }
 }
 
-pub fn server(id: u64) -> EndpointEntry {
+/// The list entry of a ready endpoint: the origin, or a cache node that started long ago.
+pub fn entry(id: u64) -> EndpointEntry {
     EndpointEntry {
         id: EndpointId(id),
         presence: Presence::Ready,
@@ -49,6 +53,7 @@
     }
 }
 
+/// A read with 1 s left.
 pub fn request(id: u64, class: u8, key: u64) -> Request {
     Request {
         id: RequestId(id),
@@ -60,45 +65,56 @@
     }
 }
 
-pub struct Rig {
+/// A router and its clock.
+pub struct TestRouter {
     pub router: Router,
     pub now: Micros,
 }
 
-impl Rig {
-    /// A router that knows cache servers 1 to `servers` and the origin.
-    pub fn new(settings: Settings, seed: u64, servers: u64) -> Self {
-        let mut rig = Rig { router: Router::new(settings, seed, 1_000 * MS), now: 1_000 * MS };
-        rig.list(ListKind::Full, (1..=servers).chain([ORIGIN]).map(server).collect());
-        rig
+impl TestRouter {
+    /// Creates a router with cache endpoints 1 to `count` and the origin.
+    pub fn new(settings: Settings, seed: u64, count: u64) -> Self {
+        let mut router = TestRouter { router: Router::new(settings, seed, 1_000 * MS), now: 1_000 * MS };
+        router.apply_list(ListKind::Full, (1..=count).chain([ORIGIN]).map(entry).collect());
+        router
     }
-    pub fn feed(&mut self, event: Event) -> Vec<Action> {
+    /// Passes an event to the router and returns the actions.
+    pub fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut out = Vec::new();
         self.router.handle(self.now, event, &mut out);
         out
     }
-    pub fn list(&mut self, kind: ListKind, entries: Vec<EndpointEntry>) -> Vec<Action> {
-        self.feed(Event::EndpointList(kind, entries))
+    /// Passes an endpoint list to the router.
+    pub fn apply_list(&mut self, kind: ListKind, entries: Vec<EndpointEntry>) -> Vec<Action> {
+        self.handle(Event::EndpointList(kind, entries))
     }
-    pub fn ask(&mut self, request: Request) -> Vec<Action> {
-        self.feed(Event::Request(request))
+    /// Passes a request to the router.
+    pub fn submit(&mut self, request: Request) -> Vec<Action> {
+        self.handle(Event::Request(request))
     }
-    /// Asks, and tells the server that was chosen.
-    pub fn sent_to(&mut self, request: Request) -> Option<u64> {
-        sends(&self.ask(request)).first().copied()
+    /// Submits a request and returns the endpoint that it is sent to.
+    pub fn endpoint_for(&mut self, request: Request) -> Option<u64> {
+        forwarded_to(&self.submit(request)).first().copied()
     }
-    pub fn end(&mut self, id: u64, attempt: u16, outcome: Outcome) -> Vec<Action> {
-        self.end_after(id, attempt, outcome, 10 * MS)
+    /// Ends an attempt after 10 ms.
+    pub fn end_attempt(&mut self, id: u64, attempt: u16, outcome: Outcome) -> Vec<Action> {
+        self.end_attempt_after(id, attempt, outcome, 10 * MS)
     }
-    pub fn end_flagged(&mut self, id: u64, attempt: u16, outcome: Outcome, stale: bool) -> Vec<Action> {
+    /// Ends an attempt after 1 ms without finishing the request; `stale` tells whether its connection was stale.
+    pub fn end_attempt_with_stale(
+        &mut self, id: u64, attempt: u16, outcome: Outcome, stale: bool,
+    ) -> Vec<Action> {
         let (id, latency_us) = (RequestId(id), 1_000);
         let (finished, fetch_pending) = (false, false);
-        self.feed(Event::Outcome { id, attempt, outcome, latency_us, finished, fetch_pending, stale })
+        self.handle(Event::Outcome { id, attempt, outcome, latency_us, finished, fetch_pending, stale })
     }
-    pub fn end_after(&mut self, id: u64, attempt: u16, outcome: Outcome, latency_us: Micros) -> Vec<Action> {
+    /// Ends an attempt after `latency_us`. [`Outcome::Ok`] finishes the request.
+    pub fn end_attempt_after(
+        &mut self, id: u64, attempt: u16, outcome: Outcome, latency_us: Micros,
+    ) -> Vec<Action> {
         let finished = outcome == Outcome::Ok;
         let id = RequestId(id);
-        self.feed(Event::Outcome {
+        self.handle(Event::Outcome {
             id,
             attempt,
             outcome,
@@ -108,13 +124,13 @@
             stale: false,
         })
     }
-    /// Asks for a key that its server lacks; the actions are those after the miss.
-    pub fn miss(&mut self, id: u64, class: u8, key: u64) -> Vec<Action> {
-        self.ask(request(id, class, key));
-        self.end(id, 0, Outcome::Miss)
+    /// Submits a read and ends its first attempt with a miss; returns the actions that follow the miss.
+    pub fn submit_and_miss(&mut self, id: u64, class: u8, key: u64) -> Vec<Action> {
+        self.submit(request(id, class, key));
+        self.end_attempt(id, 0, Outcome::Miss)
     }
-    /// Lets time pass and fires the timers among `actions` that fall due.
-    pub fn pass(&mut self, us: Micros, actions: &[Action]) -> Vec<Action> {
+    /// Advances the clock and fires the timers among `actions` that are then due.
+    pub fn advance(&mut self, us: Micros, actions: &[Action]) -> Vec<Action> {
         self.now += us;
         let mut out = Vec::new();
         for action in actions {
@@ -128,17 +144,24 @@
     }
 }
 
-pub fn sends(actions: &[Action]) -> Vec<u64> {
-    let server =
-        |a: &Action| if let Action::Forward { endpoint: server, .. } = a { Some(server.0) } else { None };
-    actions.iter().filter_map(server).collect()
+/// Returns the endpoints that `actions` forward to.
+pub fn forwarded_to(actions: &[Action]) -> Vec<u64> {
+    let endpoint =
+        |a: &Action| if let Action::Forward { endpoint, .. } = a { Some(endpoint.0) } else { None };
+    actions.iter().filter_map(endpoint).collect()
 }
-pub fn refused(actions: &[Action]) -> bool {
+
+/// Returns whether `actions` reject a request.
+pub fn is_rejected(actions: &[Action]) -> bool {
     actions.iter().any(|a| matches!(a, Action::Reject { .. }))
 }
-pub fn failed(actions: &[Action]) -> bool {
+
+/// Returns whether `actions` fail a request.
+pub fn is_failed(actions: &[Action]) -> bool {
     actions.iter().any(|a| matches!(a, Action::Fail { .. }))
 }
-pub fn answers(actions: &[Action]) -> usize {
+
+/// Counts the rejections and failures among `actions`.
+pub fn count_final_answers(actions: &[Action]) -> usize {
     actions.iter().filter(|a| matches!(a, Action::Reject { .. } | Action::Fail { .. })).count()
 }
--- a/crates/decide/tests/limiter.rs
+++ b/crates/decide/tests/limiter.rs
@@ -1,29 +1,30 @@
-//! The warm-up limiter against numbers worked out by hand from the formulas of the design.
+//! The warm-up limiter, checked against numbers calculated by hand from its formulas.
 //!
-//! At 20 permits a second with a warm-up of 500 ms: stable 50 ms, cold 150 ms, threshold 5 permits,
-//! maximum 5 + 2 * 500 / (50 + 150) = 10 permits, slope (150 - 50) / 5 = 20 ms a permit.
+//! At 20 permits per second with a warm-up of 500 ms, the stable interval is 50 ms, the cold interval 150 ms, the
+//! threshold 5 permits, the maximum 5 + 2 * 500 / (50 + 150) = 10 permits, and the slope (150 - 50) / 5 = 20 ms per
+//! permit.
 
 use decide::policy::WarmUpLimiter;
 
 const MS: u64 = 1_000;
 
 #[test]
-fn cold_start_costs_the_area_under_the_slope_and_the_next_caller_waits_for_it() {
+fn cold_permit_costs_the_area_under_the_slope() {
     let mut limiter = WarmUpLimiter::new(20.0, 0);
-    assert_eq!(limiter.reserve(0), 0, "the first caller waits for nothing");
-    // From 10 stored permits to 9: 5 and 4 above the threshold, (150 + 130) / 2 = 140 ms.
+    assert_eq!(limiter.reserve(0), 0, "the first caller does not wait");
+    // From 10 stored permits to 9, which are 5 and 4 above the threshold: (150 + 130) / 2 = 140 ms.
     assert_eq!(limiter.reserve(0), 140 * MS);
     // From 9 to 8: (130 + 110) / 2 = 120 ms.
     assert_eq!(limiter.reserve(0), 260 * MS);
 }
 
 #[test]
-fn crossing_the_threshold_ends_the_cold_intervals() {
+fn permits_below_the_threshold_cost_the_stable_interval() {
     let mut limiter = WarmUpLimiter::new(20.0, 0);
     let at: Vec<u64> = (0..12).map(|_| limiter.reserve(0)).collect();
     // The whole warm-up: 140 + 120 + 100 + 80 + 60 = 500 ms for the five permits above the threshold.
     assert_eq!(at[5], 500 * MS);
-    // Then stored permits below it cost the stable interval, and so do fresh ones after the tenth.
+    // Stored permits below the threshold cost the stable interval, and so do new permits after the tenth.
     assert_eq!(
         at[6..].iter().map(|t| t - 500 * MS).collect::<Vec<_>>(),
         [50, 100, 150, 200, 250, 300].map(|t| t * MS)
@@ -49,23 +50,23 @@
     for _ in 0..10 {
         limiter.reserve(0);
     }
-    // The store is empty at 750 ms; one permit comes back each 500 / 10 = 50 ms of idleness.
-    // After 350 ms there are 7, two of them above the threshold: from 7 to 6, (90 + 70) / 2 = 80 ms.
+    // The store is empty at 750 ms and gains one permit per 500 / 10 = 50 ms of idle time.
+    // After 350 ms it holds 7, two of them above the threshold. From 7 to 6: (90 + 70) / 2 = 80 ms.
     assert_eq!(limiter.reserve(1_100 * MS), 1_100 * MS);
     assert_eq!(limiter.next_free_at(), 1_180 * MS);
-    // Idleness beyond the warm-up fills it to the maximum and no further: 140 ms again.
+    // Idle time beyond the warm-up fills the store to the maximum and no further: 140 ms again.
     assert_eq!(limiter.reserve(60_000 * MS), 60_000 * MS);
     assert_eq!(limiter.next_free_at(), 60_140 * MS);
 }
 
 #[test]
-fn permit_is_split_between_the_slope_and_the_level() {
+fn cost_of_a_permit_is_split_at_the_threshold() {
     let mut limiter = WarmUpLimiter::new(20.0, 0);
     for _ in 0..10 {
         limiter.reserve(0);
     }
-    // 275 ms of idleness store 5.5 permits; half a permit lies above the threshold:
-    // 0.5 * (60 + 50) / 2 = 27.5 ms, and the other half costs 25 ms.
+    // 275 ms of idle time store 5.5 permits. The half permit above the threshold costs 0.5 * (60 + 50) / 2 = 27.5 ms,
+    // and the other half costs 25 ms.
     limiter.reserve(1_025 * MS);
     assert_eq!(limiter.next_free_at(), 1_025 * MS + 52_500);
 }
@@ -76,17 +77,22 @@
     limiter.reserve(0);
     assert_eq!(limiter.try_reserve(0, 139 * MS), None);
     assert_eq!(limiter.try_reserve(0, 0), None);
-    assert_eq!(limiter.try_reserve(0, 140 * MS), Some(140 * MS), "still the second permit's time");
+    assert_eq!(
+        limiter.try_reserve(0, 140 * MS),
+        Some(140 * MS),
+        "the second permit is still free at its time"
+    );
 }
 
 #[test]
-fn rate_change_keeps_the_fill_and_the_debt() {
+fn rate_change_keeps_fill_level_and_reserved_time() {
     let mut limiter = WarmUpLimiter::new(20.0, 0);
     for _ in 0..5 {
         limiter.reserve(0);
     }
-    // Half full at 500 ms; at 40 a second half of the maximum (20) is the threshold: 25 ms each from here.
+    // The store is half full at 500 ms. At 40 permits per second the threshold is half of the maximum of 20, so each
+    // further permit costs 25 ms.
     limiter.set_rate(40.0, 0);
-    assert_eq!(limiter.reserve(0), 500 * MS, "time already owed stays owed");
+    assert_eq!(limiter.reserve(0), 500 * MS, "time reserved before the change is kept");
     assert_eq!(limiter.next_free_at(), 525 * MS);
 }
