--- a/crates/decide/src/endpoint.rs
+++ b/crates/decide/src/endpoint.rs
@@ -37,7 +37,7 @@
 /// The budget of sends to an endpoint in slow start.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct SlowStartBudget {
-    /// Saved permits.
+    /// Number of saved permits.
     pub(crate) permits: f64,
     /// Total of permit-earning reads when the endpoint was last credited with permits.
     pub(crate) reads_seen: f64,
--- a/crates/decide/src/in_flight.rs
+++ b/crates/decide/src/in_flight.rs
@@ -125,7 +125,7 @@
     pub(crate) objective_at: Micros,
     /// Time at which the client gives up.
     pub(crate) deadline: Micros,
-    /// Time until which an answer still has a weight.
+    /// Time until which an answer still counts: the deadline, or the objective if late answers have no weight.
     pub(crate) useful_until: Micros,
     /// Its priority under load.
     pub(crate) priority: Priority,
--- a/crates/decide/src/policy/endpoints.rs
+++ b/crates/decide/src/policy/endpoints.rs
@@ -12,7 +12,7 @@
 
 const IN_FLIGHT_FACTOR: f64 = 1.25; // in-flight bound, as a multiple of the endpoint's share of the mean
 pub(super) const MIN_IN_FLIGHT_BOUND: f64 = 2.0; // lowest in-flight bound: random bursts must not move keys
-const SLOW_START_RATE: f64 = 1.5; // sends in slow start, as a multiple of the ramped share of our reads
+const SLOW_START_RATE: f64 = 1.5; // sends in slow start, as a multiple of the ramped share of reads
 const MAX_OVERLOAD_RATE: f64 = 0.5; // limit of SLOW_START_RATE, as a fraction of the overload multiple
 const SAVED_OVERLOAD_FACTOR: f64 = 2.5; // permits saved by all balancers, as a multiple of an overload
 const MAX_SAVED_PERMITS: f64 = 3.0; // permits saved by one balancer
--- a/crates/decide/src/policy/keys.rs
+++ b/crates/decide/src/policy/keys.rs
@@ -135,6 +135,7 @@
     if least_loaded.is_some() {
         return least_loaded;
     }
+    // No endpoint of the key can take the read: choose the best-ranked one of all warm endpoints.
     let is_allowed = |slot: Slot, endpoint: &Endpoint| {
         endpoint.is_warm() && endpoints.table.is_usable(slot, now) && !was_tried(slot)
     };
--- a/crates/decide/src/policy/origin.rs
+++ b/crates/decide/src/policy/origin.rs
@@ -19,8 +19,8 @@
 const RESET_GAIN: f64 = 0.1; // weight of a reset in the bad share: connections also break without congestion
 const LATENCY_GAIN: f64 = 0.15; // weight of one outcome in the smoothed latency
 const CLOSE_IDLE_SHARE: f64 = 0.3; // above this bad share idle connections to the origin are closed
-const FETCH_FRACTION_PER_BALANCER: f64 = 0.02; // of the time to the objective: allowed for the fetch alone
-const FETCH_FRACTION_FROM_BALANCERS: u32 = 10; // only balancers beyond this many add to that fraction
+const FETCH_FRACTION_PER_BALANCER: f64 = 0.02; // of the time to the objective, for the fetch alone
+const FETCH_FRACTION_FROM_BALANCERS: u32 = 10; // balancers up to this many add nothing to that fraction
 
 /// The fetch rate: raised while the limiter binds and fetches are good, cut when they are not.
 #[derive(Debug, Default)]
--- a/crates/decide/src/policy/shedding.rs
+++ b/crates/decide/src/policy/shedding.rs
@@ -9,9 +9,9 @@
 use crate::key_table::KeyAssignment;
 
 const LOW_WEIGHT_FRACTION: f64 = 0.5; // low weights: up to this fraction of the highest read weight
-const QUOTA_FACTOR: f64 = 2.0; // of an equal share of the quota: the balancers do not know their shares
+const QUOTA_FACTOR: f64 = 2.0; // of an equal share of the quota: a tenant's spread over balancers is unknown
 const QUOTA_ALLOWANCE: f64 = 2.0; // requests allowed above that, so that random bursts exceed no quota
-const SHED_FRACTION: f64 = 0.6; // reads are shed when those in flight take this part of the time left
+const SHED_FRACTION: f64 = 0.6; // reads are shed when those in flight take this part of the mean time left
 const LOW_SHED_FRACTION: f64 = 0.5 * SHED_FRACTION; // SHED_FRACTION for requests of low priority
 const MIN_IN_FLIGHT: f64 = 16.0; // no read is shed up to this many in flight
 const BUSY_THRESHOLD: f64 = 8.0; // reads in flight above which a busy period begins
@@ -40,7 +40,7 @@
     answers: DecayingCounter,
     busy_period: BusyPeriod,
     mean_time_left_us: f64,
-    best_weight: f64,
+    max_read_weight: f64,
     tenants: Vec<DecayingCounter>,
 }
 
@@ -51,7 +51,7 @@
             answers: DecayingCounter::default(),
             busy_period: BusyPeriod::default(),
             mean_time_left_us: 0.0,
-            best_weight: 0.0,
+            max_read_weight: 0.0,
             tenants: vec![DecayingCounter::default(); tenants],
         }
     }
@@ -62,8 +62,8 @@
         &mut self, in_flight: &InFlightRequest, weight: f64, context: &Context,
     ) -> Priority {
         let request = &in_flight.request;
-        self.best_weight = self.best_weight.max(if request.write { 0.0 } else { weight });
-        let threshold = LOW_WEIGHT_FRACTION * self.best_weight;
+        self.max_read_weight = self.max_read_weight.max(if request.write { 0.0 } else { weight });
+        let threshold = LOW_WEIGHT_FRACTION * self.max_read_weight;
         let over_quota = self.count_for_tenant(request.tenant.0 as usize, context);
         if over_quota && weight * context.settings.over_quota_weight <= threshold {
             Priority::OverQuota
