--- a/crates/gateway/src/engine.rs
+++ b/crates/gateway/src/engine.rs
@@ -1,7 +1,7 @@
-//! The engine: one loop over all inputs and timers, in front of the decision module.
+//! The engine: one event loop that passes all inputs and timers to the decision module and executes its actions.
 //!
-//! It knows no front and no client socket: a front submits a request through a [`Handle`] and gets a [`Ticket`]. `phases` has what
-//! the engine does at each wake; the other modules own one part of its state each.
+//! The engine has no client sockets: a front submits a request through a [`Handle`] and gets a [`Ticket`]. `phases`
+//! contains the handlers of each wake. Each of the other modules owns one part of the engine's state.
 
 mod fleet;
 mod gossip;
@@ -44,13 +44,13 @@
 use upstream::connection::{AttemptLogThrottles, ConnectionPools};
 use upstream::endpoints::EndpointSet;
 
-/// Unix time; 0 on a machine whose clock is set before 1970.
+/// Returns the Unix time in microseconds, or 0 if the system clock is set before 1970.
 #[must_use]
 pub fn unix_us() -> Micros {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as Micros
 }
 
-/// The engine, owner of the decision module.
+/// The engine. Owns the decision module, the open requests and the connections to the endpoints.
 pub struct Engine {
     router: Router,
     /// Events that the decision module has not handled yet.
@@ -66,11 +66,11 @@
     throttles: Rc<AttemptLogThrottles>,
     overrides: Overrides,
     gossip: Gossip,
-    /// The fleet that this balancer is a member of, if any.
+    /// The state of this balancer in its fleet; `None` if it belongs to no fleet.
     fleet: Option<Box<FleetMember>>,
-    /// The list known from before, until the engine runs.
+    /// The endpoint list known before the start. Taken by [`Engine::join_fleet`], and dropped when the engine runs.
     known_list: Option<EndpointList>,
-    /// The effect of each class of requests.
+    /// The effect of each class of requests, indexed by the class number.
     effects: Vec<Effect>,
     /// The resolution of the decision module's time.
     tick: Duration,
@@ -78,13 +78,15 @@
 }
 
 impl Engine {
-    /// The engine, and the handle for its fronts. The list known from before is applied as a cached one.
+    /// Creates an engine and the handle for its fronts. Applies the endpoint list known before the start as a cached
+    /// list.
     #[must_use]
     pub fn new(config: &Config) -> (Self, Handle) {
         let (inputs_sender, inputs) = mpsc::unbounded_channel();
         let (discovery_sender, discovery) = mpsc::unbounded_channel();
         let handle = Handle::new(inputs_sender, discovery_sender, config);
-        // Unix time is read once, and the clock then only advances: `up_since_ms` of endpoints is Unix time.
+        // The clock starts at Unix time, because `up_since_ms` of endpoints is Unix time. It is read once, so that the
+        // clock never goes back.
         let unix = unix_us();
         let settings = &config.settings;
         let overrides_folder = config.folder.as_deref().filter(|_| config.operator.is_some());
@@ -118,7 +120,7 @@
         (engine, handle)
     }
 
-    /// Runs until it is dropped.
+    /// Runs the event loop until the future is dropped.
     pub async fn run(mut self) {
         self.known_list = None;
         tokio::task::spawn_local(run_stall_monitor(self.handle.stall_monitor.clone()));
@@ -133,7 +135,7 @@
         }
     }
 
-    /// The clock that the engine counts on.
+    /// Returns the engine's clock.
     #[must_use]
     pub fn clock(&self) -> Clock {
         self.clock
--- a/crates/gateway/src/engine/fleet.rs
+++ b/crates/gateway/src/engine/fleet.rs
@@ -1,4 +1,5 @@
-//! This balancer as a member of the fleet: its lease, the gate that topology changes pass, and the audit of its activity.
+//! This balancer as a member of the fleet: its lease, the gate that checks topology changes, and the audit of its
+//! activity.
 
 mod activity;
 
@@ -18,26 +19,27 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How often it is checked whether the lease has ended and whether pending endpoints may be applied. Requests check the lease
-/// themselves.
+/// The interval at which the engine checks whether the lease has ended and whether pending changes may be applied. In
+/// addition, the lease is checked for each request.
 pub(super) const POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// How pending changes are applied after a freeze: in steps, so that the cold endpoints of one step are few.
+/// After a freeze, pending changes are applied in steps, so that only a few cold endpoints are added at a time.
 const RELEASE_PACE: ReleasePace = ReleasePace { hosts: 8, pause: 1_000 };
-/// Stands for the host in the record of a change that concerns the whole fleet.
+/// The `host` in the record of a change that concerns the whole fleet.
 const WHOLE_FLEET: &str = "*";
 
-/// Whether more pending changes may pass than at the last poll.
+/// Whether the inputs of the gate, its calendar and lease state, have changed since the last poll. If so, pending
+/// changes are checked again.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum GateState {
     Unchanged,
     Changed,
 }
 
-/// What a poll of the fleet state found.
+/// The result of a poll of the fleet state.
 pub(super) struct FleetPoll {
-    /// Until when requests are accepted.
+    /// Requests are accepted until this time.
     pub(super) serve_until: Micros,
-    /// Pending changes that are applied now.
+    /// Pending changes that the gate has released and that must be applied now.
     pub(super) released: Option<EndpointList>,
 }
 
@@ -57,7 +59,7 @@
 }
 
 impl FleetMember {
-    /// A member without a lease, which knows these endpoints from an earlier run.
+    /// Creates a member without a lease. `known` contains the endpoints known before the start.
     pub(super) fn new(link: FleetLink, known: Option<Vec<EndpointRecord>>) -> Self {
         Self {
             lease: None,
@@ -71,17 +73,17 @@
         }
     }
 
-    /// The next update of the fleet thread; `None` once that is gone.
+    /// Waits for the next update from the fleet thread. Returns `None` once the fleet thread has ended.
     pub(super) async fn next_update(&mut self) -> Option<FleetUpdate> {
         self.link.updates.recv().await
     }
 
-    /// Until when requests are accepted.
+    /// Returns the time until which requests are accepted; 0 without a lease.
     pub(super) fn serve_until(&self, now: Micros) -> Micros {
         self.lease.as_ref().map_or(0, |lease| lease.serve_until(now))
     }
 
-    /// Applies an agreed update, and polls.
+    /// Applies an update that the fleet has agreed on, and polls the fleet state.
     pub(super) fn apply_update(&mut self, now: Micros, update: FleetUpdate) -> FleetPoll {
         match update {
             FleetUpdate::Lease(lease) => {
@@ -95,7 +97,7 @@
         }
     }
 
-    /// Checks the lease, releases pending changes that may pass, and reports the activity.
+    /// Checks the lease, releases the pending changes that the gate allows now, and reports the activity.
     pub(super) fn poll(&mut self, now: Micros) -> FleetPoll {
         self.poll_with(now, GateState::Unchanged)
     }
@@ -132,7 +134,7 @@
         }
     }
 
-    /// Passes a list through the gate, and returns what may be applied of it.
+    /// Passes an endpoint list through the gate. Returns the list of what may be applied now.
     pub(super) fn filter_list(&mut self, now: Micros, list: &EndpointList) -> EndpointList {
         self.list_revision = list.revision;
         self.audit_current_version(now);
@@ -140,7 +142,7 @@
         self.record_result(result)
     }
 
-    /// Checks whether a change that concerns the whole fleet may be made now, and records it if so.
+    /// Checks whether a change that concerns the whole fleet may be made now, and records the change if it may.
     pub(super) fn check_change(&mut self, now: Micros, kind: ChangeKind) -> Result<(), ChangeCheckError> {
         let context = self.gate_context(now);
         match self.calendar.check(context.fleet_time, context.lease, &Change::of_fleet(kind)) {
@@ -159,7 +161,7 @@
         self.audit.count_rejected();
     }
 
-    /// The version under which an attempt that starts now is to be counted.
+    /// Returns the version under which an attempt that starts now is counted.
     pub(super) fn audited_version(&self, is_write: bool) -> Option<AuditedVersion> {
         self.audit.current_version(is_write)
     }
@@ -173,18 +175,19 @@
         self.lease.as_ref().and_then(|lease| lease.fleet_time(now))
     }
 
-    /// The state that the gate judges by. Read for each change: a process that was suspended finds its lease expired.
+    /// Returns the time and lease state for the gate. Computed for each change, because the lease may have expired
+    /// while the process was suspended.
     fn gate_context(&self, now: Micros) -> GateContext {
         let lease = match self.lease.as_ref().map(|lease| lease.state(now).0) {
             Some(lease::LeaseState::Held) => LeaseState::Held,
             Some(lease::LeaseState::Orphaned) => LeaseState::Orphaned,
             Some(lease::LeaseState::Fenced) | None => LeaseState::Fenced,
         };
-        let fleet_time = self.fleet_time(now).map(in_millis);
+        let fleet_time = self.fleet_time(now).map(to_millis);
         GateContext { now: now / 1_000, fleet_time, lease }
     }
 
-    /// Counts under the version that is in force now.
+    /// Switches the audit to the version that is in force now.
     fn audit_current_version(&mut self, now: Micros) {
         let Some(fleet_time) = self.fleet_time(now) else { return };
         let version = Version {
@@ -197,7 +200,8 @@
         self.audit.switch_version(version, fleet_time);
     }
 
-    /// Pending changes that pass now. Looked for when the next step is due, or when the gate's state has changed.
+    /// Releases the pending changes that the gate allows now. Does nothing unless the next release step is due or the
+    /// gate's inputs have changed.
     fn release_pending(&mut self, now: Micros, gate_state: GateState) -> Option<EndpointList> {
         let release_at = self.gate.next_release_at()?;
         if gate_state == GateState::Unchanged && release_at > now / 1_000 {
@@ -234,7 +238,7 @@
     }
 }
 
-/// Fleet time in milliseconds, at least as wide as in microseconds.
-fn in_millis(time: lease::TimeInterval) -> calendar::TimeInterval {
+/// Converts a fleet time interval to milliseconds. Rounds outwards, so that the result contains the original interval.
+fn to_millis(time: lease::TimeInterval) -> calendar::TimeInterval {
     calendar::TimeInterval { earliest: time.earliest / 1_000, latest: time.latest.div_ceil(1_000) }
 }
--- a/crates/gateway/src/engine/fleet/activity.rs
+++ b/crates/gateway/src/engine/fleet/activity.rs
@@ -1,4 +1,4 @@
-//! Counts what this balancer does under each version, and sends the counts to the fleet thread for the ledger.
+//! Counts the activity of this balancer under each version, and sends the counts to the fleet thread for the ledger.
 
 use crate::fleet_link::AuditEvent;
 use audit::activity_counter::{ActivityCounter, CountKind, VersionId};
@@ -7,10 +7,10 @@
 use decide::api::{Micros, Outcome};
 use tokio::sync::mpsc;
 
-/// How often the counts are reported.
+/// The interval at which the counts are reported, in microseconds.
 const REPORT_INTERVAL: Micros = 1_000_000;
 
-/// What an attempt is counted under: the version it started with, and whether it writes.
+/// The version in force when an attempt started, and whether the attempt is a write.
 #[doc(hidden)]
 #[derive(Debug, Clone, Copy)]
 pub struct AuditedVersion {
@@ -23,27 +23,27 @@
     events: mpsc::Sender<AuditEvent>,
     number: u16,
     incarnation: u64,
-    /// Set once fleet time is known: periods without it could not be compared with those of others.
+    /// Set once fleet time is known: without it, periods cannot be compared with those of other balancers.
     counter: Option<ActivityCounter>,
     next_report_at: Micros,
-    /// Events that could not be sent since the last report, because the fleet thread was stalled.
+    /// The number of events lost since the last report because the fleet thread was stalled.
     lost_events: u64,
 }
 
 impl ActivityAudit {
-    /// An audit that has counted nothing.
+    /// Creates an audit without counts.
     pub(super) fn new(events: mpsc::Sender<AuditEvent>, number: u16, incarnation: u64) -> Self {
         Self { events, number, incarnation, counter: None, next_report_at: 0, lost_events: 0 }
     }
 
-    /// Sends an event; it is lost if the fleet thread is stalled, since the engine must not wait for it.
+    /// Sends an event to the fleet thread. The event is lost if the queue is full, because the engine must not wait.
     pub(super) fn send(&mut self, event: AuditEvent) {
         if self.events.try_send(event).is_err() {
             self.lost_events += 1;
         }
     }
 
-    /// Counts under this version from now on.
+    /// Counts activity under `version` from now on.
     pub(super) fn switch_version(&mut self, version: Version, now: TimeInterval) {
         let (number, incarnation) = (self.number, self.incarnation);
         let counter =
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Adds a topology change to the digest that balancers compare.
+    /// Adds a topology change to the digest that is compared between balancers.
     pub(super) fn record_topology_change(&mut self, change: &[u8], accepted: bool) {
         if let Some(counter) = &mut self.counter {
             counter.record_topology_change(change, accepted);
@@ -83,7 +83,7 @@
         }
     }
 
-    /// The version under which an attempt that starts now is to be counted.
+    /// Returns the version under which an attempt that starts now is counted.
     pub(super) fn current_version(&self, is_write: bool) -> Option<AuditedVersion> {
         let version = self.counter.as_ref()?.version();
         Some(AuditedVersion { version, is_write })
@@ -99,9 +99,10 @@
     }
 }
 
-/// The kind that an attempt is counted as; `None` if it was never sent, or cancelled by this balancer.
+/// Returns the kind under which an attempt is counted, or `None` if it was never sent or was cancelled by this
+/// balancer.
 fn count_kind(outcome: Outcome, at_origin: bool, is_write: bool) -> Option<CountKind> {
-    let [ok, error, full, timeout, unreachable] = match (is_write, at_origin) {
+    let [ok, error, rejected, timeout, unreachable] = match (is_write, at_origin) {
         (true, _) => [
             CountKind::WriteOk,
             CountKind::WriteError,
@@ -127,7 +128,7 @@
     match outcome {
         Outcome::Ok | Outcome::Miss => Some(ok),
         Outcome::Error | Outcome::Reset => Some(error),
-        Outcome::Rejected => Some(full),
+        Outcome::Rejected => Some(rejected),
         Outcome::Timeout => Some(timeout),
         Outcome::ConnectFailed => Some(unreachable),
         Outcome::Cancelled | Outcome::NotSent => None,
--- a/crates/gateway/src/engine/handle.rs
+++ b/crates/gateway/src/engine/handle.rs
@@ -1,4 +1,5 @@
-//! The handle to the engine: fronts submit requests, discovery publishes events, and operators give commands.
+//! The handle to the engine: fronts submit requests, discovery publishes watch events, and the admin endpoint sends
+//! commands.
 
 use super::input::{AnswerSlot, DiscoveryInput, IncomingRequest, Input, OperatorInput};
 use super::open_requests::OpenRequests;
@@ -19,16 +20,16 @@
 use upstream::call::Answer;
 use upstream::memory::{MemoryBudget, MemoryPermit};
 
-/// Why an operator's command was not carried out; nothing of it is in force.
+/// Why an operator's command was rejected. No part of the command is in force.
 #[derive(Debug, thiserror::Error)]
 pub enum CommandError {
-    /// It is not possible.
+    /// The command is invalid or not possible in the current state.
     #[error(transparent)]
     Order(#[from] OverrideError),
-    /// It could not be stored for the next process.
+    /// The overrides file could not be written, so that the command would be lost with the process.
     #[error("the order could not be written to {OVERRIDES_FILE}: {0}")]
     NotPersisted(String),
-    /// The engine is gone.
+    /// The engine has stopped.
     #[error("the core has stopped")]
     Stopped,
 }
@@ -45,21 +46,21 @@
     pub(super) ready: Rc<watch::Sender<bool>>,
     pub(super) draining: Rc<watch::Sender<bool>>,
     fleet: Rc<OnceCell<FleetState>>,
-    /// How late the event loop runs.
+    /// Measures stalls of the event loop.
     pub stall_monitor: Rc<StallMonitor>,
 }
 
-/// What callers see of the fleet.
+/// The state of the fleet that handles need.
 #[derive(Debug)]
 struct FleetState {
     clock: Clock,
-    /// From when on new requests are rejected, as known so far.
+    /// New requests are rejected from this time on, as of the engine's last poll.
     serve_until: Cell<Micros>,
     calls: mpsc::Sender<FleetRequest>,
 }
 
 impl Handle {
-    /// The handle of an engine that receives at the other end of these channels.
+    /// Creates the handle of the engine that receives from these channels.
     pub(super) fn new(
         inputs: mpsc::UnboundedSender<Input>, discovery: mpsc::UnboundedSender<DiscoveryInput>,
         config: &Config,
@@ -78,8 +79,8 @@
         }
     }
 
-    /// Submits a request; `None` while another request with its client's id is open. Guards against executing that one twice:
-    /// cache nodes and origin distinguish requests by this id.
+    /// Submits a request. Returns `None` while another request with the same client id is open: cache nodes and the
+    /// origin identify requests by this id, and could execute the other request twice.
     #[must_use]
     pub fn submit(&self, incoming: IncomingRequest) -> Option<Ticket> {
         let client_id = incoming.call.id.clone();
@@ -91,9 +92,10 @@
         let awaited = Rc::new(Cell::new(true));
         if self.open_requests.is_full() {
             self.counters.borrow_mut().count_rejected_unseen(incoming.class, Reason::NoCapacity);
-            let _ = sender.send(Answer::Rejected(0)); // its receiver is alive
+            let _ = sender.send(Answer::Rejected(0)); // cannot fail: the receiver is alive
         } else {
-            // If the engine is gone, the sender is dropped with the input, and the ticket resolves to a failure.
+            // If the engine has stopped, the sender is dropped with the input, and the ticket resolves to
+            // `Answer::Failed`.
             let slot = AnswerSlot { sender, awaited: awaited.clone() };
             let _ = self.inputs.send(Input::Submitted(id, incoming, slot));
         }
@@ -102,39 +104,39 @@
         Some(Ticket { id, client_id, answer, inputs, open_requests, awaited, answered: false })
     }
 
-    /// Reserves memory for a value that must be buffered completely; `None` if there is not enough.
+    /// Reserves memory for a value that must be buffered completely. Returns `None` if the memory budget is exhausted.
     #[must_use]
     pub fn reserve_memory(&self, bytes: usize) -> Option<MemoryPermit> {
         self.budget.reserve(bytes)
     }
 
-    /// Counts a request that its front rejected for want of memory.
+    /// Counts a request that its front rejected because the memory budget was exhausted.
     pub fn count_out_of_memory(&self, class: ClassId) {
         self.counters.borrow_mut().count_rejected_unseen(class, Reason::NoCapacity);
     }
 
-    /// Counts a request that its front has shed, since the balancer is draining or shutting down.
+    /// Counts a request that its front rejected because the balancer is draining or shutting down.
     pub fn count_shed(&self, class: ClassId) {
         self.counters.borrow_mut().count_rejected_unseen(class, Reason::ShuttingDown);
     }
 
-    /// Publishes an event of the endpoint list to the engine, ahead of all other inputs.
+    /// Sends a watch event of discovery to the engine, which handles it before all other inputs.
     pub fn handle_watch_event(&self, event: WatchEvent) {
         let _ = self.discovery.send(DiscoveryInput { event, published_at: Instant::now() });
     }
 
-    /// The metrics, as operators fetch them; `None` if the engine is gone.
+    /// Returns the metrics in the text format of the admin endpoint, or `None` if the engine has stopped.
     pub async fn metrics(&self) -> Option<String> {
         let (sender, metrics) = oneshot::channel();
         let _ = self.inputs.send(Input::Operator(OperatorInput::Metrics(sender)));
         metrics.await.ok()
     }
 
-    /// Carries out an operator's command; it is in force when this returns. Returns whether it is stored for the next process
-    /// already; if not, it will be as soon as the disk responds.
+    /// Applies an operator's command. The command is in force when this returns. Returns whether the overrides file is
+    /// written: `true` if it is, `false` if the write is still pending because the disk is stalled.
     ///
     /// # Errors
-    /// When it was not carried out.
+    /// Returns an error if the command was not applied.
     pub async fn apply_override(&self, command: OverrideCommand) -> Result<bool, CommandError> {
         let (sender, outcome) = oneshot::channel();
         let _ = self.inputs.send(Input::Operator(OperatorInput::Override(command, sender)));
@@ -146,12 +148,12 @@
         }
     }
 
-    /// Gives the engine the transport to the other balancers.
+    /// Attaches the transport over which the engine exchanges load reports with the other balancers.
     pub fn attach_gossip(&self, transport: GossipTransport) {
         let _ = self.inputs.send(Input::GossipAttached(transport));
     }
 
-    /// Whether the balancer is draining, now and whenever that changes.
+    /// Returns a watch on whether the balancer is draining.
     #[must_use]
     pub fn draining(&self) -> watch::Receiver<bool> {
         self.draining.subscribe()
@@ -167,19 +169,19 @@
         }
     }
 
-    /// Waits until the engine has an endpoint list and its overrides.
+    /// Waits until the engine is ready: it has an endpoint list and its overrides, and is not fenced.
     pub async fn until_ready(&self) {
-        let _ = self.ready.subscribe().wait_for(|ready| *ready).await; // its sender lives in this handle
+        let _ = self.ready.subscribe().wait_for(|ready| *ready).await; // cannot fail: this handle owns the sender
     }
 
-    /// Whether the engine has an endpoint list and its overrides, and is not fenced.
+    /// Returns whether the engine has an endpoint list and its overrides, and is not fenced.
     #[must_use]
     pub fn ready(&self) -> bool {
         *self.ready.borrow() && !self.fenced()
     }
 
-    /// Whether new requests are rejected for want of a lease of the fleet. Also correct before the engine has noticed the end of
-    /// the lease.
+    /// Returns whether new requests are rejected because this balancer holds no lease of the fleet. Correct even before
+    /// the engine has polled the end of the lease.
     #[must_use]
     pub fn fenced(&self) -> bool {
         self.fleet.get().is_some_and(|fleet| fleet.clock.now() >= fleet.serve_until.get())
@@ -187,7 +189,7 @@
 
     pub(super) fn join_fleet(&self, clock: Clock, calls: mpsc::Sender<FleetRequest>) {
         let state = FleetState { clock, serve_until: Cell::new(0), calls };
-        let _ = self.fleet.set(state); // a fleet is joined once
+        let _ = self.fleet.set(state); // cannot fail: a fleet is joined once
     }
 
     pub(super) fn set_serve_until(&self, serve_until: Micros) {
@@ -196,10 +198,10 @@
         }
     }
 
-    /// Whether a change that concerns the whole fleet may be made now; always without a fleet.
+    /// Checks whether a change that concerns the whole fleet may be made now. Without a fleet, it always may.
     ///
     /// # Errors
-    /// Why it is held.
+    /// Returns why the change is held, or that the engine has stopped.
     pub async fn check_change(&self, kind: ChangeKind) -> Result<(), ChangeCheckError> {
         if self.fleet.get().is_none() {
             return Ok(());
@@ -209,7 +211,8 @@
         verdict.await.unwrap_or(Err(ChangeCheckError::Stopped))
     }
 
-    /// Sends a call to the fleet thread, and returns its status and JSON body; `None` without a fleet. The caller bounds the wait.
+    /// Sends a call to the fleet thread. Returns the status and JSON body of its answer, or `None` without a fleet.
+    /// This has no timeout: the caller bounds the wait.
     pub async fn call_fleet(&self, call: FleetCall) -> Option<(u16, String)> {
         let busy = || (503, r#"{"error":"the fleet's thread is busy or has stopped"}"#.to_owned());
         let fleet = self.fleet.get()?;
--- a/crates/gateway/src/engine/input.rs
+++ b/crates/gateway/src/engine/input.rs
@@ -1,4 +1,4 @@
-//! What reaches the engine from other tasks: requests, attempts, watch events, and calls of the admin endpoint.
+//! Inputs of the engine from other tasks: requests, results of attempts, watch events, and calls of the admin endpoint.
 
 use super::fleet::AuditedVersion;
 use crate::fleet_link::{ChangeCheckError, ChangeKind};
@@ -17,34 +17,34 @@
 use upstream::endpoints::Endpoint;
 use upstream::memory::MemoryPermit;
 
-/// A request, as a front hands it over.
+/// A request as submitted by a front.
 #[derive(Debug)]
 pub struct IncomingRequest {
-    /// Its class.
+    /// The class of the request.
     pub class: ClassId,
-    /// Its tenant.
+    /// The tenant that the request belongs to.
     pub tenant: TenantId,
-    /// What it is about.
+    /// The key that is read or written, if any.
     pub key: Option<Key>,
-    /// When its last byte arrived.
+    /// When the last byte of the request arrived.
     pub received: Instant,
-    /// How long its client waits from then on.
+    /// How long the client waits for the answer, from `received` on.
     pub time_limit: Duration,
-    /// What is forwarded.
+    /// The parts of the request that are forwarded to an endpoint.
     pub call: Rc<Call>,
-    /// The memory of its value, where the front has reserved some.
+    /// The memory that the front has reserved for the value, if any.
     pub memory: Option<MemoryPermit>,
 }
 
-/// Where the final answer of a request goes.
+/// The receiving side of the final answer of a request.
 #[derive(Debug)]
 pub(super) struct AnswerSlot {
     pub(super) sender: oneshot::Sender<Answer>,
-    /// Whether the client still waits. Shared with the client's side and with the attempts.
+    /// Whether the client still waits for the answer. Shared with the ticket and with the attempts.
     pub(super) awaited: Rc<Cell<bool>>,
 }
 
-/// An attempt that is in flight.
+/// An attempt in flight.
 #[doc(hidden)]
 #[derive(Debug, Clone)]
 pub struct InFlightAttempt {
@@ -60,46 +60,48 @@
 pub(super) enum Input {
     /// A front has submitted a request.
     Submitted(RequestId, IncomingRequest, AnswerSlot),
-    /// The client has disconnected.
+    /// The client has disconnected before the answer.
     ClientLeft(RequestId),
-    /// The front has failed the request, and answers its client itself.
+    /// The front has given up waiting, and answers its client with a failure itself.
     Abandoned(RequestId),
-    /// The answer of an attempt is large, and its value follows.
+    /// The response to an attempt is large: its head has been read, and its value follows.
     AttemptStreaming(InFlightAttempt, Box<StreamedValue>),
+    /// An attempt has ended.
     AttemptEnded(InFlightAttempt, AttemptResult),
-    /// A connection was opened ahead of use, or could not be.
+    /// A connection was opened ahead of its first attempt; `None` if connecting failed.
     Preconnected(Rc<Endpoint>, Option<Connection>),
     Discovery(DiscoveryInput),
     Operator(OperatorInput),
     GossipAttached(GossipTransport),
-    /// Asks whether a planned change may be made.
+    /// Checks whether a planned change may be made now.
     CheckChange(ChangeKind, oneshot::Sender<Result<(), ChangeCheckError>>),
 }
 
-/// An event of the endpoint list.
+/// A watch event of discovery.
 pub(super) struct DiscoveryInput {
     pub(super) event: WatchEvent,
     pub(super) published_at: Instant,
 }
 
-/// Calls of the admin endpoint, and operations on the file of overrides.
+/// Calls of the admin endpoint, and results of operations on the overrides file.
 pub(super) enum OperatorInput {
     Metrics(oneshot::Sender<String>),
     Override(OverrideCommand, oneshot::Sender<CommandOutcome>),
-    /// The file was read; `None` if it is unchanged or absent.
+    /// The overrides file was read; `None` if it is unchanged or absent.
     OverridesRead(io::Result<Option<OperatorOverrides>>),
     OverridesWritten(Result<(), WriteError>),
 }
 
-/// The queues of the engine.
+/// The input queues of the engine.
 pub(super) struct Inbox {
     pub(super) inputs: mpsc::UnboundedReceiver<Input>,
-    /// Watch events overtake all other inputs: no request may go to an endpoint that started draining 250 ms earlier.
+    /// Watch events are handled before all other inputs: from 250 ms after an endpoint has started draining, no request
+    /// may be sent to it.
     pub(super) discovery: mpsc::UnboundedReceiver<DiscoveryInput>,
 }
 
 impl Inbox {
-    /// The next input; `None` if all senders are gone.
+    /// Waits for the next input. Returns `None` if all senders are dropped.
     pub(super) async fn next(&mut self) -> Option<Input> {
         tokio::select! {
             biased;
--- a/crates/gateway/src/engine/open_requests.rs
+++ b/crates/gateway/src/engine/open_requests.rs
@@ -1,13 +1,13 @@
-//! The requests whose answers have not been written, and the limit on them.
+//! Tracks the open requests, whose answers have not been written yet, and limits their number.
 
 use crate::setup::Bounds;
 use bytes::Bytes;
 use rustc_hash::FxHashSet;
 use std::cell::{Cell, RefCell};
 
-/// The size that an answer is expected to have at least, in bytes.
+/// The minimum of the expected answer size, in bytes.
 const MIN_EXPECTED_ANSWER: usize = 4 * 1024;
-/// The expected size decays by this fraction with each shorter answer.
+/// Each shorter answer reduces the expected answer size by one part in this number.
 const DECAY_DIVISOR: usize = 64;
 
 /// The open requests, and the memory that their answers may need.
@@ -21,7 +21,7 @@
 }
 
 impl OpenRequests {
-    /// No open requests.
+    /// Creates an empty set with the limits from `bounds`.
     pub(super) fn new(bounds: &Bounds) -> Self {
         Self {
             client_ids: RefCell::default(),
@@ -32,36 +32,37 @@
         }
     }
 
-    /// How many requests are open.
+    /// Returns the number of open requests.
     pub(super) fn count(&self) -> usize {
         self.count.get()
     }
 
-    /// Reserves the client's id. Returns whether no open request has it.
+    /// Reserves the client's id of a request. Returns `false` if an open request has the same id.
     pub(super) fn reserve_id(&self, client_id: Bytes) -> bool {
         self.client_ids.borrow_mut().insert(client_id)
     }
 
-    /// Counts a request whose id is reserved.
+    /// Counts a request as open. Its id must be reserved.
     pub(super) fn open(&self) {
         self.count.set(self.count.get() + 1);
     }
 
-    /// Ends a request, and frees its id.
+    /// Removes a request and frees its id.
     pub(super) fn close(&self, client_id: &Bytes) {
         self.count.set(self.count.get() - 1);
         self.client_ids.borrow_mut().remove(client_id);
     }
 
-    /// Whether no further request can be accepted. Guards memory: each may hold an answer until its client has read it. The
-    /// longest recent answer counts; by the longest possible one, a small balancer could accept fewer requests than a busy day
-    /// brings.
+    /// Returns whether no further request can be accepted. Bounds memory: each open request may hold an answer until
+    /// its client has read it. The estimate uses the longest recent answer. With the longest possible answer, a small
+    /// balancer could accept fewer requests than it receives on a busy day.
     pub(super) fn is_full(&self) -> bool {
         let count = self.count.get();
         count >= self.max_count || (count + 1) * self.expected_answer.get() > self.max_answer_bytes
     }
 
-    /// Learns from an answer's size: at once from a longer one, slowly from shorter ones.
+    /// Updates the expected answer size: raises it at once to the size of a longer answer, and decays it with shorter
+    /// ones.
     pub(super) fn record_answer_size(&self, size: usize) {
         let expected = self.expected_answer.get();
         let decayed = expected - expected / DECAY_DIVISOR;
--- a/crates/gateway/src/engine/overrides.rs
+++ b/crates/gateway/src/engine/overrides.rs
@@ -1,4 +1,4 @@
-//! Operator overrides: the endpoint list that they apply to, and the file that they outlive the process in.
+//! Operator overrides: the endpoint list that they apply to, and the file that keeps them beyond the process.
 
 use super::input::{Input, OperatorInput};
 use crate::override_file::OverrideFile;
@@ -14,29 +14,30 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::task::{spawn_blocking, spawn_local};
 
-/// How often the file is checked for overrides of another process of this balancer. They must be in force 250 ms after that
-/// process has confirmed them.
+/// The interval at which the file is checked for overrides of another process of this balancer. They must be in force
+/// 250 ms after the other process has confirmed them.
 pub(super) const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The file of the overrides in force.
+/// The name of the overrides file.
 pub(super) const OVERRIDES_FILE: &str = "spindlebeam-orders.json";
 
-/// Receives the outcome of an operator's command.
+/// The channel for the outcome of an operator's command.
 pub(super) type CommandReply = oneshot::Sender<CommandOutcome>;
 
-/// The overrides in force.
+/// The overrides in force, and their persistence.
 pub(super) struct Overrides {
     list: OverriddenList,
-    /// Commands on their way between callers and the file.
+    /// Commands that are being applied or written to the file.
     store: OverrideStore<CommandReply>,
-    /// Where overrides are stored; `None` where no commands can be given. Only blocking tasks lock it.
+    /// The overrides file; `None` if operators cannot send commands. Locked only by blocking tasks.
     file: Option<Arc<Mutex<OverrideFile>>>,
     /// Whether the last read of the file failed.
     read_failed: bool,
 }
 
 impl Overrides {
-    /// No overrides so far. They do not apply to endpoints of the origin's flavor.
+    /// Creates an empty set of overrides, stored in `folder` if it is given. Overrides do not apply to endpoints of
+    /// `origin_flavor`.
     pub(super) fn new(folder: Option<&Path>, origin_flavor: Option<String>) -> Self {
         let file = folder.map(|folder| Arc::new(Mutex::new(OverrideFile::new(folder.join(OVERRIDES_FILE)))));
         Self {
@@ -47,22 +48,22 @@
         }
     }
 
-    /// Whether overrides are stored in a file.
+    /// Returns whether overrides are stored in a file.
     pub(super) fn are_stored(&self) -> bool {
         self.file.is_some()
     }
 
-    /// The overrides in force.
+    /// Returns the overrides in force.
     pub(super) fn current(&self) -> &OperatorOverrides {
         self.list.overrides()
     }
 
-    /// Returns the list with the overrides applied.
+    /// Stores an endpoint list, and returns it with the overrides applied.
     pub(super) fn apply_list(&mut self, list: &EndpointList) -> EndpointList {
         self.list.apply_list(list)
     }
 
-    /// The current entries of these endpoints, with the overrides applied.
+    /// Returns the current list entries of these endpoints, with the overrides applied.
     pub(super) fn entries(&self, endpoints: &[String]) -> EndpointList {
         self.list.current_entries(endpoints)
     }
@@ -72,8 +73,8 @@
         self.store.handle_command(now, &mut self.list, command, reply);
     }
 
-    /// Handles a read of the file, and returns whether it succeeded. A failed read is repeated by the next poll; a start
-    /// continues to wait meanwhile.
+    /// Handles the result of reading the file, and returns whether the read succeeded. After a failure, the next poll
+    /// reads the file again, and the startup continues to wait.
     pub(super) fn handle_read(&mut self, now: Millis, result: io::Result<Option<OperatorOverrides>>) -> bool {
         let succeeded = result.is_ok();
         if let Err(error) = &result
@@ -86,32 +87,32 @@
         succeeded
     }
 
-    /// Handles a write of the file.
+    /// Handles the result of writing the file.
     pub(super) fn handle_write(&mut self, now: Millis, result: Result<(), WriteError>) {
         self.store.handle_write(now, &mut self.list, result);
     }
 
-    /// Checks timeouts, and whether the file is to be read.
+    /// Checks the timeouts of commands, and whether the file must be read.
     pub(super) fn tick(&mut self, now: Millis) {
         self.store.tick(now, &mut self.list);
     }
 
-    /// The next action to execute.
+    /// Returns the next action that the engine must execute.
     pub(super) fn poll_action(&mut self) -> Option<StoreAction<CommandReply>> {
         self.store.poll()
     }
 
-    /// Reads the file, and sends the result to the engine.
+    /// Starts reading the file. The result is sent to `inputs`.
     pub(super) fn start_read(&self, inputs: mpsc::UnboundedSender<Input>) {
         self.run_on_file(inputs, OverrideFile::poll, OperatorInput::OverridesRead);
     }
 
-    /// Writes the file, and sends the result to the engine.
+    /// Starts writing the file. The result is sent to `inputs`.
     pub(super) fn start_write(&self, inputs: mpsc::UnboundedSender<Input>, overrides: OperatorOverrides) {
         self.run_on_file(inputs, move |file| file.save(&overrides), OperatorInput::OverridesWritten);
     }
 
-    /// Runs an operation on the file on a blocking thread, since the disk may stall for seconds.
+    /// Runs an operation on the file on a blocking thread, because the disk may stall for seconds.
     fn run_on_file<T: Send + 'static>(
         &self, inputs: mpsc::UnboundedSender<Input>,
         operation: impl FnOnce(&mut OverrideFile) -> T + Send + 'static,
--- a/crates/gateway/src/engine/phases/attempts.rs
+++ b/crates/gateway/src/engine/phases/attempts.rs
@@ -1,4 +1,4 @@
-//! The attempts of a request: each is started, may begin to stream a large answer, and ends.
+//! Handlers of attempts: starting one, the start of a large streamed answer, and its end.
 
 use crate::engine::Engine;
 use crate::engine::input::{InFlightAttempt, Input};
@@ -14,7 +14,7 @@
 use upstream::endpoints::Endpoint;
 
 impl Engine {
-    /// Sends a request to an endpoint.
+    /// Starts an attempt of a request at an endpoint. A timeout of 0 means that only the request's deadline applies.
     pub(in crate::engine) fn start_attempt(&mut self, id: RequestId, target: EndpointId, timeout_us: Micros) {
         let Some(context) = self.requests.get_mut(&id) else { return };
         let number = context.attempts;
@@ -41,7 +41,7 @@
         });
     }
 
-    /// Chooses the connection of an attempt, and records that the request may be executed by it.
+    /// Selects the connection of an attempt, and records that the attempt may execute the request.
     fn prepare_attempt(
         &mut self, id: RequestId, endpoint: &Rc<Endpoint>, sent: SentAttempt, timeout_us: Micros,
     ) -> Option<Attempt> {
@@ -56,7 +56,8 @@
         };
         context.maybe_executed.push(sent);
         let call = context.call.clone();
-        // A retry must not meet a stale connection again, and a write must not meet one at all.
+        // A request that has met a stale connection must not meet another. A write must not meet one at all, and so
+        // avoids idle connections to an endpoint that closed one recently.
         let needs_new_connection =
             context.met_stale_connection || (call.value.is_some() && self.pools.was_stale_recently(endpoint));
         let source = if needs_new_connection {
@@ -78,8 +79,9 @@
         })
     }
 
-    /// A large answer has begun: it belongs to the client now, and the decision module counts the attempt as served. What happens
-    /// to it later is not retried, and a slow client does not count as a request in flight.
+    /// Handles the start of a large streamed answer: gives it to the client, and reports the attempt to the decision
+    /// module as served. If the stream fails later, the request is not retried. A slow client does not count as a
+    /// request in flight.
     pub(in crate::engine) fn handle_streaming(
         &mut self, attempt: &InFlightAttempt, value: Box<StreamedValue>,
     ) {
@@ -99,7 +101,8 @@
         });
     }
 
-    /// An attempt has ended. A cancelled one outlives its request; the decision module counts it as in flight until now.
+    /// Handles the end of an attempt. A cancelled attempt may outlive its request: the decision module counts it as in
+    /// flight until this event.
     pub(in crate::engine) fn handle_attempt_ended(
         &mut self, attempt: &InFlightAttempt, result: AttemptResult,
     ) {
@@ -137,8 +140,9 @@
         self.remove_if_finished(id);
     }
 
-    /// Removes an attempt from its request. Returns whether its answer was streamed: the decision module has counted it already,
-    /// and only now it is known whether it was complete.
+    /// Removes an attempt from its request. Returns whether its answer was streamed. The decision module already knows
+    /// the outcome of a streamed attempt, but only its end shows whether the answer was complete, which is counted
+    /// here.
     fn finish_in_flight(&mut self, id: RequestId, number: u16, outcome: Outcome, stale: bool) -> bool {
         let Some(context) = self.requests.get_mut(&id) else { return false };
         context.in_flight.retain(|attempt| attempt.number != number);
@@ -154,8 +158,8 @@
     }
 }
 
-/// The outcome of an attempt that was not sent. Either the endpoint is not ready any more, and the request may go elsewhere; or the
-/// client has left, and the decision module does not know of it yet.
+/// Returns the outcome event of an attempt that was not sent. If `awaited`, the endpoint is not ready any more, and the
+/// request may be sent to another one. Otherwise, the client has left, and the decision module does not know it yet.
 fn unsent_attempt(id: RequestId, attempt: u16, awaited: bool) -> Event {
     Event::Outcome {
         id,
--- a/crates/gateway/src/engine/phases/endpoint_lists.rs
+++ b/crates/gateway/src/engine/phases/endpoint_lists.rs
@@ -1,4 +1,4 @@
-//! Endpoint lists: from discovery through the fleet's gate and the operator overrides to the decision module.
+//! Passes endpoint lists from discovery through the fleet's gate and the operator overrides to the decision module.
 
 use crate::engine::Engine;
 use crate::engine::input::Input;
@@ -11,13 +11,16 @@
 use upstream::connection;
 use upstream::endpoints::{Endpoint, endpoint_id};
 
-/// The delay from which on applying a list is logged as a warning: a part of the time that a drain allows.
+/// A list that is applied with at least this delay is logged as a warning. The delay is a part of the time within which
+/// a drain must be in force.
 const SLOW_LIST: Duration = Duration::from_millis(50);
-/// The largest number of endpoints that are connected to as they are listed: the two hundred of a usual fleet, with a margin.
+/// Endpoints are connected to ahead of use only if at most this many are listed: the 200 of a usual fleet, with a
+/// margin.
 const MAX_PRECONNECTED_ENDPOINTS: usize = 256;
 
 impl Engine {
-    /// Applies a list of discovery, or changes to it. The decision module knows of them before any endpoint is connected to.
+    /// Applies a complete list or a delta from discovery. The decision module handles it before any endpoint is
+    /// connected to.
     pub(in crate::engine) fn handle_discovery_list(&mut self, list: &EndpointList, published_at: Instant) {
         self.apply_list(list);
         self.dispatch_events();
@@ -26,7 +29,7 @@
         self.preconnect_listed(list);
     }
 
-    /// Applies a list through the fleet's gate, if there is one.
+    /// Applies a list after passing it through the fleet's gate, if this balancer belongs to a fleet.
     pub(in crate::engine) fn apply_list(&mut self, list: &EndpointList) {
         match self.filter_list(list) {
             Some(allowed) => self.apply_allowed_list(&allowed),
@@ -34,19 +37,20 @@
         }
     }
 
-    /// Applies a list known from before the start.
+    /// Applies a list known before the start.
     pub(in crate::engine) fn apply_known_list(&mut self, list: &EndpointList) {
         let overridden = self.overrides.apply_list(list);
         self.update_endpoints(&overridden, true);
     }
 
-    /// Applies a list that has passed the fleet's gate. Overrides come after the gate, which does not hold them.
+    /// Applies a list that has passed the fleet's gate. Overrides are applied after the gate, so that it cannot hold
+    /// them.
     pub(in crate::engine) fn apply_allowed_list(&mut self, list: &EndpointList) {
         let overridden = self.overrides.apply_list(list);
         self.update_endpoints(&overridden, false);
     }
 
-    /// Applies the current entries of endpoints whose overrides have changed.
+    /// Applies the current list entries of endpoints whose overrides have changed.
     pub(in crate::engine) fn apply_overridden_entries(&mut self, endpoints: &[String]) {
         let list = self.overrides.entries(endpoints);
         if !list.members.is_empty() {
@@ -61,8 +65,8 @@
         self.events.push_back(Event::EndpointList(kind, entries));
     }
 
-    /// Connects to listed endpoints, so that their first attempt need not wait for a handshake. Not in a large fleet, where most
-    /// of these connections would be closed unused.
+    /// Connects to the endpoints in `list`, so that their first attempts do not wait for a handshake. Does nothing in a
+    /// large fleet, where most of these connections would be closed unused.
     pub(in crate::engine) fn preconnect_listed(&mut self, list: &EndpointList) {
         if self.endpoints.size() > MAX_PRECONNECTED_ENDPOINTS {
             return;
@@ -74,7 +78,7 @@
         }
     }
 
-    /// Connects to an endpoint ahead of its next attempt, if it has no idle connection.
+    /// Connects to an endpoint ahead of its next attempt, if the pool has no idle connection to it.
     pub(in crate::engine) fn preconnect(&mut self, endpoint: &Rc<Endpoint>) {
         let Some(permit) = self.pools.permit_preconnect(endpoint) else { return };
         let (endpoint, timeout) = (endpoint.clone(), self.bounds.dial);
@@ -86,7 +90,7 @@
     }
 }
 
-/// Logs how long a list took from its publication until it was in force.
+/// Logs the delay between the publication and the application of a list.
 fn log_applied(list: &EndpointList, delay: Duration) {
     let level = if delay >= SLOW_LIST { log::Level::Warn } else { log::Level::Debug };
     let (revision, endpoints) = (list.revision, list.members.len());
--- a/crates/gateway/src/engine/phases/fleet.rs
+++ b/crates/gateway/src/engine/phases/fleet.rs
@@ -1,4 +1,4 @@
-//! The engine in a fleet: new requests need its lease, and topology changes pass its calendar.
+//! Handlers of fleet events. In a fleet, new requests need a lease, and the calendar decides on topology changes.
 
 use crate::engine::Engine;
 use crate::engine::fleet::{AuditedVersion, FleetMember, FleetPoll};
@@ -8,8 +8,8 @@
 use proto::discovery::{EndpointList, EndpointRecord};
 
 impl Engine {
-    /// Joins a fleet: from now on requests are accepted under its lease, and endpoints are applied by its calendar. The engine is
-    /// fenced until a lease arrives. To be called before [`Engine::run`].
+    /// Joins a fleet: from now on, requests are accepted only under its lease, and endpoints are applied according to
+    /// its calendar. The engine is fenced until a lease arrives. Must be called before [`Engine::run`].
     pub fn join_fleet(&mut self, link: FleetLink) {
         let known: Option<Vec<EndpointRecord>> = self.known_list.take().map(|list| list.members);
         self.clock = link.clock;
@@ -17,7 +17,8 @@
         self.fleet = Some(Box::new(FleetMember::new(link, known)));
     }
 
-    /// Whether new requests are rejected. Checked for each request: the engine need not have run since the lease ended.
+    /// Returns whether new requests are rejected because no lease is held. Checked for each request, because the lease
+    /// may have ended since the last poll.
     pub(in crate::engine) fn is_fenced(&self) -> bool {
         self.fleet.as_ref().is_some_and(|fleet| {
             let now = self.clock.now();
@@ -47,7 +48,7 @@
         }
     }
 
-    /// What the fleet's calendar allows of a list; `None` without a fleet.
+    /// Returns the part of a list that the fleet's calendar allows, or `None` without a fleet.
     pub(in crate::engine) fn filter_list(&mut self, list: &EndpointList) -> Option<EndpointList> {
         let now = self.now();
         self.fleet.as_mut().map(|fleet| fleet.filter_list(now, list))
@@ -64,7 +65,7 @@
         }
     }
 
-    /// The version under which an attempt that starts now is to be counted.
+    /// Returns the version under which an attempt that starts now is counted, or `None` without a fleet or fleet time.
     pub(in crate::engine) fn audited_version(&self, is_write: bool) -> Option<AuditedVersion> {
         self.fleet.as_ref()?.audited_version(is_write)
     }
--- a/crates/gateway/src/engine/phases/mod.rs
+++ b/crates/gateway/src/engine/phases/mod.rs
@@ -1,5 +1,5 @@
-//! The phases of the engine, each an `impl` block of [`Engine`](super::Engine): what it does for requests, attempts, endpoint lists,
-//! operator overrides and the fleet.
+//! The phases of the engine: the handlers of requests, attempts, endpoint lists, operator overrides and fleet events.
+//! Each is an `impl` block of [`Engine`](super::Engine).
 
 mod attempts;
 mod endpoint_lists;
--- a/crates/gateway/src/engine/phases/overrides.rs
+++ b/crates/gateway/src/engine/phases/overrides.rs
@@ -6,7 +6,8 @@
 use std::io;
 
 impl Engine {
-    /// Executes pending actions. The decision module knows of a change before the caller is told that it is in force.
+    /// Executes the pending actions. A change reaches the decision module before the caller gets the answer that it is
+    /// in force.
     pub(in crate::engine) fn run_override_actions(&mut self) {
         while let Some(action) = self.overrides.poll_action() {
             match action {
@@ -24,7 +25,8 @@
         }
     }
 
-    /// Handles a read of the file. The overrides it brings are in force before the start may end.
+    /// Handles the result of reading the overrides file. The overrides are in force before the startup gate is
+    /// released.
     pub(in crate::engine) fn handle_overrides_read(&mut self, result: io::Result<Option<OperatorOverrides>>) {
         let now = self.now_ms();
         let succeeded = self.overrides.handle_read(now, result);
@@ -59,7 +61,7 @@
     if outcome == CommandOutcome::Applied {
         log::warn!("overrides: applied, but {OVERRIDES_FILE} is not written yet: the disk is stalled");
     }
-    let _ = reply.send(outcome); // the caller may have given up
+    let _ = reply.send(outcome); // fails if the caller has given up
 }
 
 fn command_text(command: &OverrideCommand) -> String {
--- a/crates/gateway/src/engine/phases/requests.rs
+++ b/crates/gateway/src/engine/phases/requests.rs
@@ -1,5 +1,5 @@
-//! The life of a request: it is accepted, the decision module decides on it whenever something happens, it gets its one final
-//! answer, and it is removed once none of its attempts is in flight.
+//! The life cycle of a request: the engine accepts it, passes its events to the decision module, gives its one final
+//! answer, and removes it when none of its attempts is in flight.
 
 use crate::engine::Engine;
 use crate::engine::input::{AnswerSlot, IncomingRequest};
@@ -11,10 +11,11 @@
 use tokio_util::time::delay_queue;
 use upstream::call::Answer;
 
-/// How long after its deadline a request that the decision module left unanswered is failed.
+/// The time after its deadline at which a request is failed if the decision module has left it unanswered.
 const OVERDUE_DELAY: Duration = Duration::from_millis(10);
-/// An answer this long after its deadline is logged with its client's id: the rules allow no more.
-const LATE_ANSWER: Duration = Duration::from_millis(50);
+/// The rules allow an answer less than this long after its deadline. A later answer is logged with the client's id of
+/// the request.
+const MAX_ANSWER_DELAY: Duration = Duration::from_millis(50);
 
 impl Engine {
     /// Accepts a request, or rejects it before the decision module knows of it.
@@ -23,10 +24,10 @@
     ) {
         let accepted_at = Instant::now();
         if !slot.awaited.get() {
-            self.handle.counters.borrow_mut().left += 1; // its client left while it was queued
+            self.handle.counters.borrow_mut().left += 1; // the client left while the request was queued
             return;
         }
-        // Guards the limit on open requests: no client may occupy one for minutes.
+        // Caps the time limit, so that no client can occupy a place among the open requests for minutes.
         let deadline = incoming.received + incoming.time_limit.min(self.bounds.longest);
         let time_left = deadline.saturating_duration_since(accepted_at);
         if let Err(reason) = self.check_admission(&mut incoming, time_left) {
@@ -83,7 +84,7 @@
     fn reject_unseen(&mut self, incoming: &IncomingRequest, slot: AnswerSlot, reason: Reason) {
         self.audit_rejected();
         self.handle.counters.borrow_mut().count_rejected_unseen(incoming.class, reason);
-        let _ = slot.sender.send(Answer::Rejected(0)); // the client may just have left
+        let _ = slot.sender.send(Answer::Rejected(0)); // fails if the client has left
     }
 
     /// Passes events to the decision module and executes its actions, until no event is left.
@@ -110,7 +111,7 @@
             Action::Cancel { id, attempt } => {
                 let context = self.requests.get_mut(&id);
                 if let Some(in_flight) = context.and_then(|context| context.take_in_flight(attempt)) {
-                    let _ = in_flight.cancel.send(()); // the attempt closes its connection, then reports
+                    let _ = in_flight.cancel.send(()); // the attempt closes its connection and reports its end
                 }
             }
             Action::Timer { delay_us, token } => {
@@ -121,7 +122,7 @@
                 }
             }
             Action::CloseIdle(endpoint) => self.pools.close_idle(endpoint),
-            Action::Watch => {} // the watch is always open
+            Action::Watch => {} // the watch of discovery is always open
             Action::PublishLoad(reports) => {
                 let now = self.now();
                 self.events.extend(self.gossip.publish(now, &reports));
@@ -137,25 +138,25 @@
         self.remove_if_finished(id);
     }
 
-    /// Gives the final answer, if the client still waits for it.
+    /// Sends the final answer of a request, if the client still waits for it.
     pub(in crate::engine) fn send_answer(&mut self, id: RequestId, answer: Answer) {
         let Some(context) = self.requests.get_mut(&id) else { return };
         let Some(sender) = context.answer.take() else { return };
-        context.awaited.set(false); // an attempt that is still connecting or writing goes no further
+        context.awaited.set(false); // stops attempts that are still connecting or writing
         let (class, us) = (context.class, context.accepted_at.elapsed().as_micros());
         log::debug!("request {}: class {} {} after {us} us", id.0, class.0, answer.word());
         let late = context.deadline.elapsed();
-        if late >= LATE_ANSWER
+        if late >= MAX_ANSWER_DELAY
             && let Some(more) = self.throttles.late.admit_line()
         {
             let client_id = String::from_utf8_lossy(&context.call.id);
             log::warn!("request {client_id}: {} {late:?} after its deadline{more}", answer.word());
         }
         self.handle.counters.borrow_mut().count_answer(class, &answer);
-        let _ = sender.send(answer); // the ticket of a client that has just left drops it
+        let _ = sender.send(answer); // fails if the client has left
     }
 
-    /// The client has left: nobody waits for an answer.
+    /// Handles the disconnection of the client before the answer.
     pub(in crate::engine) fn handle_client_left(&mut self, id: RequestId) {
         if self.requests.get_mut(&id).is_some_and(|context| context.answer.take().is_some()) {
             self.handle.counters.borrow_mut().left += 1;
@@ -164,19 +165,21 @@
         }
     }
 
-    /// The front has failed the request: the answer is counted, and nothing more is done for it.
+    /// Handles a request whose front has given up waiting: counts it as failed, and ends its attempts.
     pub(in crate::engine) fn handle_abandoned(&mut self, id: RequestId) {
         if self.requests.get(&id).is_some_and(|context| context.answer.is_some()) {
             self.fail_request(id, Reason::ShuttingDown);
         }
     }
 
-    /// Guards the rule that every request is answered against one that the decision module lost. None is known so far.
+    /// Fails a request that the decision module has not answered in time. A safeguard for the rule that every request
+    /// gets an answer: no such request has been observed.
     pub(in crate::engine) fn handle_overdue(&mut self, id: RequestId) {
         let Some(context) = self.requests.get_mut(&id).filter(|context| context.answer.is_some()) else {
             return;
         };
-        // After a stall, the timers of the decision module and of attempts are as late as this one. They are handled first.
+        // After a stall of the event loop, the timers of the decision module and of attempts are as late as this one.
+        // The extension lets them be handled first.
         let was_stalled = context.deadline.elapsed() >= 2 * OVERDUE_DELAY;
         if was_stalled && !std::mem::replace(&mut context.overdue_extended, true) {
             let timer = self.timers.schedule(TimerEvent::RequestOverdue(id), OVERDUE_DELAY);
@@ -187,7 +190,7 @@
         self.fail_request(id, Reason::Forgotten);
     }
 
-    /// Fails an open request without the decision module.
+    /// Fails an open request without a decision of the decision module, and tells it that the request has ended.
     fn fail_request(&mut self, id: RequestId, reason: Reason) {
         self.handle.counters.borrow_mut().count_failed(reason);
         self.send_answer(id, Answer::Failed);
@@ -195,14 +198,15 @@
         self.remove_if_finished(id);
     }
 
-    /// Forgets an expired timer. Guards other timers: its key may be reused from now on.
+    /// Removes an expired timer from its request. Its key may be reused, and the request must not cancel another timer
+    /// by it.
     pub(in crate::engine) fn forget_timer(&mut self, id: RequestId, key: delay_queue::Key) {
         if let Some(context) = self.requests.get_mut(&id) {
             context.timers.retain(|kept| *kept != key);
         }
     }
 
-    /// Removes a request that is answered and has no attempt in flight.
+    /// Removes a request if it is answered and has no attempt in flight.
     pub(in crate::engine) fn remove_if_finished(&mut self, id: RequestId) {
         if !self.requests.get(&id).is_some_and(RequestContext::is_finished) {
             return;
--- a/crates/gateway/src/engine/phases/wake.rs
+++ b/crates/gateway/src/engine/phases/wake.rs
@@ -1,4 +1,4 @@
-//! What wakes the engine, and which phase handles it.
+//! Waits for the next event of the engine, and runs the phase that handles it.
 
 use crate::engine::fleet::FleetMember;
 use crate::engine::gossip::Datagram;
@@ -13,7 +13,7 @@
 use std::future::pending;
 use tokio::time::sleep_until;
 
-/// Why the engine runs.
+/// The event that has woken the engine.
 #[expect(
     clippy::large_enum_variant,
     reason = "inputs are by far the most frequent wakes, and boxing each would allocate"
@@ -32,7 +32,7 @@
 }
 
 impl Engine {
-    /// Waits until there is something to do.
+    /// Waits for the next input, timer, datagram, fleet update or periodic task.
     pub(in crate::engine) async fn next_wake(&mut self, schedule: &mut Schedule) -> Wake {
         let Self { inbox, timers, gossip, fleet, overrides, startup, .. } = self;
         let has_fleet = fleet.is_some();
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Runs the phase that the wake is for.
+    /// Runs the phase that handles `wake`.
     pub(in crate::engine) fn handle_wake(&mut self, wake: Wake) {
         match wake {
             Wake::Input(input) => self.handle_input(input),
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Runs the phase that an input is for.
+    /// Runs the phase that handles `input`.
     pub(in crate::engine) fn handle_input(&mut self, input: Input) {
         match input {
             Input::Submitted(id, incoming, slot) => self.accept_request(id, incoming, slot),
@@ -100,7 +100,7 @@
                 self.schedule_publication();
             }
             Input::CheckChange(kind, reply) => {
-                let _ = reply.send(self.check_change(kind)); // the caller may have given up
+                let _ = reply.send(self.check_change(kind)); // fails if the caller has given up
             }
         }
     }
@@ -109,7 +109,7 @@
         let now = self.now_ms();
         match input {
             OperatorInput::Metrics(reply) => {
-                let _ = reply.send(self.render_metrics()); // the caller may have given up
+                let _ = reply.send(self.render_metrics()); // fails if the caller has given up
             }
             OperatorInput::Override(command, reply) => self.overrides.handle_command(now, command, reply),
             OperatorInput::OverridesRead(result) => self.handle_overrides_read(result),
@@ -161,7 +161,7 @@
     }
 }
 
-/// The next update of the fleet thread; waits for ever without a fleet.
+/// Waits for the next update from the fleet thread; forever without a fleet.
 async fn next_fleet_update(fleet: Option<&mut FleetMember>) -> Option<FleetUpdate> {
     match fleet {
         Some(fleet) => fleet.next_update().await,
--- a/crates/gateway/src/engine/requests.rs
+++ b/crates/gateway/src/engine/requests.rs
@@ -1,4 +1,4 @@
-//! What the engine holds of a request until it is answered and none of its attempts is in flight.
+//! The state of a request, which the engine keeps until the request is answered and none of its attempts is in flight.
 
 use decide::api::{ClassId, Effect};
 use std::cell::Cell;
@@ -10,7 +10,7 @@
 use upstream::call::{Answer, Call};
 use upstream::memory::MemoryPermit;
 
-/// An attempt of a request, by its number.
+/// The number of an attempt within its request, and when it was sent.
 #[derive(Debug)]
 pub(super) struct SentAttempt {
     pub(super) number: u16,
@@ -33,34 +33,36 @@
     pub(super) accepted_at: Instant,
     pub(super) deadline: Instant,
     pub(super) answer: Option<oneshot::Sender<Answer>>,
-    /// Whether the client still waits. Cleared with `answer`, and by the client's side as soon as it leaves.
+    /// Whether the client still waits for the answer. Cleared when the answer is sent, and by the ticket as soon as the
+    /// client leaves.
     pub(super) awaited: Rc<Cell<bool>>,
-    /// How many attempts were started.
+    /// The number of attempts started so far.
     pub(super) attempts: u16,
-    /// Whether an attempt was sent on a connection that its endpoint had closed.
+    /// Whether an attempt was sent on a connection that the endpoint had already closed.
     pub(super) met_stale_connection: bool,
-    /// Attempts that may have been executed. As few as the attempts that a request may make.
+    /// Attempts that may have been executed. Short, because the number of attempts of a request is limited.
     pub(super) maybe_executed: Vec<SentAttempt>,
     pub(super) in_flight: Vec<CancellableAttempt>,
-    /// Whether the client is receiving the answer already.
+    /// Whether a large answer is being streamed to the client.
     pub(super) is_streaming: bool,
-    /// Whether the timer after the deadline was extended once.
+    /// Whether the `RequestOverdue` timer was extended, which happens at most once.
     pub(super) overdue_extended: bool,
-    /// Pending timers. Guards memory: they are cancelled with the request, and not kept until they expire.
+    /// Pending timers. Cancelled with the request, so that they do not occupy memory until they expire.
     pub(super) timers: Vec<delay_queue::Key>,
 }
 
 impl RequestContext {
-    /// When the last byte of another attempt must have been written. Endpoints drop repeats of a keyed request for a span from
-    /// the first execution on. That one is assumed to have happened when the attempt was decided on, which is earlier. Two
-    /// ticks are subtracted as the decision module's own margin.
+    /// Returns the time by which the last byte of a further attempt must be written; `None` if there is no such limit.
+    /// Endpoints drop repeats of a request with an idempotency key for `span_us` after its first execution. The start
+    /// of the earliest attempt, which is before its execution, is used as the start of this window. Two ticks are
+    /// subtracted, the same margin that the decision module uses.
     pub(super) fn deduplication_ends(&self, tick: Duration) -> Option<Instant> {
         let Effect::IdempotentWithKey { span_us, .. } = self.effect else { return None };
         let first = self.maybe_executed.iter().map(|attempt| attempt.sent_at).min()?;
         Some(first + Duration::from_micros(span_us).saturating_sub(2 * tick))
     }
 
-    /// Removes an attempt from those in flight.
+    /// Removes an attempt from those in flight, and returns it.
     pub(super) fn take_in_flight(&mut self, number: u16) -> Option<CancellableAttempt> {
         let index = self.in_flight.iter().position(|attempt| attempt.number == number)?;
         Some(self.in_flight.swap_remove(index))
@@ -71,7 +73,7 @@
         self.maybe_executed.retain(|attempt| attempt.number != number);
     }
 
-    /// Whether the request is answered and none of its attempts is in flight.
+    /// Returns whether the request is answered and none of its attempts is in flight.
     pub(super) fn is_finished(&self) -> bool {
         self.answer.is_none() && self.in_flight.is_empty()
     }
--- a/crates/gateway/src/engine/schedule.rs
+++ b/crates/gateway/src/engine/schedule.rs
@@ -1,15 +1,15 @@
-//! The periodic work of the engine.
+//! The periodic tasks of the engine.
 
 use super::{fleet, overrides};
 use std::time::Duration;
 use tokio::time::{Interval, MissedTickBehavior, interval};
 
-/// How often idle connections are checked.
+/// The interval at which idle connections are checked.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
-/// How often a summary is logged.
+/// The interval at which a summary is logged.
 const SUMMARY_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Intervals of the periodic work.
+/// The interval timers of the periodic tasks.
 pub(super) struct Schedule {
     pub(super) sweep: Interval,
     pub(super) summary: Interval,
@@ -18,7 +18,7 @@
 }
 
 impl Schedule {
-    /// A schedule that starts now.
+    /// Starts all interval timers.
     pub(super) fn start() -> Self {
         let mut overrides = interval(overrides::POLL_INTERVAL);
         let mut fleet = interval(fleet::POLL_INTERVAL);
--- a/crates/gateway/src/engine/startup.rs
+++ b/crates/gateway/src/engine/startup.rs
@@ -1,24 +1,25 @@
-//! What a start waits for before this process is ready.
+//! The conditions that must be met before this process is ready.
 
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How long a start waits for the first endpoint list before it uses the one known from before.
+/// How long the startup waits for the first endpoint list before it uses the list known before the start.
 const FIRST_LIST_TIMEOUT: Duration = Duration::from_secs(1);
-/// How long a start waits for the overrides of the previous process, on a disk that is stalled: it must be ready within 6 s.
+/// How long the startup waits for the overrides of the previous process if the disk is stalled. The process must be
+/// ready within 6 s.
 const FIRST_OVERRIDES_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// What is still to arrive before this process is ready.
+/// The inputs that must arrive, or time out, before this process is ready.
 #[derive(Debug)]
 pub(super) struct StartupGate {
     awaits_list: bool,
     awaits_overrides: bool,
-    /// When the engine started to run.
+    /// The start of the timeouts.
     started_at: Instant,
 }
 
 impl StartupGate {
-    /// A gate that awaits an endpoint list, and overrides if they are stored.
+    /// Creates a gate that waits for an endpoint list, and for overrides if `awaits_overrides`.
     pub(super) fn new(awaits_overrides: bool) -> Self {
         Self { awaits_list: true, awaits_overrides, started_at: Instant::now() }
     }
@@ -28,7 +29,7 @@
         self.started_at = Instant::now();
     }
 
-    /// Whether everything has arrived, or was given up.
+    /// Returns whether every awaited input has arrived or timed out.
     pub(super) fn is_open(&self) -> bool {
         !self.awaits_list && !self.awaits_overrides
     }
@@ -49,12 +50,12 @@
         self.started_at + FIRST_OVERRIDES_TIMEOUT
     }
 
-    /// The endpoint list has arrived, or is not awaited any longer.
+    /// Ends the wait for the endpoint list, after its arrival or timeout.
     pub(super) fn release_list(&mut self) {
         self.awaits_list = false;
     }
 
-    /// The overrides have arrived, or are not awaited any longer.
+    /// Ends the wait for the overrides, after their arrival or timeout.
     pub(super) fn release_overrides(&mut self) {
         self.awaits_overrides = false;
     }
--- a/crates/gateway/src/engine/testing.rs
+++ b/crates/gateway/src/engine/testing.rs
@@ -1,4 +1,4 @@
-//! Access to the engine's parts for tests, which run its phases one at a time. Not for other use.
+//! An engine for tests, which run its phases one at a time. Not for use outside tests.
 
 pub use super::fleet::AuditedVersion;
 pub use super::input::InFlightAttempt;
@@ -14,44 +14,50 @@
 use upstream::connection::AttemptResult;
 use upstream::endpoints::endpoint_id;
 
-/// An engine that runs only as a test tells it to.
+/// An engine without an event loop. Tests call its phases directly.
 pub struct SteppedEngine(Engine);
 
 impl SteppedEngine {
-    /// See [`Engine::new`].
+    /// Creates an engine and its handle. See [`Engine::new`].
     #[must_use]
     pub fn new(config: &Config) -> (Self, Handle) {
         let (engine, handle) = Engine::new(config);
         (Self(engine), handle)
     }
 
-    /// See [`Engine::join_fleet`].
+    /// Joins a fleet. See [`Engine::join_fleet`].
     pub fn join_fleet(&mut self, link: FleetLink) {
         self.0.join_fleet(link);
     }
 
-    /// See [`Engine::clock`].
+    /// Returns the engine's clock. See [`Engine::clock`].
     #[must_use]
     pub fn clock(&self) -> Clock {
         self.0.clock()
     }
 
-    /// Waits for an input, handles it, and dispatches the events it caused.
+    /// Waits for an input, handles it, and dispatches the events that it caused.
     ///
     /// # Panics
-    /// When the handle is gone.
+    /// Panics if all handles are dropped.
     pub async fn handle_next_input(&mut self) {
-        let input = self.0.inbox.inputs.recv().await.expect("the handle is alive");
+        let input = self
+            .0
+            .inbox
+            .inputs
+            .recv()
+            .await
+            .expect("an input requires a handle, but all handles are dropped");
         self.0.handle_input(input);
         self.0.dispatch_events();
     }
 
-    /// Applies a list of discovery.
+    /// Applies a list from discovery.
     pub fn apply_list(&mut self, list: &EndpointList) {
         self.0.apply_list(list);
     }
 
-    /// Applies an update of the fleet thread.
+    /// Applies an update from the fleet thread.
     pub fn apply_fleet_update(&mut self, update: FleetUpdate) {
         self.0.apply_fleet_update(update);
     }
@@ -64,7 +70,7 @@
     /// Checks whether a planned change may be made.
     ///
     /// # Errors
-    /// Why it is held.
+    /// Returns why the change is held.
     pub fn check_change(&mut self, kind: ChangeKind) -> Result<(), ChangeCheckError> {
         self.0.check_change(kind)
     }
@@ -74,82 +80,83 @@
         self.0.startup.release_list();
     }
 
-    /// Updates the readiness that the handle shows.
+    /// Updates the readiness that the handle reports.
     pub fn update_readiness(&mut self) {
         self.0.update_readiness();
     }
 
-    /// The readiness as last updated, whatever has happened since.
+    /// Returns the readiness as of its last update, without checking the lease again.
     #[must_use]
     pub fn last_readiness(&self) -> bool {
         *self.0.handle.ready.borrow()
     }
 
-    /// Whether new requests are rejected for want of a lease.
+    /// Returns whether new requests are rejected because no lease is held.
     #[must_use]
     pub fn is_fenced(&self) -> bool {
         self.0.is_fenced()
     }
 
-    /// Whether this endpoint is listed.
+    /// Returns whether this endpoint is listed.
     #[must_use]
     pub fn lists(&self, endpoint: &str) -> bool {
         self.0.endpoints.endpoint(endpoint_id(endpoint)).is_some()
     }
 
-    /// Whether requests may be sent to this endpoint.
+    /// Returns whether requests may be sent to this endpoint.
     #[must_use]
     pub fn sends_to(&self, endpoint: &str) -> bool {
         self.0.endpoints.endpoint(endpoint_id(endpoint)).is_some_and(|endpoint| endpoint.ready())
     }
 
-    /// How many requests are in progress.
+    /// Returns the number of requests in progress.
     #[must_use]
     pub fn requests(&self) -> usize {
         self.0.requests.len()
     }
 
-    /// How many attempts of a request are in flight.
+    /// Returns the number of attempts of a request that are in flight.
     #[must_use]
     pub fn attempts_in_flight(&self, id: RequestId) -> usize {
         self.0.requests.get(&id).map_or(0, |context| context.in_flight.len())
     }
 
-    /// How many timers are pending.
+    /// Returns the number of pending timers.
     #[must_use]
     pub fn timers(&self) -> usize {
         self.0.timers.len()
     }
 
-    /// The state of an attempt that is sent now: the first attempt of a read at this endpoint.
+    /// Returns the state of the first attempt of a read, sent now to this endpoint.
     ///
     /// # Panics
-    /// When the endpoint is not listed.
+    /// Panics if the endpoint is not listed.
     #[must_use]
     pub fn first_attempt(&self, request: RequestId, endpoint: &str) -> InFlightAttempt {
-        let endpoint = self.0.endpoints.endpoint(endpoint_id(endpoint)).expect("it is listed").clone();
+        let listed = self.0.endpoints.endpoint(endpoint_id(endpoint));
+        let endpoint = listed.unwrap_or_else(|| panic!("endpoint {endpoint:?} is not listed")).clone();
         let audited_version = self.0.audited_version(false);
         InFlightAttempt { request, number: 0, endpoint, sent_at: Instant::now(), audited_version }
     }
 
-    /// Ends an attempt, and dispatches the events it caused.
+    /// Ends an attempt, and dispatches the events that it caused.
     pub fn end_attempt(&mut self, attempt: InFlightAttempt, result: AttemptResult) {
         self.0.handle_input(Input::AttemptEnded(attempt, result));
         self.0.dispatch_events();
     }
 
-    /// The version under which an attempt that starts now is to be counted.
+    /// Returns the version under which an attempt that starts now is counted.
     #[must_use]
     pub fn audited_version(&self, is_write: bool) -> Option<AuditedVersion> {
         self.0.audited_version(is_write)
     }
 
-    /// Counts an attempt at a cache node that has ended.
+    /// Counts an attempt at a cache node as ended with this outcome.
     pub fn audit_attempt(&mut self, version: Option<AuditedVersion>, outcome: Outcome) {
         self.0.audit_attempt(version, false, outcome);
     }
 
-    /// The counters, as the log shows them.
+    /// Returns the request counters in the format of the log summary.
     #[must_use]
     pub fn counters(&self) -> String {
         self.0.handle.counters.borrow().to_string()
--- a/crates/gateway/src/engine/ticket.rs
+++ b/crates/gateway/src/engine/ticket.rs
@@ -1,4 +1,4 @@
-//! A front's claim to the final answer of a request.
+//! The ticket by which a front awaits the final answer of a request.
 
 use super::input::Input;
 use super::open_requests::OpenRequests;
@@ -12,20 +12,21 @@
 use tokio::sync::{mpsc, oneshot};
 use upstream::call::Answer;
 
-/// A claim to one final answer. Dropping it unanswered tells the engine that the client has left.
+/// A future that resolves to the one final answer of a request. If it is dropped before that, the engine is told that
+/// the client has left.
 pub struct Ticket {
     pub(super) id: RequestId,
     pub(super) client_id: Bytes,
     pub(super) answer: oneshot::Receiver<Answer>,
     pub(super) inputs: mpsc::UnboundedSender<Input>,
     pub(super) open_requests: Rc<OpenRequests>,
-    /// Cleared as the client leaves: attempts see it before the engine handles the input.
+    /// Cleared when the client leaves, so that attempts stop before the engine handles the input.
     pub(super) awaited: Rc<Cell<bool>>,
     pub(super) answered: bool,
 }
 
 impl Ticket {
-    /// Fails the request for its front, which can wait for no answer any more.
+    /// Gives up waiting: tells the engine to fail the request, and returns [`Answer::Failed`] for the client.
     pub fn abandon(&mut self) -> Answer {
         self.answered = true;
         self.awaited.set(false);
@@ -38,7 +39,7 @@
     type Output = Answer;
 
     fn poll(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Answer> {
-        let answer = Pin::new(&mut self.answer).poll(cx).map(|got| got.unwrap_or(Answer::Failed));
+        let answer = Pin::new(&mut self.answer).poll(cx).map(|received| received.unwrap_or(Answer::Failed));
         self.answered |= answer.is_ready();
         answer
     }
--- a/crates/gateway/src/engine/timers.rs
+++ b/crates/gateway/src/engine/timers.rs
@@ -6,45 +6,45 @@
 use tokio_util::time::DelayQueue;
 use tokio_util::time::delay_queue::Key;
 
-/// What a timer is for.
+/// The event that an expired timer causes.
 #[derive(Debug)]
 pub(super) enum TimerEvent {
-    /// Load is published to the other balancers.
+    /// Publish load reports to the other balancers.
     PublishLoad,
-    /// A timer of the decision module.
+    /// Report an expired timer to the decision module.
     Decision(Token),
-    /// A request should have been answered by now.
+    /// Check whether a request has been answered.
     RequestOverdue(RequestId),
 }
 
-/// A timer that has expired. Its key may be reused from now on.
+/// An expired timer. Its key may be reused by the next timer.
 #[derive(Debug)]
 pub(super) struct ExpiredTimer {
     pub(super) key: Key,
     pub(super) event: TimerEvent,
 }
 
-/// Pending timers.
+/// The pending timers.
 #[derive(Debug, Default)]
 pub(super) struct Timers(DelayQueue<TimerEvent>);
 
 impl Timers {
-    /// Starts a timer.
+    /// Starts a timer, and returns its key.
     pub(super) fn schedule(&mut self, event: TimerEvent, delay: Duration) -> Key {
         self.0.insert(event, delay)
     }
 
-    /// Cancels a timer that has not expired.
+    /// Cancels a timer, which must not have expired.
     pub(super) fn cancel(&mut self, key: &Key) {
         self.0.remove(key);
     }
 
-    /// How many timers are pending.
+    /// Returns the number of pending timers.
     pub(super) fn len(&self) -> usize {
         self.0.len()
     }
 
-    /// The next timer to expire; waits for ever if there is none. Cancel safe.
+    /// Waits for the next timer to expire; forever if none is pending. Cancel safe.
     pub(super) async fn next(&mut self) -> ExpiredTimer {
         if self.0.is_empty() {
             return pending().await;
--- a/crates/gateway/src/fleet_link.rs
+++ b/crates/gateway/src/fleet_link.rs
@@ -1,5 +1,5 @@
-//! Messages between the engine and the fleet thread. The engine accepts requests under a lease and topology changes by a calendar;
-//! both are agreed elsewhere.
+//! Messages between the engine and the fleet thread. The engine accepts requests under a lease, and topology changes
+//! according to a calendar. The fleet agrees on both outside this crate.
 
 use crate::topology_text::hold_text;
 use audit::lease::Lease;
@@ -11,51 +11,52 @@
 use thiserror::Error;
 use tokio::sync::{mpsc, oneshot};
 
-// Types of the calendar that the front and the reload of the configuration name.
+// Calendar types used by the front and by the reload of the configuration.
 pub use calendar::{ChangeKind, ChangeRecord, Proposal};
 
-/// The clock that the engine and the fleet thread share: Unix time is read once, and then only advances.
+/// The clock shared by the engine and the fleet thread. Unix time is read once; from then on, the clock only advances.
 #[derive(Debug, Clone, Copy)]
 pub struct Clock {
     /// Unix time at `base`.
     pub unix: Micros,
-    /// When that was read.
+    /// When `unix` was read.
     pub base: Instant,
 }
 
 impl Clock {
-    /// A clock that starts now at this Unix time.
+    /// Creates a clock that shows this Unix time now.
     #[must_use]
     pub fn start(unix: Micros) -> Self {
         Self { unix, base: tokio::time::Instant::now().into_std() }
     }
 
-    /// Unix time in microseconds. Never goes back, whatever happens to the system's date.
+    /// Returns the Unix time in microseconds. Never goes back, even if the system's date is changed.
     #[must_use]
     pub fn now(&self) -> Micros {
-        // Tokio's clock is the system's, except in tests that pause it.
+        // Tokio's clock is the system clock, except in tests that pause it.
         let elapsed = tokio::time::Instant::now().into_std().saturating_duration_since(self.base);
         self.unix + elapsed.as_micros() as Micros
     }
 }
 
-/// What the fleet thread sends to the engine.
+/// An update from the fleet thread to the engine.
 #[derive(Debug)]
 pub enum FleetUpdate {
-    /// The lease, after each change of it.
+    /// The lease, sent after each change.
     Lease(Box<Lease>),
-    /// The calendar with its index built, which the engine must not wait for.
+    /// The calendar. Its index is already built, because building it would stall the engine.
     Calendar(Arc<Calendar>),
 }
 
-/// What the engine sends to the fleet thread, for the ledger.
+/// An event that the engine sends to the fleet thread for the ledger.
 #[derive(Debug)]
 pub enum AuditEvent {
     /// A topology change was applied or held.
     Record(ChangeRecord),
-    /// The activity counted, every second.
+    /// The counted activity, sent every second.
     Report(ledger::ActivityReport),
-    /// An activity period that must make room, for this balancer's own ledger.
+    /// An activity period that is removed from the counter because a new version needs its place, for this balancer's
+    /// own ledger.
     Entry(ledger::LedgerEntry),
 }
 
@@ -68,21 +69,21 @@
     Propose(Box<Proposal>),
 }
 
-/// A call, and where its answer goes.
+/// A call and the channel for its status and JSON body.
 pub type FleetRequest = (FleetCall, oneshot::Sender<(u16, String)>);
 
-/// Why a change that concerns the whole fleet may not be made now.
+/// Why a change that concerns the whole fleet cannot be made now.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum ChangeCheckError {
-    /// The calendar holds it.
+    /// The change is held by the calendar, or because no lease is held.
     #[error("{}", hold_text(reason, *until))]
     Held {
-        /// Why.
+        /// Why the change is held.
         reason: HoldReason,
-        /// Until when, as Unix time in milliseconds, if that is known.
+        /// The end of the hold as Unix time in milliseconds, if it is known.
         until: Option<u64>,
     },
-    /// The engine is gone.
+    /// The engine has stopped.
     #[error("the core has stopped")]
     Stopped,
 }
@@ -90,20 +91,22 @@
 /// The engine's end of the connection to the fleet thread.
 #[derive(Debug)]
 pub struct FleetLink {
-    /// Agreed updates. If closed, the engine keeps its lease, and is fenced when that ends.
+    /// Updates that the fleet has agreed on. If the channel is closed, the engine keeps its lease and is fenced when
+    /// the lease ends.
     pub updates: mpsc::UnboundedReceiver<FleetUpdate>,
-    /// Where calls go.
+    /// Sends calls of the admin endpoint to the fleet thread.
     pub calls: mpsc::Sender<FleetRequest>,
-    /// Where audit events go; events that find it full are lost, and counted.
+    /// Sends audit events to the fleet thread. Events are lost while the channel is full; lost events are counted.
     pub audit_events: mpsc::Sender<AuditEvent>,
-    /// The clock of the lease: that of [`Engine::clock`](crate::engine::Engine::clock), which the engine uses from now on.
+    /// The clock of the lease, made from [`Engine::clock`](crate::engine::Engine::clock). The engine uses it from now
+    /// on.
     pub clock: Clock,
     /// This balancer's number in the fleet file.
     pub number: u16,
-    /// Its incarnation, drawn at its start.
+    /// This balancer's incarnation, drawn when the process starts.
     pub incarnation: u64,
-    /// Hash of the program's name and build.
+    /// The hash of the program's name and build.
     pub program: u64,
-    /// Hash of its configuration.
+    /// The hash of this balancer's configuration.
     pub configuration: u64,
 }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,7 +1,7 @@
-//! The engine on real sockets.
+//! The engine of the balancer, on real sockets.
 //!
-//! A front submits requests to the engine ([`engine`]), which asks the decision module and sends attempts to the listed endpoints
-//! ([`upstream::endpoints`]). A front knows no upstream, and an upstream no front.
+//! A front submits requests to the engine ([`engine`]). The engine passes them to the decision module and sends
+//! attempts to the listed endpoints ([`upstream::endpoints`]). Fronts and upstreams do not depend on each other.
 #![forbid(unsafe_code)]
 #![warn(unreachable_pub)]
 
@@ -13,7 +13,7 @@
 pub mod stall_monitor;
 mod topology_text;
 
-// What fronts see of a request and of large values, so that no front depends on the crate that faces the endpoints.
+// Re-exported so that fronts do not depend on the `upstream` crate.
 pub use upstream::call::{Answer, Call};
 pub use upstream::connection::StreamedValue;
 pub use upstream::memory::MemoryPermit;
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -1,4 +1,5 @@
-//! Metrics of this process: counted once, where the event happens, and read by the admin endpoint, the log and tests.
+//! Metrics of this process. Each event is counted once, where it happens; the admin endpoint, the log and tests read
+//! the counters.
 
 use decide::api::{ClassId, Outcome, Reason};
 use decide::endpoint_counts::EndpointCounts;
@@ -15,34 +16,34 @@
 /// Final answers given to requests of one class.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct AnswerCounters {
-    /// Served.
+    /// Requests that were served.
     pub served: u64,
-    /// Rejected.
+    /// Requests that were rejected.
     pub refused: u64,
-    /// Failed.
+    /// Requests that failed.
     pub failed: u64,
 }
 
 /// Counters since the start.
 #[derive(Debug, Default)]
 pub struct RequestCounters {
-    /// Final answers by class, in the order of the settings.
+    /// Final answers of each class, in the order of the settings.
     pub classes: Vec<AnswerCounters>,
-    /// Attempts whose last byte was written, those at the origin included: discovery lists it with the cache nodes, and the
-    /// metric is compared with what all of them received.
+    /// Attempts whose last byte was written, including those at the origin: discovery lists the origin with the cache
+    /// nodes, and the metric is compared with the number of requests that all of them received.
     pub attempts: Rc<Cell<u64>>,
     /// Configurations that were reloaded and applied.
     pub reloads_ok: u64,
     /// Configurations that could not be used.
     pub reloads_failed: u64,
-    /// Requests whose clients left before their answer.
+    /// Requests whose client left before the answer.
     pub left: u64,
     rejected: BTreeMap<Reason, u64>,
     failed: BTreeMap<Reason, u64>,
     attempt_results: BTreeMap<AttemptTarget, BTreeMap<&'static str, u64>>,
 }
 
-/// Where an attempt is sent.
+/// The kind of endpoint that an attempt is sent to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum AttemptTarget {
     CacheNode,
@@ -50,25 +51,26 @@
 }
 
 impl RequestCounters {
-    /// Zero counters, for this number of classes.
+    /// Creates zero counters for this number of classes.
     #[must_use]
     pub fn new(classes: usize) -> Self {
         Self { classes: vec![AnswerCounters::default(); classes], ..Self::default() }
     }
 
-    /// Counts a final answer as it is given.
+    /// Counts a final answer when it is sent. A streamed answer is counted at its end by
+    /// [`RequestCounters::count_streamed`].
     pub fn count_answer(&mut self, class: ClassId, answer: &Answer) {
         let Some(answers) = self.classes.get_mut(usize::from(class.0)) else { return };
         *match answer {
             Answer::Served(_) => &mut answers.served,
             Answer::Streamed(streamed) if streamed.is_complete() => &mut answers.served,
-            Answer::Streamed(_) => return, // counted by `count_streamed` at its end
+            Answer::Streamed(_) => return, // counted by `count_streamed`
             Answer::Rejected(_) => &mut answers.refused,
             Answer::Failed => &mut answers.failed,
         } += 1;
     }
 
-    /// Counts a large answer that has been forwarded, completely or in part.
+    /// Counts a streamed answer at its end: as served if it is complete, as failed if not.
     pub fn count_streamed(&mut self, class: ClassId, complete: bool) {
         let Some(answers) = self.classes.get_mut(usize::from(class.0)) else { return };
         if complete {
@@ -96,24 +98,24 @@
         *self.attempt_results.entry(target).or_default().entry(word).or_default() += 1;
     }
 
-    /// Counts why a request is rejected.
+    /// Counts a rejected request by its reason.
     pub fn count_rejected(&mut self, reason: Reason) {
         *self.rejected.entry(reason).or_default() += 1;
     }
 
-    /// Counts a request that is rejected before the decision module knows of it, and its answer.
+    /// Counts the reason and the answer of a request that is rejected before it reaches the decision module.
     pub fn count_rejected_unseen(&mut self, class: ClassId, reason: Reason) {
         self.count_rejected(reason);
         self.count_answer(class, &Answer::Rejected(0));
     }
 
-    /// Counts why a request is failed.
+    /// Counts a failed request by its reason.
     pub fn count_failed(&mut self, reason: Reason) {
         *self.failed.entry(reason).or_default() += 1;
     }
 }
 
-/// Writes how many requests ended in this way, and for which reasons.
+/// Writes the number of requests that ended as `ending`, in total and for each reason.
 fn write_reasons(f: &mut fmt::Formatter<'_>, ending: &str, reasons: &BTreeMap<Reason, u64>) -> fmt::Result {
     write!(f, ", {} {ending}", reasons.values().sum::<u64>())?;
     if reasons.is_empty() {
@@ -126,7 +128,7 @@
 
 impl fmt::Display for RequestCounters {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{} served", self.classes.iter().map(|it| it.served).sum::<u64>())?;
+        write!(f, "{} served", self.classes.iter().map(|answers| answers.served).sum::<u64>())?;
         write_reasons(f, "rejected", &self.rejected)?;
         write_reasons(f, "failed", &self.failed)?;
         write!(f, ", {} left by their clients", self.left)?;
@@ -140,7 +142,8 @@
     }
 }
 
-/// The metrics as operators fetch them, one `NAME:VALUE|KIND` per line: `c` counts since the start, `g` is the current value.
+/// Renders the metrics in the text format of the admin endpoint: one `NAME:VALUE|KIND` per line. Kind `c` is a count
+/// since the start, kind `g` is a current value.
 #[must_use]
 pub fn render(
     counters: &RequestCounters, class_names: &[String], in_flight: usize, endpoint_counts: EndpointCounts,
--- a/crates/gateway/src/override_file.rs
+++ b/crates/gateway/src/override_file.rs
@@ -1,11 +1,12 @@
-//! The file in which operator overrides outlive a process, and by which two processes of one balancer share them.
+//! The file that stores operator overrides for the next process, and through which two processes of one balancer share
+//! them.
 
 use maintenance::{OperatorOverrides, UnreadableOverrides, WriteError};
 use std::fs::{self, File};
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// The file, and its last known content.
+/// The overrides file and its last known content.
 #[derive(Debug)]
 pub struct OverrideFile {
     path: PathBuf,
@@ -13,22 +14,23 @@
 }
 
 impl OverrideFile {
-    /// The file at this path, which need not exist.
+    /// Creates an accessor for the file at this path. The file need not exist.
     #[must_use]
     pub fn new(path: PathBuf) -> Self {
         Self { path, last_content: None }
     }
 
-    /// Its path.
+    /// Returns the path of the file.
     #[must_use]
     pub fn path(&self) -> &Path {
         &self.path
     }
 
-    /// The overrides in the file, if they have changed. An invalid file is logged and moved aside; the current overrides stay.
+    /// Reads the file, and returns its overrides if they have changed since the last poll or save. An invalid file is
+    /// logged and moved aside; the current overrides stay in force.
     ///
     /// # Errors
-    /// When it cannot be read now; it stays where it is.
+    /// Returns an error if the file cannot be read. The file is not moved.
     pub fn poll(&mut self) -> io::Result<Option<OperatorOverrides>> {
         match fs::read(&self.path) {
             Ok(bytes) => Ok(self.parse_changed(&bytes)),
@@ -63,11 +65,11 @@
         log::error!("overrides: {}: {reason}; {moved}; keeping the current overrides", self.path.display());
     }
 
-    /// Writes overrides atomically, unless another process has written others since the last poll. The lock is between the
-    /// processes of this balancer, and is released when its process ends.
+    /// Writes overrides atomically, unless another process has changed the file since the last poll. A lock file
+    /// excludes the other processes of this balancer. The lock is released when its process ends.
     ///
     /// # Errors
-    /// When they were not written; the file is then unchanged.
+    /// Returns an error if the overrides were not written. The file is then unchanged.
     pub fn save(&mut self, overrides: &OperatorOverrides) -> Result<(), WriteError> {
         let lock = File::create(self.path.with_extension("lock"))?;
         lock.lock()?;
@@ -84,7 +86,7 @@
         let new = self.path.with_extension(format!("{}.new", std::process::id()));
         let written = fs::write(&new, text).and_then(|()| fs::rename(&new, &self.path));
         if written.is_err() {
-            let _ = fs::remove_file(&new); // it may be incomplete
+            let _ = fs::remove_file(&new); // the new file may be incomplete
         }
         written
     }
--- a/crates/gateway/src/setup.rs
+++ b/crates/gateway/src/setup.rs
@@ -16,22 +16,22 @@
     pub listen: SocketAddr,
     /// The descriptor number of an inherited listening socket for clients; if `None`, the program binds its own.
     pub inherited_descriptor: Option<i32>,
-    /// The address of the admin endpoint, if there is one.
+    /// The listen address of the admin endpoint, if it is enabled.
     pub operator: Option<SocketAddr>,
-    /// A folder that persists between processes of this balancer, if there is one.
+    /// The folder for files that outlive the process, such as the operator overrides, if one is configured.
     pub folder: Option<PathBuf>,
     /// The address of the discovery agent.
     pub discovery: SocketAddr,
-    /// Seed of the decision module's random numbers.
+    /// The seed of the decision module's random number generator.
     pub seed: u64,
-    /// The endpoint list known before the start; it may be old.
+    /// The endpoint list known before the start. It may be outdated.
     pub known: Option<EndpointList>,
     /// Settings of the decision module.
     pub settings: Settings,
-    /// Names of the numbers in the settings.
+    /// Names of the classes, tenants, zones and kinds, which the settings identify by number.
     pub names: Names,
     /// Limits and timeouts of connections.
     pub bounds: Bounds,
-    /// Addresses of the other balancers, where messages between them are allowed.
+    /// The addresses of the other balancers, if messages between balancers are allowed.
     pub gossip: Option<GossipAddresses>,
 }
--- a/crates/gateway/src/stall_monitor.rs
+++ b/crates/gateway/src/stall_monitor.rs
@@ -1,11 +1,11 @@
-//! Monitors how late the event loop runs.
+//! Measures stalls of the event loop.
 //!
-//! The program is one thread, and may stall: because of the system, or because of a long task of its own. Nothing is read meanwhile.
-//! A timer that is due every [`CHECK_INTERVAL`] shows for how long: it runs that much late. [`StallMonitor`] keeps the measurements
-//! and knows no timer; [`run_stall_monitor`] is the driver.
+//! The event loop is one thread. It stalls when the system does not schedule it or when one of its tasks runs for long,
+//! and reads no input meanwhile. A timer that is due every [`CHECK_INTERVAL`] measures a stall by the delay with which
+//! it runs. [`StallMonitor`] keeps the measurements; [`run_stall_monitor`] drives the timer.
 //!
-//! What is read now may have arrived as long ago as [`StallMonitor::overdue`] says. The time limit of a request starts when it
-//! arrived.
+//! Input that is read now may have arrived up to [`StallMonitor::overdue`] ago. This matters because the time limit of
+//! a request starts at its arrival.
 
 use log_throttle::LogThrottle;
 use std::cell::Cell;
@@ -14,25 +14,25 @@
 use tokio::task::yield_now;
 use tokio::time::{Instant, sleep_until};
 
-/// How often the timer is due: the resolution of a stall, at the cost of 40 wake-ups a second.
+/// The interval of the timer. It is the resolution of the measurement, and costs 40 wake-ups per second.
 pub const CHECK_INTERVAL: Duration = Duration::from_millis(25);
-/// The resolution of timers, with the time of a wake-up.
+/// The resolution of Tokio timers, plus the time of a wake-up.
 const TIMER_RESOLUTION: Duration = Duration::from_millis(2);
-/// The delay from which on a stall is logged: a tenth of the time that a drain allows.
+/// Stalls of at least this length are logged: a tenth of the time within which a drain must be in force.
 const LOGGED_STALL: Duration = Duration::from_millis(25);
 
-/// How late the event loop runs.
+/// Measures how late the event loop runs.
 #[derive(Debug)]
 pub struct StallMonitor {
     /// When the timer is due next.
     due: Cell<Instant>,
-    /// The longest delay since it was last taken.
+    /// The longest delay since the last call of [`StallMonitor::take_longest_stall`].
     longest: Cell<Duration>,
     log_throttle: LogThrottle,
 }
 
 impl StallMonitor {
-    /// A monitor that starts now.
+    /// Creates a monitor whose timer is first due one interval after `now`.
     #[must_use]
     pub fn new(now: Instant) -> Self {
         Self {
@@ -42,21 +42,21 @@
         }
     }
 
-    /// When the timer is due next.
+    /// Returns when the timer is due next.
     #[must_use]
     pub fn next_run_at(&self) -> Instant {
         self.due.get()
     }
 
-    /// How long the timer has been overdue: what is read now arrived no earlier than that, give or take an interval. Zero in an
-    /// event loop that keeps up, whose timer is late by its resolution at most.
+    /// Returns how long the timer has been overdue. Input that is read now arrived no longer ago than that, within one
+    /// interval. Zero if the event loop has not stalled: its timer is then late by the resolution of timers at most.
     #[must_use]
     pub fn overdue(&self, now: Instant) -> Duration {
         let late = now.saturating_duration_since(self.due.get());
         if late >= TIMER_RESOLUTION { late } else { Duration::ZERO }
     }
 
-    /// Records a run of the timer, and returns how late it was. It is due again after an interval.
+    /// Records a run of the timer, and returns how late it was. The timer is due again after [`CHECK_INTERVAL`].
     pub fn record_run(&self, now: Instant) -> Duration {
         let late = now.saturating_duration_since(self.due.get());
         self.longest.set(self.longest.get().max(late));
@@ -64,17 +64,18 @@
         late
     }
 
-    /// The longest delay since the last call.
+    /// Returns the longest delay since the last call.
     pub fn take_longest_stall(&self) -> Duration {
         self.longest.take()
     }
 }
 
-/// Runs the timer until it is dropped.
+/// Runs the timer of a monitor until the future is dropped.
 pub async fn run_stall_monitor(monitor: Rc<StallMonitor>) {
     loop {
         sleep_until(monitor.next_run_at()).await;
-        // Tasks of the same wake-up run first: they read what arrived during the stall, and need its length.
+        // Tasks of the same wake-up run first: they read the input that arrived during the stall, and need the overdue
+        // time before it is reset.
         yield_now().await;
         let late = monitor.record_run(Instant::now());
         if late >= LOGGED_STALL
--- a/crates/gateway/src/topology_text.rs
+++ b/crates/gateway/src/topology_text.rs
@@ -1,11 +1,11 @@
 //! Names of topology changes and of their outcomes, for log lines and for the digest that balancers compare.
 //!
-//! The names are spelled out here, and do not follow Rust identifiers: balancers of other versions must show the same digest for
-//! the same changes.
+//! The names are string literals, independent of Rust identifiers, because balancers of different versions must compute
+//! the same digest for the same changes.
 
 use calendar::{ChangeKind, ChangeOutcome, HoldReason};
 
-/// The name of a kind of change.
+/// Returns the name of a kind of change.
 pub(crate) fn change_kind_name(kind: ChangeKind) -> &'static str {
     match kind {
         ChangeKind::Drain => "Drain",
@@ -26,7 +26,7 @@
     }
 }
 
-/// What became of a change.
+/// Describes the outcome of a change.
 pub(crate) fn outcome_text(outcome: &ChangeOutcome) -> String {
     match outcome {
         ChangeOutcome::Applied | ChangeOutcome::InitialList => "applied".into(),
@@ -37,7 +37,7 @@
     }
 }
 
-/// Why a change is held, and until when (Unix time in milliseconds) if that is known.
+/// Describes why a change is held, and until when (Unix time in milliseconds) if the end is known.
 pub(crate) fn hold_text(reason: &HoldReason, until: Option<u64>) -> String {
     let until = until.map_or_else(String::new, |ms| format!(" until {ms}"));
     let reason = match reason {
--- a/crates/gateway/tests/stall_monitor.rs
+++ b/crates/gateway/tests/stall_monitor.rs
@@ -1,4 +1,5 @@
-//! The stall monitor on a paused clock: an event loop that keeps up is never overdue, and a stall shows how long it was.
+//! The stall monitor on a paused clock: an event loop that keeps up is never overdue, and a stall shows how long it
+//! was.
 
 use gateway::stall_monitor::{CHECK_INTERVAL, StallMonitor, run_stall_monitor};
 use std::rc::Rc;
