--- a/crates/gateway/src/engine/fleet.rs
+++ b/crates/gateway/src/engine/fleet.rs
@@ -30,7 +30,7 @@
 /// Whether the inputs of the gate, its calendar and lease state, have changed since the last poll. If so, pending
 /// changes are checked again.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum GateState {
+enum GateInputs {
     Unchanged,
     Changed,
 }
@@ -88,38 +88,38 @@
         match update {
             FleetUpdate::Lease(lease) => {
                 self.lease = Some(*lease);
-                self.poll_with(now, GateState::Unchanged)
+                self.poll_with(now, GateInputs::Unchanged)
             }
             FleetUpdate::Calendar(calendar) => {
                 self.calendar = calendar;
-                self.poll_with(now, GateState::Changed)
+                self.poll_with(now, GateInputs::Changed)
             }
         }
     }
 
     /// Checks the lease, releases the pending changes that the gate allows now, and reports the activity.
     pub(super) fn poll(&mut self, now: Micros) -> FleetPoll {
-        self.poll_with(now, GateState::Unchanged)
+        self.poll_with(now, GateInputs::Unchanged)
     }
 
-    fn poll_with(&mut self, now: Micros, gate_state: GateState) -> FleetPoll {
+    fn poll_with(&mut self, now: Micros, gate_inputs: GateInputs) -> FleetPoll {
         let serve_until = self.serve_until(now);
         self.log_serving(now < serve_until);
         let lease_state = self.gate_context(now).lease;
-        let gate_state = match gate_state {
-            GateState::Changed => GateState::Changed,
-            GateState::Unchanged => self.record_lease_state(lease_state),
+        let gate_inputs = match gate_inputs {
+            GateInputs::Changed => GateInputs::Changed,
+            GateInputs::Unchanged => self.record_lease_state(lease_state),
         };
         self.audit_current_version(now);
         let fleet_time = self.fleet_time(now);
         self.audit.report_if_due(now, fleet_time);
-        FleetPoll { serve_until, released: self.release_pending(now, gate_state) }
+        FleetPoll { serve_until, released: self.release_pending(now, gate_inputs) }
     }
 
-    fn record_lease_state(&mut self, state: LeaseState) -> GateState {
+    fn record_lease_state(&mut self, state: LeaseState) -> GateInputs {
         match std::mem::replace(&mut self.last_lease_state, state) == state {
-            true => GateState::Unchanged,
-            false => GateState::Changed,
+            true => GateInputs::Unchanged,
+            false => GateInputs::Changed,
         }
     }
 
@@ -202,9 +202,9 @@
 
     /// Releases the pending changes that the gate allows now. Does nothing unless the next release step is due or the
     /// gate's inputs have changed.
-    fn release_pending(&mut self, now: Micros, gate_state: GateState) -> Option<EndpointList> {
+    fn release_pending(&mut self, now: Micros, gate_inputs: GateInputs) -> Option<EndpointList> {
         let release_at = self.gate.next_release_at()?;
-        if gate_state == GateState::Unchanged && release_at > now / 1_000 {
+        if gate_inputs == GateInputs::Unchanged && release_at > now / 1_000 {
             return None;
         }
         let result = self.gate.release(&self.gate_context(now), &self.calendar)?;
--- a/crates/gateway/src/engine/handle.rs
+++ b/crates/gateway/src/engine/handle.rs
@@ -91,7 +91,7 @@
         let (sender, answer) = oneshot::channel();
         let awaited = Rc::new(Cell::new(true));
         if self.open_requests.is_full() {
-            self.counters.borrow_mut().count_rejected_unseen(incoming.class, Reason::NoCapacity);
+            self.counters.borrow_mut().count_rejected_before_routing(incoming.class, Reason::NoCapacity);
             let _ = sender.send(Answer::Rejected(0)); // cannot fail: the receiver is alive
         } else {
             // If the engine has stopped, the sender is dropped with the input, and the ticket resolves to
@@ -112,12 +112,12 @@
 
     /// Counts a request that its front rejected because the memory budget was exhausted.
     pub fn count_out_of_memory(&self, class: ClassId) {
-        self.counters.borrow_mut().count_rejected_unseen(class, Reason::NoCapacity);
+        self.counters.borrow_mut().count_rejected_before_routing(class, Reason::NoCapacity);
     }
 
     /// Counts a request that its front rejected because the balancer is draining or shutting down.
     pub fn count_shed(&self, class: ClassId) {
-        self.counters.borrow_mut().count_rejected_unseen(class, Reason::ShuttingDown);
+        self.counters.borrow_mut().count_rejected_before_routing(class, Reason::ShuttingDown);
     }
 
     /// Sends a watch event of discovery to the engine, which handles it before all other inputs.
--- a/crates/gateway/src/engine/open_requests.rs
+++ b/crates/gateway/src/engine/open_requests.rs
@@ -6,7 +6,7 @@
 use std::cell::{Cell, RefCell};
 
 /// The minimum of the expected answer size, in bytes.
-const MIN_EXPECTED_ANSWER: usize = 4 * 1024;
+const MIN_EXPECTED_ANSWER_BYTES: usize = 4 * 1024;
 /// Each shorter answer reduces the expected answer size by one part in this number.
 const DECAY_DIVISOR: usize = 64;
 
@@ -15,7 +15,7 @@
 pub(super) struct OpenRequests {
     client_ids: RefCell<FxHashSet<Bytes>>,
     count: Cell<usize>,
-    expected_answer: Cell<usize>,
+    expected_answer_bytes: Cell<usize>,
     max_count: usize,
     max_answer_bytes: usize,
 }
@@ -26,7 +26,7 @@
         Self {
             client_ids: RefCell::default(),
             count: Cell::default(),
-            expected_answer: Cell::new(MIN_EXPECTED_ANSWER),
+            expected_answer_bytes: Cell::new(MIN_EXPECTED_ANSWER_BYTES),
             max_count: bounds.open,
             max_answer_bytes: bounds.answer_bytes,
         }
@@ -58,14 +58,14 @@
     /// balancer could accept fewer requests than it receives on a busy day.
     pub(super) fn is_full(&self) -> bool {
         let count = self.count.get();
-        count >= self.max_count || (count + 1) * self.expected_answer.get() > self.max_answer_bytes
+        count >= self.max_count || (count + 1) * self.expected_answer_bytes.get() > self.max_answer_bytes
     }
 
     /// Updates the expected answer size: raises it at once to the size of a longer answer, and decays it with shorter
     /// ones.
     pub(super) fn record_answer_size(&self, size: usize) {
-        let expected = self.expected_answer.get();
+        let expected = self.expected_answer_bytes.get();
         let decayed = expected - expected / DECAY_DIVISOR;
-        self.expected_answer.set(size.max(decayed).max(MIN_EXPECTED_ANSWER));
+        self.expected_answer_bytes.set(size.max(decayed).max(MIN_EXPECTED_ANSWER_BYTES));
     }
 }
--- a/crates/gateway/src/engine/phases/attempts.rs
+++ b/crates/gateway/src/engine/phases/attempts.rs
@@ -17,8 +17,8 @@
     /// Starts an attempt of a request at an endpoint. A timeout of 0 means that only the request's deadline applies.
     pub(in crate::engine) fn start_attempt(&mut self, id: RequestId, target: EndpointId, timeout_us: Micros) {
         let Some(context) = self.requests.get_mut(&id) else { return };
-        let number = context.attempts;
-        context.attempts += 1;
+        let number = context.attempts_started;
+        context.attempts_started += 1;
         let sent_at = Instant::now();
         let awaited = context.awaited.get();
         let endpoint = self.endpoints.endpoint(target).filter(|endpoint| endpoint.ready() && awaited);
@@ -75,7 +75,7 @@
             is_non_idempotent: context.effect == Effect::NonIdempotent,
             throttles: self.throttles.clone(),
             budget: self.handle.budget.clone(),
-            written: self.handle.counters.borrow().attempts.clone(),
+            written_count: self.handle.counters.borrow().attempts.clone(),
         })
     }
 
@@ -107,8 +107,8 @@
         &mut self, attempt: &InFlightAttempt, result: AttemptResult,
     ) {
         let InFlightAttempt { request: id, number, ref endpoint, sent_at, audited_version } = *attempt;
-        self.audit_attempt(audited_version, endpoint.origin, result.outcome);
-        self.handle.counters.borrow_mut().count_attempt(endpoint.origin, &result);
+        self.audit_attempt(audited_version, endpoint.is_origin, result.outcome);
+        self.handle.counters.borrow_mut().count_attempt(endpoint.is_origin, &result);
         self.pools.check_in(endpoint, result.connection);
         if result.stale {
             self.pools.record_stale(endpoint);
@@ -127,7 +127,7 @@
             let answer = result.large.map_or(Answer::Served(result.value), Answer::Streamed);
             self.send_answer(id, answer);
         }
-        let finished = self.requests.get(&id).is_none_or(|context| context.answer.is_none());
+        let finished = self.requests.get(&id).is_none_or(|context| context.answer_sender.is_none());
         self.events.push_back(Event::Outcome {
             id,
             attempt: number,
@@ -147,7 +147,7 @@
         let Some(context) = self.requests.get_mut(&id) else { return false };
         context.in_flight.retain(|attempt| attempt.number != number);
         if outcome.proves_never_ran() {
-            context.exclude_executed(number);
+            context.mark_not_executed(number);
         }
         context.met_stale_connection |= stale;
         if context.is_streaming {
--- a/crates/gateway/src/engine/phases/endpoint_lists.rs
+++ b/crates/gateway/src/engine/phases/endpoint_lists.rs
@@ -13,7 +13,7 @@
 
 /// A list that is applied with at least this delay is logged as a warning. The delay is a part of the time within which
 /// a drain must be in force.
-const SLOW_LIST: Duration = Duration::from_millis(50);
+const SLOW_LIST_THRESHOLD: Duration = Duration::from_millis(50);
 /// Endpoints are connected to ahead of use only if at most this many are listed: the 200 of a usual fleet, with a
 /// margin.
 const MAX_PRECONNECTED_ENDPOINTS: usize = 256;
@@ -92,7 +92,7 @@
 
 /// Logs the delay between the publication and the application of a list.
 fn log_applied(list: &EndpointList, delay: Duration) {
-    let level = if delay >= SLOW_LIST { log::Level::Warn } else { log::Level::Debug };
+    let level = if delay >= SLOW_LIST_THRESHOLD { log::Level::Warn } else { log::Level::Debug };
     let (revision, endpoints) = (list.revision, list.members.len());
     log::log!(level, "discovery: applied revision {revision}, {endpoints} endpoints, after {delay:?}");
 }
--- a/crates/gateway/src/engine/phases/requests.rs
+++ b/crates/gateway/src/engine/phases/requests.rs
@@ -24,14 +24,14 @@
     ) {
         let accepted_at = Instant::now();
         if !slot.awaited.get() {
-            self.handle.counters.borrow_mut().left += 1; // the client left while the request was queued
+            self.handle.counters.borrow_mut().client_left += 1; // the client left while the request was queued
             return;
         }
         // Caps the time limit, so that no client can occupy a place among the open requests for minutes.
         let deadline = incoming.received + incoming.time_limit.min(self.bounds.longest);
         let time_left = deadline.saturating_duration_since(accepted_at);
         if let Err(reason) = self.check_admission(&mut incoming, time_left) {
-            return self.reject_unseen(&incoming, slot, reason);
+            return self.reject_before_routing(&incoming, slot, reason);
         }
         let request = Request {
             id,
@@ -51,9 +51,9 @@
             effect: self.effects.get(usize::from(incoming.class.0)).copied().unwrap_or(Effect::NonIdempotent),
             accepted_at,
             deadline,
-            answer: Some(slot.sender),
+            answer_sender: Some(slot.sender),
             awaited: slot.awaited,
-            attempts: 0,
+            attempts_started: 0,
             met_stale_connection: false,
             maybe_executed: Vec::new(),
             in_flight: Vec::new(),
@@ -81,9 +81,9 @@
         Ok(())
     }
 
-    fn reject_unseen(&mut self, incoming: &IncomingRequest, slot: AnswerSlot, reason: Reason) {
+    fn reject_before_routing(&mut self, incoming: &IncomingRequest, slot: AnswerSlot, reason: Reason) {
         self.audit_rejected();
-        self.handle.counters.borrow_mut().count_rejected_unseen(incoming.class, reason);
+        self.handle.counters.borrow_mut().count_rejected_before_routing(incoming.class, reason);
         let _ = slot.sender.send(Answer::Rejected(0)); // fails if the client has left
     }
 
@@ -110,7 +110,7 @@
             }
             Action::Cancel { id, attempt } => {
                 let context = self.requests.get_mut(&id);
-                if let Some(in_flight) = context.and_then(|context| context.take_in_flight(attempt)) {
+                if let Some(in_flight) = context.and_then(|context| context.remove_in_flight(attempt)) {
                     let _ = in_flight.cancel.send(()); // the attempt closes its connection and reports its end
                 }
             }
@@ -141,16 +141,16 @@
     /// Sends the final answer of a request, if the client still waits for it.
     pub(in crate::engine) fn send_answer(&mut self, id: RequestId, answer: Answer) {
         let Some(context) = self.requests.get_mut(&id) else { return };
-        let Some(sender) = context.answer.take() else { return };
+        let Some(sender) = context.answer_sender.take() else { return };
         context.awaited.set(false); // stops attempts that are still connecting or writing
         let (class, us) = (context.class, context.accepted_at.elapsed().as_micros());
-        log::debug!("request {}: class {} {} after {us} us", id.0, class.0, answer.word());
+        log::debug!("request {}: class {} {} after {us} us", id.0, class.0, answer.label());
         let late = context.deadline.elapsed();
         if late >= MAX_ANSWER_DELAY
-            && let Some(more) = self.throttles.late.admit_line()
+            && let Some(more) = self.throttles.late_answer.admit_line()
         {
             let client_id = String::from_utf8_lossy(&context.call.id);
-            log::warn!("request {client_id}: {} {late:?} after its deadline{more}", answer.word());
+            log::warn!("request {client_id}: {} {late:?} after its deadline{more}", answer.label());
         }
         self.handle.counters.borrow_mut().count_answer(class, &answer);
         let _ = sender.send(answer); // fails if the client has left
@@ -158,8 +158,8 @@
 
     /// Handles the disconnection of the client before the answer.
     pub(in crate::engine) fn handle_client_left(&mut self, id: RequestId) {
-        if self.requests.get_mut(&id).is_some_and(|context| context.answer.take().is_some()) {
-            self.handle.counters.borrow_mut().left += 1;
+        if self.requests.get_mut(&id).is_some_and(|context| context.answer_sender.take().is_some()) {
+            self.handle.counters.borrow_mut().client_left += 1;
             self.events.push_back(Event::ClientLeft(id));
             self.remove_if_finished(id);
         }
@@ -167,7 +167,7 @@
 
     /// Handles a request whose front has given up waiting: counts it as failed, and ends its attempts.
     pub(in crate::engine) fn handle_abandoned(&mut self, id: RequestId) {
-        if self.requests.get(&id).is_some_and(|context| context.answer.is_some()) {
+        if self.requests.get(&id).is_some_and(|context| context.answer_sender.is_some()) {
             self.fail_request(id, Reason::ShuttingDown);
         }
     }
@@ -175,7 +175,8 @@
     /// Fails a request that the decision module has not answered in time. A safeguard for the rule that every request
     /// gets an answer: no such request has been observed.
     pub(in crate::engine) fn handle_overdue(&mut self, id: RequestId) {
-        let Some(context) = self.requests.get_mut(&id).filter(|context| context.answer.is_some()) else {
+        let Some(context) = self.requests.get_mut(&id).filter(|context| context.answer_sender.is_some())
+        else {
             return;
         };
         // After a stall of the event loop, the timers of the decision module and of attempts are as late as this one.
--- a/crates/gateway/src/engine/requests.rs
+++ b/crates/gateway/src/engine/requests.rs
@@ -32,12 +32,12 @@
     pub(super) effect: Effect,
     pub(super) accepted_at: Instant,
     pub(super) deadline: Instant,
-    pub(super) answer: Option<oneshot::Sender<Answer>>,
+    pub(super) answer_sender: Option<oneshot::Sender<Answer>>,
     /// Whether the client still waits for the answer. Cleared when the answer is sent, and by the ticket as soon as the
     /// client leaves.
     pub(super) awaited: Rc<Cell<bool>>,
     /// The number of attempts started so far.
-    pub(super) attempts: u16,
+    pub(super) attempts_started: u16,
     /// Whether an attempt was sent on a connection that the endpoint had already closed.
     pub(super) met_stale_connection: bool,
     /// Attempts that may have been executed. Short, because the number of attempts of a request is limited.
@@ -63,18 +63,18 @@
     }
 
     /// Removes an attempt from those in flight, and returns it.
-    pub(super) fn take_in_flight(&mut self, number: u16) -> Option<CancellableAttempt> {
+    pub(super) fn remove_in_flight(&mut self, number: u16) -> Option<CancellableAttempt> {
         let index = self.in_flight.iter().position(|attempt| attempt.number == number)?;
         Some(self.in_flight.swap_remove(index))
     }
 
     /// Records that an attempt was never executed.
-    pub(super) fn exclude_executed(&mut self, number: u16) {
+    pub(super) fn mark_not_executed(&mut self, number: u16) {
         self.maybe_executed.retain(|attempt| attempt.number != number);
     }
 
     /// Returns whether the request is answered and none of its attempts is in flight.
     pub(super) fn is_finished(&self) -> bool {
-        self.answer.is_none() && self.in_flight.is_empty()
+        self.answer_sender.is_none() && self.in_flight.is_empty()
     }
 }
--- a/crates/gateway/src/engine/testing.rs
+++ b/crates/gateway/src/engine/testing.rs
@@ -99,19 +99,19 @@
 
     /// Returns whether this endpoint is listed.
     #[must_use]
-    pub fn lists(&self, endpoint: &str) -> bool {
+    pub fn is_listed(&self, endpoint: &str) -> bool {
         self.0.endpoints.endpoint(endpoint_id(endpoint)).is_some()
     }
 
     /// Returns whether requests may be sent to this endpoint.
     #[must_use]
-    pub fn sends_to(&self, endpoint: &str) -> bool {
+    pub fn accepts_requests(&self, endpoint: &str) -> bool {
         self.0.endpoints.endpoint(endpoint_id(endpoint)).is_some_and(|endpoint| endpoint.ready())
     }
 
     /// Returns the number of requests in progress.
     #[must_use]
-    pub fn requests(&self) -> usize {
+    pub fn request_count(&self) -> usize {
         self.0.requests.len()
     }
 
@@ -123,7 +123,7 @@
 
     /// Returns the number of pending timers.
     #[must_use]
-    pub fn timers(&self) -> usize {
+    pub fn timer_count(&self) -> usize {
         self.0.timers.len()
     }
 
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -37,7 +37,7 @@
     /// Configurations that could not be used.
     pub reloads_failed: u64,
     /// Requests whose client left before the answer.
-    pub left: u64,
+    pub client_left: u64,
     rejected: BTreeMap<Reason, u64>,
     failed: BTreeMap<Reason, u64>,
     attempt_results: BTreeMap<AttemptTarget, BTreeMap<&'static str, u64>>,
@@ -104,7 +104,7 @@
     }
 
     /// Counts the reason and the answer of a request that is rejected before it reaches the decision module.
-    pub fn count_rejected_unseen(&mut self, class: ClassId, reason: Reason) {
+    pub fn count_rejected_before_routing(&mut self, class: ClassId, reason: Reason) {
         self.count_rejected(reason);
         self.count_answer(class, &Answer::Rejected(0));
     }
@@ -121,9 +121,9 @@
     if reasons.is_empty() {
         return Ok(());
     }
-    let words: Vec<String> =
+    let parts: Vec<String> =
         reasons.iter().map(|(reason, count)| format!("{} {count}", reason.label())).collect();
-    write!(f, " ({})", words.join(", "))
+    write!(f, " ({})", parts.join(", "))
 }
 
 impl fmt::Display for RequestCounters {
@@ -131,12 +131,12 @@
         write!(f, "{} served", self.classes.iter().map(|answers| answers.served).sum::<u64>())?;
         write_reasons(f, "rejected", &self.rejected)?;
         write_reasons(f, "failed", &self.failed)?;
-        write!(f, ", {} left by their clients", self.left)?;
+        write!(f, ", {} left by their clients", self.client_left)?;
         let targets = [(AttemptTarget::CacheNode, "cache nodes"), (AttemptTarget::Origin, "the origin")];
         for (target, name) in targets {
             let results = self.attempt_results.get(&target).into_iter().flatten();
-            let words: Vec<String> = results.map(|(word, count)| format!("{word} {count}")).collect();
-            write!(f, "; attempts at {name}: {}", words.join(", "))?;
+            let parts: Vec<String> = results.map(|(word, count)| format!("{word} {count}")).collect();
+            write!(f, "; attempts at {name}: {}", parts.join(", "))?;
         }
         Ok(())
     }
--- a/crates/gateway/src/stall_monitor.rs
+++ b/crates/gateway/src/stall_monitor.rs
@@ -19,15 +19,15 @@
 /// The resolution of Tokio timers, plus the time of a wake-up.
 const TIMER_RESOLUTION: Duration = Duration::from_millis(2);
 /// Stalls of at least this length are logged: a tenth of the time within which a drain must be in force.
-const LOGGED_STALL: Duration = Duration::from_millis(25);
+const STALL_LOG_THRESHOLD: Duration = Duration::from_millis(25);
 
 /// Measures how late the event loop runs.
 #[derive(Debug)]
 pub struct StallMonitor {
     /// When the timer is due next.
-    due: Cell<Instant>,
+    due_at: Cell<Instant>,
     /// The longest delay since the last call of [`StallMonitor::take_longest_stall`].
-    longest: Cell<Duration>,
+    longest_stall: Cell<Duration>,
     log_throttle: LogThrottle,
 }
 
@@ -36,8 +36,8 @@
     #[must_use]
     pub fn new(now: Instant) -> Self {
         Self {
-            due: Cell::new(now + CHECK_INTERVAL),
-            longest: Cell::default(),
+            due_at: Cell::new(now + CHECK_INTERVAL),
+            longest_stall: Cell::default(),
             log_throttle: LogThrottle::default(),
         }
     }
@@ -45,28 +45,28 @@
     /// Returns when the timer is due next.
     #[must_use]
     pub fn next_run_at(&self) -> Instant {
-        self.due.get()
+        self.due_at.get()
     }
 
     /// Returns how long the timer has been overdue. Input that is read now arrived no longer ago than that, within one
     /// interval. Zero if the event loop has not stalled: its timer is then late by the resolution of timers at most.
     #[must_use]
     pub fn overdue(&self, now: Instant) -> Duration {
-        let late = now.saturating_duration_since(self.due.get());
+        let late = now.saturating_duration_since(self.due_at.get());
         if late >= TIMER_RESOLUTION { late } else { Duration::ZERO }
     }
 
     /// Records a run of the timer, and returns how late it was. The timer is due again after [`CHECK_INTERVAL`].
     pub fn record_run(&self, now: Instant) -> Duration {
-        let late = now.saturating_duration_since(self.due.get());
-        self.longest.set(self.longest.get().max(late));
-        self.due.set(now + CHECK_INTERVAL);
+        let late = now.saturating_duration_since(self.due_at.get());
+        self.longest_stall.set(self.longest_stall.get().max(late));
+        self.due_at.set(now + CHECK_INTERVAL);
         late
     }
 
     /// Returns the longest delay since the last call.
     pub fn take_longest_stall(&self) -> Duration {
-        self.longest.take()
+        self.longest_stall.take()
     }
 }
 
@@ -78,7 +78,7 @@
         // time before it is reset.
         yield_now().await;
         let late = monitor.record_run(Instant::now());
-        if late >= LOGGED_STALL
+        if late >= STALL_LOG_THRESHOLD
             && let Some(more) = monitor.log_throttle.admit_line()
         {
             log::info!("stall monitor: the event loop stalled for {late:?}{more}");
--- a/crates/gateway/tests/fleet.rs
+++ b/crates/gateway/tests/fleet.rs
@@ -145,7 +145,7 @@
         world.engine.update_readiness();
         assert!(world.handle.ready());
         let _accepted = world.submit(2).await;
-        assert_eq!(world.engine.requests(), 1, "accepted under the lease");
+        assert_eq!(world.engine.request_count(), 1, "accepted under the lease");
         advance(LEASE).await;
         assert!(!world.handle.ready(), "also before the engine has run");
         assert!(matches!(final_answer(world.submit(3).await).await, Answer::Rejected(0)));
@@ -174,7 +174,7 @@
         assert!(world.engine.is_fenced());
         world.engine.end_attempt(attempt, served(b"value"));
         assert!(matches!(final_answer(ticket).await, Answer::Served(value) if value == "value"));
-        assert_eq!(world.engine.requests(), 0);
+        assert_eq!(world.engine.request_count(), 0);
     };
     LocalSet::new().run_until(run).await;
 }
@@ -186,7 +186,7 @@
         world.engine.apply_fleet_update(FleetUpdate::Calendar(frozen()));
         world.grant_lease();
         let all = |a| list(2, &[("a", a), ("b", Phase::Ready), ("c", Phase::Ready)]);
-        let sent_to = |world: &World| ["a", "b", "c"].map(|host| world.engine.sends_to(host));
+        let sent_to = |world: &World| ["a", "b", "c"].map(|host| world.engine.accepts_requests(host));
         world.engine.apply_list(&all(Phase::Ready));
         assert_eq!(sent_to(&world), [true, false, false]);
         let mut held = Vec::new();
@@ -215,13 +215,13 @@
         let more = list(2, &[("a", Phase::Ready), ("b", Phase::Ready)]);
         let mut world = joined();
         world.engine.apply_list(&more);
-        assert!(world.engine.sends_to("a") && !world.engine.sends_to("b"));
+        assert!(world.engine.accepts_requests("a") && !world.engine.accepts_requests("b"));
         world.grant_lease();
-        assert!(world.engine.sends_to("b"), "the lease implies that everything agreed is known");
+        assert!(world.engine.accepts_requests("b"), "the lease implies that everything agreed is known");
 
         let (mut alone, handle) = SteppedEngine::new(&config(Some(list(1, &[("a", Phase::Ready)]))));
         alone.apply_list(&more);
-        assert!(alone.lists("b"));
+        assert!(alone.is_listed("b"));
         assert!(!alone.is_fenced() && handle.check_change(ChangeKind::Discovery).await.is_ok());
         assert!(handle.call_fleet(FleetCall::View).await.is_none());
     };
--- a/crates/gateway/tests/timers.rs
+++ b/crates/gateway/tests/timers.rs
@@ -15,7 +15,7 @@
         engine.handle_next_input().await;
         assert!(matches!(ticket.await, Answer::Rejected(0)), "there is no endpoint");
     }
-    assert_eq!(engine.timers(), 0, "each would be kept for a minute");
+    assert_eq!(engine.timer_count(), 0, "each would be kept for a minute");
     let counters = engine.counters();
     assert!(counters.starts_with("0 served, 1000 rejected (no-server 1000), 0 failed"), "{counters}");
 }
--- a/crates/upstream/src/call.rs
+++ b/crates/upstream/src/call.rs
@@ -24,7 +24,7 @@
 impl Call {
     /// The options, with the time that this balancer will wait.
     #[must_use]
-    pub fn options_with_time(&self, ms: u64) -> Vec<u8> {
+    pub fn options_with_time_limit(&self, ms: u64) -> Vec<u8> {
         let Range { start, end } = self.time_at.clone();
         [&self.options[..start], ms.to_string().as_bytes(), &self.options[end..]].concat()
     }
@@ -46,7 +46,7 @@
 impl Answer {
     /// The word for log lines.
     #[must_use]
-    pub fn word(&self) -> &'static str {
+    pub fn label(&self) -> &'static str {
         match self {
             Self::Served(_) => "served",
             Self::Streamed(_) => "streaming",
--- a/crates/upstream/src/connection/attempt.rs
+++ b/crates/upstream/src/connection/attempt.rs
@@ -44,7 +44,7 @@
     /// Memory for large responses that must be buffered completely.
     pub budget: MemoryBudget,
     /// Counts attempts that were written completely.
-    pub written: Rc<Cell<u64>>,
+    pub written_count: Rc<Cell<u64>>,
 }
 
 /// How far an attempt has come.
@@ -70,7 +70,7 @@
         let outcome = tokio::select! {
             biased;
             _ = cancelled => Outcome::Cancelled,
-            () = window_end_before_written(window_ends, &stage) => Outcome::NotSent,
+            () = wait_for_window_end(window_ends, &stage) => Outcome::NotSent,
             result = timeout_at(deadline, &mut exchange) => match result {
                 Ok(result) => return result,
                 Err(_) => Outcome::Timeout,
@@ -91,7 +91,7 @@
     ) -> AttemptResult {
         let source = std::mem::replace(&mut self.source, ConnectionSource::Unavailable);
         let is_reused = matches!(source, ConnectionSource::Idle(_));
-        let mut connection = match self.open(source).await {
+        let mut connection = match self.open_connection(source).await {
             Ok(connection) => connection,
             Err(outcome) => return outcome.into(),
         };
@@ -107,7 +107,7 @@
             return unsent_result(error);
         }
         stage.set(Stage::Written);
-        self.written.set(self.written.get() + 1);
+        self.written_count.set(self.written_count.get() + 1);
         match self.read_response(&mut connection).await {
             Ok(Response::Complete { result, reusable }) => {
                 AttemptResult { connection: reusable.then_some(connection), ..result }
@@ -118,15 +118,15 @@
                 AttemptResult { stale, ..Outcome::Reset.into() }
             }
             Err(error) => {
-                self.log_unusable(&error);
+                self.log_response_error(&error);
                 Outcome::Error.into()
             }
         }
     }
 
-    async fn open(&self, source: ConnectionSource) -> Result<Connection, Outcome> {
+    async fn open_connection(&self, source: ConnectionSource) -> Result<Connection, Outcome> {
         let (_replaced, permit) = match source {
-            ConnectionSource::Idle(connection) if connection.is_quiet() => return Ok(connection),
+            ConnectionSource::Idle(connection) if connection.has_no_input() => return Ok(connection),
             // Input has arrived since the connection was chosen. It is closed once its replacement is open.
             ConnectionSource::Idle(connection) => {
                 let (stream, permit) = connection.into_parts();
@@ -153,14 +153,14 @@
     }
 
     async fn read_response(&self, connection: &mut Connection) -> Result<Response, ResponseError> {
-        if self.endpoint.origin {
+        if self.endpoint.is_origin {
             read_http(connection, &self.budget).await
         } else {
             read_resp(connection, &self.endpoint.name, &self.throttles).await
         }
     }
 
-    fn log_unusable(&self, error: &ResponseError) {
+    fn log_response_error(&self, error: &ResponseError) {
         let name = &self.endpoint.name;
         match error {
             ResponseError::Reset => {}
@@ -193,7 +193,7 @@
     connection: Connection, head: LargeResponse, stage: &Cell<Stage>,
     on_streaming: impl FnOnce(Box<StreamedValue>),
 ) -> AttemptResult {
-    let (value, connection) = StreamedValue::of_connection(head.length, connection);
+    let (value, connection) = StreamedValue::from_connection(head.length, connection);
     stage.set(Stage::Streaming);
     on_streaming(Box::new(value));
     // A connection that is not handed back broke within the value, or its client left.
@@ -203,7 +203,7 @@
 }
 
 /// Waits for the end of the deduplication window; for ever once the request is written.
-async fn window_end_before_written(window_ends: Option<Instant>, stage: &Cell<Stage>) {
+async fn wait_for_window_end(window_ends: Option<Instant>, stage: &Cell<Stage>) {
     match window_ends {
         Some(end) => sleep_until(end).await,
         None => pending().await,
--- a/crates/upstream/src/connection/dial.rs
+++ b/crates/upstream/src/connection/dial.rs
@@ -23,7 +23,7 @@
     }
     let connection = Connection::new(stream, permit);
     // Bytes that arrive before a request would be taken for its response.
-    if let Err(input) = connection.check_quiet() {
+    if let Err(input) = connection.check_no_input() {
         log::debug!("upstream: endpoint {name}: input on a new connection: {input}");
         return None;
     }
--- a/crates/upstream/src/connection/http_response.rs
+++ b/crates/upstream/src/connection/http_response.rs
@@ -35,7 +35,7 @@
             match memory {
                 None => AttemptResult { value, ..Outcome::Ok.into() },
                 Some(memory) => {
-                    let large = Some(Box::new(StreamedValue::of_memory(value, memory)));
+                    let large = Some(Box::new(StreamedValue::from_memory(value, memory)));
                     AttemptResult { large, ..Outcome::Ok.into() }
                 }
             }
--- a/crates/upstream/src/connection/log_throttles.rs
+++ b/crates/upstream/src/connection/log_throttles.rs
@@ -14,5 +14,5 @@
     /// Responses for which there was no memory.
     pub(super) no_memory: LogThrottle,
     /// Answers given after their deadline.
-    pub late: LogThrottle,
+    pub late_answer: LogThrottle,
 }
--- a/crates/upstream/src/connection/pools.rs
+++ b/crates/upstream/src/connection/pools.rs
@@ -34,7 +34,7 @@
 
 impl IdleConnection {
     fn is_usable(&self, idle_timeout: Duration) -> bool {
-        self.since.elapsed() < idle_timeout && self.connection.is_quiet()
+        self.since.elapsed() < idle_timeout && self.connection.has_no_input()
     }
 }
 
@@ -43,7 +43,7 @@
 pub struct ConnectionPools {
     idle: FxHashMap<EndpointId, Vec<IdleConnection>>,
     /// Endpoints that closed connections unnoticed, and when that was last seen.
-    stale: FxHashMap<EndpointId, Instant>,
+    stale_seen_at: FxHashMap<EndpointId, Instant>,
     open: Rc<Cell<usize>>,
     bounds: Bounds,
     counters: ConnectionCounters,
@@ -63,16 +63,19 @@
     /// Idle connections closed on behalf of the decision module or the endpoint list.
     pub closed: u64,
     /// Connections closed with the attempt on them.
-    pub spent: u64,
+    pub not_reusable: u64,
     /// Of these, those that the endpoint had closed unnoticed when a request was written.
     pub stale: u64,
 }
 
 impl fmt::Display for ConnectionCounters {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Self { dialled, dialled_origin, reused, retired, closed, spent, stale } = self;
+        let Self { dialled, dialled_origin, reused, retired, closed, not_reusable, stale } = self;
         write!(f, "{dialled} dialled to cache nodes, {dialled_origin} to the origin, {reused} reused, ")?;
-        write!(f, "{retired} retired, {closed} closed idle, {spent} spent, {stale} of them stale")
+        write!(
+            f,
+            "{retired} retired, {closed} closed idle, {not_reusable} not reusable, {stale} of them stale"
+        )
     }
 }
 
@@ -82,7 +85,7 @@
     pub fn new(bounds: Bounds) -> Self {
         Self {
             idle: FxHashMap::default(),
-            stale: FxHashMap::default(),
+            stale_seen_at: FxHashMap::default(),
             open: Rc::default(),
             bounds,
             counters: ConnectionCounters::default(),
@@ -107,7 +110,7 @@
         if self.open.get() >= self.bounds.peers && !self.close_oldest_idle() {
             return ConnectionSource::Unavailable;
         }
-        if endpoint.origin {
+        if endpoint.is_origin {
             self.counters.dialled_origin += 1;
         } else {
             self.counters.dialled += 1;
@@ -133,9 +136,9 @@
     /// Returns the connection of an attempt; `None` if it was closed, or could not be opened. It is kept if the endpoint is ready and
     /// sent nothing beyond its response.
     pub fn check_in(&mut self, endpoint: &Endpoint, connection: Option<Connection>) {
-        let reusable = connection.filter(|connection| endpoint.ready() && connection.is_quiet());
+        let reusable = connection.filter(|connection| endpoint.ready() && connection.has_no_input());
         let Some(connection) = reusable else {
-            self.counters.spent += 1;
+            self.counters.not_reusable += 1;
             return;
         };
         let idle = IdleConnection { since: Instant::now(), connection };
@@ -145,13 +148,13 @@
     /// Records that an endpoint had closed a connection unnoticed.
     pub fn record_stale(&mut self, endpoint: &Endpoint) {
         self.counters.stale += 1;
-        self.stale.insert(endpoint.id, Instant::now());
+        self.stale_seen_at.insert(endpoint.id, Instant::now());
     }
 
     /// Whether this endpoint has recently closed connections unnoticed.
     #[must_use]
     pub fn was_stale_recently(&self, endpoint: &Endpoint) -> bool {
-        self.stale.get(&endpoint.id).is_some_and(|seen| seen.elapsed() < STALE_PERIOD)
+        self.stale_seen_at.get(&endpoint.id).is_some_and(|seen| seen.elapsed() < STALE_PERIOD)
     }
 
     /// Closes an endpoint's idle connections.
@@ -161,7 +164,7 @@
 
     /// Closes connections that were idle for too long or that their endpoint has closed.
     pub fn sweep(&mut self) {
-        self.stale.retain(|_, seen| seen.elapsed() < STALE_PERIOD);
+        self.stale_seen_at.retain(|_, seen| seen.elapsed() < STALE_PERIOD);
         let idle_timeout = self.bounds.idle;
         let retired = &mut self.counters.retired;
         self.idle.retain(|_, idle| {
--- a/crates/upstream/src/connection/request.rs
+++ b/crates/upstream/src/connection/request.rs
@@ -19,8 +19,8 @@
 impl EncodedRequest {
     /// Encodes a call in the endpoint's protocol, with the time that this balancer waits.
     pub(super) fn new(call: &Call, endpoint: &Endpoint, time_limit_ms: u64) -> Self {
-        let options = call.options_with_time(time_limit_ms);
-        if endpoint.origin { Self::http(call, endpoint, &options) } else { Self::resp(call, &options) }
+        let options = call.options_with_time_limit(time_limit_ms);
+        if endpoint.is_origin { Self::http(call, endpoint, &options) } else { Self::resp(call, &options) }
     }
 
     fn resp(call: &Call, options: &[u8]) -> Self {
--- a/crates/upstream/src/connection/send.rs
+++ b/crates/upstream/src/connection/send.rs
@@ -69,7 +69,7 @@
     if last_byte == LastByte::Delayed {
         let all_but_one = message.remaining() - 1;
         write(connection, &mut (&mut message).take(all_but_one), &check_permit).await?;
-        wait_quietly(connection).await?;
+        wait_without_input(connection).await?;
     }
     write(connection, &mut message, &check_permit).await
 }
@@ -83,7 +83,7 @@
         let piece = poll_fn(|cx| {
             check_permit()?;
             // Input that arrives before the request is complete cannot be its response.
-            if std::mem::replace(&mut has_waited, true) && !connection.is_quiet() {
+            if std::mem::replace(&mut has_waited, true) && !connection.has_no_input() {
                 return Poll::Ready(Err(SendError::Broken));
             }
             let written = ready!(pin!(connection.stream.write_buf(message)).poll(cx));
@@ -95,7 +95,7 @@
 }
 
 /// Waits for [`LAST_BYTE_DELAY`]; an error if the connection breaks or carries input meanwhile.
-async fn wait_quietly(connection: &Connection) -> Result<(), SendError> {
+async fn wait_without_input(connection: &Connection) -> Result<(), SendError> {
     match timeout(LAST_BYTE_DELAY, connection.stream.peek(&mut [0])).await {
         Err(_) => Ok(()),
         Ok(_) => Err(SendError::Broken),
--- a/crates/upstream/src/connection/socket.rs
+++ b/crates/upstream/src/connection/socket.rs
@@ -51,12 +51,12 @@
 
     /// Whether nothing has arrived since the last response, neither bytes nor an end. Guards the next request against being
     /// answered with bytes that followed an earlier response.
-    pub(super) fn is_quiet(&self) -> bool {
-        self.check_quiet().is_ok()
+    pub(super) fn has_no_input(&self) -> bool {
+        self.check_no_input().is_ok()
     }
 
     /// The same, with what has arrived. The system is asked, since the runtime's readiness is as old as its last poll.
-    pub(super) fn check_quiet(&self) -> Result<(), UnexpectedInput> {
+    pub(super) fn check_no_input(&self) -> Result<(), UnexpectedInput> {
         if !self.buffer.is_empty() {
             return Err(UnexpectedInput::Bytes);
         }
--- a/crates/upstream/src/connection/streamed.rs
+++ b/crates/upstream/src/connection/streamed.rs
@@ -25,14 +25,14 @@
     remaining: usize,
     /// What is left of [`TOTAL_READ_TIMEOUT`].
     time_left: Duration,
-    source: Source,
+    source: ValueSource,
 }
 
-enum Source {
+enum ValueSource {
     Connection {
         connection: Connection,
         /// Hands the connection back.
-        return_to: oneshot::Sender<Connection>,
+        return_sender: oneshot::Sender<Connection>,
     },
     /// It was buffered completely, since its length was not stated.
     Memory {
@@ -44,19 +44,19 @@
 
 impl StreamedValue {
     /// A value of this length that the connection delivers. The receiver gets the connection back when the value is complete.
-    pub(super) fn of_connection(
+    pub(super) fn from_connection(
         length: usize, connection: Connection,
     ) -> (Self, oneshot::Receiver<Connection>) {
-        let (return_to, returned) = oneshot::channel();
-        (Self::new(length, Source::Connection { connection, return_to }), returned)
+        let (return_sender, returned) = oneshot::channel();
+        (Self::new(length, ValueSource::Connection { connection, return_sender }), returned)
     }
 
     /// A value that was buffered completely.
-    pub(super) fn of_memory(value: Bytes, memory: MemoryPermit) -> Self {
-        Self::new(value.len(), Source::Memory { value, _memory: memory })
+    pub(super) fn from_memory(value: Bytes, memory: MemoryPermit) -> Self {
+        Self::new(value.len(), ValueSource::Memory { value, _memory: memory })
     }
 
-    fn new(length: usize, source: Source) -> Self {
+    fn new(length: usize, source: ValueSource) -> Self {
         Self { length, remaining: length, time_left: TOTAL_READ_TIMEOUT, source }
     }
 
@@ -69,7 +69,7 @@
     /// Whether the value has arrived completely.
     #[must_use]
     pub fn is_complete(&self) -> bool {
-        matches!(self.source, Source::Memory { .. })
+        matches!(self.source, ValueSource::Memory { .. })
     }
 
     /// The memory that it needs until it is forwarded, beyond what the memory budget covers.
@@ -90,14 +90,14 @@
     /// When the endpoint breaks off or is silent for too long: the rest will not arrive.
     pub async fn next_chunk(&mut self) -> io::Result<&[u8]> {
         let available = match &mut self.source {
-            Source::Connection { connection, .. } => {
+            ValueSource::Connection { connection, .. } => {
                 if connection.buffer.is_empty() {
                     read_ahead(connection, &mut self.time_left).await?;
                 }
                 &connection.buffer[..]
             }
-            Source::Memory { value, .. } => &value[..],
-            Source::Finished => &[],
+            ValueSource::Memory { value, .. } => &value[..],
+            ValueSource::Finished => &[],
         };
         Ok(&available[..available.len().min(self.remaining)])
     }
@@ -106,18 +106,18 @@
     pub fn consume(&mut self, bytes: usize) {
         self.remaining -= bytes;
         match &mut self.source {
-            Source::Connection { connection, .. } => connection.buffer.advance(bytes),
-            Source::Memory { value, .. } => value.advance(bytes),
-            Source::Finished => {}
+            ValueSource::Connection { connection, .. } => connection.buffer.advance(bytes),
+            ValueSource::Memory { value, .. } => value.advance(bytes),
+            ValueSource::Finished => {}
         }
         if self.is_finished()
-            && let Source::Connection { mut connection, return_to } =
-                std::mem::replace(&mut self.source, Source::Finished)
+            && let ValueSource::Connection { mut connection, return_sender } =
+                std::mem::replace(&mut self.source, ValueSource::Finished)
         {
             if connection.buffer.capacity() > MAX_BUFFERED_VALUE_BYTES {
                 connection.buffer = BytesMut::from(&connection.buffer[..]); // idle connections keep no large buffers
             }
-            let _ = return_to.send(connection); // its attempt waits for it
+            let _ = return_sender.send(connection); // its attempt waits for it
         }
     }
 }
--- a/crates/upstream/src/endpoints.rs
+++ b/crates/upstream/src/endpoints.rs
@@ -20,7 +20,7 @@
     /// Its address.
     pub addr: SocketAddr,
     /// Whether it is the origin, which speaks HTTP.
-    pub origin: bool,
+    pub is_origin: bool,
     up_since_ms: u64,
     presence: Cell<Presence>,
 }
@@ -192,7 +192,7 @@
             id: entry.id,
             name: member.id.clone(),
             addr: member.host_port,
-            origin: self.origin_kind == Some(entry.kind),
+            is_origin: self.origin_kind == Some(entry.kind),
             up_since_ms: member.up_since_ms,
             presence: Cell::new(entry.presence),
         };
--- a/crates/upstream/tests/attempt_events.rs
+++ b/crates/upstream/tests/attempt_events.rs
@@ -101,7 +101,7 @@
     let mut attempt = host.attempt(source, value, Instant::now() + 2 * SPAN);
     attempt.is_non_idempotent = stage == Stage::LastByte;
     attempt.permit.deduplication_ends = (event == Event::WindowEnds).then(|| Instant::now() + SPAN);
-    let (awaited, written) = (attempt.permit.awaited.clone(), attempt.written.clone());
+    let (awaited, written) = (attempt.permit.awaited.clone(), attempt.written_count.clone());
     let (cancel, cancelled) = oneshot::channel();
     let mut run = pin!(attempt.run(cancelled, |_| ()));
     poll_until_blocked(&mut run).await;
--- a/crates/upstream/tests/attempts.rs
+++ b/crates/upstream/tests/attempts.rs
@@ -70,7 +70,7 @@
         is_non_idempotent: false,
         throttles: Rc::default(),
         budget: MemoryBudget::new(0),
-        written: Rc::default(),
+        written_count: Rc::default(),
     }
     .run(cancelled, |_| ())
     .await
--- a/crates/upstream/tests/fake_endpoint/mod.rs
+++ b/crates/upstream/tests/fake_endpoint/mod.rs
@@ -77,7 +77,7 @@
             is_non_idempotent: false,
             throttles: Rc::default(),
             budget: MemoryBudget::new(2 * MAX_BUFFERED_VALUE_BYTES),
-            written: Rc::default(),
+            written_count: Rc::default(),
         }
     }
 }
