--- a/crates/upstream/src/call.rs
+++ b/crates/upstream/src/call.rs
@@ -1,10 +1,11 @@
-//! What a request asks of an endpoint, and what its client is answered. Shared by fronts, engine and endpoints.
+//! The forwarded parts of a request, and its final answer. Shared by fronts, the engine and this crate.
 
 use crate::connection::StreamedValue;
 use bytes::Bytes;
 use std::ops::Range;
 
-/// A request as its client wrote it, for forwarding. All parts are slices of what was read.
+/// The parts of a request that are forwarded, as the client wrote them. All are slices of the bytes read from the
+/// client.
 #[derive(Debug)]
 pub struct Call {
     /// The name of the command.
@@ -15,14 +16,15 @@
     pub id: Bytes,
     /// The options, as names and values.
     pub options: Bytes,
-    /// Where the options state the client's time limit.
+    /// The position of the client's time limit in the options.
     pub time_at: Range<usize>,
-    /// The value of a write.
+    /// The value of a write; `None` for a read.
     pub value: Option<Bytes>,
 }
 
 impl Call {
-    /// The options, with the time that this balancer will wait.
+    /// Returns the options with the client's time limit replaced by `ms` milliseconds, the time that this balancer will
+    /// wait.
     #[must_use]
     pub fn options_with_time_limit(&self, ms: u64) -> Vec<u8> {
         let Range { start, end } = self.time_at.clone();
@@ -30,21 +32,22 @@
     }
 }
 
-/// The one final answer.
+/// The one final answer to a request.
 #[derive(Debug)]
 pub enum Answer {
-    /// The value or the receipt of a write, as an endpoint made it for this request.
+    /// The value of a read or the receipt of a write, from an endpoint's response to this request.
     Served(Bytes),
-    /// The same if it is large: it is forwarded as it arrives.
+    /// A large value, which is forwarded to the client as it arrives.
     Streamed(Box<StreamedValue>),
-    /// Rejected: a retry is harmless, after this many milliseconds (0: no advice).
+    /// The request was rejected without being executed, so a retry is harmless. Contains the advised delay before a
+    /// retry in milliseconds; 0 means no advice.
     Rejected(u64),
-    /// Failed.
+    /// The request failed.
     Failed,
 }
 
 impl Answer {
-    /// The word for log lines.
+    /// Returns the name of the answer for log lines.
     #[must_use]
     pub fn label(&self) -> &'static str {
         match self {
--- a/crates/upstream/src/connection/attempt.rs
+++ b/crates/upstream/src/connection/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt: connect if necessary, write the request, and read the response, within its time.
+//! A single attempt: connects if necessary, writes the request, and reads the response, within a deadline.
 
 use super::dial::dial;
 use super::http_response::read_http;
@@ -25,41 +25,43 @@
 /// One attempt of a request at one endpoint.
 #[derive(Debug)]
 pub struct Attempt {
-    /// Where it is sent.
+    /// The endpoint that the request is sent to.
     pub endpoint: Rc<Endpoint>,
-    /// What is sent.
+    /// The request to send.
     pub call: Rc<Call>,
     /// The connection to use.
     pub source: ConnectionSource,
-    /// How long connecting may take.
+    /// The timeout for connecting.
     pub connect_timeout: Duration,
-    /// When this balancer stops waiting.
+    /// The time at which this balancer stops waiting for the response.
     pub deadline: Instant,
-    /// Whether it may still be sent.
+    /// Whether the request may still be sent.
     pub permit: SendPermit,
-    /// Whether it must never be executed twice. Its last byte is then delayed until the connection has shown no fault.
+    /// Whether the request must never be executed twice. Its last byte is then written only after the connection has
+    /// shown no fault for a while.
     pub is_non_idempotent: bool,
-    /// Limits on what it may log.
+    /// Limits on the log lines of attempts.
     pub throttles: Rc<AttemptLogThrottles>,
-    /// Memory for large responses that must be buffered completely.
+    /// The memory budget for large responses that must be buffered completely.
     pub budget: MemoryBudget,
-    /// Counts attempts that were written completely.
+    /// The number of attempts whose request was written completely. Incremented by this attempt.
     pub written_count: Rc<Cell<u64>>,
 }
 
-/// How far an attempt has come.
+/// The progress of an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Stage {
     Connecting,
     Writing,
     Written,
-    /// The response belongs to the client: neither the deadline nor a cancellation ends it.
+    /// The response is being streamed to the client. Neither the deadline nor a cancellation ends the attempt.
     Streaming,
 }
 
 impl Attempt {
-    /// Runs the attempt. If the result has no connection, that is closed. `on_streaming` receives a large response whose value
-    /// follows: the attempt has succeeded from then on, and ends when the value has been read.
+    /// Runs the attempt. The connection is closed unless it is in the result. `on_streaming` receives a large value
+    /// whose bytes still have to arrive: the attempt counts as served from then on, and ends when the value has been
+    /// read.
     pub async fn run(
         self, cancelled: oneshot::Receiver<()>, on_streaming: impl FnOnce(Box<StreamedValue>),
     ) -> AttemptResult {
@@ -78,9 +80,9 @@
         };
         match (outcome, stage.get()) {
             (_, Stage::Streaming) => exchange.await,
-            // The time of the request ended before that of the connection attempt, which proves no unreachable endpoint.
+            // The request's deadline came before the connect timeout, so the endpoint is not known to be unreachable.
             (Outcome::Timeout, Stage::Connecting) => Outcome::NotSent.into(),
-            // A write that was not completed was not executed.
+            // A request that was not written completely was not executed.
             (Outcome::Timeout, Stage::Writing) => Outcome::ConnectFailed.into(),
             _ => outcome.into(),
         }
@@ -96,10 +98,10 @@
             Err(outcome) => return outcome.into(),
         };
         if !self.endpoint.ready() {
-            return Outcome::Rejected.into(); // it began to drain or was removed meanwhile
+            return Outcome::Rejected.into(); // the endpoint started to drain or was removed while connecting
         }
         if self.permit.check(self.deadline).is_err() {
-            // The connection can serve another request.
+            // Nothing was written, so the connection can serve another request.
             return AttemptResult { connection: Some(connection), ..Outcome::NotSent.into() };
         }
         stage.set(Stage::Writing);
@@ -127,14 +129,16 @@
     async fn open_connection(&self, source: ConnectionSource) -> Result<Connection, Outcome> {
         let (_replaced, permit) = match source {
             ConnectionSource::Idle(connection) if connection.has_no_input() => return Ok(connection),
-            // Input has arrived since the connection was chosen. It is closed once its replacement is open.
+            // Input has arrived since the connection was checked out. The connection is closed when its replacement is
+            // open.
             ConnectionSource::Idle(connection) => {
                 let (stream, permit) = connection.into_parts();
                 (Some(stream), permit)
             }
             ConnectionSource::Dial(permit) => (None, permit),
             ConnectionSource::Unavailable => {
-                // The limit is this balancer's own: it says nothing about the endpoint's health, and no other is any nearer.
+                // The connection limit of this balancer is reached. This says nothing about the endpoint's health, and
+                // an attempt at another endpoint would fail in the same way.
                 if let Some(more) = self.throttles.no_connection.admit_line() {
                     log::warn!("upstream: endpoint {}: no connection available{more}", self.endpoint.name);
                 }
@@ -178,7 +182,7 @@
     }
 }
 
-/// The result of an attempt whose request was not written completely.
+/// Returns the result of an attempt whose request was not written completely.
 fn unsent_result(error: SendError) -> AttemptResult {
     match error {
         SendError::Revoked => Outcome::NotSent.into(),
@@ -188,7 +192,7 @@
     }
 }
 
-/// Hands a large value over, and waits until it has been read.
+/// Passes a large value to `on_streaming`, and waits until the value has been read.
 async fn stream_value(
     connection: Connection, head: LargeResponse, stage: &Cell<Stage>,
     on_streaming: impl FnOnce(Box<StreamedValue>),
@@ -196,13 +200,14 @@
     let (value, connection) = StreamedValue::from_connection(head.length, connection);
     stage.set(Stage::Streaming);
     on_streaming(Box::new(value));
-    // A connection that is not handed back broke within the value, or its client left.
+    // The connection is not returned if it broke before the end of the value, or if the client left.
     let Ok(connection) = connection.await else { return Outcome::Reset.into() };
     let connection = if head.reusable { read_tail(connection, head.tail).await } else { None };
     AttemptResult { connection, ..Outcome::Ok.into() }
 }
 
-/// Waits for the end of the deduplication window; for ever once the request is written.
+/// Waits for the end of the deduplication window. Waits forever if there is no window, or if the request is written
+/// before its end.
 async fn wait_for_window_end(window_ends: Option<Instant>, stage: &Cell<Stage>) {
     match window_ends {
         Some(end) => sleep_until(end).await,
--- a/crates/upstream/src/connection/http_response.rs
+++ b/crates/upstream/src/connection/http_response.rs
@@ -1,4 +1,4 @@
-//! Reads responses of the origin, which speaks HTTP.
+//! Reads HTTP responses from the origin.
 
 use super::response::{LargeResponse, ReadOutcome, Response, ResponseError, read_more, read_or_end};
 use super::result::AttemptResult;
@@ -10,7 +10,7 @@
 use proto::http::{BodyEvent, Decoder, ResponseHead};
 use proto::{MAX_BUFFERED_VALUE_BYTES, MAX_VALUE_BYTES, ProtoError};
 
-/// Reads a response, or its head if its value is large and its length is known.
+/// Reads a response. If its value is large and has a known length, reads only the head.
 pub(super) async fn read_http(
     connection: &mut Connection, budget: &MemoryBudget,
 ) -> Result<Response, ResponseError> {
@@ -65,13 +65,13 @@
     }
 }
 
-/// The parts of a body. Most bodies are one part, which is not copied. Those of several parts are joined, the large ones among
-/// them within the memory budget.
+/// Collects the parts of a body. A body of one part, the usual case, is not copied. Several parts are joined into one
+/// buffer, which is reserved from the memory budget if it is large.
 struct BodyBuffer<'a> {
     budget: &'a MemoryBudget,
-    /// The only part so far.
+    /// The first part, while it is the only one.
     single: Bytes,
-    /// All parts, once there are several.
+    /// All parts, if there are several.
     joined: BytesMut,
     memory: Option<MemoryPermit>,
 }
@@ -100,7 +100,7 @@
         Ok(())
     }
 
-    /// Reserves memory for a body of this length, of which `added` bytes are new.
+    /// Reserves memory for a body that has grown to `length` bytes, of which `added` are new.
     fn reserve_memory(&mut self, length: usize, added: usize) -> Result<(), ResponseError> {
         let reserved = match &mut self.memory {
             Some(memory) => memory.try_grow(added),
@@ -112,7 +112,7 @@
         if reserved { Ok(()) } else { Err(ResponseError::OutOfMemory) }
     }
 
-    /// The whole body, with the memory reserved for it if it is large.
+    /// Returns the whole body, and the memory reserved for it if it is large.
     fn finish(self) -> (Bytes, Option<MemoryPermit>) {
         let value = if self.joined.is_empty() { self.single } else { self.joined.freeze() };
         (value, self.memory)
--- a/crates/upstream/src/connection/log_throttles.rs
+++ b/crates/upstream/src/connection/log_throttles.rs
@@ -1,8 +1,8 @@
-//! Limits on log lines that endpoints can cause at any rate.
+//! Limits the rate of log lines that misbehaving endpoints can cause.
 
 use log_throttle::LogThrottle;
 
-/// A throttle for each kind of line.
+/// A throttle for each kind of log line about attempts and answers.
 #[derive(Debug, Default)]
 pub struct AttemptLogThrottles {
     /// Malformed responses.
--- a/crates/upstream/src/connection/mod.rs
+++ b/crates/upstream/src/connection/mod.rs
@@ -1,4 +1,4 @@
-//! Connections to endpoints: their pools, and one attempt on one connection.
+//! Connections to endpoints: pools of idle connections, and single attempts on a connection.
 
 mod attempt;
 mod dial;
--- a/crates/upstream/src/connection/pools.rs
+++ b/crates/upstream/src/connection/pools.rs
@@ -1,4 +1,4 @@
-//! Pools of idle connections, and the limit on open ones.
+//! Pools of idle connections, and the limit on open connections.
 
 use super::socket::{Connection, ConnectionPermit};
 use crate::endpoints::Endpoint;
@@ -11,21 +11,22 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How long an endpoint that closed a connection unnoticed counts as one that does so.
+/// How long an endpoint is remembered as one that closes idle connections without this balancer noticing before the
+/// next request.
 const STALE_PERIOD: Duration = Duration::from_secs(10);
 
-/// The connection that an attempt uses.
+/// The source of the connection that an attempt uses.
 #[derive(Debug)]
 pub enum ConnectionSource {
-    /// A connection that was idle.
+    /// An idle connection from the pool.
     Idle(Connection),
-    /// A new one, to be opened.
+    /// A new connection, which the attempt must open.
     Dial(ConnectionPermit),
-    /// None: the limit on open connections is reached.
+    /// No connection: the limit on open connections is reached.
     Unavailable,
 }
 
-/// An idle connection.
+/// An idle connection, and when it was returned to the pool.
 #[derive(Debug)]
 struct IdleConnection {
     since: Instant,
@@ -38,18 +39,18 @@
     }
 }
 
-/// The idle connections of every endpoint, and the count of all open ones.
+/// The idle connections of all endpoints, and the number of open connections.
 #[derive(Debug)]
 pub struct ConnectionPools {
     idle: FxHashMap<EndpointId, Vec<IdleConnection>>,
-    /// Endpoints that closed connections unnoticed, and when that was last seen.
+    /// For each endpoint that has closed a connection unnoticed, when this was last seen.
     stale_seen_at: FxHashMap<EndpointId, Instant>,
     open: Rc<Cell<usize>>,
     bounds: Bounds,
     counters: ConnectionCounters,
 }
 
-/// What has become of connections since the start.
+/// Counters of connections to endpoints since the start.
 #[derive(Debug, Default, Clone, Copy)]
 pub struct ConnectionCounters {
     /// Connections dialled to cache nodes.
@@ -58,13 +59,13 @@
     pub dialled_origin: u64,
     /// Attempts that used an idle connection.
     pub reused: u64,
-    /// Idle connections that were closed by the endpoint, or idle for too long.
+    /// Idle connections that were removed because the endpoint had closed them or the idle timeout had passed.
     pub retired: u64,
-    /// Idle connections closed on behalf of the decision module or the endpoint list.
+    /// Idle connections that were closed because of the decision module or an endpoint list.
     pub closed: u64,
-    /// Connections closed with the attempt on them.
+    /// Connections that could not be opened, or could not be reused after an attempt.
     pub not_reusable: u64,
-    /// Of these, those that the endpoint had closed unnoticed when a request was written.
+    /// The part of `not_reusable` that the endpoint had closed unnoticed before a request was written.
     pub stale: u64,
 }
 
@@ -80,7 +81,7 @@
 }
 
 impl ConnectionPools {
-    /// Empty pools.
+    /// Creates empty pools.
     #[must_use]
     pub fn new(bounds: Bounds) -> Self {
         Self {
@@ -92,7 +93,7 @@
         }
     }
 
-    /// A connection for an attempt: the idle one used last, or a new one.
+    /// Returns a connection for an attempt: the most recently used idle connection, or a new one.
     pub fn check_out(&mut self, endpoint: &Endpoint) -> ConnectionSource {
         let idle = self.idle.entry(endpoint.id).or_default();
         while let Some(candidate) = idle.pop() {
@@ -105,7 +106,7 @@
         self.check_out_new(endpoint)
     }
 
-    /// A new connection, whether or not there are idle ones.
+    /// Returns a new connection for an attempt, even if the endpoint has idle connections.
     pub fn check_out_new(&mut self, endpoint: &Endpoint) -> ConnectionSource {
         if self.open.get() >= self.bounds.peers && !self.close_oldest_idle() {
             return ConnectionSource::Unavailable;
@@ -118,11 +119,12 @@
         ConnectionSource::Dial(ConnectionPermit::acquire(&self.open))
     }
 
-    /// A permit to connect ahead of use, if the endpoint has no idle connection: its next attempt will need one, and must not wait
-    /// for the handshake.
+    /// Returns a permit to connect ahead of the next attempt, so that the attempt does not wait for the handshake.
+    /// Returns `None` if the endpoint has an idle connection or is not ready, or if half of the permitted connections
+    /// are open.
     pub fn permit_preconnect(&mut self, endpoint: &Endpoint) -> Option<ConnectionPermit> {
         let has_idle = self.idle.get(&endpoint.id).is_some_and(|idle| !idle.is_empty());
-        // At most half of all connections, so that attempts do not lack them.
+        // Leaves half of the permitted connections to attempts.
         let has_capacity = 2 * self.open.get() < self.bounds.peers;
         if has_idle || !has_capacity || !endpoint.ready() {
             return None;
@@ -133,8 +135,8 @@
         }
     }
 
-    /// Returns the connection of an attempt; `None` if it was closed, or could not be opened. It is kept if the endpoint is ready and
-    /// sent nothing beyond its response.
+    /// Returns the connection of an attempt to the pool; `None` if it was closed or could not be opened. The connection
+    /// is kept if the endpoint is ready and has sent nothing after its response.
     pub fn check_in(&mut self, endpoint: &Endpoint, connection: Option<Connection>) {
         let reusable = connection.filter(|connection| endpoint.ready() && connection.has_no_input());
         let Some(connection) = reusable else {
@@ -145,24 +147,24 @@
         self.idle.entry(endpoint.id).or_default().push(idle);
     }
 
-    /// Records that an endpoint had closed a connection unnoticed.
+    /// Records that an endpoint has closed a connection without this balancer noticing before the next request.
     pub fn record_stale(&mut self, endpoint: &Endpoint) {
         self.counters.stale += 1;
         self.stale_seen_at.insert(endpoint.id, Instant::now());
     }
 
-    /// Whether this endpoint has recently closed connections unnoticed.
+    /// Returns whether [`ConnectionPools::record_stale`] was called for this endpoint within the last `STALE_PERIOD`.
     #[must_use]
     pub fn was_stale_recently(&self, endpoint: &Endpoint) -> bool {
         self.stale_seen_at.get(&endpoint.id).is_some_and(|seen| seen.elapsed() < STALE_PERIOD)
     }
 
-    /// Closes an endpoint's idle connections.
+    /// Closes the idle connections of an endpoint.
     pub fn close_idle(&mut self, id: EndpointId) {
         self.counters.closed += self.idle.remove(&id).map_or(0, |idle| idle.len() as u64);
     }
 
-    /// Closes connections that were idle for too long or that their endpoint has closed.
+    /// Closes the connections whose idle timeout has passed or that their endpoint has closed.
     pub fn sweep(&mut self) {
         self.stale_seen_at.retain(|_, seen| seen.elapsed() < STALE_PERIOD);
         let idle_timeout = self.bounds.idle;
@@ -175,19 +177,20 @@
         });
     }
 
-    /// How many connections are open.
+    /// Returns the number of open connections.
     #[must_use]
     pub fn open_connections(&self) -> usize {
         self.open.get()
     }
 
-    /// What has become of connections since the start.
+    /// Returns the counters of connections since the start.
     #[must_use]
     pub fn counters(&self) -> ConnectionCounters {
         self.counters
     }
 
-    /// Closes the connection that has been idle longest, to stay below the descriptor limit. Returns whether there was one.
+    /// Closes the connection that has been idle longest, to stay below the descriptor limit. Returns `false` if none is
+    /// idle.
     fn close_oldest_idle(&mut self) -> bool {
         let non_empty = self.idle.values_mut().filter(|idle| !idle.is_empty());
         let oldest = non_empty.min_by_key(|idle| idle[0].since);
--- a/crates/upstream/src/connection/request.rs
+++ b/crates/upstream/src/connection/request.rs
@@ -1,23 +1,24 @@
-//! Encodes a request for an endpoint.
+//! Encodes requests for endpoints.
 
 use crate::call::Call;
 use crate::endpoints::Endpoint;
 use bytes::{Bytes, BytesMut};
 use proto::{http, resp};
 
-/// The usual size of a command without its value.
+/// The usual size of a command without its value, in bytes.
 const COMMAND_CAPACITY: usize = 256;
 
-/// An encoded request.
+/// A request in the protocol of an endpoint.
 #[derive(Debug)]
 pub(super) struct EncodedRequest {
     pub(super) head: BytesMut,
-    /// The value, where it is not part of the head.
+    /// The value, if it is not part of `head`.
     pub(super) body: Bytes,
 }
 
 impl EncodedRequest {
-    /// Encodes a call in the endpoint's protocol, with the time that this balancer waits.
+    /// Encodes a call in the endpoint's protocol. `time_limit_ms` is the time that this balancer will wait for the
+    /// response.
     pub(super) fn new(call: &Call, endpoint: &Endpoint, time_limit_ms: u64) -> Self {
         let options = call.options_with_time_limit(time_limit_ms);
         if endpoint.is_origin { Self::http(call, endpoint, &options) } else { Self::resp(call, &options) }
--- a/crates/upstream/src/connection/resp_response.rs
+++ b/crates/upstream/src/connection/resp_response.rs
@@ -1,4 +1,4 @@
-//! Reads responses of cache nodes, which speak RESP.
+//! Reads RESP responses from cache nodes.
 
 use super::log_throttles::AttemptLogThrottles;
 use super::response::{LargeResponse, Response, ResponseError, read_more};
@@ -9,12 +9,13 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// How long what follows a large value may take. The client does not wait for it, only the connection does.
+/// The timeout for reading the rest of a response after a large value. Only the reuse of the connection depends on it:
+/// the client already has its value.
 const TAIL_TIMEOUT: Duration = Duration::from_millis(500);
-/// How an error begins by which a cache node says that it does not understand a command.
+/// The prefix of the error by which a cache node rejects a command as malformed.
 const SYNTAX_ERROR: &[u8] = b"SYNTAX";
 
-/// Reads a response, or its head if its value is large.
+/// Reads a response. If its value is large, reads only the head.
 pub(super) async fn read_resp(
     connection: &mut Connection, endpoint: &str, throttles: &AttemptLogThrottles,
 ) -> Result<Response, ResponseError> {
@@ -48,7 +49,8 @@
     }
 }
 
-/// Reads what follows a large value, so that the connection can be reused; `None` if that fails.
+/// Reads the rest of a response after a large value, so that the connection can be reused. Returns `None` if the
+/// connection cannot be reused.
 pub(super) async fn read_tail(mut connection: Connection, tail: Option<ReplyTail>) -> Option<Connection> {
     let Some(tail) = tail else { return Some(connection) };
     let reading = async {
--- a/crates/upstream/src/connection/response.rs
+++ b/crates/upstream/src/connection/response.rs
@@ -1,4 +1,4 @@
-//! A response to an attempt, and why there is none.
+//! The response to an attempt, and errors that make it unusable.
 
 use super::result::AttemptResult;
 use super::socket::Connection;
@@ -23,16 +23,16 @@
     }
 }
 
-/// A response, as far as it is read before its value is streamed.
+/// A response that was read completely, or up to a large value.
 #[derive(Debug)]
 pub(super) enum Response {
-    /// It was read completely.
+    /// The response was read completely.
     Complete {
         result: AttemptResult,
-        /// Whether its connection can be reused.
+        /// Whether the connection can be reused.
         reusable: bool,
     },
-    /// A large value follows.
+    /// The head was read, and a large value follows.
     Large(LargeResponse),
 }
 
@@ -43,11 +43,11 @@
     pub(super) length: usize,
     /// Whether the connection can be reused after the response.
     pub(super) reusable: bool,
-    /// What follows the value, if anything.
+    /// The rest of the response after the value, if any.
     pub(super) tail: Option<ReplyTail>,
 }
 
-/// Reads at least a byte more into the connection's buffer.
+/// Reads at least one byte into the connection's buffer. Returns an error if the connection ends.
 pub(super) async fn read_more(connection: &mut Connection) -> Result<(), ResponseError> {
     match read_or_end(connection).await? {
         ReadOutcome::Bytes => Ok(()),
@@ -55,15 +55,16 @@
     }
 }
 
-/// What a read has brought.
+/// The result of a read from a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum ReadOutcome {
+    /// At least one byte was read.
     Bytes,
-    /// The endpoint has closed the connection in order.
+    /// The endpoint has closed the connection without a reset.
     End,
 }
 
-/// Reads more into the connection's buffer, or to its end.
+/// Reads bytes into the connection's buffer, or the end of the connection.
 pub(super) async fn read_or_end(connection: &mut Connection) -> Result<ReadOutcome, ResponseError> {
     match connection.stream.read_buf(&mut connection.buffer).await {
         Ok(0) => Ok(ReadOutcome::End),
--- a/crates/upstream/src/connection/result.rs
+++ b/crates/upstream/src/connection/result.rs
@@ -1,23 +1,24 @@
-//! How an attempt ended.
+//! The result of an attempt.
 
 use super::socket::Connection;
 use super::streamed::StreamedValue;
 use bytes::Bytes;
 use decide::api::Outcome;
 
-/// How an attempt ended.
+/// The result of an attempt.
 #[derive(Debug)]
 pub struct AttemptResult {
-    /// Its outcome.
+    /// The outcome that is reported to the decision module.
     pub outcome: Outcome,
-    /// The value that was served.
+    /// The value of the response; empty if there is none or if it is in `large`.
     pub value: Bytes,
-    /// The same if it is large and was buffered completely.
+    /// A large value that was buffered completely, because its length was not stated.
     pub large: Option<Box<StreamedValue>>,
-    /// On a miss: another fetch of the key is in flight.
+    /// Whether the cache node has missed while another fetch of the key is in flight.
     pub fetch_pending: bool,
-    /// The attempt was lost with its connection, which says nothing about the endpoint: a reused connection broke before the
-    /// first byte of a response, or an open one broke before the request was written.
+    /// Whether the attempt failed because its connection was stale, which says nothing about the endpoint's health: a
+    /// reused connection broke before the first byte of a response, or an open connection broke before the request was
+    /// written.
     pub stale: bool,
     /// The connection, if it can be reused.
     pub connection: Option<Connection>,
--- a/crates/upstream/src/connection/send.rs
+++ b/crates/upstream/src/connection/send.rs
@@ -1,4 +1,4 @@
-//! Writes a request, for as long as it may be sent.
+//! Writes requests, and checks until the last byte whether they may still be sent.
 
 use super::request::EncodedRequest;
 use super::socket::Connection;
@@ -12,23 +12,25 @@
 use tokio::io::AsyncWriteExt;
 use tokio::time::{Instant, timeout};
 
-/// How long the last byte of a non-idempotent request is held back. An endpoint executes nothing before it, so a connection that
-/// breaks meanwhile proves that the request was not executed. Most that break do so within a round trip of the first bytes.
+/// The delay before the last byte of a non-idempotent request is written. An endpoint executes nothing before the last
+/// byte, so the request was not executed if the connection breaks during the delay. Most connections that break do so
+/// within a round trip of the first bytes.
 const LAST_BYTE_DELAY: Duration = Duration::from_micros(2_500);
 
-/// Whether an attempt may still be sent. Checked until the last byte of the request is written: an endpoint executes nothing before
-/// that, and connecting, a slow endpoint and the delay of the last byte all come between the decision to send and that byte.
+/// The conditions under which an attempt may still be sent. They are checked until the last byte of the request is
+/// written, because an endpoint executes nothing before that byte. Connecting, a slow endpoint and the delay of the
+/// last byte can each take long after the decision to send.
 #[derive(Debug, Clone)]
 pub struct SendPermit {
     /// Whether the request still awaits an answer: its client has not left, and no other attempt has answered it.
     pub awaited: Rc<Cell<bool>>,
-    /// For a retry that endpoints drop within a window: when the window ends.
+    /// For a repeat of a request with an idempotency key: the end of the window in which endpoints drop repeats.
     pub deduplication_ends: Option<Instant>,
 }
 
 impl SendPermit {
-    /// Checks whether the attempt may be sent. The deadline is checked too: the connection may be established, or the endpoint
-    /// may read again, just as it passes.
+    /// Checks whether the attempt may be sent. Also checks the deadline, which may pass at the moment when the
+    /// connection is established or the endpoint reads again.
     pub(super) fn check(&self, deadline: Instant) -> Result<(), SendError> {
         let now = Instant::now();
         if !self.awaited.get() || self.deduplication_ends.is_some_and(|end| now >= end) {
@@ -41,26 +43,27 @@
     }
 }
 
-/// Why a request was not written completely. In each case it was not executed.
+/// Why a request was not written completely. A request that was not written completely was not executed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum SendError {
-    /// Nobody awaits the answer, or the request might be executed twice.
+    /// The answer is not awaited any more, or the request might be executed twice.
     Revoked,
-    /// The time of the attempt is over.
+    /// The deadline of the attempt has passed.
     DeadlinePassed,
-    /// The connection broke, or carried input before the request was complete.
+    /// The connection broke, or input arrived before the request was complete.
     Broken,
 }
 
 /// When the last byte of a request is written.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum LastByte {
+    /// Written with the rest of the request.
     Immediate,
-    /// After the connection has shown no fault for a while.
+    /// Written after [`LAST_BYTE_DELAY`] without a fault of the connection.
     Delayed,
 }
 
-/// Writes a request.
+/// Writes a request completely. Calls `check_permit` before each piece.
 pub(super) async fn send_request(
     connection: &mut Connection, request: &EncodedRequest, last_byte: LastByte,
     check_permit: impl Fn() -> Result<(), SendError>,
@@ -74,7 +77,7 @@
     write(connection, &mut message, &check_permit).await
 }
 
-/// Writes a message. The permit is checked before each piece, since it may be revoked while the endpoint reads nothing.
+/// Writes a message. Checks the permit before each piece, because it may be revoked while the endpoint reads nothing.
 async fn write(
     connection: &mut Connection, message: &mut impl Buf, check_permit: impl Fn() -> Result<(), SendError>,
 ) -> Result<(), SendError> {
@@ -82,7 +85,7 @@
     while message.has_remaining() {
         let piece = poll_fn(|cx| {
             check_permit()?;
-            // Input that arrives before the request is complete cannot be its response.
+            // Input that arrives before the request is complete cannot be its response, so the connection is unusable.
             if std::mem::replace(&mut has_waited, true) && !connection.has_no_input() {
                 return Poll::Ready(Err(SendError::Broken));
             }
@@ -94,7 +97,7 @@
     Ok(())
 }
 
-/// Waits for [`LAST_BYTE_DELAY`]; an error if the connection breaks or carries input meanwhile.
+/// Waits for [`LAST_BYTE_DELAY`]. Returns an error if the connection breaks or input arrives during the delay.
 async fn wait_without_input(connection: &Connection) -> Result<(), SendError> {
     match timeout(LAST_BYTE_DELAY, connection.stream.peek(&mut [0])).await {
         Err(_) => Ok(()),
--- a/crates/upstream/src/connection/socket.rs
+++ b/crates/upstream/src/connection/socket.rs
@@ -1,4 +1,4 @@
-//! An open connection, and the permission to open one.
+//! An open connection, and the permit to open one.
 
 use bytes::BytesMut;
 use socket2::SockRef;
@@ -9,14 +9,14 @@
 use thiserror::Error;
 use tokio::net::TcpStream;
 
-/// Permission to hold one open connection, released when dropped.
+/// A permit for one open connection. Released when dropped.
 #[derive(Debug)]
 pub struct ConnectionPermit {
     open: Rc<Cell<usize>>,
 }
 
 impl ConnectionPermit {
-    /// Takes a permit, which counts as one more open connection.
+    /// Acquires a permit, which increments the number of open connections.
     pub(super) fn acquire(open: &Rc<Cell<usize>>) -> Self {
         open.set(open.get() + 1);
         Self { open: open.clone() }
@@ -29,7 +29,8 @@
     }
 }
 
-/// An open connection. It carries one attempt at a time: responses arrive in order, and a quick one must not wait for a slow one.
+/// An open connection to an endpoint. It carries one attempt at a time: responses arrive in order, so a fast response
+/// could otherwise wait behind a slow one.
 #[derive(Debug)]
 pub struct Connection {
     pub(super) stream: TcpStream,
@@ -39,23 +40,24 @@
 }
 
 impl Connection {
-    /// A new connection.
+    /// Creates a connection with an empty buffer.
     pub(super) fn new(stream: TcpStream, permit: ConnectionPermit) -> Self {
         Self { stream, buffer: BytesMut::new(), permit }
     }
 
-    /// The stream, and the permit for a connection that replaces this one.
+    /// Returns the stream, and the permit for a connection that replaces this one.
     pub(super) fn into_parts(self) -> (TcpStream, ConnectionPermit) {
         (self.stream, self.permit)
     }
 
-    /// Whether nothing has arrived since the last response, neither bytes nor an end. Guards the next request against being
-    /// answered with bytes that followed an earlier response.
+    /// Returns whether no input has arrived since the last response: no bytes, no end of the connection and no error.
+    /// Otherwise, the next request could be answered with bytes that followed an earlier response.
     pub(super) fn has_no_input(&self) -> bool {
         self.check_no_input().is_ok()
     }
 
-    /// The same, with what has arrived. The system is asked, since the runtime's readiness is as old as its last poll.
+    /// Checks that no input has arrived since the last response. Returns the input as an error. Peeks at the socket
+    /// itself, because the readiness known to the runtime is as old as its last poll.
     pub(super) fn check_no_input(&self) -> Result<(), UnexpectedInput> {
         if !self.buffer.is_empty() {
             return Err(UnexpectedInput::Bytes);
@@ -70,7 +72,7 @@
     }
 }
 
-/// What has arrived on a connection on which no response is due.
+/// Input that has arrived on a connection on which no response is expected.
 #[derive(Debug, Error)]
 pub(super) enum UnexpectedInput {
     #[error("unexpected bytes")]
--- a/crates/upstream/src/connection/streamed.rs
+++ b/crates/upstream/src/connection/streamed.rs
@@ -1,4 +1,4 @@
-//! A large value that is forwarded as it arrives: the endpoint's connection, lent to the client's until the value is complete.
+//! A large value that is forwarded to the client as it arrives on the endpoint's connection.
 
 use super::socket::Connection;
 use crate::memory::MemoryPermit;
@@ -11,39 +11,41 @@
 use tokio::sync::oneshot;
 use tokio::time::{Instant, timeout};
 
-/// How many bytes are read ahead of the client. Bounds the memory of a stream, whatever its size.
+/// The number of bytes that are read ahead of the client. Bounds the memory of a stream of any length.
 const READ_AHEAD: usize = 32 * 1024;
-/// How long an endpoint may send nothing within a value before it is given up.
+/// The timeout of one read: the stream fails if the endpoint sends nothing for this long.
 const READ_TIMEOUT: Duration = Duration::from_secs(5);
-/// How long a client waits for the endpoint in total, over a whole value. Guards the connection and its client against a value that
-/// arrives by a byte now and then and never ends. The time that the client takes itself does not count.
+/// The total time that a client waits for the endpoint, over all reads of a value. Otherwise, an endpoint that sends
+/// single bytes could occupy its connection and the client's indefinitely. The time that the client takes to receive
+/// the value does not count.
 const TOTAL_READ_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A large value of known length. If it is dropped before it is complete, the endpoint's connection is closed.
+/// A large value of known length. If it is dropped before it is read completely, the endpoint's connection is closed.
 pub struct StreamedValue {
     length: usize,
     remaining: usize,
-    /// What is left of [`TOTAL_READ_TIMEOUT`].
+    /// The remainder of [`TOTAL_READ_TIMEOUT`].
     time_left: Duration,
     source: ValueSource,
 }
 
+/// The source of the bytes of a value.
 enum ValueSource {
+    /// The bytes are read from the endpoint's connection.
     Connection {
         connection: Connection,
-        /// Hands the connection back.
+        /// Returns the connection to its attempt.
         return_sender: oneshot::Sender<Connection>,
     },
-    /// It was buffered completely, since its length was not stated.
-    Memory {
-        value: Bytes,
-        _memory: MemoryPermit,
-    },
+    /// The value was buffered completely, because its length was not stated.
+    Memory { value: Bytes, _memory: MemoryPermit },
+    /// All bytes were consumed, and the connection was returned.
     Finished,
 }
 
 impl StreamedValue {
-    /// A value of this length that the connection delivers. The receiver gets the connection back when the value is complete.
+    /// Creates a value of this length that is read from `connection`. The receiver gets the connection back when the
+    /// value is complete.
     pub(super) fn from_connection(
         length: usize, connection: Connection,
     ) -> (Self, oneshot::Receiver<Connection>) {
@@ -51,7 +53,7 @@
         (Self::new(length, ValueSource::Connection { connection, return_sender }), returned)
     }
 
-    /// A value that was buffered completely.
+    /// Creates a value that was buffered completely.
     pub(super) fn from_memory(value: Bytes, memory: MemoryPermit) -> Self {
         Self::new(value.len(), ValueSource::Memory { value, _memory: memory })
     }
@@ -60,34 +62,36 @@
         Self { length, remaining: length, time_left: TOTAL_READ_TIMEOUT, source }
     }
 
-    /// The length of the value.
+    /// Returns the length of the value.
     #[must_use]
     pub fn length(&self) -> usize {
         self.length
     }
 
-    /// Whether the value has arrived completely.
+    /// Returns whether the value has been buffered completely.
     #[must_use]
     pub fn is_complete(&self) -> bool {
         matches!(self.source, ValueSource::Memory { .. })
     }
 
-    /// The memory that it needs until it is forwarded, beyond what the memory budget covers.
+    /// Returns the memory in bytes that the value needs while it is forwarded, except for memory reserved from the
+    /// memory budget.
     #[must_use]
     pub fn read_ahead_bytes(&self) -> usize {
         if self.is_complete() { 0 } else { READ_AHEAD }
     }
 
-    /// Whether all of it has been taken.
+    /// Returns whether all bytes have been consumed.
     #[must_use]
     pub fn is_finished(&self) -> bool {
         self.remaining == 0
     }
 
-    /// The bytes that have arrived and were not taken, at least one. To be called while it is not [`StreamedValue::is_finished`].
+    /// Returns the bytes that have arrived and are not consumed yet. Waits until there is at least one. Must not be
+    /// called after [`StreamedValue::is_finished`].
     ///
     /// # Errors
-    /// When the endpoint breaks off or is silent for too long: the rest will not arrive.
+    /// Returns an error if the connection breaks or a read times out. The rest of the value will not arrive.
     pub async fn next_chunk(&mut self) -> io::Result<&[u8]> {
         let available = match &mut self.source {
             ValueSource::Connection { connection, .. } => {
@@ -102,7 +106,8 @@
         Ok(&available[..available.len().min(self.remaining)])
     }
 
-    /// Takes bytes that [`StreamedValue::next_chunk`] returned. With the last one, the endpoint's connection is handed back.
+    /// Consumes bytes returned by [`StreamedValue::next_chunk`]. After the last byte, the endpoint's connection is
+    /// returned to its attempt.
     pub fn consume(&mut self, bytes: usize) {
         self.remaining -= bytes;
         match &mut self.source {
@@ -115,14 +120,15 @@
                 std::mem::replace(&mut self.source, ValueSource::Finished)
         {
             if connection.buffer.capacity() > MAX_BUFFERED_VALUE_BYTES {
-                connection.buffer = BytesMut::from(&connection.buffer[..]); // idle connections keep no large buffers
+                // An idle connection must not keep a large buffer.
+                connection.buffer = BytesMut::from(&connection.buffer[..]);
             }
-            let _ = return_sender.send(connection); // its attempt waits for it
+            let _ = return_sender.send(connection); // fails if the attempt was dropped
         }
     }
 }
 
-/// Reads into the connection's empty buffer, and subtracts the time from `time_left`.
+/// Reads into the connection's empty buffer, and subtracts the elapsed time from `time_left`.
 async fn read_ahead(connection: &mut Connection, time_left: &mut Duration) -> io::Result<()> {
     connection.buffer.reserve(READ_AHEAD);
     let started_at = Instant::now();
--- a/crates/upstream/src/endpoints.rs
+++ b/crates/upstream/src/endpoints.rs
@@ -1,4 +1,4 @@
-//! The endpoints that discovery lists.
+//! The set of endpoints listed by discovery.
 
 use crate::setup::Names;
 use decide::api::{CellId, EndpointEntry, EndpointId, ListKind, Presence, ZoneId};
@@ -10,34 +10,35 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// A cache node or the origin, as last listed.
+/// A cache node or the origin, as of the last endpoint list.
 #[derive(Debug)]
 pub struct Endpoint {
-    /// Its id in the decision module.
+    /// The id of the endpoint in the decision module.
     pub id: EndpointId,
-    /// Its name in discovery.
+    /// The name of the endpoint in discovery.
     pub name: String,
-    /// Its address.
+    /// The address of the endpoint.
     pub addr: SocketAddr,
-    /// Whether it is the origin, which speaks HTTP.
+    /// Whether the endpoint is the origin, which speaks HTTP. Cache nodes speak RESP.
     pub is_origin: bool,
     up_since_ms: u64,
     presence: Cell<Presence>,
 }
 
 impl Endpoint {
-    /// Whether new requests may be sent to it.
+    /// Returns whether new requests may be sent to the endpoint.
     pub fn ready(&self) -> bool {
         self.presence.get() == Presence::Ready
     }
 
-    /// Marks an endpoint that is not listed any more, for attempts that still connect to it.
+    /// Marks the endpoint as removed from the list, so that attempts that are still connecting to it stop.
     fn mark_gone(&self) {
         self.presence.set(Presence::Gone);
     }
 }
 
-/// A stable hash of discovery's name, so that all balancers assign keys alike. Addresses and order vary, and are not used.
+/// Returns a stable hash of an endpoint's name in discovery, so that all balancers assign the same keys to it. The
+/// address and the position in the list are not hashed, because they vary.
 #[must_use]
 pub fn endpoint_id(name: &str) -> EndpointId {
     let mut hasher = FnvHasher::default();
@@ -45,8 +46,8 @@
     EndpointId(hasher.finish())
 }
 
-/// How many changes of one list are logged one by one; of more, the count is logged. A line for each of thousands would delay the
-/// application of the list.
+/// At most this many changes of one list are logged individually, followed by their counts if there are more. Thousands
+/// of log lines would delay the application of the list.
 const MAX_LOGGED_CHANGES: usize = 32;
 
 /// The listed endpoints.
@@ -64,7 +65,7 @@
     Unchanged,
 }
 
-/// The presence as log lines name it.
+/// Returns the name of a presence in log lines.
 fn presence_name(presence: Presence) -> &'static str {
     match presence {
         Presence::Ready => "Ready",
@@ -73,9 +74,9 @@
     }
 }
 
-/// The number of a name, or `unknown` if it has none.
+/// Returns the index of a name, or `unknown` if the name is not configured.
 fn name_index<T: TryFrom<usize>>(names: &[String], name: &str, unknown: T) -> T {
-    names.iter().position(|n| n == name).and_then(|at| T::try_from(at).ok()).unwrap_or(unknown)
+    names.iter().position(|known| known == name).and_then(|index| T::try_from(index).ok()).unwrap_or(unknown)
 }
 
 fn log_changes(changes: &[(&String, Presence)]) {
@@ -83,8 +84,8 @@
         log::info!("discovery: {id} is {}", presence_name(*presence));
     }
     if changes.len() > MAX_LOGGED_CHANGES {
-        let now = |presence| changes.iter().filter(|(_, it)| *it == presence).count();
-        let [ready, draining, gone] = [Presence::Ready, Presence::Draining, Presence::Gone].map(now);
+        let count = |presence| changes.iter().filter(|(_, changed_to)| *changed_to == presence).count();
+        let [ready, draining, gone] = [Presence::Ready, Presence::Draining, Presence::Gone].map(count);
         log::info!(
             "discovery: of {} changes, {ready} to Ready, {draining} to Draining, {gone} to Gone",
             changes.len()
@@ -93,32 +94,32 @@
 }
 
 impl EndpointSet {
-    /// An empty set.
+    /// Creates an empty set. Endpoints of `origin_kind` are the origin.
     #[must_use]
     pub fn new(names: Names, origin_kind: Option<u16>) -> Self {
         Self { names, origin_kind, endpoints: FxHashMap::default() }
     }
 
-    /// Names of the numbers in the settings.
+    /// Returns the names from the configuration.
     #[must_use]
     pub fn names(&self) -> &Names {
         &self.names
     }
 
-    /// How many endpoints are listed.
+    /// Returns the number of listed endpoints.
     #[must_use]
     pub fn size(&self) -> usize {
         self.endpoints.len()
     }
 
-    /// A listed endpoint.
+    /// Returns the endpoint with this id, if it is listed.
     #[must_use]
     pub fn endpoint(&self, id: EndpointId) -> Option<&Rc<Endpoint>> {
         self.endpoints.get(&id)
     }
 
-    /// Applies a list. Returns its kind and its entries in the decision module's form, and the endpoints whose idle connections are
-    /// to be closed.
+    /// Applies a list. Returns its kind and its entries in the types of the decision module, and the endpoints whose
+    /// idle connections must be closed.
     pub fn apply(
         &mut self, list: &EndpointList, cached: bool,
     ) -> (ListKind, Vec<EndpointEntry>, Vec<EndpointId>) {
@@ -179,7 +180,7 @@
         change
     }
 
-    /// Removes an endpoint. Guards memory when endpoints are replaced by new ones all day.
+    /// Removes an endpoint, so that endpoints that are replaced by new ones all day do not accumulate.
     fn remove(&mut self, id: EndpointId, stale: &mut Vec<EndpointId>) -> PresenceChange {
         let Some(endpoint) = self.endpoints.remove(&id) else { return PresenceChange::Unchanged };
         endpoint.mark_gone();
--- a/crates/upstream/src/lib.rs
+++ b/crates/upstream/src/lib.rs
@@ -1,11 +1,11 @@
-//! The side that faces the endpoints: which ones discovery lists, the connections to them, and one attempt on one connection.
+//! The endpoints listed by discovery, the connections to them, and single attempts on these connections.
 //!
-//! [`endpoints`] knows the endpoints by the names and addresses of the last list. [`connection`] pools idle connections, opens new ones,
-//! and runs one [`connection::Attempt`] of a [`call::Call`] from its first byte to its outcome. [`memory`] bounds the memory of large
-//! values.
+//! [`endpoints`] stores the endpoints of the last list. [`connection`] pools idle connections, opens new ones, and runs
+//! one [`connection::Attempt`] of a [`call::Call`] from its first byte to its outcome. [`memory`] bounds the memory of
+//! large values.
 //!
-//! Everything that concerns more than one attempt is left to the engine: which endpoint, how long, whether to retry, what the
-//! client is answered, and following discovery. This crate knows no front.
+//! The engine is responsible for everything that concerns more than one attempt: it follows discovery, chooses the
+//! endpoint and the timeout, retries, and answers the client. This crate does not depend on fronts.
 #![forbid(unsafe_code)]
 #![warn(unreachable_pub)]
 
--- a/crates/upstream/src/memory.rs
+++ b/crates/upstream/src/memory.rs
@@ -1,9 +1,10 @@
-//! A memory budget for values that are buffered completely though they are large, or that wait for an endpoint.
+//! A memory budget for large values that must be buffered completely, and for values of writes that wait for an
+//! endpoint.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// The budget, in bytes.
+/// A memory budget in bytes. Clones share the budget.
 #[derive(Debug, Clone)]
 pub struct MemoryBudget {
     limit: usize,
@@ -11,13 +12,13 @@
 }
 
 impl MemoryBudget {
-    /// A budget of `limit` bytes.
+    /// Creates a budget of `limit` bytes.
     #[must_use]
     pub fn new(limit: usize) -> Self {
         Self { limit, used: Rc::default() }
     }
 
-    /// Reserves memory; `None` if there is not enough.
+    /// Reserves memory. Returns `None` if the budget has too few bytes left.
     #[must_use]
     pub fn reserve(&self, bytes: usize) -> Option<MemoryPermit> {
         let mut permit = MemoryPermit { bytes: 0, budget: self.clone() };
@@ -25,7 +26,7 @@
     }
 }
 
-/// A part of the budget, released when dropped.
+/// Memory reserved from a [`MemoryBudget`]. Released when dropped.
 #[derive(Debug)]
 pub struct MemoryPermit {
     bytes: usize,
@@ -33,7 +34,7 @@
 }
 
 impl MemoryPermit {
-    /// Reserves more bytes. Returns whether there were enough; if not, nothing is reserved.
+    /// Reserves further bytes. Returns `false`, and reserves nothing, if the budget has too few bytes left.
     #[must_use]
     pub fn try_grow(&mut self, bytes: usize) -> bool {
         let used = self.budget.used.get();
--- a/crates/upstream/src/setup.rs
+++ b/crates/upstream/src/setup.rs
@@ -1,39 +1,40 @@
-//! Configuration of everything that faces a network: names, and limits and timeouts of connections.
+//! Configuration of connections: names of classes, tenants, zones and kinds, and limits and timeouts.
 
 use std::time::Duration;
 
-/// Names, each at the index that is its number in the decision module.
+/// Names from the configuration. The index of a name is its number in the decision module.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Names {
-    /// Classes.
+    /// The names of request classes.
     pub classes: Vec<String>,
-    /// Tenants.
+    /// The names of tenants.
     pub tenants: Vec<String>,
-    /// Zones.
+    /// The names of zones.
     pub zones: Vec<String>,
-    /// Kinds of machine.
+    /// The names of endpoint kinds, which discovery sends as flavors.
     pub kinds: Vec<String>,
 }
 
 /// Limits and timeouts of connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Bounds {
-    /// How many client connections may be open.
+    /// The maximum number of open client connections.
     pub clients: usize,
-    /// How many connections to cache nodes and the origin may be open, idle ones included.
+    /// The maximum number of open connections to cache nodes and the origin, including idle ones.
     pub peers: usize,
-    /// The memory budget in bytes for values of requests, and of large answers that must be complete before they are forwarded.
+    /// The memory budget in bytes for values of requests, and of large answers that must be complete before they are
+    /// forwarded.
     pub held_bytes: usize,
-    /// How many accepted requests may have no written answer.
+    /// The maximum number of accepted requests whose answers are not written yet.
     pub open: usize,
-    /// How many bytes their answers may need, at the size of recent answers.
+    /// The maximum memory in bytes for the answers of open requests, estimated by the size of recent answers.
     pub answer_bytes: usize,
-    /// Timeout for connecting to an endpoint.
+    /// The timeout for connecting to an endpoint.
     pub dial: Duration,
-    /// How long a connection to an endpoint may be idle.
+    /// The time after which an idle connection to an endpoint is closed.
     pub idle: Duration,
-    /// The longest time that any client waits.
+    /// The maximum time limit of a request.
     pub longest: Duration,
-    /// The shortest time that a class of requests gives.
+    /// The shortest deadline of any class of requests.
     pub shortest: Duration,
 }
--- a/crates/upstream/tests/attempts.rs
+++ b/crates/upstream/tests/attempts.rs
@@ -91,7 +91,8 @@
     })
 }
 
-/// Guards against a regression: the origin once received the client's original time limit, though earlier attempts had used it up.
+/// Guards against a regression: the origin once received the client's original time limit, though earlier attempts had
+/// used it up.
 #[rstest]
 #[tokio::test]
 async fn attempt_sends_remaining_time_limit(#[values("", "origin")] flavor: &str) {
@@ -115,8 +116,8 @@
 
 #[tokio::test]
 async fn own_limits_are_no_fault_of_endpoint() {
-    // Guards against a regression: a missing connection permit once counted as a rejection by the endpoint, and a connection
-    // attempt that the request's own deadline ended as proof of an unreachable endpoint.
+    // Guards against a regression: a missing connection permit once counted as a rejection by the endpoint, and a
+    // connection attempt that the request's own deadline ended as proof of an unreachable endpoint.
     let (addr, _kept) = unreachable();
     let endpoint = endpoint(addr, "");
     let mut pools = pools();
--- a/crates/upstream/tests/responses.rs
+++ b/crates/upstream/tests/responses.rs
@@ -227,8 +227,8 @@
     panic!("it is never given up");
 }
 
-/// Bytes after a response make its connection unusable whenever they arrive: before it is pooled, while it is idle, and between its
-/// choice and the next request.
+/// Bytes after a response make its connection unusable whenever they arrive: before it is pooled, while it is idle, and
+/// between its choice and the next request.
 #[rstest]
 #[tokio::test]
 async fn bytes_after_response_do_not_answer_next_request(#[values(0, 1, 2)] when: usize) {
