--- a/crates/gateway/tests/fleet.rs
+++ b/crates/gateway/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! The engine in a fleet, on a clock that only the tests move: lease, topology gate and audit.
+//! The engine in a fleet, on a paused clock: lease, topology gate and audit.
 
 mod support;
 
@@ -22,11 +22,11 @@
 use upstream::connection::AttemptResult;
 
 const LEASE: Duration = Duration::from_secs(3_600);
-/// 2030-01-01 00:05 UTC, five minutes into the freeze.
+/// The fleet time at which tests start: 2030-01-01 00:05 UTC, five minutes after the start of the freeze.
 const NOW_US: u64 = 1_893_456_300_000_000;
 
-/// An engine that has joined a fleet, with the other ends of its channels.
-struct World {
+/// An engine that has joined a fleet, with the fleet thread's ends of its channels.
+struct FleetBalancer {
     engine: SteppedEngine,
     handle: Handle,
     audit_events: mpsc::Receiver<AuditEvent>,
@@ -34,7 +34,7 @@
     _calls: mpsc::Receiver<FleetRequest>,
 }
 
-fn member(id: &str, phase: Phase) -> EndpointRecord {
+fn endpoint_record(id: &str, phase: Phase) -> EndpointRecord {
     EndpointRecord {
         id: id.into(),
         host_port: ([127, 0, 0, 1], 1).into(),
@@ -48,12 +48,12 @@
 }
 
 fn list(revision: u64, members: &[(&str, Phase)]) -> EndpointList {
-    let members = members.iter().map(|(id, phase)| member(id, *phase)).collect();
+    let members = members.iter().map(|(id, phase)| endpoint_record(id, *phase)).collect();
     EndpointList { revision, complete: true, members }
 }
 
-/// An engine that knows endpoint a from before, and has joined a fleet.
-fn joined() -> World {
+/// Creates an engine that knows endpoint `a` from before the start, and joins a fleet.
+fn start_in_fleet() -> FleetBalancer {
     let (mut engine, handle) = SteppedEngine::new(&config(Some(list(1, &[("a", Phase::Ready)]))));
     let (updates_sender, updates) = mpsc::unbounded_channel();
     let (calls, calls_receiver) = mpsc::channel(8);
@@ -69,7 +69,7 @@
         program: 1,
         configuration: 2,
     });
-    World { engine, handle, audit_events, _updates: updates_sender, _calls: calls_receiver }
+    FleetBalancer { engine, handle, audit_events, _updates: updates_sender, _calls: calls_receiver }
 }
 
 fn lease(clock: Clock) -> Lease {
@@ -81,8 +81,8 @@
     lease
 }
 
-/// A calendar that freezes everything from 2030-01-01 00:00 UTC for ten minutes.
-fn frozen() -> Arc<Calendar> {
+/// Returns a calendar that freezes the whole fleet from 2030-01-01 00:00 UTC for ten minutes.
+fn frozen_calendar() -> Arc<Calendar> {
     let freeze = Freeze {
         id: "new-year".into(),
         reason: "nobody is there".into(),
@@ -100,7 +100,7 @@
     Arc::new(calendar)
 }
 
-fn served(value: &'static [u8]) -> AttemptResult {
+fn served_result(value: &'static [u8]) -> AttemptResult {
     AttemptResult {
         outcome: Outcome::Ok,
         value: Bytes::from_static(value),
@@ -111,7 +111,7 @@
     }
 }
 
-impl World {
+impl FleetBalancer {
     fn grant_lease(&mut self) {
         let lease = lease(self.engine.clock());
         self.engine.apply_fleet_update(FleetUpdate::Lease(Box::new(lease)));
@@ -123,39 +123,39 @@
         ticket
     }
 
-    /// The last report of activity among the pending audit events.
+    /// Returns the last activity report among the pending audit events.
     fn last_report(&mut self) -> audit::ledger::ActivityReport {
         let mut last = None;
         while let Ok(event) = self.audit_events.try_recv() {
             last = if let AuditEvent::Report(report) = event { Some(report) } else { last };
         }
-        last.expect("a report was sent")
+        last.expect("the audit events contain no activity report")
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn requests_outside_lease_are_rejected_even_before_engine_runs_again() {
+async fn requests_without_lease_are_rejected_before_next_engine_run() {
     let run = async {
-        let mut world = joined();
-        world.engine.skip_first_list();
-        assert!(matches!(final_answer(world.submit(1).await).await, Answer::Rejected(0)));
-        let counters = world.engine.counters();
+        let mut balancer = start_in_fleet();
+        balancer.engine.skip_first_list();
+        assert!(matches!(final_answer(balancer.submit(1).await).await, Answer::Rejected(0)));
+        let counters = balancer.engine.counters();
         assert!(counters.contains("1 rejected (fenced 1)"), "{counters}");
-        world.grant_lease();
-        world.engine.update_readiness();
-        assert!(world.handle.ready());
-        let _accepted = world.submit(2).await;
-        assert_eq!(world.engine.request_count(), 1, "accepted under the lease");
+        balancer.grant_lease();
+        balancer.engine.update_readiness();
+        assert!(balancer.handle.ready());
+        let _accepted = balancer.submit(2).await;
+        assert_eq!(balancer.engine.request_count(), 1, "request 2 is accepted under the lease");
         advance(LEASE).await;
-        assert!(!world.handle.ready(), "also before the engine has run");
-        assert!(matches!(final_answer(world.submit(3).await).await, Answer::Rejected(0)));
-        let counters = world.engine.counters();
+        assert!(!balancer.handle.ready(), "not ready even before the engine has run again");
+        assert!(matches!(final_answer(balancer.submit(3).await).await, Answer::Rejected(0)));
+        let counters = balancer.engine.counters();
         assert!(counters.contains("2 rejected (fenced 2)"), "{counters}");
-        world.engine.update_readiness();
-        assert!(!world.engine.last_readiness());
-        world.grant_lease();
-        world.engine.update_readiness();
-        assert!(world.handle.ready(), "a new lease opens it again");
+        balancer.engine.update_readiness();
+        assert!(!balancer.engine.last_readiness());
+        balancer.grant_lease();
+        balancer.engine.update_readiness();
+        assert!(balancer.handle.ready(), "ready again under a new lease");
     };
     LocalSet::new().run_until(run).await;
 }
@@ -163,18 +163,18 @@
 #[tokio::test(start_paused = true)]
 async fn request_accepted_before_fencing_is_completed_with_one_answer() {
     let run = async {
-        let mut world = joined();
-        let short = Duration::from_secs(1);
-        world.grant_lease();
-        advance(LEASE - LEASE / 1_000 - short).await;
-        let ticket = world.submit(1).await;
-        assert_eq!(world.engine.attempts_in_flight(RequestId(0)), 1, "its attempt is in flight");
-        let attempt = world.engine.first_attempt(RequestId(0), "a");
-        advance(short).await;
-        assert!(world.engine.is_fenced());
-        world.engine.end_attempt(attempt, served(b"value"));
+        let mut balancer = start_in_fleet();
+        let time_left = Duration::from_secs(1);
+        balancer.grant_lease();
+        advance(LEASE - LEASE / 1_000 - time_left).await;
+        let ticket = balancer.submit(1).await;
+        assert_eq!(balancer.engine.attempts_in_flight(RequestId(0)), 1, "the attempt is in flight");
+        let attempt = balancer.engine.first_attempt(RequestId(0), "a");
+        advance(time_left).await;
+        assert!(balancer.engine.is_fenced());
+        balancer.engine.end_attempt(attempt, served_result(b"value"));
         assert!(matches!(final_answer(ticket).await, Answer::Served(value) if value == "value"));
-        assert_eq!(world.engine.request_count(), 0);
+        assert_eq!(balancer.engine.request_count(), 0);
     };
     LocalSet::new().run_until(run).await;
 }
@@ -182,29 +182,31 @@
 #[tokio::test(start_paused = true)]
 async fn freeze_holds_joining_endpoints_and_applies_drains_at_once() {
     let run = async {
-        let mut world = joined();
-        world.engine.apply_fleet_update(FleetUpdate::Calendar(frozen()));
-        world.grant_lease();
+        let mut balancer = start_in_fleet();
+        balancer.engine.apply_fleet_update(FleetUpdate::Calendar(frozen_calendar()));
+        balancer.grant_lease();
         let all = |a| list(2, &[("a", a), ("b", Phase::Ready), ("c", Phase::Ready)]);
-        let sent_to = |world: &World| ["a", "b", "c"].map(|host| world.engine.accepts_requests(host));
-        world.engine.apply_list(&all(Phase::Ready));
-        assert_eq!(sent_to(&world), [true, false, false]);
+        let accepting = |balancer: &FleetBalancer| {
+            ["a", "b", "c"].map(|endpoint| balancer.engine.accepts_requests(endpoint))
+        };
+        balancer.engine.apply_list(&all(Phase::Ready));
+        assert_eq!(accepting(&balancer), [true, false, false]);
         let mut held = Vec::new();
-        while let Ok(event) = world.audit_events.try_recv() {
+        while let Ok(event) = balancer.audit_events.try_recv() {
             if let AuditEvent::Record(ChangeRecord { host, outcome: ChangeOutcome::Held { .. }, .. }) = event
             {
                 held.push(host);
             }
         }
-        assert_eq!(held, ["b", "c"], "and the fleet thread is told");
-        let error = world.engine.check_change(ChangeKind::Discovery).unwrap_err().to_string();
+        assert_eq!(held, ["b", "c"], "the fleet thread receives a record of each held change");
+        let error = balancer.engine.check_change(ChangeKind::Discovery).unwrap_err().to_string();
         assert!(error.contains("new-year"), "{error}");
-        world.engine.apply_list(&all(Phase::Draining));
-        assert_eq!(sent_to(&world), [false, true, false], "b replaces what was lost, and no more");
+        balancer.engine.apply_list(&all(Phase::Draining));
+        assert_eq!(accepting(&balancer), [false, true, false], "only b is applied, as the replacement of a");
         advance(Duration::from_secs(360)).await;
-        world.engine.poll_fleet();
-        assert_eq!(sent_to(&world), [false, true, true], "the freeze is over");
-        assert!(world.engine.check_change(ChangeKind::Discovery).is_ok());
+        balancer.engine.poll_fleet();
+        assert_eq!(accepting(&balancer), [false, true, true], "c is applied after the end of the freeze");
+        assert!(balancer.engine.check_change(ChangeKind::Discovery).is_ok());
     };
     LocalSet::new().run_until(run).await;
 }
@@ -213,16 +215,16 @@
 async fn planned_change_is_held_without_lease_and_never_without_fleet() {
     let run = async {
         let more = list(2, &[("a", Phase::Ready), ("b", Phase::Ready)]);
-        let mut world = joined();
-        world.engine.apply_list(&more);
-        assert!(world.engine.accepts_requests("a") && !world.engine.accepts_requests("b"));
-        world.grant_lease();
-        assert!(world.engine.accepts_requests("b"), "the lease implies that everything agreed is known");
+        let mut balancer = start_in_fleet();
+        balancer.engine.apply_list(&more);
+        assert!(balancer.engine.accepts_requests("a") && !balancer.engine.accepts_requests("b"));
+        balancer.grant_lease();
+        assert!(balancer.engine.accepts_requests("b"), "a lease implies that all agreed changes are known");
 
-        let (mut alone, handle) = SteppedEngine::new(&config(Some(list(1, &[("a", Phase::Ready)]))));
-        alone.apply_list(&more);
-        assert!(alone.is_listed("b"));
-        assert!(!alone.is_fenced() && handle.check_change(ChangeKind::Discovery).await.is_ok());
+        let (mut standalone, handle) = SteppedEngine::new(&config(Some(list(1, &[("a", Phase::Ready)]))));
+        standalone.apply_list(&more);
+        assert!(standalone.is_listed("b"));
+        assert!(!standalone.is_fenced() && handle.check_change(ChangeKind::Discovery).await.is_ok());
         assert!(handle.call_fleet(FleetCall::View).await.is_none());
     };
     LocalSet::new().run_until(run).await;
@@ -231,25 +233,27 @@
 #[tokio::test(start_paused = true)]
 async fn attempts_are_counted_under_the_version_they_started_with() {
     let run = async {
-        let mut world = joined();
-        world.grant_lease();
-        let before = world.engine.audited_version(false);
-        world.engine.apply_fleet_update(FleetUpdate::Calendar(frozen()));
-        world.engine.audit_attempt(before, Outcome::Timeout);
-        world.engine.audit_attempt(world.engine.audited_version(true), Outcome::Ok);
+        let mut balancer = start_in_fleet();
+        balancer.grant_lease();
+        let before = balancer.engine.audited_version(false);
+        balancer.engine.apply_fleet_update(FleetUpdate::Calendar(frozen_calendar()));
+        balancer.engine.audit_attempt(before, Outcome::Timeout);
+        balancer.engine.audit_attempt(balancer.engine.audited_version(true), Outcome::Ok);
         advance(Duration::from_secs(1)).await;
-        world.engine.poll_fleet();
-        let periods = world.last_report().periods;
+        balancer.engine.poll_fleet();
+        let periods = balancer.last_report().periods;
         let counted: Vec<_> = periods
             .iter()
-            .map(|it| (it.version.calendar, it.counts[3], it.counts[5], it.version.program))
+            .map(|period| {
+                (period.version.calendar, period.counts[3], period.counts[5], period.version.program)
+            })
             .collect();
         assert_eq!(counted, [(0, 1, 0, 1), (1, 0, 1, 1)]);
     };
     LocalSet::new().run_until(run).await;
 }
 
-/// Lists with changes of each kind that the topology gate distinguishes.
+/// Returns lists with endpoint changes of several kinds that the topology gate distinguishes.
 fn changing_lists() -> [EndpointList; 5] {
     let mut moved = list(4, &[("b", Phase::Ready)]);
     moved.members[0].locality = "elsewhere".into();
@@ -266,25 +270,28 @@
     ]
 }
 
-/// Balancers of other versions show the same digest for the same changes, so that operators can compare them.
+/// Guards against a digest that differs between versions: operators compare the digests of balancers of different
+/// versions.
 #[tokio::test(start_paused = true)]
 async fn digest_of_topology_changes_keeps_its_value() {
     let run = async {
-        let mut world = joined();
-        world.grant_lease();
-        changing_lists().iter().for_each(|it| world.engine.apply_list(it));
+        let mut balancer = start_in_fleet();
+        balancer.grant_lease();
+        changing_lists().iter().for_each(|list| balancer.engine.apply_list(list));
         for kind in [ChangeKind::Discovery, ChangeKind::Configuration] {
-            assert!(world.engine.check_change(kind).is_ok());
+            assert!(balancer.engine.check_change(kind).is_ok());
         }
-        world.engine.apply_fleet_update(FleetUpdate::Calendar(frozen()));
-        world.engine.apply_list(&list(7, &[("b", Phase::Ready), ("d", Phase::Ready)]));
-        assert!(world.engine.check_change(ChangeKind::Restart).is_err());
+        balancer.engine.apply_fleet_update(FleetUpdate::Calendar(frozen_calendar()));
+        balancer.engine.apply_list(&list(7, &[("b", Phase::Ready), ("d", Phase::Ready)]));
+        assert!(balancer.engine.check_change(ChangeKind::Restart).is_err());
         advance(Duration::from_secs(1)).await;
-        world.engine.poll_fleet();
+        balancer.engine.poll_fleet();
         let (mut text, mut last) = (String::new(), None);
-        while let Ok(event) = world.audit_events.try_recv() {
+        while let Ok(event) = balancer.audit_events.try_recv() {
             match event {
-                AuditEvent::Record(it) => text += &format!("{} {} {}\n", it.host, it.list, it.revision),
+                AuditEvent::Record(record) => {
+                    text += &format!("{} {} {}\n", record.host, record.list, record.revision);
+                }
                 AuditEvent::Report(report) => last = Some(report),
                 AuditEvent::Entry(_) => {}
             }
--- a/crates/gateway/tests/stall_monitor.rs
+++ b/crates/gateway/tests/stall_monitor.rs
@@ -31,17 +31,17 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn overdue_time_after_stall_is_its_length_give_or_take_an_interval() {
+async fn overdue_time_after_stall_is_its_length_within_one_interval() {
     LocalSet::new()
         .run_until(async {
             let monitor = start_monitor().await;
-            advance(STALL).await; // nothing runs meanwhile
-            let age = monitor.overdue(Instant::now());
-            assert!(age >= STALL - CHECK_INTERVAL && age <= STALL, "{age:?}");
+            advance(STALL).await; // no task runs meanwhile
+            let overdue = monitor.overdue(Instant::now());
+            assert!(overdue >= STALL - CHECK_INTERVAL && overdue <= STALL, "{overdue:?}");
             sleep(2 * CHECK_INTERVAL).await;
-            assert_eq!(monitor.overdue(Instant::now()), Duration::ZERO, "it is over");
+            assert_eq!(monitor.overdue(Instant::now()), Duration::ZERO, "the stall is over");
             assert!(monitor.take_longest_stall() >= STALL - CHECK_INTERVAL);
-            assert_eq!(monitor.take_longest_stall(), Duration::ZERO, "taken once");
+            assert_eq!(monitor.take_longest_stall(), Duration::ZERO, "the longest stall is reset when taken");
         })
         .await;
 }
--- a/crates/gateway/tests/support/mod.rs
+++ b/crates/gateway/tests/support/mod.rs
@@ -13,7 +13,7 @@
 
 pub const MINUTE: Duration = Duration::from_secs(60);
 
-/// A configuration with one class of requests, whose timeouts are a minute.
+/// Returns a configuration with one class of requests and timeouts of one minute.
 pub fn config(known: Option<EndpointList>) -> Config {
     let class = Class {
         latency_objective_us: 1_000_000,
@@ -33,14 +33,14 @@
         longest: MINUTE,
         shortest: MINUTE,
     };
-    let nowhere = ([127, 0, 0, 1], 1).into();
+    let unused_address = ([127, 0, 0, 1], 1).into();
     Config {
         name: "n0".into(),
-        listen: nowhere,
+        listen: unused_address,
         inherited_descriptor: None,
         operator: None,
         folder: None,
-        discovery: nowhere,
+        discovery: unused_address,
         seed: 1,
         known,
         settings: Settings { classes: vec![class], ..Settings::default() },
@@ -50,15 +50,15 @@
     }
 }
 
-/// Submits a read of key `n`, with `word` as its text and its client's id.
-pub fn submit(handle: &Handle, n: u64, word: &str, received: Instant) -> Ticket {
-    let word = Bytes::copy_from_slice(word.as_bytes());
-    let (command, key, id, options) = (word.clone(), word.clone(), word.clone(), word);
+/// Submits a read of key `key_number`. `text` is used as the command, the key, the client's id and the options.
+pub fn submit(handle: &Handle, key_number: u64, text: &str, received: Instant) -> Ticket {
+    let text = Bytes::copy_from_slice(text.as_bytes());
+    let (command, key, id, options) = (text.clone(), text.clone(), text.clone(), text);
     let call = Rc::new(Call { command, key, id, options, time_at: 0..0, value: None });
     let request = IncomingRequest {
         class: ClassId(0),
         tenant: TenantId(0),
-        key: Some(Key(n)),
+        key: Some(Key(key_number)),
         received,
         time_limit: MINUTE,
         call,
@@ -67,7 +67,7 @@
     handle.submit(request).unwrap()
 }
 
-/// The answer, which must be given already: a paused clock advances at once to the end of this wait.
+/// Returns the answer, which must have been sent: a paused clock advances to the timeout at once.
 pub async fn final_answer(ticket: Ticket) -> Answer {
-    timeout(Duration::from_secs(10), ticket).await.expect("the request is answered")
+    timeout(Duration::from_secs(10), ticket).await.expect("the request has no answer after 10 s")
 }
--- a/crates/upstream/tests/attempt_events.rs
+++ b/crates/upstream/tests/attempt_events.rs
@@ -1,4 +1,4 @@
-//! Every event at every stage of an attempt: its outcome, and whether that proves that the request was not executed.
+//! The outcome of an attempt for each event at each stage, and whether it proves that the request was not executed.
 
 mod fake_endpoint;
 
@@ -16,15 +16,15 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// Longer than all buffers between two sockets.
-const LONG: usize = 32 << 20;
+/// The length of a value that does not fit into the buffers between two sockets.
+const LONG_VALUE_BYTES: usize = 32 << 20;
 
-/// Reads until the connection ends.
-fn read_on(mut far: TcpStream) -> thread::JoinHandle<BytesMut> {
+/// Reads until the connection ends, on a thread. Returns all bytes received.
+fn read_to_end_in_background(mut remote: TcpStream) -> thread::JoinHandle<BytesMut> {
     thread::spawn(move || {
-        let mut got = Vec::new();
-        let _ = far.read_to_end(&mut got);
-        BytesMut::from(&got[..])
+        let mut received = Vec::new();
+        let _ = remote.read_to_end(&mut received);
+        BytesMut::from(&received[..])
     })
 }
 
@@ -92,102 +92,106 @@
 async fn attempt_outcome_at_each_stage_and_event(
     #[case] stage: Stage, #[case] event: Event, #[case] outcome: Outcome,
 ) {
-    let mut host = FakeEndpoint::new("m");
-    let (source, mut far) = match stage {
-        Stage::Connecting => (host.pools.check_out_new(&host.endpoint), None),
-        _ => host.idle().await,
+    let mut fake = FakeEndpoint::new("m");
+    let (source, mut remote) = match stage {
+        Stage::Connecting => (fake.pools.check_out_new(&fake.endpoint), None),
+        _ => fake.idle_connection().await,
     };
-    let value = (stage == Stage::Writing).then(|| Bytes::from(vec![b'x'; LONG]));
-    let mut attempt = host.attempt(source, value, Instant::now() + 2 * SPAN);
+    let value = (stage == Stage::Writing).then(|| Bytes::from(vec![b'x'; LONG_VALUE_BYTES]));
+    let mut attempt = fake.attempt(source, value, Instant::now() + 2 * LONG_TIMEOUT);
     attempt.is_non_idempotent = stage == Stage::LastByte;
-    attempt.permit.deduplication_ends = (event == Event::WindowEnds).then(|| Instant::now() + SPAN);
+    attempt.permit.deduplication_ends = (event == Event::WindowEnds).then(|| Instant::now() + LONG_TIMEOUT);
     let (awaited, written) = (attempt.permit.awaited.clone(), attempt.written_count.clone());
     let (cancel, cancelled) = oneshot::channel();
     let mut run = pin!(attempt.run(cancelled, |_| ()));
     poll_until_blocked(&mut run).await;
-    let (mut cancel, mut reading) = (Some(cancel), None);
-    let mut take = || far.take().unwrap_or_else(|| host.listener.accept().unwrap().0);
+    let (mut cancel, mut reader) = (Some(cancel), None);
+    let mut take_remote = || remote.take().unwrap_or_else(|| fake.listener.accept().unwrap().0);
     match event {
-        Event::Resets => reset(take()),
+        Event::Resets => reset(take_remote()),
         Event::Closes | Event::Sends(_) => {
-            let mut far = take();
-            if let Event::Sends(words) = event {
-                far.write_all(words.as_bytes()).unwrap();
+            let mut remote = take_remote();
+            if let Event::Sends(bytes) = event {
+                remote.write_all(bytes.as_bytes()).unwrap();
             } else {
-                far.shutdown(Shutdown::Write).unwrap();
+                remote.shutdown(Shutdown::Write).unwrap();
             }
-            reading = Some(read_on(far));
+            reader = Some(read_to_end_in_background(remote));
         }
-        Event::SendsAndResets(words) => {
-            let mut far = take();
-            far.write_all(words.as_bytes()).unwrap();
-            reset(far);
+        Event::SendsAndResets(bytes) => {
+            let mut remote = take_remote();
+            remote.write_all(bytes.as_bytes()).unwrap();
+            reset(remote);
         }
-        Event::Deadline => advance_paused(2 * SPAN).await,
+        Event::Deadline => advance_paused(2 * LONG_TIMEOUT).await,
         Event::Cancelled => cancel.take().unwrap().send(()).unwrap(),
-        Event::Drains => drop(host.endpoints.apply(&list(&host.listener, "m", Phase::Draining), false)),
+        Event::Drains => drop(fake.endpoints.apply(&list(&fake.listener, "m", Phase::Draining), false)),
         Event::ClientLeaves => awaited.set(false),
-        Event::WindowEnds => advance_paused(SPAN).await,
+        Event::WindowEnds => advance_paused(LONG_TIMEOUT).await,
     }
     if outcome == Outcome::Timeout && event != Event::Deadline {
-        // Only its deadline ends it.
-        let sent = read_on(take());
+        // The event does not end the attempt: only its deadline does.
+        let sent = read_to_end_in_background(take_remote());
         while written.get() == 0 {
             poll_until_blocked(&mut run).await;
             tokio::task::yield_now().await;
         }
-        advance_paused(2 * SPAN).await;
+        advance_paused(2 * LONG_TIMEOUT).await;
         assert_eq!(run.await.outcome, outcome);
-        return assert!(is_complete(&mut sent.join().unwrap()), "it was sent completely");
+        return assert!(is_complete_request(&mut sent.join().unwrap()), "the request was sent completely");
     }
-    if reading.is_none()
+    if reader.is_none()
         && !matches!(event, Event::Resets | Event::SendsAndResets(_))
         && stage == Stage::Writing
     {
-        reading = Some(read_on(take())); // the endpoint reads on, but the attempt sends no more
+        // The endpoint reads again, but the attempt must send no more.
+        reader = Some(read_to_end_in_background(take_remote()));
     }
-    let ended = run.await;
-    assert_eq!(ended.outcome, outcome);
+    let result = run.await;
+    assert_eq!(result.outcome, outcome);
     let not_executed = matches!(stage, Stage::Connecting | Stage::Writing | Stage::LastByte);
     assert_eq!(written.get() == 0, not_executed, "an endpoint executes nothing before the last byte");
     assert!(!not_executed || outcome == Outcome::Cancelled || outcome.proves_never_ran());
-    match (stage, event, ended.connection.is_some()) {
-        (Stage::Connecting, Event::Deadline | Event::WindowEnds, _) => {} // depends on whether the connection or the clock is polled first
-        (Stage::Connecting, Event::ClientLeaves, kept) => assert!(kept, "it can serve another request"),
-        (Stage::Written, Event::Sends(words), kept) => assert_eq!(kept, words != "?\r\n"),
-        (.., kept) => assert!(!kept),
+    match (stage, event, result.connection.is_some()) {
+        // Depends on whether the connection or the clock is polled first.
+        (Stage::Connecting, Event::Deadline | Event::WindowEnds, _) => {}
+        (Stage::Connecting, Event::ClientLeaves, has_connection) => {
+            assert!(has_connection, "the connection can serve another request")
+        }
+        (Stage::Written, Event::Sends(bytes), has_connection) => assert_eq!(has_connection, bytes != "?\r\n"),
+        (.., has_connection) => assert!(!has_connection),
     }
-    drop(ended);
-    if let Some(reading) = reading {
-        assert_eq!(is_complete(&mut reading.join().unwrap()), !not_executed);
+    drop(result);
+    if let Some(reader) = reader {
+        assert_eq!(is_complete_request(&mut reader.join().unwrap()), !not_executed);
     }
 }
 
 #[rstest]
 #[tokio::test]
 async fn failed_connection_proves_request_was_not_executed(#[values(false, true)] refused: bool) {
-    let mut host = FakeEndpoint::new("m");
-    SockRef::from(&host.listener).listen(0).unwrap();
-    let _fills_the_backlog = TcpStream::connect(host.endpoint.addr).unwrap();
-    let source = host.pools.check_out_new(&host.endpoint);
-    let mut attempt = host.attempt(source, None, Instant::now() + 2 * SPAN);
-    attempt.connect_timeout = SPAN;
+    let mut fake = FakeEndpoint::new("m");
+    SockRef::from(&fake.listener).listen(0).unwrap();
+    let _fills_the_backlog = TcpStream::connect(fake.endpoint.addr).unwrap();
+    let source = fake.pools.check_out_new(&fake.endpoint);
+    let mut attempt = fake.attempt(source, None, Instant::now() + 2 * LONG_TIMEOUT);
+    attempt.connect_timeout = LONG_TIMEOUT;
     let (_keep, cancelled) = oneshot::channel();
     let mut run = pin!(attempt.run(cancelled, |_| ()));
     if refused {
-        drop(host.listener);
+        drop(fake.listener);
     } else {
         poll_until_blocked(&mut run).await;
-        advance_paused(SPAN).await;
+        advance_paused(LONG_TIMEOUT).await;
     }
-    let ended = run.await;
-    assert_eq!((ended.outcome, ended.connection.is_some()), (Outcome::ConnectFailed, false));
+    let result = run.await;
+    assert_eq!((result.outcome, result.connection.is_some()), (Outcome::ConnectFailed, false));
 }
 
-fn is_complete(sent: &mut BytesMut) -> bool {
-    // The long value is longer than a command may be.
+fn is_complete_request(sent: &mut BytesMut) -> bool {
+    // The long value exceeds the maximum length of a command, so it cannot be decoded.
     match sent.len() {
         0..=MAX_BUFFERED_VALUE_BYTES => proto::resp::decode_command(sent).unwrap().is_some(),
-        length => length > LONG,
+        length => length > LONG_VALUE_BYTES,
     }
 }
--- a/crates/upstream/tests/attempts.rs
+++ b/crates/upstream/tests/attempts.rs
@@ -1,4 +1,5 @@
-//! Single attempts: how limits of the balancer itself appear to the decision module.
+//! Single attempts: the time limit sent to the endpoint, and the outcome when a limit of the balancer itself ends the
+//! attempt.
 
 use bytes::Bytes;
 use decide::api::Outcome;
@@ -21,21 +22,22 @@
 
 const MINUTE: Duration = Duration::from_secs(60);
 
-/// An endpoint that no further connection reaches: its backlog is full.
-fn unreachable() -> (SocketAddr, Vec<Socket>) {
+/// Returns the address of an endpoint that accepts no further connection, because its backlog is full. It stays so
+/// while the sockets exist.
+fn unreachable_endpoint() -> (SocketAddr, Vec<Socket>) {
     let tcp = || Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
     let listener = tcp();
     listener.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
     listener.listen(0).unwrap();
     let addr = listener.local_addr().unwrap();
-    let mut kept = vec![listener];
+    let mut sockets = vec![listener];
     for _ in 0..4 {
         let client = tcp();
         client.set_nonblocking(true).unwrap();
-        let _ = client.connect(&addr); // in progress, or waiting for ever
-        kept.push(client);
+        let _ = client.connect(&addr); // the connection stays in progress, or waits in the backlog forever
+        sockets.push(client);
     }
-    (addr.as_socket().unwrap(), kept)
+    (addr.as_socket().unwrap(), sockets)
 }
 
 fn endpoint(addr: SocketAddr, flavor: &str) -> Rc<Endpoint> {
@@ -54,7 +56,7 @@
     endpoints.endpoint(endpoint_id("s-1")).unwrap().clone()
 }
 
-async fn outcome(endpoint: &Rc<Endpoint>, source: ConnectionSource, deadline: Instant) -> Outcome {
+async fn run_attempt(endpoint: &Rc<Endpoint>, source: ConnectionSource, deadline: Instant) -> Outcome {
     let word = Bytes::from_static(b"1");
     let options = Bytes::from_static(b"c=leer,d=60000,k=1");
     let call =
@@ -91,8 +93,8 @@
     })
 }
 
-/// Guards against a regression: the origin once received the client's original time limit, though earlier attempts had
-/// used it up.
+/// Guards against a regression: the origin once received the client's original time limit, although earlier attempts
+/// had used it up.
 #[rstest]
 #[tokio::test]
 async fn attempt_sends_remaining_time_limit(#[values("", "origin")] flavor: &str) {
@@ -102,30 +104,30 @@
         let mut lines = BufReader::new(listener.accept().unwrap().0).lines().map_while(Result::ok);
         lines.find(|line| line.contains("c=leer")).unwrap_or_default()
     });
-    let left = Duration::from_secs(20);
-    let result = outcome(&endpoint, pools().check_out(&endpoint), Instant::now() + left).await;
-    assert_eq!(result, Outcome::Reset, "the endpoint closes after the request");
+    let time_left = Duration::from_secs(20);
+    let result = run_attempt(&endpoint, pools().check_out(&endpoint), Instant::now() + time_left).await;
+    assert_eq!(result, Outcome::Reset, "the endpoint closes the connection after the request");
     let request = server.join().unwrap();
     let sent = request
         .split_once("c=leer,d=")
         .and_then(|(_, rest)| rest.split_once(",k=1"))
-        .expect("it has the time limit");
+        .unwrap_or_else(|| panic!("the request has no time limit: {request:?}"));
     let sent = Duration::from_millis(sent.0.parse().unwrap());
-    assert!(Duration::ZERO < sent && sent <= left, "{request}");
+    assert!(Duration::ZERO < sent && sent <= time_left, "{request}");
 }
 
+/// Guards against a regression: a missing connection permit once counted as a rejection by the endpoint, and a
+/// connection attempt that the request's own deadline ended as proof of an unreachable endpoint.
 #[tokio::test]
-async fn own_limits_are_no_fault_of_endpoint() {
-    // Guards against a regression: a missing connection permit once counted as a rejection by the endpoint, and a
-    // connection attempt that the request's own deadline ended as proof of an unreachable endpoint.
-    let (addr, _kept) = unreachable();
+async fn balancer_limits_are_not_reported_as_endpoint_failures() {
+    let (addr, _sockets) = unreachable_endpoint();
     let endpoint = endpoint(addr, "");
     let mut pools = pools();
-    let only = pools.check_out(&endpoint);
-    let none = pools.check_out(&endpoint);
-    assert_eq!(outcome(&endpoint, none, Instant::now() + MINUTE).await, Outcome::NotSent);
+    let permitted = pools.check_out(&endpoint);
+    let unavailable = pools.check_out(&endpoint);
+    assert_eq!(run_attempt(&endpoint, unavailable, Instant::now() + MINUTE).await, Outcome::NotSent);
     assert_eq!(
-        outcome(&endpoint, only, Instant::now()).await,
+        run_attempt(&endpoint, permitted, Instant::now()).await,
         Outcome::NotSent,
         "there was no time to connect"
     );
--- a/crates/upstream/tests/fake_endpoint/mod.rs
+++ b/crates/upstream/tests/fake_endpoint/mod.rs
@@ -1,4 +1,4 @@
-//! An endpoint whose side of each connection is played by the test, and attempts at it.
+//! A fake endpoint whose side of each connection is controlled by the test, and attempts at it.
 #![allow(dead_code, unreachable_pub, reason = "shared by several test programs, each of which uses a part")]
 
 use bytes::Bytes;
@@ -19,8 +19,8 @@
 use upstream::memory::MemoryBudget;
 use upstream::setup::{Bounds, Names};
 
-/// Longer than any test runs; most of these spans pass on a clock that the test advances.
-pub const SPAN: Duration = Duration::from_secs(20);
+/// A time span longer than any test runs. Tests let it pass by advancing the clock.
+pub const LONG_TIMEOUT: Duration = Duration::from_secs(20);
 /// The response of a cache node that serves the value `v`.
 pub const VALUE: &str = "*3\r\n$1\r\nv\r\n$3\r\nhit\r\n$-1\r\n";
 
@@ -32,7 +32,7 @@
 }
 
 impl FakeEndpoint {
-    /// A cache node, or with the flavor `origin` the origin.
+    /// Creates a fake cache node, or a fake origin if the flavor is `origin`.
     pub fn new(flavor: &str) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let names = Names { kinds: vec!["origin".into()], ..Names::default() };
@@ -45,20 +45,20 @@
             held_bytes: 0,
             open: 1,
             answer_bytes: 0,
-            dial: 10 * SPAN,
-            idle: 10 * SPAN,
-            longest: SPAN,
-            shortest: SPAN,
+            dial: 10 * LONG_TIMEOUT,
+            idle: 10 * LONG_TIMEOUT,
+            longest: LONG_TIMEOUT,
+            shortest: LONG_TIMEOUT,
         };
         Self { listener, endpoints, endpoint, pools: ConnectionPools::new(bounds) }
     }
 
-    /// A connection that was idle, and the endpoint's side of it.
-    pub async fn idle(&mut self) -> (ConnectionSource, Option<TcpStream>) {
+    /// Returns an idle connection from the pool, and the endpoint's side of it.
+    pub async fn idle_connection(&mut self) -> (ConnectionSource, Option<TcpStream>) {
         let ConnectionSource::Dial(permit) = self.pools.check_out_new(&self.endpoint) else {
-            panic!("a connection is permitted")
+            panic!("the pool has no connection left below its limit")
         };
-        let connection = dial(permit, &self.endpoint, SPAN).await;
+        let connection = dial(permit, &self.endpoint, LONG_TIMEOUT).await;
         self.pools.check_in(&self.endpoint, connection);
         (self.pools.check_out(&self.endpoint), Some(self.listener.accept().unwrap().0))
     }
@@ -71,7 +71,7 @@
             endpoint: self.endpoints.endpoint(self.endpoint.id).unwrap().clone(),
             call,
             source,
-            connect_timeout: 10 * SPAN,
+            connect_timeout: 10 * LONG_TIMEOUT,
             deadline,
             permit: SendPermit { awaited: Rc::new(Cell::new(true)), deduplication_ends: None },
             is_non_idempotent: false,
@@ -82,7 +82,7 @@
     }
 }
 
-/// A list with this endpoint alone.
+/// Returns a list that contains only the endpoint at the listener's address.
 pub fn list(listener: &TcpListener, flavor: &str, phase: Phase) -> EndpointList {
     let member = EndpointRecord {
         id: "s-1".into(),
@@ -97,20 +97,20 @@
     EndpointList { revision: 1, complete: true, members: vec![member] }
 }
 
-/// Lets the attempt come as far as it can without its endpoint.
+/// Polls the attempt once. It must not end without its endpoint.
 pub async fn poll_until_blocked(run: &mut Pin<&mut impl Future<Output = AttemptResult>>) {
     let pending = poll_fn(|cx| Poll::Ready(run.as_mut().poll(cx).is_pending())).await;
-    assert!(pending, "it waits for the endpoint");
+    assert!(pending, "the attempt ended without waiting for the endpoint");
 }
 
-/// Advances the clock.
+/// Advances the clock by `time`, and lets it run on afterwards.
 pub async fn advance_paused(time: Duration) {
     pause();
     advance(time).await;
     resume();
 }
 
-/// Closes a connection with a reset.
+/// Closes a connection with a TCP reset.
 pub fn reset(stream: TcpStream) {
     SockRef::from(&stream).set_linger(Some(Duration::ZERO)).unwrap();
 }
