--- a/crates/gateway/src/engine/handle.rs
+++ b/crates/gateway/src/engine/handle.rs
@@ -20,7 +20,7 @@
 use upstream::call::Answer;
 use upstream::memory::{MemoryBudget, MemoryPermit};
 
-/// Why an operator's command was rejected. No part of the command is in force.
+/// Why an operator's command was not applied. No part of the command is in force.
 #[derive(Debug, thiserror::Error)]
 pub enum CommandError {
     /// The command is invalid or not possible in the current state.
--- a/crates/gateway/src/engine/phases/endpoint_lists.rs
+++ b/crates/gateway/src/engine/phases/endpoint_lists.rs
@@ -60,8 +60,8 @@
     }
 
     fn update_endpoints(&mut self, list: &EndpointList, is_cached: bool) {
-        let (kind, entries, stale) = self.endpoints.apply(list, is_cached);
-        stale.into_iter().for_each(|id| self.pools.close_idle(id));
+        let (kind, entries, idle_to_close) = self.endpoints.apply(list, is_cached);
+        idle_to_close.into_iter().for_each(|id| self.pools.close_idle(id));
         self.events.push_back(Event::EndpointList(kind, entries));
     }
 
--- a/crates/gateway/src/engine/phases/requests.rs
+++ b/crates/gateway/src/engine/phases/requests.rs
@@ -18,7 +18,7 @@
 const MAX_ANSWER_DELAY: Duration = Duration::from_millis(50);
 
 impl Engine {
-    /// Accepts a request, or rejects it before the decision module knows of it.
+    /// Accepts a request, or rejects it before it reaches the decision module.
     pub(in crate::engine) fn accept_request(
         &mut self, id: RequestId, mut incoming: IncomingRequest, slot: AnswerSlot,
     ) {
--- a/crates/upstream/src/call.rs
+++ b/crates/upstream/src/call.rs
@@ -39,8 +39,8 @@
     Served(Bytes),
     /// A large value, which is forwarded to the client as it arrives.
     Streamed(Box<StreamedValue>),
-    /// The request was rejected without being executed, so a retry is harmless. Contains the advised delay before a
-    /// retry in milliseconds; 0 means no advice.
+    /// The request was rejected, and a retry is harmless. Contains the advised delay before the retry in milliseconds;
+    /// 0 means no advice.
     Rejected(u64),
     /// The request failed.
     Failed,
--- a/crates/upstream/src/connection/send.rs
+++ b/crates/upstream/src/connection/send.rs
@@ -19,7 +19,7 @@
 
 /// The conditions under which an attempt may still be sent. They are checked until the last byte of the request is
 /// written, because an endpoint executes nothing before that byte. Connecting, a slow endpoint and the delay of the
-/// last byte can each take long after the decision to send.
+/// last byte all come between the decision to send and that byte.
 #[derive(Debug, Clone)]
 pub struct SendPermit {
     /// Whether the request still awaits an answer: its client has not left, and no other attempt has answered it.
--- a/crates/upstream/src/connection/streamed.rs
+++ b/crates/upstream/src/connection/streamed.rs
@@ -88,7 +88,7 @@
     }
 
     /// Returns the bytes that have arrived and are not consumed yet. Waits until there is at least one. Must not be
-    /// called after [`StreamedValue::is_finished`].
+    /// called once [`StreamedValue::is_finished`] returns `true`.
     ///
     /// # Errors
     /// Returns an error if the connection breaks or a read times out. The rest of the value will not arrive.
--- a/crates/upstream/src/endpoints.rs
+++ b/crates/upstream/src/endpoints.rs
@@ -123,14 +123,14 @@
     pub fn apply(
         &mut self, list: &EndpointList, cached: bool,
     ) -> (ListKind, Vec<EndpointEntry>, Vec<EndpointId>) {
-        let entries: Vec<_> = list.members.iter().map(|member| self.entry(member)).collect();
-        let mut stale = Vec::new();
+        let entries: Vec<_> = list.members.iter().map(|member| self.to_entry(member)).collect();
+        let mut idle_to_close = Vec::new();
         if list.complete {
-            self.remove_unlisted(&entries, &mut stale);
+            self.remove_unlisted(&entries, &mut idle_to_close);
         }
         let mut changes = Vec::new();
         for (member, entry) in list.members.iter().zip(&entries) {
-            if self.apply_entry(member, entry, &mut stale) == PresenceChange::Changed {
+            if self.apply_entry(member, entry, &mut idle_to_close) == PresenceChange::Changed {
                 changes.push((&member.id, entry.presence));
             }
         }
@@ -140,27 +140,27 @@
             (false, true) => ListKind::Full,
             (false, false) => ListKind::Delta,
         };
-        (kind, entries, stale)
+        (kind, entries, idle_to_close)
     }
 
     /// Removes the endpoints that a complete list does not contain.
-    fn remove_unlisted(&mut self, entries: &[EndpointEntry], stale: &mut Vec<EndpointId>) {
+    fn remove_unlisted(&mut self, entries: &[EndpointEntry], idle_to_close: &mut Vec<EndpointId>) {
         let listed: FxHashSet<_> = entries.iter().map(|entry| entry.id).collect();
         self.endpoints.retain(|id, endpoint| {
             let keep = listed.contains(id);
             if !keep {
                 endpoint.mark_gone();
-                stale.push(*id);
+                idle_to_close.push(*id);
             }
             keep
         });
     }
 
     fn apply_entry(
-        &mut self, member: &EndpointRecord, entry: &EndpointEntry, stale: &mut Vec<EndpointId>,
+        &mut self, member: &EndpointRecord, entry: &EndpointEntry, idle_to_close: &mut Vec<EndpointId>,
     ) -> PresenceChange {
         if entry.presence == Presence::Gone {
-            return self.remove(entry.id, stale);
+            return self.remove(entry.id, idle_to_close);
         }
         let Some(known) = self.endpoints.get(&entry.id) else {
             self.insert(member, entry);
@@ -172,7 +172,7 @@
         };
         let is_same_process = known.addr == member.host_port && known.up_since_ms == member.up_since_ms;
         if !is_same_process || !known.ready() {
-            stale.push(entry.id);
+            idle_to_close.push(entry.id);
         }
         if !is_same_process {
             self.insert(member, entry);
@@ -181,10 +181,10 @@
     }
 
     /// Removes an endpoint, so that endpoints that are replaced by new ones all day do not accumulate.
-    fn remove(&mut self, id: EndpointId, stale: &mut Vec<EndpointId>) -> PresenceChange {
+    fn remove(&mut self, id: EndpointId, idle_to_close: &mut Vec<EndpointId>) -> PresenceChange {
         let Some(endpoint) = self.endpoints.remove(&id) else { return PresenceChange::Unchanged };
         endpoint.mark_gone();
-        stale.push(id);
+        idle_to_close.push(id);
         PresenceChange::Changed
     }
 
@@ -202,7 +202,7 @@
         }
     }
 
-    fn entry(&self, member: &EndpointRecord) -> EndpointEntry {
+    fn to_entry(&self, member: &EndpointRecord) -> EndpointEntry {
         EndpointEntry {
             id: endpoint_id(&member.id),
             presence: match member.phase {
