--- a/crates/gateway/src/engine/phases/overrides.rs
+++ b/crates/gateway/src/engine/phases/overrides.rs
@@ -44,7 +44,9 @@
                 log::info!("overrides: loaded from the previous process: {overrides:?}");
             }
             OverrideChange::Loaded => log::debug!("overrides: loaded from the other process: {overrides:?}"),
-            OverrideChange::RolledBack => log::error!("overrides: not written, rolled back"),
+            OverrideChange::RolledBack => {
+                log::error!("overrides: {OVERRIDES_FILE} not written; unwritten commands rolled back");
+            }
         }
     }
 
