--- a/crates/membership/src/action.rs
+++ b/crates/membership/src/action.rs
@@ -8,19 +8,19 @@
 use crate::identity::MemberId;
 use crate::roster::Member;
 
-/// An action for the owner.
+/// An action that the owner carries out, or an event that it is notified of.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Send a datagram.
     Send {
         /// The destination.
         to: SocketAddr,
-        /// At most [`crate::MAX_DATAGRAM`] bytes.
+        /// The bytes to send, at most [`crate::MAX_DATAGRAM`].
         datagram: Bytes,
     },
     /// Call [`crate::Membership::handle_timer`] with the timer, once.
     Timer {
-        /// Time from now.
+        /// The delay from now.
         after: Micros,
         /// The timer to pass.
         timer: Timer,
@@ -29,54 +29,56 @@
     Up(Member),
     /// A member is down.
     Down(Member, DownReason),
-    /// This member was suspected, and refuted it.
+    /// Other members suspected this one, and it refuted the suspicion.
     Refuted,
-    /// This member was declared down, or found a stale incarnation in its place, and continues under this incarnation.
+    /// This member was declared down, or found a higher stale incarnation of its number, and continues under
+    /// the incarnation given here.
     Renewed(Member),
-    /// A later incarnation of this number is up, and this member is silent for good. An owner that knows it is the later one
-    /// (its clock went back by more than the time since the last start) creates a membership with a higher incarnation than
-    /// this one.
+    /// A later incarnation of this number is up, whose value is given here. This member stops: it ignores all
+    /// further inputs. If the owner knows that its own process is the later one (its clock went back by more
+    /// than the time since the last start), it creates a membership with an incarnation above the given one.
     Replaced(u64),
 }
 
-/// Why a member is down.
+/// The reason for which a member is down.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DownReason {
-    /// It answered neither direct nor indirect probes, and did not refute the suspicion.
+    /// The member answered neither direct nor indirect probes, and did not refute the suspicion.
     Unresponsive,
-    /// Other members declared it down.
+    /// Other members declared the member down.
     Gossip,
-    /// It left.
+    /// The member left.
     Left,
-    /// A later incarnation of its number is up.
+    /// A later incarnation of the member's number is up.
     Superseded,
 }
 
-/// A timer, which is opaque to the owner.
+/// A timer. Its content is opaque to the owner.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Timer {
     pub(crate) due: Micros,
     pub(crate) kind: TimerKind,
 }
 
-/// What a timer is for.
+/// The purpose of a timer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum TimerKind {
     /// A timer of foca.
     Foca(foca::Timer<MemberId>),
-    /// The next rejoin round. Only the timer of the latest round counts.
+    /// The start of the next rejoin round. Timers of rounds before the latest are ignored.
     Rejoin { round: u64 },
     /// The next step of a suspicion.
     Suspicion(SuspicionStep),
 }
 
-/// The state of a suspicion that this member raised: remind the suspect once more, or let foca declare it down.
+/// The state of a suspicion that this member raised. The next step sends the suspect a reminder, or lets foca
+/// declare it down.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct SuspicionStep {
     pub(crate) id: MemberId,
     pub(crate) swim_incarnation: foca::Incarnation,
-    /// Reminders that are left to be sent.
+    /// The number of reminders left to send.
     pub(crate) reminders: u8,
-    /// The timer that foca set for the verdict, if this member's own probe failed.
+    /// The timer of foca that declares the suspect down; `None` unless this member's own probe failed.
     pub(crate) verdict: Option<foca::Timer<MemberId>>,
 }
--- a/crates/membership/src/counters.rs
+++ b/crates/membership/src/counters.rs
@@ -1,17 +1,17 @@
 //! Counters of a member's datagrams and suspicions.
 
-/// Why a datagram was dropped.
+/// The reason for which a datagram was dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DatagramError {
-    /// Longer than [`MAX_DATAGRAM`](crate::MAX_DATAGRAM).
+    /// The datagram is longer than [`MAX_DATAGRAM`](crate::MAX_DATAGRAM).
     TooLong,
-    /// Malformed.
+    /// The datagram cannot be decoded.
     Garbled,
     /// The sender, or a member that the header names, is not on the roster.
     UnknownMember,
-    /// From an incarnation that a later one has replaced.
+    /// The sender's incarnation has been replaced by a later one.
     StaleIncarnation,
-    /// For another member, or for another incarnation of this member.
+    /// The datagram is for another member, or for another incarnation of this member.
     NotForUs,
     /// The sender has this member's own number.
     OwnNumber,
@@ -34,7 +34,7 @@
     pub garbled: u64,
     /// Datagrams dropped as [`DatagramError::UnknownMember`].
     pub unknown_member: u64,
-    /// Updates about numbers that are not on the roster, ignored within datagrams.
+    /// Updates that were ignored because their number is not on the roster.
     pub unknown_updates: u64,
     /// Datagrams dropped as [`DatagramError::StaleIncarnation`].
     pub stale_incarnation: u64,
@@ -46,13 +46,13 @@
     pub suspicions: u64,
     /// Suspicions of this member that it refuted.
     pub refutations: u64,
-    /// Times this member was declared down and came back under a new incarnation.
+    /// Number of times that this member was declared down and continued under a new incarnation.
     pub renewals: u64,
-    /// Probe timers that fired so late that this member counts as slow.
+    /// Probe timers that fired late enough to worsen this member's health score.
     pub late_timers: u64,
     /// Stalls of the process, reported by the owner or detected by a timer.
     pub stalls: u64,
-    /// Datagrams not sent, since too many actions waited for the owner.
+    /// Datagrams not sent because too many actions were waiting for the owner.
     pub unsent: u64,
 }
 
--- a/crates/membership/src/identity.rs
+++ b/crates/membership/src/identity.rs
@@ -1,12 +1,12 @@
-//! The identity of a member on the wire, and the mark of one that left.
+//! The identity of a member on the wire, and the SWIM incarnation that marks a member as left.
 
 use foca::{Identity, Incarnation};
 use serde::{Deserialize, Serialize};
 
-/// The SWIM incarnation that marks the update of a member that left. No live member reaches it.
+/// The SWIM incarnation in updates about a member that left. No live member reaches it.
 pub(crate) const LEAVING: Incarnation = Incarnation::MAX;
 
-/// Identifies a member on the wire. Its address is on the roster, and is never taken from a datagram.
+/// Identifies a member on the wire. The member's address comes from the roster, never from a datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct MemberId {
     pub(crate) number: u16,
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,15 +1,19 @@
 //! Membership of the fleet and failure detection: SWIM on [`foca`], with local health (Lifeguard) added.
 //!
-//! Each member probes one other at a time, directly and through others. A member that does not answer is suspected and told so,
-//! and is declared down unless it refutes the suspicion in time. Updates are piggybacked on the datagrams that are sent anyway.
-//! A member is a number of the [`Roster`] and an *incarnation*. Incarnations are ordered: the higher one of a number is the
-//! later one, and nothing that an earlier one sent changes what is known of it. A member that was declared down and is alive
-//! comes back with a higher incarnation ([`Action::Renewed`]). Members of the roster that are not up are asked to rejoin again
-//! and again, so that the two sides of a healed partition merge even after each declared the other down.
+//! Each member probes one other member at a time, directly and then indirectly through further members. A
+//! member that does not answer is suspected and notified of the suspicion, and is declared down unless it
+//! refutes the suspicion in time. Updates are piggybacked on the datagrams of the probes.
 //!
-//! The crate does no I/O, reads no clock and draws no randomness except from a seed. The owner provides the socket, the time,
-//! the timers and the first incarnation, which must grow from start to start (Unix microseconds do; for a clock that went
-//! back, see [`Action::Replaced`]). After each input the owner carries out everything that [`Membership::poll`] returns.
+//! A member is identified by its number on the [`Roster`] and an *incarnation*. Of two incarnations of a
+//! number, the higher is the later one, and datagrams of the earlier one do not change its state. A member
+//! that is alive but was declared down returns with a higher incarnation ([`Action::Renewed`]). Each member
+//! periodically announces itself to the members of the roster that are not up, so that the two sides of a
+//! healed partition merge even if each has declared the other down.
+//!
+//! The crate does no I/O, reads no clock and draws all randomness from a seed. The owner provides the socket,
+//! the time, the timers and the first incarnation, which must increase from one start to the next. Unix
+//! microseconds are suitable; for a clock that went back, see [`Action::Replaced`]. After each input the
+//! owner carries out every action that [`Membership::poll`] returns.
 #![forbid(unsafe_code)]
 #![warn(unreachable_pub, missing_docs)]
 
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -1,4 +1,5 @@
-//! One member of the fleet: datagrams, timers and calls in; datagrams, timers and changes of the member list out.
+//! One member of the fleet. Its inputs are datagrams, timers and calls; its outputs are datagrams, timers and
+//! changes of the member list.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -25,14 +26,14 @@
 mod receive;
 mod rejoin;
 
-/// Upper bound on the actions that wait for the owner. Datagrams beyond it are dropped, as by a full socket. An input yields
-/// some tens of actions.
+/// Upper bound on the actions that wait for the owner. Datagrams beyond it are dropped, as by a full socket
+/// buffer. An input yields some tens of actions.
 const MAX_PENDING_ACTIONS: usize = 8_192;
 
-/// Members that are notified of a leave. It is sent once, and some of the datagrams may be lost.
+/// Number of members that are notified of a leave. Each is notified once, and some of the datagrams may be lost.
 const LEAVE_FANOUT: usize = 8;
 
-/// One member of the fleet.
+/// The state of one member of the fleet.
 pub struct Membership {
     local: Member,
     roster: Roster,
@@ -49,23 +50,23 @@
     health: Health,
     counters: Counters,
     swim_incarnation: Incarnation,
-    /// Whether a member that is up knows this incarnation.
+    /// Whether another member that is up knows this member's current incarnation.
     connected: bool,
-    /// Whether it left or was replaced, after which it ignores all inputs.
+    /// Whether this member left or was replaced. It then ignores all inputs.
     silent: bool,
     first_received_at: Option<Micros>,
     overtakes: u32,
     fast_rejoin_until: Micros,
     rejoin_round: u64,
-    /// The ping of the current probe, to be sent again.
+    /// The ping of the current probe, kept so that it can be repeated.
     last_ping: Option<(MemberId, Bytes)>,
     /// The timer that starts the indirect probes of the current probe.
     indirect_probe: Option<foca::Timer<MemberId>>,
 }
 
 impl Membership {
-    /// Creates a member that knows no other yet. `local` must be on the roster. The same seed and inputs yield the same
-    /// actions.
+    /// Creates a member that does not know any other member. `local` must be on the roster. The same seed and
+    /// inputs yield the same actions.
     pub fn new(local: Member, roster: Roster, settings: Settings, seed: u64) -> Self {
         let id = MemberId { number: local.number, incarnation: local.incarnation };
         let random = SmallRng::seed_from_u64(seed);
@@ -119,12 +120,13 @@
         self.counters
     }
 
-    /// The next action; `None` once everything that follows from the inputs is done.
+    /// Returns the next action; `None` if no action is pending.
     pub fn poll(&mut self) -> Option<Action> {
         self.actions.pop_front()
     }
 
-    /// Joins through the members of the roster at these addresses, and starts rejoin rounds for all others.
+    /// Announces this member to the members of the roster at these addresses, and starts the rejoin rounds,
+    /// which cover the rest of the roster.
     pub fn join(&mut self, now: Micros, addresses: &[SocketAddr]) {
         if self.silent {
             return;
@@ -138,7 +140,7 @@
         self.process_foca_output(now, DownReason::Gossip);
     }
 
-    /// Notifies some members that this one leaves, and ignores all further inputs.
+    /// Notifies some members that this one leaves. All further inputs are ignored.
     pub fn leave(&mut self, now: Micros) {
         if self.silent {
             return;
@@ -152,20 +154,20 @@
         self.silent = true;
     }
 
-    /// Handles a stall of the process for `gap`, after which answers may be queued unread and timers are overdue.
+    /// Handles a stall of the process that lasted `gap`. After it, answers may be queued unread and timers are overdue.
     pub fn handle_stall(&mut self, now: Micros, gap: Micros) {
         if self.silent || gap < self.settings.probe_timeout {
             return;
         }
         self.counters.stalls += 1;
         self.health.record_stall(now.saturating_add(2 * self.settings.probe_interval));
-        // The probed member gets another chance, since its answer may be lost.
+        // Pings the probed member again, because its answer may be lost.
         if let Some(timer) = self.indirect_probe.take() {
-            // An error says that foca has ended that probe.
+            // foca returns an error if it has already ended that probe.
             let _stale = self.foca.handle_timer(timer, &mut self.foca_output);
             self.repeat_ping();
         }
-        // This member may have been declared down meanwhile, which an announcement finds out.
+        // Other members may have declared this one down meanwhile. Their answers to an announcement would show it.
         if self.rejoin_round > 0 {
             let fanout = self.settings.rejoin_fanout;
             for number in self.sample_members(fanout, |it, number| it.up.contains_key(&number)) {
@@ -176,7 +178,7 @@
         self.process_foca_output(now, DownReason::Gossip);
     }
 
-    /// Handles a timer of [`Action::Timer`] that is due.
+    /// Handles a timer that [`Action::Timer`] requested and that is due.
     pub fn handle_timer(&mut self, now: Micros, timer: Timer) {
         if self.silent {
             return;
@@ -204,7 +206,7 @@
         self.process_foca_output(now, reason);
     }
 
-    /// Takes in a datagram.
+    /// Handles a received datagram.
     pub fn handle_datagram(&mut self, now: Micros, datagram: &[u8]) {
         if self.silent {
             return;
@@ -218,7 +220,7 @@
         self.process_foca_output(now, DownReason::Gossip);
     }
 
-    /// Falls silent for a later incarnation of this number.
+    /// Stops this member, because a later incarnation of its number is up.
     fn handle_replacement(&mut self, incarnation: u64) {
         self.silent = true;
         self.actions.push_back(Action::Replaced(incarnation));
--- a/crates/membership/src/membership/foca_output.rs
+++ b/crates/membership/src/membership/foca_output.rs
@@ -1,4 +1,5 @@
-//! Translates foca's output into actions, with the stretched timeouts and the reminders of this crate.
+//! Translates foca's output into actions. Stretches timeouts by the local health score, and adds the
+//! reminders to suspects.
 
 use std::time::Duration;
 
@@ -13,12 +14,13 @@
 use crate::wire;
 
 impl Membership {
-    /// Processes foca's output until nothing is left. Members that go down do so for `reason`.
+    /// Processes foca's output until nothing is left. `reason` is reported for members that go down.
     pub(super) fn process_foca_output(&mut self, now: Micros, reason: DownReason) {
         self.process_foca_output_of(now, &[], reason);
     }
 
-    /// The same after a datagram, some of whose updates may say that a member left.
+    /// Processes foca's output after a datagram with these updates, until nothing is left. For members that
+    /// go down, reports [`DownReason::Left`] if an update says so, and `reason` otherwise.
     pub(super) fn process_foca_output_of(
         &mut self, now: Micros, updates: &[foca::Member<MemberId>], reason: DownReason,
     ) {
@@ -69,7 +71,7 @@
         }
     }
 
-    /// Returns whether the member was up.
+    /// Marks the member with this number as down. Returns true if it was up.
     fn mark_down(&mut self, number: u16, reason: DownReason) -> bool {
         self.suspicions.remove(number);
         let down: Option<Member> = self.up.remove(&number);
@@ -77,8 +79,8 @@
         down.is_some()
     }
 
-    /// Schedules a timer of foca. `skip_probe` carries over from the timers of a probe to the timer of the next one: the probe
-    /// of a suspect is cut short.
+    /// Schedules a timer of foca. Sets `skip_probe` at the timer of a probe of a suspect, so that the timer
+    /// of the next probe fires early and cuts that probe short.
     fn schedule_foca_timer(
         &mut self, now: Micros, after: Duration, timer: foca::Timer<MemberId>, skip_probe: &mut bool,
     ) {
--- a/crates/membership/src/membership/probing.rs
+++ b/crates/membership/src/membership/probing.rs
@@ -1,4 +1,4 @@
-//! Probes and suspicions: repeated probes, reminders to the suspect, and when it is declared down.
+//! Probes and suspicions: repeated pings, reminders to the suspect, and declaring it down.
 
 use foca::{Incarnation, State};
 
@@ -19,21 +19,21 @@
         }
         let is_indirect = matches!(timer, foca::Timer::SendIndirectProbe { .. });
         let sent = self.counters.sent + self.foca_output.backlog() as u64;
-        // An error says that a probe was cut short: foca drops that probe and continues with the next.
+        // foca returns an error if a probe was cut short. It drops that probe and continues with the next.
         let _cut_short = self.foca.handle_timer(timer, &mut self.foca_output);
         if is_indirect && self.counters.sent + self.foca_output.backlog() as u64 > sent {
             self.repeat_ping();
         }
     }
 
-    /// Sends the ping again. With packet loss, a second ping succeeds more often than four paths through other members.
+    /// Sends the last ping again. Under packet loss, a second ping succeeds more often than four indirect probes.
     pub(super) fn repeat_ping(&mut self) {
         if let Some((to, datagram)) = self.last_ping.take() {
             self.send(to, datagram);
         }
     }
 
-    /// Takes the next step of a suspicion that this member raised.
+    /// Advances a suspicion that this member raised: sends a reminder, or declares the suspect down.
     pub(super) fn advance_suspicion(&mut self, now: Micros, step: SuspicionStep) {
         let SuspicionStep { id, swim_incarnation, reminders, verdict } = step;
         if self.suspected_at(id) != Some(swim_incarnation) {
@@ -57,21 +57,22 @@
     ) {
         self.suspicions.withdraw(id.number);
         let down = foca::Member::new(id, swim_incarnation, State::Down);
-        // An error says that the suspect was already declared down or replaced.
+        // foca returns an error if the suspect was already declared down or replaced.
         let _outdated = match verdict {
             Some(verdict) => self.foca.handle_timer(verdict, &mut self.foca_output),
             None => self.foca.apply_many(std::iter::once(down), true, &mut self.foca_output),
         };
     }
 
-    /// The SWIM incarnation at which a member is suspected, if it is.
+    /// Returns the SWIM incarnation at which a member is suspected; `None` if it is not suspected.
     pub(super) fn suspected_at(&self, id: MemberId) -> Option<Incarnation> {
         let member = self.foca.iter_members().find(|it| *it.id() == id)?;
         (member.state() == State::Suspect).then(|| member.incarnation())
     }
 
-    /// Takes over suspicions that last longer than the timeout: the member that raised one may have crashed, or the update
-    /// with its verdict was lost among many that crashed with it.
+    /// Takes over suspicions that last longer than the timeout. The member that raised such a suspicion may
+    /// have crashed, or its update that declares the suspect down was lost because many members crashed
+    /// together.
     pub(super) fn take_over_suspicions(&mut self, now: Micros) {
         let suspects = self.foca.iter_members().filter(|it| it.state() == State::Suspect);
         let suspects: Vec<(MemberId, Incarnation)> =
--- a/crates/membership/src/membership/receive.rs
+++ b/crates/membership/src/membership/receive.rs
@@ -1,4 +1,4 @@
-//! Received datagrams: which are admitted, and which of their updates reach foca.
+//! Admits received datagrams, and filters the updates that reach foca.
 
 use foca::Message;
 
@@ -9,12 +9,13 @@
 use crate::identity::MemberId;
 use crate::wire::{self, Datagram};
 
-/// How often a member exceeds a stale incarnation of its number: two processes with one number must not exceed each other
-/// forever.
+/// Number of times that a member raises its incarnation above a stale one of its number. The limit keeps two
+/// processes with one number from outbidding each other forever.
 const MAX_OVERTAKES: u32 = 3;
 
 impl Membership {
-    /// Admits datagrams for this incarnation from members of the roster that no later incarnation has replaced.
+    /// Admits a datagram that is for this incarnation, or is an announcement to this member's number, and
+    /// whose sender is on the roster and not replaced by a later incarnation.
     pub(super) fn admit(&mut self, datagram: Datagram) -> Result<Datagram, DatagramError> {
         let (from, to, own) = (datagram.header.src, datagram.header.dst, *self.foca.identity());
         if from.number == own.number {
@@ -29,7 +30,8 @@
         }
         match self.incarnations.get(&from.number) {
             Some(&incarnation) if incarnation > from.incarnation => {
-                // A late datagram, or a process that started with a clock that went back: it learns what to exceed.
+                // The datagram is late, or the sender started after its clock went back. The update tells the
+                // sender which incarnation it must exceed.
                 let newest = MemberId { number: from.number, incarnation };
                 self.send_update(from, foca::Member::alive(newest));
                 Err(DatagramError::StaleIncarnation)
@@ -38,7 +40,7 @@
         }
     }
 
-    /// Takes in an admitted datagram, whose bytes are `encoded`.
+    /// Handles an admitted datagram, whose bytes are `encoded`.
     pub(super) fn receive(&mut self, now: Micros, mut datagram: Datagram, encoded: &[u8]) {
         self.first_received_at.get_or_insert(now);
         let newer = self.newer_own_incarnation(&datagram);
@@ -55,7 +57,7 @@
         }
         self.process_foca_output_of(now, &updates, DownReason::Gossip);
         if self.counters.refutations > refutations {
-            // Tells the member that passed on the suspicion at once, before gossip gets there.
+            // Announces this member to the sender of the suspicion, because gossip would reach the sender later.
             self.announce(header.src.number);
         }
         if let Some(incarnation) = newer {
@@ -63,7 +65,7 @@
         }
     }
 
-    /// The highest incarnation of this member's number that the updates name, if it is higher than its own.
+    /// Returns the highest incarnation of this member's number in the updates, if it is higher than its own.
     fn newer_own_incarnation(&self, datagram: &Datagram) -> Option<u64> {
         let own = *self.foca.identity();
         let ids = datagram.updates.iter().map(|it| *it.id());
@@ -71,8 +73,9 @@
         incarnations.max().filter(|&incarnation| incarnation > own.incarnation)
     }
 
-    /// Removes updates about unknown numbers and about other incarnations of this member. The latter are stale, or a
-    /// replacement, and never a member. Returns whether any was removed.
+    /// Removes updates about unknown numbers and about other incarnations of this member. Such an incarnation
+    /// is stale or this member's replacement, and never counts as another member. Returns true if any update
+    /// was removed.
     fn filter_updates(&mut self, datagram: &mut Datagram) -> bool {
         let (roster, own, updates) = (&self.roster, *self.foca.identity(), &mut datagram.updates);
         let received = updates.len();
@@ -82,7 +85,7 @@
         updates.len() < received
     }
 
-    /// Remembers the highest incarnation of each other member.
+    /// Records an incarnation of another member, if it is the highest known one.
     pub(super) fn record_incarnation(&mut self, id: MemberId) {
         if id.number != self.local.number {
             let known = self.incarnations.entry(id.number).or_default();
@@ -90,12 +93,16 @@
         }
     }
 
-    /// Handles a higher incarnation of this member's number: soon after the start that of an earlier process, later this
-    /// member's replacement.
+    /// Handles a higher incarnation of this member's number. Within [`Settings::stale_incarnation_time`] it
+    /// belongs to an earlier process and this member exceeds it; later it is this member's replacement.
+    ///
+    /// [`Settings::stale_incarnation_time`]: crate::Settings::stale_incarnation_time
     fn handle_newer_incarnation(&mut self, now: Micros, incarnation: u64) {
-        let started = self.first_received_at;
-        let young = started.is_none_or(|at| now.saturating_sub(at) < self.settings.stale_incarnation_time);
-        let next = incarnation.checked_add(1).filter(|_| young && self.overtakes < MAX_OVERTAKES);
+        let first = self.first_received_at;
+        let may_be_stale =
+            first.is_none_or(|at| now.saturating_sub(at) < self.settings.stale_incarnation_time);
+        let may_exceed = may_be_stale && self.overtakes < MAX_OVERTAKES;
+        let next = incarnation.checked_add(1).filter(|_| may_exceed);
         let Some(next) = next else { return self.handle_replacement(incarnation) };
         self.overtakes += 1;
         let id = MemberId { number: self.local.number, incarnation: next };
--- a/crates/membership/src/roster.rs
+++ b/crates/membership/src/roster.rs
@@ -1,4 +1,4 @@
-//! The roster: which numbers may be members, and at which addresses.
+//! The roster: the numbers that may be members, and their addresses.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -20,7 +20,7 @@
     pub zone: u16,
 }
 
-/// A slot of the roster.
+/// The address and zone of one number on the roster.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MemberSlot {
     /// The address of the process with this number.
@@ -40,14 +40,14 @@
         self.slots.contains_key(&number)
     }
 
-    /// Whether every member that a datagram's header names is on the roster.
+    /// Returns whether every member that a datagram's header names is on the roster.
     pub(crate) fn contains_all(&self, header: &Header<MemberId>) -> bool {
-        let third = match &header.message {
+        let other_member = match &header.message {
             Message::PingReq { target, .. } | Message::IndirectAck { target, .. } => Some(target),
             Message::IndirectPing { origin, .. } | Message::ForwardedAck { origin, .. } => Some(origin),
             _ => None,
         };
-        self.contains(header.src.number) && third.is_none_or(|id| self.contains(id.number))
+        self.contains(header.src.number) && other_member.is_none_or(|id| self.contains(id.number))
     }
 
     pub(crate) fn member(&self, id: MemberId) -> Option<Member> {
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -7,41 +7,44 @@
 
 use crate::Micros;
 
-/// Upper bound on the bytes of a datagram. It leaves an owner 50 bytes for its own header within the 1,200 bytes that every
-/// path carries.
+/// Upper bound on the bytes of a datagram. Every network path carries 1,200 bytes, of which 50 are left for
+/// the owner's own header.
 pub const MAX_DATAGRAM: usize = 1_150;
 
-/// Settings of the protocol, the same for all members. The default is for 3 to 1,000 members in one site.
+/// Settings of the protocol. All members must use the same ones. The default is for 3 to 1,000 members in one site.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Settings {
     /// Time from one probe to the next. A shorter interval detects a crash of many members sooner, and costs two small
     /// datagrams for each probe.
     pub probe_interval: Micros,
-    /// Time from a probe to the indirect probes: longer than nearly every answer takes, less than half the interval.
+    /// Time from a probe to the indirect probes. It must be longer than nearly every answer takes and less than half of
+    /// `probe_interval`.
     pub probe_timeout: Micros,
-    /// How many members are asked to probe one that did not answer.
+    /// Number of members that are asked to probe a member that did not answer.
     pub indirect_probes: usize,
-    /// Time from a suspicion to declaring the suspect down. It guards against a stalled process, or loss, that looks like a
-    /// crash.
+    /// Time from a suspicion to declaring the suspect down. It keeps a member up whose process stalls, or
+    /// whose datagrams are lost, for a short time.
     pub suspicion_timeout: Micros,
-    /// How often the suspect is reminded during the suspicion.
+    /// Number of reminders that the suspect gets during a suspicion.
     pub reminders: u8,
-    /// How often each member passes on an update. Half of the datagrams are lost where half the fleet has just crashed.
+    /// Number of times that each member passes on an update. Half of the datagrams are lost when half of the
+    /// fleet has just crashed.
     pub max_transmissions: u8,
-    /// Time from one gossip round to the next, while there are updates.
+    /// Time from one gossip round to the next while there are updates to send.
     pub gossip_interval: Micros,
-    /// Members that receive a gossip round.
+    /// Number of members that receive each gossip round.
     pub gossip_fanout: usize,
-    /// Time from one rejoin round to the next, while members of the roster are not up.
+    /// Time from one rejoin round to the next.
     pub rejoin_interval: Micros,
-    /// The same within `fast_rejoin_time` of a join, a renewal or a stall.
+    /// Time from one rejoin round to the next within `fast_rejoin_time` of a join, a renewal or a stall.
     pub fast_rejoin_interval: Micros,
-    /// Members asked in a rejoin round.
+    /// Number of members that each rejoin round announces this member to.
     pub rejoin_fanout: usize,
-    /// How long after a join, a renewal or a stall to use the fast interval.
+    /// Time after a join, a renewal or a stall in which `fast_rejoin_interval` applies.
     pub fast_rejoin_time: Micros,
-    /// How long after its start a member takes a higher incarnation of its number for a stale one of an earlier process, and
-    /// exceeds it. Later, it takes that incarnation for its own replacement.
+    /// Time after the first received datagram in which a member treats a higher incarnation of its number as
+    /// the stale one of an earlier process, and exceeds it. Later, the member treats such an incarnation as
+    /// its own replacement.
     pub stale_incarnation_time: Micros,
 }
 
@@ -66,7 +69,8 @@
 }
 
 impl Settings {
-    /// The configuration of foca. Its own periodic announcements are off, since rejoin rounds follow the roster.
+    /// Returns the configuration of foca. Its own periodic announcements are off, because rejoin rounds cover
+    /// the roster.
     pub(crate) fn to_foca(&self) -> Config {
         let at_least_one = |count: usize| NonZeroUsize::new(count).unwrap_or(NonZeroUsize::MIN);
         let duration = |micros: Micros| Duration::from_micros(micros.max(1));
@@ -76,7 +80,8 @@
             num_indirect_probes: at_least_one(self.indirect_probes),
             max_transmissions: NonZeroU8::new(self.max_transmissions).unwrap_or(NonZeroU8::MIN),
             suspect_to_down_after: duration(self.suspicion_timeout),
-            // Kept for good, one entry for each number of the roster: a forgotten incarnation could come back.
+            // Members that are down are never removed, because a forgotten incarnation could come back. There
+            // is one entry for each number of the roster.
             remove_down_after: None,
             max_packet_size: at_least_one(MAX_DATAGRAM),
             notify_down_members: true,
--- a/crates/membership/src/suspicions.rs
+++ b/crates/membership/src/suspicions.rs
@@ -1,4 +1,4 @@
-//! Which members are suspected, so that no probe is spent on a member whose suspicion timeout runs.
+//! Keeps track of suspected members, so that no probe is spent on a member whose suspicion timeout is running.
 
 use std::collections::BTreeMap;
 
@@ -7,25 +7,26 @@
 use crate::Micros;
 use crate::identity::MemberId;
 
-/// A suspicion that this member met while probing.
+/// A suspicion that this member found while probing.
 #[derive(Clone, Copy, Debug)]
 struct Observed {
     swim_incarnation: Incarnation,
     since: Micros,
 }
 
-/// The suspicions that this member met while probing, and those that it raised: at most one of each for every number of the
-/// roster.
+/// The suspicions that this member found while probing, and those that it raised. There is at most one of
+/// each for every number of the roster.
 #[derive(Debug, Default)]
 pub(crate) struct Suspicions {
     observed: BTreeMap<u16, Observed>,
-    /// Raised by this member, with the timer of foca that ends in a verdict, if there is one.
+    /// The suspicions that this member raised, each with the timer of foca that declares the suspect down, if
+    /// there is one.
     raised: BTreeMap<u16, Option<foca::Timer<MemberId>>>,
 }
 
 impl Suspicions {
-    /// Whether a probe should skip a member that is suspected at this incarnation. Only for the duration of a suspicion: if
-    /// the member that raised it has crashed, nobody declares the suspect down.
+    /// Returns whether to skip a probe of a member that is suspected at this incarnation. Probes are skipped only until
+    /// `timeout` has passed: if the member that raised the suspicion has crashed, nobody declares the suspect down.
     pub(crate) fn skips_probe(
         &mut self, now: Micros, number: u16, swim_incarnation: Incarnation, timeout: Micros,
     ) -> bool {
@@ -37,7 +38,8 @@
         now < observed.since.saturating_add(timeout)
     }
 
-    /// Raises a suspicion, which ends with foca's `verdict` if there is one. Returns false if it is raised already.
+    /// Records a suspicion that this member raises. It ends with foca's timer `verdict`, if there is one.
+    /// Returns false if the suspicion is already recorded.
     pub(crate) fn raise(&mut self, number: u16, verdict: Option<&foca::Timer<MemberId>>) -> bool {
         match (self.raised.get(&number), verdict) {
             (Some(_), None) => false,
@@ -49,12 +51,12 @@
         }
     }
 
-    /// Drops the suspicion that this member raised.
+    /// Removes the suspicion of this number that this member raised.
     pub(crate) fn withdraw(&mut self, number: u16) {
         self.raised.remove(&number);
     }
 
-    /// Drops everything about a number.
+    /// Removes all suspicions of this number.
     pub(crate) fn remove(&mut self, number: u16) {
         self.observed.remove(&number);
         self.raised.remove(&number);
--- a/crates/membership/src/wire.rs
+++ b/crates/membership/src/wire.rs
@@ -1,4 +1,4 @@
-//! Datagrams: decoding before foca sees one, and encoding of the few that this crate writes itself.
+//! Decodes datagrams before they are passed to foca, and encodes the few that this crate writes itself.
 
 use bytes::{BufMut, Bytes, BytesMut};
 use foca::{Codec, Header, Message, PostcardCodec};
@@ -11,11 +11,11 @@
 #[derive(Debug)]
 pub(crate) struct Datagram {
     pub(crate) header: Header<MemberId>,
-    /// The member states that it carries.
+    /// The member states that the datagram carries.
     pub(crate) updates: Vec<foca::Member<MemberId>>,
 }
 
-/// Decodes a whole datagram. Nothing in a damaged one is trusted.
+/// Decodes a whole datagram. If any part is malformed, the whole datagram is rejected.
 pub(crate) fn decode(mut data: &[u8]) -> Result<Datagram, DatagramError> {
     if data.len() > MAX_DATAGRAM {
         return Err(DatagramError::TooLong);
@@ -41,7 +41,7 @@
 pub(crate) fn encode(header: &Header<MemberId>, updates: &[foca::Member<MemberId>]) -> Bytes {
     let mut data = BytesMut::with_capacity(MAX_DATAGRAM).limit(MAX_DATAGRAM);
     let fits = PostcardCodec.encode_header(header, &mut data).is_ok();
-    debug_assert!(fits, "a header takes tens of bytes");
+    debug_assert!(fits, "the header does not fit {MAX_DATAGRAM} bytes");
     if !matches!(header.message, Message::Announce | Message::TurnUndead) {
         let count_at = data.get_ref().len();
         data.put_u16(0);
