--- a/crates/membership/src/counters.rs
+++ b/crates/membership/src/counters.rs
@@ -6,7 +6,7 @@
     /// The datagram is longer than [`MAX_DATAGRAM`](crate::MAX_DATAGRAM).
     TooLong,
     /// The datagram cannot be decoded.
-    Garbled,
+    Malformed,
     /// The sender, or a member that the header names, is not on the roster.
     UnknownMember,
     /// The sender's incarnation has been replaced by a later one.
@@ -30,8 +30,8 @@
     pub received_bytes: u64,
     /// Datagrams dropped as [`DatagramError::TooLong`].
     pub too_long: u64,
-    /// Datagrams dropped as [`DatagramError::Garbled`].
-    pub garbled: u64,
+    /// Datagrams dropped as [`DatagramError::Malformed`].
+    pub malformed: u64,
     /// Datagrams dropped as [`DatagramError::UnknownMember`].
     pub unknown_member: u64,
     /// Updates that were ignored because their number is not on the roster.
@@ -60,7 +60,7 @@
     pub(crate) fn record_dropped(&mut self, error: DatagramError) {
         let counter = match error {
             DatagramError::TooLong => &mut self.too_long,
-            DatagramError::Garbled => &mut self.garbled,
+            DatagramError::Malformed => &mut self.malformed,
             DatagramError::UnknownMember => &mut self.unknown_member,
             DatagramError::StaleIncarnation => &mut self.stale_incarnation,
             DatagramError::NotForUs => &mut self.not_for_us,
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -55,7 +55,7 @@
     /// Whether this member left or was replaced. It then ignores all inputs.
     silent: bool,
     first_received_at: Option<Micros>,
-    overtakes: u32,
+    incarnation_bumps: u32,
     fast_rejoin_until: Micros,
     rejoin_round: u64,
     /// The ping of the current probe, kept so that it can be repeated.
@@ -87,7 +87,7 @@
             connected: false,
             silent: false,
             first_received_at: None,
-            overtakes: 0,
+            incarnation_bumps: 0,
             fast_rejoin_until: 0,
             rejoin_round: 0,
             last_ping: None,
--- a/crates/membership/src/membership/foca_output.rs
+++ b/crates/membership/src/membership/foca_output.rs
@@ -16,12 +16,12 @@
 impl Membership {
     /// Processes foca's output until nothing is left. `reason` is reported for members that go down.
     pub(super) fn process_foca_output(&mut self, now: Micros, reason: DownReason) {
-        self.process_foca_output_of(now, &[], reason);
+        self.process_foca_output_with_updates(now, &[], reason);
     }
 
     /// Processes foca's output after a datagram with these updates, until nothing is left. For members that
     /// go down, reports [`DownReason::Left`] if an update says so, and `reason` otherwise.
-    pub(super) fn process_foca_output_of(
+    pub(super) fn process_foca_output_with_updates(
         &mut self, now: Micros, updates: &[foca::Member<MemberId>], reason: DownReason,
     ) {
         while self.foca_output.backlog() > 0 {
--- a/crates/membership/src/membership/receive.rs
+++ b/crates/membership/src/membership/receive.rs
@@ -11,7 +11,7 @@
 
 /// Number of times that a member raises its incarnation above a stale one of its number. The limit keeps two
 /// processes with one number from outbidding each other forever.
-const MAX_OVERTAKES: u32 = 3;
+const MAX_INCARNATION_BUMPS: u32 = 3;
 
 impl Membership {
     /// Admits a datagram that is for this incarnation, or is an announcement to this member's number, and
@@ -53,9 +53,9 @@
         let refutations = self.counters.refutations;
         let passed_on = reencoded.as_deref().unwrap_or(encoded);
         if self.foca.handle_data(passed_on, &mut self.foca_output).is_err() {
-            self.counters.record_dropped(DatagramError::Garbled);
+            self.counters.record_dropped(DatagramError::Malformed);
         }
-        self.process_foca_output_of(now, &updates, DownReason::Gossip);
+        self.process_foca_output_with_updates(now, &updates, DownReason::Gossip);
         if self.counters.refutations > refutations {
             // Announces this member to the sender of the suspicion, because gossip would reach the sender later.
             self.announce(header.src.number);
@@ -101,10 +101,10 @@
         let first = self.first_received_at;
         let may_be_stale =
             first.is_none_or(|at| now.saturating_sub(at) < self.settings.stale_incarnation_time);
-        let may_exceed = may_be_stale && self.overtakes < MAX_OVERTAKES;
+        let may_exceed = may_be_stale && self.incarnation_bumps < MAX_INCARNATION_BUMPS;
         let next = incarnation.checked_add(1).filter(|_| may_exceed);
         let Some(next) = next else { return self.handle_replacement(incarnation) };
-        self.overtakes += 1;
+        self.incarnation_bumps += 1;
         let id = MemberId { number: self.local.number, incarnation: next };
         if self.foca.change_identity(id, &mut self.foca_output).is_ok() {
             self.handle_renewal(now);
--- a/crates/membership/src/wire.rs
+++ b/crates/membership/src/wire.rs
@@ -21,15 +21,15 @@
         return Err(DatagramError::TooLong);
     }
     let header: Header<MemberId> =
-        PostcardCodec.decode_header(&mut data).map_err(|_| DatagramError::Garbled)?;
+        PostcardCodec.decode_header(&mut data).map_err(|_| DatagramError::Malformed)?;
     let mut updates = Vec::new();
     if let Some((count, rest)) = data.split_first_chunk() {
         data = rest;
         for _ in 0..u16::from_be_bytes(*count) {
-            updates.push(PostcardCodec.decode_member(&mut data).map_err(|_| DatagramError::Garbled)?);
+            updates.push(PostcardCodec.decode_member(&mut data).map_err(|_| DatagramError::Malformed)?);
         }
     }
-    if data.is_empty() { Ok(Datagram { header, updates }) } else { Err(DatagramError::Garbled) }
+    if data.is_empty() { Ok(Datagram { header, updates }) } else { Err(DatagramError::Malformed) }
 }
 
 /// Decodes the header of a datagram that foca wrote.
--- a/crates/membership/tests/health.rs
+++ b/crates/membership/tests/health.rs
@@ -1,9 +1,9 @@
-//! Local health stretches timeouts while a member's own timers fire late.
+//! A member whose own timers fire late stretches its timeouts.
 
 use membership::health::{Health, MAX_SCORE};
 
 #[test]
-fn late_timers_stretch_timeouts_up_to_a_bound_and_punctual_ones_restore_them() {
+fn late_timers_stretch_timeouts_and_punctual_ones_restore_them() {
     let mut health = Health::default();
     assert!(!health.record_timer(49, 50));
     assert_eq!(health.stretch(100), 100);
