--- a/crates/gossip-transport/src/lib.rs
+++ b/crates/gossip-transport/src/lib.rs
@@ -1,8 +1,7 @@
 //! The UDP socket over which the balancers of one tier gossip.
 //!
-//! [`GossipTransport`] holds the socket and drives [`GossipState`], which creates the reports and evaluates those
-//! received. It leaves to its owner, the gateway's core, the time, the waiting between two reports, and the weight
-//! factors that follow.
+//! [`GossipTransport`] owns the socket and drives [`GossipState`], which creates reports and evaluates received ones.
+//! Its owner is the core of the gateway: it provides the time, waits between reports, and applies the weight factors.
 #![forbid(unsafe_code)]
 #![warn(unreachable_pub)]
 
@@ -17,24 +16,24 @@
 use thiserror::Error;
 use tokio::net::UdpSocket;
 
-/// The pause after a failed receive, so that a socket that keeps failing costs no time.
+/// The pause after a failed receive. It keeps a socket that fails repeatedly from causing a busy loop.
 const RECEIVE_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Where balancers reach each other.
+/// The addresses at which balancers reach each other.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct GossipAddresses {
-    /// Where this balancer is reached.
+    /// The address at which this balancer receives reports.
     pub listen: SocketAddr,
-    /// The address that each balancer sends from, by its number, this one included.
+    /// The address from which each balancer sends, by its number. This balancer is included.
     pub each: Vec<SocketAddr>,
-    /// One address that reaches all of them, where there is one.
+    /// The address that reaches all balancers, if there is one.
     pub all: Option<SocketAddr>,
     /// The number of this balancer.
     pub me: usize,
 }
 
 impl GossipAddresses {
-    /// Where reports are sent: to the common address, or else to each other balancer.
+    /// Returns the destinations of reports: the common address if there is one, otherwise each other balancer.
     fn destinations(&self) -> Vec<SocketAddr> {
         if let Some(all) = self.all {
             return vec![all];
@@ -44,20 +43,20 @@
     }
 }
 
-/// Why the transport could not be opened.
+/// The reason for which the transport could not be opened.
 #[derive(Debug, Error)]
 pub enum OpenError {
-    /// The address is taken, or is not one of this machine.
+    /// The socket could not be bound to the address: it is in use, or is not an address of this machine.
     #[error("listening on peer_listen {address}: {error}")]
     Bind {
-        /// The address.
+        /// The address that could not be bound.
         address: SocketAddr,
-        /// What the system reported.
+        /// The error of the operating system.
         error: io::Error,
     },
 }
 
-/// The socket, and the state of gossip over it.
+/// The gossip socket, and the gossip state that it serves.
 #[derive(Debug)]
 pub struct GossipTransport {
     socket: UdpSocket,
@@ -69,10 +68,10 @@
 }
 
 impl GossipTransport {
-    /// Binds the socket. `unix` is the time now, `seed` that of the jitter between reports.
+    /// Binds the socket. `unix` is the current Unix time. `seed` determines the jitter between reports.
     ///
     /// # Errors
-    /// When the address is taken or is not one of this machine; the error names it.
+    /// Returns an error with the address if it is in use or is not an address of this machine.
     pub async fn open(addresses: &GossipAddresses, unix: Micros, seed: u64) -> Result<Self, OpenError> {
         let address = addresses.listen;
         let bound = UdpSocket::bind(address).await;
@@ -87,9 +86,9 @@
         })
     }
 
-    /// Receives the next datagram. Errors are not returned: after one the socket is read again later.
+    /// Receives the next datagram. After an error, waits and then reads the socket again.
     pub async fn receive(&self) -> (Vec<u8>, SocketAddr) {
-        let mut buffer = [0; MAX_BYTES + 1]; // one byte more, so that a longer datagram is detected
+        let mut buffer = [0; MAX_BYTES + 1]; // one byte more, to detect longer datagrams
         loop {
             match self.socket.recv_from(&mut buffer).await {
                 Ok((length, from)) => return (buffer[..length].to_vec(), from),
@@ -98,12 +97,12 @@
         }
     }
 
-    /// How long to wait before the next report.
+    /// Returns the time to wait before the next report.
     pub fn next_interval(&mut self) -> Duration {
         Duration::from_micros(self.state.next_interval(self.rng.f64()))
     }
 
-    /// Handles a datagram that was received from an address.
+    /// Handles a datagram that was received from the address `from`.
     pub fn handle_datagram(&mut self, now: Micros, datagram: &[u8], from: SocketAddr) {
         match self.numbers.get(&from) {
             Some(&number) => self.state.handle_datagram(now, number, datagram),
@@ -111,18 +110,18 @@
         }
     }
 
-    /// Publishes this balancer's loads, and returns the weight factors that follow from all reports.
+    /// Sends this balancer's loads to the others, and returns the weight factors from all reports.
     pub fn publish(&mut self, now: Micros, loads: &[LoadReport]) -> Event {
-        let turn = self.state.publish(now, loads);
+        let round = self.state.publish(now, loads);
         for destination in &self.destinations {
-            // A report that cannot be sent is lost; the next one follows soon.
-            if let Err(error) = self.socket.try_send_to(&turn.datagram, *destination)
+            // A report that cannot be sent is not repeated, because the next one follows soon.
+            if let Err(error) = self.socket.try_send_to(&round.datagram, *destination)
                 && let Some(suppressed) = self.send_errors.admit_line()
             {
                 log::warn!("gossip: sending a report to {destination} failed: {error}{suppressed}");
             }
         }
-        Event::WeightFactors(turn.weight_factors)
+        Event::WeightFactors(round.weight_factors)
     }
 
     /// The counters of reports and datagrams since the start.
--- a/crates/gossip/src/state.rs
+++ b/crates/gossip/src/state.rs
@@ -7,25 +7,28 @@
 use rustc_hash::FxHashMap;
 use std::mem;
 
-/// The shortest interval between reports. It is jittered, so that balancers that started together do not stay in step.
+/// The shortest interval between reports. Jitter is added, so that balancers that started together do not publish
+/// together.
 pub const PUBLISH_INTERVAL_US: Micros = 450_000;
-/// The jitter of the interval, as a fraction of it.
+/// The largest jitter added to the interval, as a fraction of the interval.
 const JITTER: f64 = 0.2;
 /// The shortest time to the first report, as a fraction of the interval.
-const MIN_FIRST: f64 = 0.2;
-/// The jitter of that time, as a fraction of the interval.
-const FIRST_JITTER: f64 = 0.8;
-/// A report counts until the sender's next one, and for this time at the longest: three intervals.
+const MIN_FIRST_DELAY: f64 = 0.2;
+/// The largest jitter added to the time to the first report, as a fraction of the interval.
+const FIRST_DELAY_JITTER: f64 = 0.8;
+/// The longest time for which a report counts: three intervals. It counts only until the sender's next report.
 pub const REPORT_LIFETIME_US: Micros = 1_500_000;
-/// The fraction of the other balancers that must be heard from for full confidence: half of them may be down, or half
-/// of the messages lost.
+/// The fraction of the other balancers whose reports give full confidence. Half of the balancers may be down, or half
+/// of the datagrams lost.
 const CONFIDENT_FRACTION: f64 = 0.5;
-/// And at least this many: one of a few balancers sees enough by itself, and would respond to the same load twice.
+/// The smallest number of senders whose reports give full confidence. In a small fleet each balancer sees enough load
+/// by itself, and would respond to the same load twice.
 const MIN_CONFIDENT_SENDERS: f64 = 20.0;
-/// The most senders that are kept, whatever the settings say of the number of balancers.
+/// Upper bound on the balancers whose reports are kept, whatever number of balancers the settings give.
 const MAX_SENDERS: usize = 4_096;
 
-/// With fewer balancers than this none publishes: each sees enough by itself (measured with four to six).
+/// The smallest fleet in which balancers publish. In smaller ones each balancer sees enough load by itself, as has been
+/// seen with four to six.
 pub const MIN_BALANCERS: usize = 10;
 
 /// Counters of reports and datagrams since the start.
@@ -33,24 +36,24 @@
 pub struct GossipCounters {
     /// Reports published.
     pub published: u64,
-    /// Bytes of these.
+    /// Bytes of the reports published.
     pub published_bytes: u64,
     /// Reports accepted.
     pub accepted: u64,
     /// Datagrams that could not be decoded.
     pub undecodable: u64,
-    /// Reports no newer than one accepted before.
+    /// Reports that are not newer than the last one accepted from their sender.
     pub outdated: u64,
-    /// Datagrams from no other balancer.
+    /// Datagrams whose sender is not another balancer.
     pub unknown_senders: u64,
 }
 
-/// The result of a turn.
+/// The result of a gossip round.
 #[derive(Debug, Clone, PartialEq)]
 pub struct GossipRound {
     /// The datagram to send to every other balancer.
     pub datagram: Vec<u8>,
-    /// For each endpoint, the fraction of its listed weight to place keys by.
+    /// The weight factor of each endpoint: the fraction of its listed weight that the placement of keys uses.
     pub weight_factors: Vec<(EndpointId, f64)>,
 }
 
@@ -66,7 +69,7 @@
     }
 }
 
-/// The reports that one balancer has received.
+/// The gossip state of one balancer.
 #[derive(Debug)]
 pub struct GossipState {
     own_number: usize,
@@ -77,7 +80,8 @@
 }
 
 impl GossipState {
-    /// Creates the state of balancer number `own_number` of `balancers`, which has just started. `now` is Unix time.
+    /// Creates the state of balancer number `own_number` in a fleet of `balancers`, which starts at the Unix
+    /// time `now`.
     #[must_use]
     pub fn new(own_number: usize, balancers: usize, now: Micros) -> Self {
         Self {
@@ -89,15 +93,19 @@
         }
     }
 
-    /// How long to wait for the next turn. `chance` is drawn evenly from 0 to 1. The first turn comes earlier.
+    /// Returns the time to wait before the next round. `chance` is a random number, uniform from 0 to 1. The
+    /// wait before the first round is shorter.
     #[must_use]
     pub fn next_interval(&self, chance: f64) -> Micros {
-        let intervals =
-            if self.weights.is_started() { 1.0 + JITTER * chance } else { MIN_FIRST + FIRST_JITTER * chance };
-        (PUBLISH_INTERVAL_US as f64 * intervals) as Micros
+        let factor = if self.weights.is_started() {
+            1.0 + JITTER * chance
+        } else {
+            MIN_FIRST_DELAY + FIRST_DELAY_JITTER * chance
+        };
+        (PUBLISH_INTERVAL_US as f64 * factor) as Micros
     }
 
-    /// Handles a datagram of balancer number `from`. One that cannot be used is counted and changes nothing.
+    /// Handles a datagram of balancer number `from`. Invalid and outdated datagrams are counted and ignored.
     pub fn handle_datagram(&mut self, now: Micros, from: usize, datagram: &[u8]) {
         let Some(received) = self.reports.get_mut(from).filter(|_| from != self.own_number) else {
             self.counters.unknown_senders += 1;
@@ -116,7 +124,7 @@
         *received = Some(ReceivedReport { received_at: now, report });
     }
 
-    /// Counts a datagram from an address of no balancer.
+    /// Counts a datagram from an address that belongs to no balancer.
     pub fn count_unknown_sender(&mut self) {
         self.counters.unknown_senders += 1;
     }
@@ -127,15 +135,16 @@
         self.counters
     }
 
-    /// Creates the next report from `loads`, this balancer's own load of each endpoint that may be sent to, and
-    /// estimates the weight factors of these endpoints.
+    /// Creates the next report from `loads`, and estimates the weight factors of their endpoints. `loads` is this
+    /// balancer's own load on each endpoint that may receive requests.
     pub fn publish(&mut self, now: Micros, loads: &[LoadReport]) -> GossipRound {
         let datagram = self.encode_report(loads);
-        let (others, senders) = self.sum_reports(now);
+        let (loads_of_others, senders) = self.sum_reports(now);
         let other_balancers = self.reports.len().saturating_sub(1) as f64;
-        let enough = (CONFIDENT_FRACTION * other_balancers).max(MIN_CONFIDENT_SENDERS);
-        let confidence = (f64::from(senders) / enough).min(1.0);
-        let load_of_others = |endpoint: EndpointId| others.get(&endpoint.into()).copied().unwrap_or_default();
+        let confident_senders = (CONFIDENT_FRACTION * other_balancers).max(MIN_CONFIDENT_SENDERS);
+        let confidence = (f64::from(senders) / confident_senders).min(1.0);
+        let load_of_others =
+            |endpoint: EndpointId| loads_of_others.get(&endpoint.into()).copied().unwrap_or_default();
         let weight_factors = self.weights.update(now, loads, load_of_others, confidence);
         GossipRound { datagram, weight_factors }
     }
@@ -150,7 +159,7 @@
         datagram
     }
 
-    /// Sums the loads of all reports that count, and returns the number of these. Expired reports are dropped.
+    /// Returns the sum of the loads in all reports that count, and the number of their senders. Drops expired reports.
     fn sum_reports(&mut self, now: Micros) -> (FxHashMap<EndpointHash, EndpointLoad>, u32) {
         let mut sums: FxHashMap<EndpointHash, EndpointLoad> = FxHashMap::default();
         let mut senders = 0;
@@ -163,7 +172,7 @@
             for (endpoint, load) in &mut received.report.loads {
                 let sum = sums.entry(*endpoint).or_default();
                 sum.in_flight += load.in_flight;
-                // Ended requests count once; those in flight count until the next report.
+                // Ended requests count once. Requests in flight count until the sender's next report.
                 sum.answered += mem::take(&mut load.answered);
                 sum.failed += mem::take(&mut load.failed);
             }
--- a/crates/gossip/src/wire.rs
+++ b/crates/gossip/src/wire.rs
@@ -1,11 +1,15 @@
-//! The datagram: a version, the sender's incarnation and the report's number, then four bytes for each endpoint with load.
+//! The wire format of a datagram: a version, the sender's incarnation and the report's number, then four bytes for each
+//! endpoint with load.
 //!
-//! | bytes | what |
+//! | bytes | content |
 //! | --- | --- |
 //! | 0 | version, 1 |
-//! | 1, 2 | incarnation: the sender's start, in quarters of a second, modulo 2^16, big-endian |
-//! | 3, 4 | number of this report within that incarnation, modulo 2^16, big-endian |
-//! | then 4 each | the hash of an endpoint's id (2, big-endian); mean requests in flight, in sixteenths (1); answered and failed requests, at most 15 of each (4 bits, 4 bits) |
+//! | 1, 2 | incarnation: the sender's start in quarters of a second, modulo 2^16, big-endian |
+//! | 3, 4 | number of the report within the incarnation, modulo 2^16, big-endian |
+//! | 4 per endpoint | hash of the endpoint's id (2 bytes, big-endian); load (2 bytes) |
+//!
+//! The first byte of a load is the mean number of requests in flight, in sixteenths. The second is the number
+//! of answered requests (high 4 bits) and failed requests (low 4 bits), at most 15 of each.
 
 use crate::Micros;
 use decide::api::{EndpointId, LoadReport};
@@ -13,58 +17,58 @@
 use std::hash::Hasher;
 use thiserror::Error;
 
-/// The version that this build writes, and the only one that it reads.
+/// The version of the format that is written, and the only one that is read.
 pub const VERSION: u8 = 1;
 /// The longest datagram that the platform carries, in bytes.
 pub const MAX_BYTES: usize = 256;
 const HEADER_BYTES: usize = 5;
 const ENTRY_BYTES: usize = 4;
-/// The most endpoints in one report: what fits. Those with the most requests in flight go first.
+/// The largest number of endpoints that fits a report. Endpoints with the most requests in flight come first.
 pub const MAX_ENTRIES: usize = (MAX_BYTES - HEADER_BYTES) / ENTRY_BYTES;
-/// Steps of the byte for requests in flight, for one request.
+/// The value of one request in the byte for requests in flight.
 const STEPS_PER_REQUEST: f64 = 16.0;
-/// The largest count that fits half a byte.
+/// The largest count that fits 4 bits.
 const MAX_COUNT: u32 = 15;
-/// One step of [`ReportStamp::incarnation`].
+/// The unit of [`ReportStamp::incarnation`].
 const INCARNATION_STEP_US: Micros = 250_000;
 
-/// The hash of an endpoint's id on the wire. Where two endpoints share one, the load of either counts for both.
+/// The hash of an endpoint's id on the wire. If two endpoints have the same hash, the load of each counts for both.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct EndpointHash(pub u16);
 
 impl From<EndpointId> for EndpointHash {
     fn from(id: EndpointId) -> Self {
-        // Every bit of the id counts: ids may be addresses that differ in few of them.
+        // The hash covers every bit of the id, because ids may be addresses that differ in few bits.
         let mut hasher = FnvHasher::default();
         hasher.write(&id.0.to_be_bytes());
         Self(hasher.finish() as u16)
     }
 }
 
-/// The position of a report among those of its sender. Detects reports that are late, duplicated, or of an earlier
-/// incarnation.
+/// The position of a report among all reports of its sender. It shows whether a report is late, duplicated or from an
+/// earlier incarnation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ReportStamp {
     /// The sender's start.
     pub incarnation: u16,
-    /// The report's number since then.
+    /// The number of the report within the incarnation.
     pub number: u16,
 }
 
 impl ReportStamp {
-    /// The first stamp of an incarnation that began at `unix`.
+    /// Returns the first stamp of an incarnation that started at the Unix time `unix`.
     #[must_use]
     pub fn first(unix: Micros) -> Self {
         Self { incarnation: (unix / INCARNATION_STEP_US) as u16, number: 0 }
     }
 
-    /// The stamp after this one.
+    /// Returns the stamp of the next report.
     #[must_use]
     pub fn next(self) -> Self {
         Self { number: self.number.wrapping_add(1), ..self }
     }
 
-    /// Whether this is newer than `other`, by the shorter way round.
+    /// Returns whether this stamp is newer than `other`. Numbers wrap around, and the shorter distance decides.
     #[must_use]
     pub fn is_newer_than(self, other: Self) -> bool {
         let is_newer = |a: u16, b: u16| (a.wrapping_sub(b) as i16) > 0;
@@ -76,7 +80,7 @@
 /// The load of one balancer's requests on an endpoint since its last report.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct EndpointLoad {
-    /// Requests in flight, in the mean.
+    /// The mean number of requests in flight.
     pub in_flight: f64,
     /// Requests answered.
     pub answered: u32,
@@ -85,7 +89,7 @@
 }
 
 impl EndpointLoad {
-    /// The sum of this load and a further one.
+    /// Returns the sum of this load and `report`.
     pub(crate) fn plus(self, report: &LoadReport) -> Self {
         Self {
             in_flight: self.in_flight + report.in_flight,
@@ -94,7 +98,7 @@
         }
     }
 
-    /// The two bytes on the wire: the requests in flight, and both counts.
+    /// Encodes the requests in flight and both counts as one byte each.
     fn encode(self) -> (u8, u8) {
         let [answered, failed] = [self.answered, self.failed].map(|count| count.min(MAX_COUNT) as u8);
         ((self.in_flight * STEPS_PER_REQUEST).round() as u8, answered << 4 | failed)
@@ -110,27 +114,30 @@
     }
 }
 
-/// One report.
+/// A balancer's report of its load on endpoints.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Report {
-    /// Its position among those of its sender.
+    /// The position of the report among all reports of its sender.
     pub stamp: ReportStamp,
     /// The load of each endpoint.
     pub loads: Vec<(EndpointHash, EndpointLoad)>,
 }
 
-/// Why a datagram is no report.
+/// The reason for which a datagram cannot be decoded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum DecodeError {
-    /// Another version than [`VERSION`].
-    #[error("version {0}, not {VERSION}")]
+    /// The datagram has another version than [`VERSION`].
+    #[error("report of version {0}; only version {VERSION} is supported")]
     Version(u8),
-    /// Too short, too long, or cut within an entry.
-    #[error("{0} bytes are no whole report")]
+    /// The datagram is too short, too long, or ends within an entry.
+    #[error(
+        "invalid report length of {0} bytes; \
+         it must be {HEADER_BYTES} plus {ENTRY_BYTES} for each entry, at most {MAX_BYTES}"
+    )]
     Length(usize),
 }
 
-/// An endpoint's load as it is written.
+/// An endpoint's load in encoded form.
 struct Entry {
     endpoint: EndpointHash,
     in_flight: u8,
@@ -138,7 +145,7 @@
 }
 
 impl Report {
-    /// Encodes the report. Endpoints without load are left out, and those beyond [`MAX_ENTRIES`] with the least load.
+    /// Encodes the report. Leaves out endpoints without load, and the least loaded endpoints beyond [`MAX_ENTRIES`].
     #[must_use]
     pub fn encode(&self) -> Vec<u8> {
         let mut entries = Vec::with_capacity(self.loads.len());
@@ -164,7 +171,7 @@
     /// Decodes a datagram.
     ///
     /// # Errors
-    /// When it is no report of this version.
+    /// Returns an error if the datagram has another version or an invalid length.
     pub fn decode(datagram: &[u8]) -> Result<Self, DecodeError> {
         let wrong_length = DecodeError::Length(datagram.len());
         let (&version, rest) = datagram.split_first().ok_or(wrong_length)?;
