--- a/crates/fleet/src/counters.rs
+++ b/crates/fleet/src/counters.rs
@@ -15,16 +15,17 @@
     /// Datagrams received and handled.
     #[serde(rename = "heard")]
     pub received: u64,
-    /// Datagrams of another version of the wire format.
+    /// Datagrams dropped because they have another version of the wire format.
     #[serde(rename = "other_version")]
     pub other_version: u64,
-    /// Datagrams that cannot be decoded.
+    /// Datagrams dropped because they cannot be decoded.
     #[serde(rename = "unreadable")]
     pub malformed: u64,
-    /// Datagrams of another fleet, or from an address that is not the sender's in the fleet file.
+    /// Datagrams dropped because they are of another fleet, name this balancer as their sender, or come from another
+    /// address than the fleet file gives for their sender.
     #[serde(rename = "strangers")]
     pub unknown_sender: u64,
-    /// Messages that do not fit a datagram.
+    /// Messages not sent because they do not fit a datagram.
     #[serde(rename = "too_long")]
     pub too_long: u64,
 }
--- a/crates/fleet/src/entry.rs
+++ b/crates/fleet/src/entry.rs
@@ -7,7 +7,7 @@
 /// An entry of the replicated log.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Entry {
-    /// The leases granted within half a second.
+    /// The leases that the leader granted within half a second.
     Leases(Vec<LeaseGrant>),
     /// A change of the calendar.
     Calendar(Box<Proposal>),
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,14 +1,13 @@
-//! A balancer as a member of its fleet: membership, the replicated log, its lease, and the calendar that the
-//! log holds.
+//! One member of a fleet of balancers: its membership, its replica of the log, its lease, and the calendar,
+//! which is stored in the log.
 //!
-//! [`FleetMember`] combines the crates `membership`, `agreement`, `audit` and `calendar`. It reads and writes
-//! the datagrams that balancers exchange ([`wire`]), applies the log in order, requests the lease, and grants
-//! the leases of all balancers while it is the leader. [`FleetFile`] is the file that names the balancers.
+//! [`FleetMember`] combines the crates `membership`, `agreement`, `audit` and `calendar`. It decodes and encodes
+//! the datagrams that balancers exchange ([`wire`]), applies the log in order and requests this balancer's
+//! lease. The leader also grants the leases of all balancers. [`FleetFile`] is the file that lists the balancers.
 //!
-//! The crate does no I/O, reads no clock, and draws randomness only from its seed. It leaves to its owner the
-//! socket, the timers that it yields, the store of the log, and the calls of [`FleetMember::tick`] every
-//! [`agreement::TICK_INTERVAL_US`]. The owner also hands the core a copy of the lease and of the calendar
-//! whenever they change.
+//! The crate does no I/O, reads no clock, and draws all randomness from its seed. Its owner provides the socket,
+//! the timers and the store of the log, and calls [`FleetMember::tick`] every [`agreement::TICK_INTERVAL_US`].
+//! Whenever the lease or the calendar changes, the owner passes a copy to the core.
 #![forbid(unsafe_code)]
 #![warn(unreachable_pub)]
 
--- a/crates/fleet/src/member.rs
+++ b/crates/fleet/src/member.rs
@@ -1,4 +1,4 @@
-//! A balancer as a member of its fleet: its public interface. Each input is passed to the protocol concerned.
+//! The public interface of a fleet member. It passes each input to the protocol that handles it.
 
 mod actions;
 mod datagrams;
@@ -17,27 +17,28 @@
 use membership::{Member, Membership, Timer};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Interval of heartbeats. A lost lease is thus known while the last report of it is valid, and the cost does
-/// not grow with the fleet.
+/// The interval of heartbeats. With it, the loss of a lease is known while the last heartbeat of its holder is
+/// valid, and the cost does not grow with the fleet.
 const HEARTBEAT_INTERVAL: Micros = 250_000;
-/// Receivers of each heartbeat, drawn each time.
+/// Number of randomly drawn receivers of each heartbeat.
 const HEARTBEAT_FANOUT: usize = 3;
-/// Receivers of an activity report besides the voters, drawn each time.
+/// Number of randomly drawn receivers of each activity report, besides the voters.
 const REPORT_FANOUT: usize = 1;
-/// A tick later than this means that the process was stopped; it must not suspect other members for that.
+/// The gap between ticks above which the process counts as stalled. It must not suspect other members because of
+/// its own stall.
 const STALL_THRESHOLD: Micros = 1_000_000;
-/// Pending proposals for the calendar; each ends by itself.
+/// The largest number of pending proposals for the calendar. Each proposal ends by itself.
 const MAX_PENDING_PROPOSALS: usize = agreement::MAX_PENDING_PROPOSALS;
 
-/// What a member starts with.
+/// The configuration with which a member starts.
 pub struct MemberConfig<S> {
     /// This balancer's index in the fleet file.
     pub node_id: NodeId,
-    /// Its incarnation; increases from start to start.
+    /// This balancer's incarnation. It must increase from one start to the next.
     pub incarnation: u64,
     /// The store of the log.
     pub store: S,
-    /// The seed of all randomness.
+    /// The seed of all random numbers.
     pub seed: u64,
 }
 
@@ -48,7 +49,7 @@
     result: Option<Applied>,
 }
 
-/// A balancer as a member of its fleet.
+/// One member of a fleet of balancers.
 pub struct FleetMember<S: Store> {
     file: FleetFile,
     node_id: NodeId,
@@ -63,7 +64,7 @@
     counters: DatagramCounters,
     random: fastrand::Rng,
     outputs: VecDeque<Output>,
-    /// Pending proposals for the calendar, with the result of those that are already applied.
+    /// The pending proposals for the calendar by identifier. Those that are already applied have their result.
     proposals: BTreeMap<u64, Option<AppliedProposal>>,
     snapshot_revision: Revision,
     is_caught_up: bool,
@@ -72,7 +73,7 @@
 }
 
 impl<S: Store> FleetMember<S> {
-    /// Starts the balancer that `config.node_id` names in the file.
+    /// Starts the balancer with the index `config.node_id` in the file.
     pub fn new(file: FleetFile, config: MemberConfig<S>, now: Micros) -> Self {
         let MemberConfig { node_id, incarnation, store, seed } = config;
         let lease_settings = file.lease_settings();
@@ -113,36 +114,36 @@
         member
     }
 
-    /// The next output for the owner.
+    /// Returns the next output for the owner; `None` if there is none.
     pub fn poll(&mut self) -> Option<Output> {
         self.outputs.pop_front()
     }
 
-    /// The counters of datagrams.
+    /// Returns the counters of datagrams.
     #[must_use]
     pub fn counters(&self) -> DatagramCounters {
         self.counters
     }
 
-    /// This balancer's own lease.
+    /// Returns this balancer's own lease.
     #[must_use]
     pub fn lease(&self) -> &Lease {
         &self.lease
     }
 
-    /// The last applied revision of the log.
+    /// Returns the last applied revision of the log.
     #[must_use]
     pub fn revision(&self) -> Revision {
         self.agreement.applied()
     }
 
-    /// Whether this balancer votes.
+    /// Returns whether this balancer votes.
     #[must_use]
     pub fn is_voting(&self) -> bool {
         self.agreement.is_voting()
     }
 
-    /// The calendar at the last applied revision.
+    /// Returns the calendar at the last applied revision.
     #[must_use]
     pub fn calendar(&self) -> &Calendar {
         &self.state.calendar
@@ -154,7 +155,8 @@
         self.drive(now);
     }
 
-    /// Advances time; `unix` is this machine's clock, which counts only while it is the leader.
+    /// Advances time to `now`. `unix` is the reading of this machine's wall clock, which is used only while this
+    /// balancer is the leader.
     pub fn tick(&mut self, now: Micros, unix: u64) {
         let gap = now.saturating_sub(self.last_tick);
         self.last_tick = now;
@@ -171,7 +173,7 @@
         self.drive(now);
     }
 
-    /// Sends the request for a lease to all voters, if one is due.
+    /// Sends a lease request to all voters, if one is due.
     fn request_lease(&mut self, now: Micros) {
         let Some(request) = self.lease.poll_request(now) else { return };
         for voter in self.voters() {
@@ -181,11 +183,11 @@
                 self.granter.handle_request(request);
             }
         }
-        // The lease remembers its requests, so the core's copy changes too.
+        // The lease records its requests, so the core needs a new copy.
         self.outputs.push_back(Output::LeaseChanged(Box::new(self.lease.clone())));
     }
 
-    /// Proposes the grants that are due. A rejected proposal is not repeated, because whoever has no lease
+    /// Proposes the grants that are due. A rejected proposal is not repeated, because a balancer without a lease
     /// requests it again.
     fn propose_grants(&mut self, now: Micros) {
         if self.is_leader
@@ -199,7 +201,7 @@
     /// by [`Output::ProposalFinished`].
     ///
     /// # Errors
-    /// If too many proposals are pending or this one is too long.
+    /// Returns an error if too many proposals are pending, or if this one is too long.
     pub fn propose(&mut self, now: Micros, proposal: Box<Proposal>) -> Result<u64, ProposeError> {
         if self.proposals.len() >= MAX_PENDING_PROPOSALS {
             return Err(ProposeError::TooManyPending);
@@ -210,10 +212,10 @@
         Ok(id)
     }
 
-    /// Proposes a change of the voters, by one at a time.
+    /// Proposes a change of the voters that removes at most one and adds at most one.
     ///
     /// # Errors
-    /// If the change is invalid or too many proposals are pending.
+    /// Returns an error if the change is invalid, or if too many proposals are pending.
     pub fn change_voters(
         &mut self, now: Micros, removed: Option<NodeId>, added: Option<NodeId>,
     ) -> Result<u64, ProposeError> {
@@ -222,8 +224,8 @@
         Ok(id)
     }
 
-    /// Records what this balancer decided under which version, and sends it to the voters and to a few drawn
-    /// members.
+    /// Records a report of this balancer's activity under each version, and sends it to the voters and to some
+    /// random members.
     pub fn publish_report(&mut self, now: Micros, report: ActivityReport) {
         self.ledger.record_report(&report);
         let mut receivers = self.voters();
@@ -240,12 +242,12 @@
         self.ledger.record_own_entry(entry);
     }
 
-    /// The ledger entries that are not on disk yet, encoded.
+    /// Returns the encoded ledger entries that are not yet stored on disk. Each entry is returned once.
     pub fn take_unsaved_entries(&mut self) -> Vec<Vec<u8>> {
         self.ledger.take_unsaved().iter().map(LedgerEntry::to_bytes).collect()
     }
 
-    /// Restores a ledger entry from disk; ignores bytes that cannot be decoded.
+    /// Restores a ledger entry that was read from disk. Bytes that cannot be decoded are ignored.
     pub fn restore_entry(&mut self, bytes: &[u8]) {
         if let Some(entry) = LedgerEntry::from_bytes(bytes) {
             self.ledger.restore(entry);
--- a/crates/fleet/src/member/actions.rs
+++ b/crates/fleet/src/member/actions.rs
@@ -1,5 +1,5 @@
-//! Carries out the actions of the log and of the membership: applies what is committed, and reports changes
-//! to the owner.
+//! Carries out the actions of the log and of the membership: applies committed entries, and reports changes to
+//! the owner.
 
 use super::{AppliedProposal, FleetMember};
 use crate::entry::Entry;
@@ -9,7 +9,7 @@
 use agreement::{Action, Micros, Revision, Stamped, Store};
 use membership::{Member, Membership};
 
-/// Revisions after which a snapshot of the state is made.
+/// Number of revisions from one snapshot of the state to the next.
 const SNAPSHOT_INTERVAL: Revision = 512;
 
 impl<S: Store> FleetMember<S> {
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Reports the outcome of a calendar proposal; ignores the proposals of grants and voter changes.
+    /// Reports the outcome of a calendar proposal. Outcomes of grants and of voter changes are ignored.
     fn finish_proposal(&mut self, id: u64, outcome: agreement::ProposalOutcome) {
         let Some(applied) = self.proposals.remove(&id) else { return };
         let outcome = match (outcome, applied) {
@@ -104,7 +104,7 @@
     }
 
     fn report_calendar(&mut self) {
-        // The index is built here, so that the first lookup of a request does not pay for it.
+        // The index is built here, so that the first request that needs it is not delayed.
         self.state.calendar.build_index();
         self.outputs.push_back(Output::CalendarChanged(Box::new(self.state.calendar.clone())));
     }
@@ -128,13 +128,13 @@
                 self.outputs.push_back(Output::MembersChanged(self.membership.len()));
             }
             membership::Action::Refuted | membership::Action::Renewed(_) => {}
-            // The clock went back between two starts, so an earlier process had a higher incarnation. This
-            // one is the newer.
+            // This process is the later one. The earlier process had a higher incarnation because the clock went
+            // back between the two starts.
             membership::Action::Replaced(incarnation) => self.rejoin(now, incarnation + 1),
         }
     }
 
-    /// Joins the membership again with another incarnation.
+    /// Joins the membership again under another incarnation.
     fn rejoin(&mut self, now: Micros, incarnation: u64) {
         let local = Member { incarnation, ..*self.membership.local_member() };
         let seed = self.random.u64(..);
--- a/crates/fleet/src/member/datagrams.rs
+++ b/crates/fleet/src/member/datagrams.rs
@@ -1,4 +1,4 @@
-//! Receives and sends the datagrams that balancers exchange.
+//! Handles and sends the datagrams that balancers exchange.
 
 use super::{FleetMember, HEARTBEAT_FANOUT};
 use crate::output::Output;
@@ -8,8 +8,8 @@
 use std::net::SocketAddr;
 
 impl<S: Store> FleetMember<S> {
-    /// Handles a datagram. It is dropped unless it comes from the address that the fleet file gives for its
-    /// sender.
+    /// Handles a received datagram. It is dropped unless it comes from the address that the fleet file gives for
+    /// its sender.
     pub fn handle_datagram(&mut self, now: Micros, from: SocketAddr, datagram: &[u8]) {
         let envelope = match Envelope::decode(datagram) {
             Ok(envelope) => envelope,
@@ -50,8 +50,8 @@
         }
     }
 
-    /// Passes a request to the granter, or forwards one that its owner sent. A voter's forwarded request is
-    /// not forwarded again.
+    /// Passes a request to the granter if this balancer is the leader, which accepts forwarded requests only from
+    /// voters. Otherwise forwards the request to the leader, unless it was forwarded already.
     fn handle_lease_request(&mut self, from: NodeId, request: LeaseRequest) {
         let is_own = request.number == from;
         if self.is_leader && (is_own || self.is_voter(from)) {
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Forwards a request to the leader, so that one bad link to it does not cost a lease.
+    /// Forwards a request to the leader, so that a balancer with a bad link to the leader does not lose its lease.
     fn forward_lease_request(&mut self, request: LeaseRequest) {
         let leader = self.agreement.leader();
         let leader = leader.filter(|leader| *leader != self.node_id && *leader != request.number);
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Draws some of the other members, or of all other balancers if there are no members.
+    /// Draws up to `count` of the other members, or of all other balancers if there are no other members.
     pub(super) fn draw_members(&mut self, count: usize) -> Vec<NodeId> {
         let members = self.membership.members().map(|member| member.number);
         let mut candidates: Vec<NodeId> = members.filter(|number| *number != self.node_id).collect();
--- a/crates/fleet/src/member/view.rs
+++ b/crates/fleet/src/member/view.rs
@@ -1,4 +1,4 @@
-//! The fleet as this balancer sees it, as the JSON answer of `GET /fleet`.
+//! The JSON answer of `GET /fleet`: the state of the fleet as this balancer knows it.
 
 use super::FleetMember;
 use agreement::{Micros, Store};
@@ -6,13 +6,13 @@
 use audit::ledger::{CurrentActivity, PastActivity};
 use serde_json::{Value, json};
 
-/// Revisions of lag from which a balancer is listed as lagging.
+/// The lag, in revisions, from which a balancer is listed as lagging.
 const LAGGING_REVISIONS: u64 = 64;
-/// Time without a report from which a balancer is listed as lagging.
+/// The time without a report from which a balancer is listed as lagging.
 const LAGGING_TIME: Micros = 10_000_000;
 
 impl<S: Store> FleetMember<S> {
-    /// The state of the fleet for operators, as JSON.
+    /// Returns the state of the fleet for operators, as JSON.
     #[must_use]
     pub fn view(&self, now: Micros) -> Value {
         let name = |number: u16| self.balancer_name(number);
@@ -52,15 +52,15 @@
         self.file.balancers.get(usize::from(number)).map(|balancer| balancer.name.as_str())
     }
 
-    /// What a balancer did under the version that it was last known to act on. The ledger has the other
-    /// versions.
+    /// Returns a balancer's past activity under the version of its `current` activity. The ledger also has its
+    /// activity under other versions.
     fn past_activity(&self, current: &CurrentActivity) -> Option<PastActivity> {
         let past = self.ledger.activity_under(&current.version, 0, u64::MAX);
         past.into_iter().find(|past| past.number == current.number && past.incarnation == current.incarnation)
     }
 }
 
-/// The word of `GET /fleet` for the state of a lease.
+/// Returns the word for the state of a lease in `GET /fleet`.
 fn lease_state_word(state: LeaseState) -> &'static str {
     match state {
         LeaseState::Held => "held",
--- a/crates/fleet/src/output.rs
+++ b/crates/fleet/src/output.rs
@@ -1,4 +1,4 @@
-//! What a fleet member yields to its owner.
+//! The outputs of a fleet member to its owner.
 
 use agreement::{Micros, NodeId, Revision, VotingBlock};
 use audit::lease::Lease;
@@ -9,7 +9,7 @@
 /// An action that the owner carries out, or an event that it is notified of.
 #[derive(Debug)]
 pub enum Output {
-    /// Send a datagram; it may be lost.
+    /// Send a datagram. It may be lost.
     Send {
         /// The address of the receiver.
         to: SocketAddr,
@@ -23,41 +23,41 @@
         /// The timer.
         timer: Timer,
     },
-    /// The lease changed; the core needs a copy.
+    /// The lease changed. The owner passes this copy to the core.
     LeaseChanged(Box<Lease>),
-    /// The calendar changed; the core needs a copy.
+    /// The calendar changed. The owner passes this copy to the core.
     CalendarChanged(Box<Calendar>),
-    /// The number of members changed; this balancer is counted.
+    /// The number of members changed. The number includes this balancer.
     MembersChanged(usize),
-    /// Everything that others advertised is applied, up to this revision. Also yielded after each change of
-    /// the calendar.
+    /// This balancer has applied all revisions that others advertised, up to this one. Also yielded after each
+    /// change of the calendar.
     CaughtUp(Revision),
     /// This balancer became the leader, or is the leader no longer.
     LeadershipChanged(bool),
-    /// The voters from now on.
+    /// The voters changed to these.
     VotersChanged(Vec<NodeId>),
-    /// This voter must not vote.
+    /// This balancer is a voter but must not vote.
     VotingBlocked(VotingBlock),
-    /// A proposal of [`crate::FleetMember::propose`] ended.
+    /// A proposal made with [`crate::FleetMember::propose`] ended.
     ProposalFinished {
-        /// The identifier that `propose` returned.
+        /// The identifier that [`crate::FleetMember::propose`] returned.
         id: u64,
-        /// How it ended.
+        /// The outcome of the proposal.
         outcome: ProposalOutcome,
     },
 }
 
-/// How a proposal for the calendar ended.
+/// The outcome of a proposal to change the calendar.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ProposalOutcome {
     /// The proposal is committed.
     Committed {
-        /// Its revision.
+        /// The revision of the proposal.
         revision: Revision,
-        /// The calendar's result; `None` if this balancer learned of the commit but did not apply the entry
-        /// itself.
+        /// The result of applying the proposal to the calendar; `None` if this balancer learned of the commit but
+        /// did not apply the entry itself.
         applied: Option<Applied>,
     },
-    /// The proposal is not known to be committed in time. It may still be committed, at most once.
+    /// The proposal was not known to be committed before the timeout. It may still be committed, at most once.
     TimedOut,
 }
--- a/crates/fleet/src/replicated_state.rs
+++ b/crates/fleet/src/replicated_state.rs
@@ -1,4 +1,4 @@
-//! The state that the log's entries make: the holders of leases, and the calendar.
+//! The state that results from the entries of the log: the holders of leases, and the calendar.
 
 use crate::entry::Entry;
 use agreement::{Micros, Revision};
@@ -6,14 +6,14 @@
 use calendar::{Applied, Calendar};
 use serde::{Deserialize, Serialize};
 
-/// The state after the entries applied so far; the same on every balancer at the same revision.
+/// The state after the entries applied so far. At the same revision it is the same on every balancer.
 #[derive(Debug, Clone)]
 pub(crate) struct ReplicatedState {
     pub(crate) holders: LeaseHolders,
     pub(crate) calendar: Calendar,
 }
 
-/// The place of an entry or a snapshot in the log.
+/// The position of an entry or a snapshot in the log.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct LogPosition {
     pub(crate) revision: Revision,
@@ -21,26 +21,28 @@
     pub(crate) timestamp: u64,
 }
 
-/// The wire form of a snapshot. It includes the grants, so that a balancer has its lease as soon as it
-/// installs one.
+/// The encoded form of a snapshot. It includes the grants, so that a balancer has its lease as soon as it
+/// installs the snapshot.
 #[derive(Serialize, Deserialize)]
 struct Snapshot {
     grants: Vec<LeaseGrant>,
     calendar: Vec<u8>,
 }
 
-/// A snapshot cannot be decoded.
+/// Error for a snapshot that cannot be decoded.
 #[derive(Debug)]
 pub(crate) struct InvalidSnapshot;
 
 impl ReplicatedState {
-    /// The state before the first entry. A freeze binds only after every lease granted without it has ended.
+    /// Creates the state before the first entry. A freeze takes effect only after all leases that were granted
+    /// without it have ended.
     pub(crate) fn new(settings: Settings) -> Self {
         let binding_delay_ms = settings.max_elapsed(settings.lease).div_ceil(1_000) + 1;
         Self { holders: LeaseHolders::new(settings), calendar: Calendar::new(binding_delay_ms) }
     }
 
-    /// Applies an entry, also to this balancer's own lease. Returns the result of a change of the calendar.
+    /// Applies an entry to the state, and its grants to this balancer's own lease. Returns the calendar's result if
+    /// the entry is a change of the calendar.
     pub(crate) fn apply(
         &mut self, now: Micros, position: LogPosition, entry: &Entry, lease: &mut Lease,
     ) -> Option<Applied> {
@@ -58,10 +60,11 @@
     /// Encodes the state.
     pub(crate) fn snapshot(&self) -> Vec<u8> {
         let snapshot = Snapshot { grants: self.holders.grants(), calendar: self.calendar.snapshot() };
-        postcard::to_stdvec(&snapshot).expect("integers, strings and lists can be encoded into memory")
+        postcard::to_stdvec(&snapshot)
+            .expect("a snapshot must be encodable, as it has only integers, strings and lists")
     }
 
-    /// Replaces the state by that of a snapshot, and applies its grants to this balancer's own lease.
+    /// Replaces the state with that of a snapshot, and applies the snapshot's grants to this balancer's own lease.
     pub(crate) fn restore(
         &mut self, now: Micros, position: LogPosition, bytes: &[u8], lease: &mut Lease,
     ) -> Result<(), InvalidSnapshot> {
--- a/crates/fleet/src/wire.rs
+++ b/crates/fleet/src/wire.rs
@@ -6,7 +6,7 @@
 use audit::ledger;
 use serde::{Deserialize, Serialize};
 
-/// Longest datagram.
+/// The length of the longest datagram, in bytes.
 pub const MAX_BYTES: usize = 1_200;
 /// The version of the format, the first byte of a datagram.
 pub const VERSION: u8 = 1;
@@ -20,16 +20,16 @@
     Agreement(Box<Message<Entry>>),
     /// A request for a lease, to the voters.
     LeaseRequest(lease::LeaseRequest),
-    /// The sender is up; carries the fleet time of the last grant to it that it has applied.
+    /// The sender is up. Carries the fleet time of the sender's last grant that the sender has applied.
     Heartbeat(Option<u64>),
-    /// What the sender decided under which version.
+    /// The sender's activity under each version.
     ActivityReport(ledger::ActivityReport),
 }
 
 /// A datagram without its version byte.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Envelope {
-    /// Hash of the fleet's name.
+    /// The hash of the fleet's name.
     pub fleet: u32,
     /// The sender.
     pub from: NodeId,
@@ -39,19 +39,19 @@
     pub body: Body,
 }
 
-/// Why a datagram cannot be decoded.
+/// The reason for which a datagram cannot be decoded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum DecodeError {
     /// The datagram is of another version of the format.
-    #[error("datagram of another version")]
+    #[error("datagram of another version than {VERSION}")]
     OtherVersion,
-    /// The datagram is not in the format, or longer than [`MAX_BYTES`].
-    #[error("malformed datagram")]
+    /// The datagram is malformed, or longer than [`MAX_BYTES`].
+    #[error("malformed datagram, or longer than {MAX_BYTES} bytes")]
     Malformed,
 }
 
 impl Envelope {
-    /// Encodes the datagram; `None` if it is longer than [`MAX_BYTES`].
+    /// Encodes the datagram. Returns `None` if it is longer than [`MAX_BYTES`].
     #[must_use]
     pub fn encode(&self) -> Option<Vec<u8>> {
         let encoded = postcard::to_extend(self, vec![VERSION]).ok();
@@ -61,7 +61,7 @@
     /// Decodes a datagram.
     ///
     /// # Errors
-    /// If the datagram is of another version or malformed.
+    /// Returns an error if the datagram has another version or is malformed.
     pub fn decode(datagram: &[u8]) -> Result<Self, DecodeError> {
         match datagram {
             _ if datagram.len() > MAX_BYTES => Err(DecodeError::Malformed),
--- a/crates/fleet/tests/fleet.rs
+++ b/crates/fleet/tests/fleet.rs
@@ -180,11 +180,15 @@
     for (from, to, wanted) in [
         ("lease = \"10s\"", "lease = \"1s\"", "f: fleet.lease: 1s is not from 2s to"),
         ("lease = \"10s\"", "lease = \"soon\"", "line 3"),
-        ("number = 3", "number = 4", "f: balancer[3].number: 4 is not its place"),
+        ("number = 3", "number = 4", "f: balancer[3].number: 4 is not the balancer's index in the file, 3"),
         ("name = \"n2\"", "name = \"n1\"", "f: balancer[2].name"),
         ("10.0.0.3", "10.0.0.2", "f: balancer[2].address"),
         ("zone = \"a\"", "zona = \"a\"", "unknown field `zona`"),
-        ("council = false", "council = true", "a council of 4; it must be of 3, 5 or 7"),
+        (
+            "council = false",
+            "council = true",
+            "f: balancer.council: a council of 4 balancers; it must have 3, 5 or 7",
+        ),
     ] {
         let error = FleetFile::parse("f", &good.replacen(from, to, 1)).unwrap_err().to_string();
         assert!(error.contains(wanted), "{to}: {error}");
