--- a/crates/fleet/examples/measure_fleet/referee.rs
+++ b/crates/fleet/examples/measure_fleet/referee.rs
@@ -1,121 +1,139 @@
-//! The referee: keeps a book of its own of what was agreed when, in true time, and looks at every tick whether the fleet keeps to it.
+//! The referee: records in true time when each calendar entry was committed, and checks at every tick that the fleet
+//! obeys these entries.
 
-use crate::common::{SECOND, Site, accepts_join};
+use crate::common::{SECOND, Simulation, accepts_join};
 use audit::lease::LeaseState;
 use calendar::{Entry, EntryPhase};
 use fleet::Micros;
 use std::collections::BTreeMap;
 
-/// A lease and the error of clocks' rates; with it the calendar's rounding up to milliseconds, and the way of a message or two: by so much a
-/// new leader's fleet time may be behind the last one's.
-const BINDING: Micros = crate::LEASE + crate::LEASE / 1_000 + 2_000 + 10_000;
+/// The time from the commit of an entry until it must be in force: a lease, the error of clock rates, the calendar's
+/// rounding up to milliseconds, and the delay of one or two messages. By that delay the fleet time of a new leader may
+/// be behind that of the last one.
+const BINDING_DELAY: Micros = crate::LEASE + crate::LEASE / 1_000 + 2_000 + 10_000;
 
-struct Noted {
-    freeze: bool,
-    agreed: Micros,
+/// A committed entry of the calendar.
+struct EntryRecord {
+    is_freeze: bool,
+    committed: Micros,
     revoked: Option<Micros>,
 }
 
-/// What was agreed, by the first balancer that applied it.
+/// The committed entries. The commit time of each is when the first balancer applied it.
 #[derive(Default)]
 pub(crate) struct Referee {
-    book: BTreeMap<String, Noted>,
-    read: u64,
-    pub(crate) looks: u64,
-    /// Looks at which a freeze was in force.
-    pub(crate) frozen_looks: u64,
-    /// Joins taken, all of them while none was.
-    pub(crate) joins: u64,
+    entries: BTreeMap<String, EntryRecord>,
+    last_calendar_revision: u64,
+    pub(crate) checks: u64,
+    /// Number of checks at which a freeze was in force.
+    pub(crate) checks_in_freeze: u64,
+    /// Number of checks at which the balancer allowed a join. Without a violation, no freeze was in force then.
+    pub(crate) allowed_joins: u64,
     pub(crate) violation: Option<String>,
 }
 
 impl Referee {
-    /// What a balancer may be doing at this moment, against the book.
-    pub(crate) fn look(&mut self, site: &Site, n: usize) {
-        self.read(site);
-        self.looks += 1;
-        if let Some((revision, at)) = site.diverged.first() {
-            self.found(site, format!("calendar of {at} at revision {revision} is not the others'"));
+    /// Checks whether a balancer obeys the committed entries now.
+    pub(crate) fn check(&mut self, simulation: &Simulation, n: usize) {
+        self.update_entries(simulation);
+        self.checks += 1;
+        if let Some((revision, at)) = simulation.divergences.first() {
+            self.record_violation(
+                simulation,
+                format!("the calendar of {at} at revision {revision} differs from that of other balancers"),
+            );
         }
-        let frozen = self.frozen(site.now);
-        let joins = accepts_join(site, n);
-        self.joins += u64::from(joins);
-        self.frozen_looks += u64::from(frozen.is_some());
+        let frozen = self.freeze_in_force(simulation.now);
+        let joins = accepts_join(simulation, n);
+        self.allowed_joins += u64::from(joins);
+        self.checks_in_freeze += u64::from(frozen.is_some());
         if let Some(id) = frozen.filter(|_| joins) {
-            let agreed = self.book[&id].agreed;
-            let knows = site.calendars[n].agreed_at(&id);
-            let span = site.members[n].as_ref().and_then(|member| member.lease().fleet_time(site.local(n)));
-            let late = site.now - agreed - BINDING;
-            self.found(
-                site,
-                format!("{n} takes a join {late} us into freeze {id}, known to it as {knows:?}, its fleet time {span:?}"),
+            let committed = self.entries[&id].committed;
+            let agreed_at = simulation.calendars[n].agreed_at(&id);
+            let span = simulation.members[n]
+                .as_ref()
+                .and_then(|member| member.lease().fleet_time(simulation.local(n)));
+            let late = simulation.now - committed - BINDING_DELAY;
+            self.record_violation(
+                simulation,
+                format!(
+                    "{n} allows a join {late} us after freeze {id} must be in force; \
+                     it knows the freeze since {agreed_at:?}, its fleet time is {span:?}"
+                ),
             );
         }
-        self.look_at_lease(site, n);
+        self.check_lease(simulation, n);
     }
 
-    fn look_at_lease(&mut self, site: &Site, n: usize) {
-        let Some(member) = &site.members[n] else { return };
-        let local = site.local(n);
+    fn check_lease(&mut self, simulation: &Simulation, n: usize) {
+        let Some(member) = &simulation.members[n] else { return };
+        let local = simulation.local(n);
         let held =
             member.lease().state(local).0 == LeaseState::Held && member.lease().serve_until(local) > local;
         let Some(revision) = member.lease().revision(local).filter(|_| held) else { return };
-        let heard = site.applied.get(revision as usize - 1).copied();
-        if heard.is_none_or(|heard| site.now >= heard + BINDING) {
-            self.found(site, format!("{n} serves under a lease of revision {revision}, over for all others"));
+        let applied_at = simulation.applied_at.get(revision as usize - 1).copied();
+        if applied_at.is_none_or(|at| simulation.now >= at + BINDING_DELAY) {
+            self.record_violation(
+                simulation,
+                format!("{n} serves under a lease of revision {revision}, which must have ended"),
+            );
         }
     }
 
-    fn found(&mut self, site: &Site, what: String) {
-        self.violation.get_or_insert(format!("at {} ms: {what}", site.now / 1_000));
+    fn record_violation(&mut self, simulation: &Simulation, description: String) {
+        self.violation.get_or_insert(format!("at {} ms: {description}", simulation.now / 1_000));
     }
 
-    fn read(&mut self, site: &Site) {
-        for (revision, (at, calendar)) in site.decided.range(self.read + 1..) {
-            self.read = *revision;
+    fn update_entries(&mut self, simulation: &Simulation) {
+        for (revision, (at, calendar)) in
+            simulation.calendar_revisions.range(self.last_calendar_revision + 1..)
+        {
+            self.last_calendar_revision = *revision;
             for entry in calendar.entries() {
-                let freeze = matches!(entry, Entry::Freeze(_));
-                let noted = self.book.entry(entry.id().to_owned());
-                let noted = noted.or_insert(Noted { freeze, agreed: *at, revoked: None });
-                if noted.revoked.is_none()
+                let is_freeze = matches!(entry, Entry::Freeze(_));
+                let record = self.entries.entry(entry.id().to_owned());
+                let record = record.or_insert(EntryRecord { is_freeze, committed: *at, revoked: None });
+                if record.revoked.is_none()
                     && calendar.phase(entry.id(), u64::MAX) == Some(EntryPhase::Revoked)
                 {
-                    noted.revoked = Some(*at);
+                    record.revoked = Some(*at);
                 }
             }
         }
     }
 
-    /// The freeze that is in force for everybody, if one is and nobody can have leave from it.
-    fn frozen(&self, now: Micros) -> Option<String> {
-        let leave = |it: &Noted| !it.freeze && it.revoked.is_none_or(|at| now < at + BINDING);
-        if self.book.values().any(leave) {
+    /// Returns a freeze that must be in force on every balancer. Returns `None` if an override may be in force.
+    fn freeze_in_force(&self, now: Micros) -> Option<String> {
+        let may_override =
+            |it: &EntryRecord| !it.is_freeze && it.revoked.is_none_or(|at| now < at + BINDING_DELAY);
+        if self.entries.values().any(may_override) {
             return None;
         }
-        let force =
-            |it: &Noted| it.freeze && it.agreed + BINDING <= now && it.revoked.is_none_or(|at| now < at);
-        self.book.iter().find(|(_, it)| force(it)).map(|(id, _)| id.clone())
+        let is_in_force = |it: &EntryRecord| {
+            it.is_freeze && it.committed + BINDING_DELAY <= now && it.revoked.is_none_or(|at| now < at)
+        };
+        self.entries.iter().find(|(_, it)| is_in_force(it)).map(|(id, _)| id.clone())
     }
 
-    /// Entries that are not revoked, for whoever proposes that one be.
-    pub(crate) fn open(&self) -> Vec<String> {
-        self.book.iter().filter(|(_, it)| it.revoked.is_none()).map(|(id, _)| id.clone()).collect()
+    /// Returns the ids of the entries that are not revoked.
+    pub(crate) fn active_entries(&self) -> Vec<String> {
+        self.entries.iter().filter(|(_, it)| it.revoked.is_none()).map(|(id, _)| id.clone()).collect()
     }
 }
 
-/// How many of those without a fault of their own were shut out at a time.
+/// The share of fenced balancers among those without a fault of their own, over many samples.
 #[derive(Default, Clone, Copy)]
-pub(crate) struct ShutOut {
+pub(crate) struct FencedShare {
     pub(crate) worst: f64,
     sum: f64,
     samples: u64,
 }
 
-impl ShutOut {
-    pub(crate) fn sample(&mut self, site: &Site, faultless: impl Fn(usize) -> bool) {
-        let some: Vec<usize> = (0..site.members.len()).filter(|n| faultless(*n)).collect();
-        let out = some.iter().filter(|n| site.lease_state(**n) == Some(LeaseState::Fenced)).count();
-        let share = out as f64 / some.len().max(1) as f64;
+impl FencedShare {
+    pub(crate) fn sample(&mut self, simulation: &Simulation, faultless: impl Fn(usize) -> bool) {
+        let some: Vec<usize> = (0..simulation.members.len()).filter(|n| faultless(*n)).collect();
+        let fenced = some.iter().filter(|n| simulation.lease_state(**n) == Some(LeaseState::Fenced)).count();
+        let share = fenced as f64 / some.len().max(1) as f64;
         self.worst = self.worst.max(share);
         self.sum += share;
         self.samples += 1;
@@ -132,7 +150,7 @@
     }
 }
 
-/// A span in seconds, for the table.
+/// Formats a duration in seconds for the table.
 pub(crate) fn seconds(span: Micros) -> String {
     format!("{:.2} s", span as f64 / SECOND as f64)
 }
--- a/crates/fleet/tests/golden.rs
+++ b/crates/fleet/tests/golden.rs
@@ -1,4 +1,5 @@
-//! Datagrams, stored snapshots and the answer of `GET /fleet` in the form that other versions and staff know.
+//! The formats of datagrams, of stored values and of the answer of `GET /fleet`, which other versions and operators
+//! rely on.
 
 mod common;
 
@@ -7,14 +8,14 @@
 use audit::ledger::{ActivityPeriod, ActivityReport};
 use audit::version::Version;
 use calendar::Proposal;
-use common::{SECOND, Site, freeze};
+use common::{SECOND, Simulation, freeze};
 use expect_test::expect_file;
 use fleet::wire::{Body, Envelope};
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
-/// Datagrams of each kind that are compared.
-const PER_KIND: usize = 12;
+/// Number of datagrams of each kind that are compared.
+const COMPARED_PER_KIND: usize = 12;
 
 fn hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
@@ -33,30 +34,30 @@
     let (from, to) =
         (TimeInterval { earliest: 100, latest: 110 }, TimeInterval { earliest: 200, latest: 220 });
     let counts = std::array::from_fn(|kind| 1_000 + kind as u64);
-    let piece = ActivityPeriod { serial: 8, version, from, to, counts, digest: 9 };
-    ActivityReport { number: 0, incarnation: 10, sequence: 11, at: to, periods: vec![piece] }
+    let period = ActivityPeriod { serial: 8, version, from, to, counts, digest: 9 };
+    ActivityReport { number: 0, incarnation: 10, sequence: 11, at: to, periods: vec![period] }
 }
 
-fn recorded_run() -> Site {
-    let mut site = Site::new(5, 3, "4s", 43);
-    site.run(5 * SECOND);
-    let now = site.now;
-    site.members[4].as_mut().unwrap().propose(now, freeze("deadline").into()).unwrap();
-    site.members[0].as_mut().unwrap().publish_report(now, report());
-    site.run(3 * SECOND);
+fn run_recorded_simulation() -> Simulation {
+    let mut simulation = Simulation::new(5, 3, "4s", 43);
+    simulation.run(5 * SECOND);
+    let now = simulation.now;
+    simulation.members[4].as_mut().unwrap().propose(now, freeze("deadline").into()).unwrap();
+    simulation.members[0].as_mut().unwrap().publish_report(now, report());
+    simulation.run(3 * SECOND);
     let revoke = calendar::Revoke { id: "deadline".into(), asked_by: "ada".into(), reason: "over".into() };
-    let now = site.now;
-    site.members[1].as_mut().unwrap().propose(now, Proposal::Revoke(revoke).into()).unwrap();
-    site.kill(3);
-    site.run(10 * SECOND);
-    site
+    let now = simulation.now;
+    simulation.members[1].as_mut().unwrap().propose(now, Proposal::Revoke(revoke).into()).unwrap();
+    simulation.kill(3);
+    simulation.run(10 * SECOND);
+    simulation
 }
 
 #[test]
-fn datagrams_keep_their_form() {
-    let site = recorded_run();
+fn datagrams_keep_their_encoding() {
+    let simulation = run_recorded_simulation();
     let mut kinds: BTreeMap<&str, Vec<&Vec<u8>>> = BTreeMap::new();
-    for datagram in &site.recorded {
+    for datagram in &simulation.recorded_datagrams {
         let envelope = Envelope::decode(datagram).unwrap();
         assert_eq!(envelope.encode().as_ref(), Some(datagram));
         let kind = match envelope.body {
@@ -68,7 +69,7 @@
             Body::ActivityReport(_) => "report",
         };
         let seen = kinds.entry(kind).or_default();
-        if seen.len() < PER_KIND && !seen.contains(&datagram) {
+        if seen.len() < COMPARED_PER_KIND && !seen.contains(&datagram) {
             seen.push(datagram);
         }
     }
@@ -81,19 +82,20 @@
 }
 
 #[test]
-fn the_answer_of_get_fleet_keeps_its_form() {
-    let site = recorded_run();
-    let view = site.members[0].as_ref().unwrap().view(site.local(0));
+fn get_fleet_answer_keeps_its_format() {
+    let simulation = run_recorded_simulation();
+    let view = simulation.members[0].as_ref().unwrap().view(simulation.local(0));
     expect_file!["golden/view.json"].assert_eq(&format!("{view:#}\n"));
 }
 
 #[test]
-fn stored_values_keep_their_form() {
-    let mut site = recorded_run();
-    site.run(300 * SECOND); // past the first snapshot
-    let stored = site.disk(0).load().unwrap();
+fn stored_values_keep_their_encoding() {
+    let mut simulation = run_recorded_simulation();
+    simulation.run(300 * SECOND); // past the first snapshot
+    let stored = simulation.disk(0).load().unwrap();
     let mut text = String::new();
-    writeln!(text, "snapshot {}", hex(&stored.snapshot.expect("made every 512 revisions"))).unwrap();
+    writeln!(text, "snapshot {}", hex(&stored.snapshot.expect("a snapshot must exist after 512 revisions")))
+        .unwrap();
     for entry in stored.accepted.iter().take(8) {
         writeln!(text, "accepted {}", hex(entry)).unwrap();
     }
