--- a/crates/fleet/src/file.rs
+++ b/crates/fleet/src/file.rs
@@ -19,7 +19,7 @@
 /// Number of lease requests in the time of one lease, so that one message in five may be lost.
 const REQUESTS_PER_LEASE: u64 = 8;
 
-/// The reason for which a fleet file cannot be used.
+/// The reason why a fleet file cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum FileError {
     /// The file cannot be read.
--- a/crates/fleet/src/wire.rs
+++ b/crates/fleet/src/wire.rs
@@ -39,7 +39,7 @@
     pub body: Body,
 }
 
-/// The reason for which a datagram cannot be decoded.
+/// The reason why a datagram cannot be decoded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum DecodeError {
     /// The datagram is of another version of the format.
--- a/crates/gossip-transport/src/lib.rs
+++ b/crates/gossip-transport/src/lib.rs
@@ -43,7 +43,7 @@
     }
 }
 
-/// The reason for which the transport could not be opened.
+/// The reason why the transport could not be opened.
 #[derive(Debug, Error)]
 pub enum OpenError {
     /// The socket could not be bound to the address: it is in use, or is not an address of this machine.
--- a/crates/gossip/src/state.rs
+++ b/crates/gossip/src/state.rs
@@ -27,8 +27,8 @@
 /// Upper bound on the balancers whose reports are kept, whatever number of balancers the settings give.
 const MAX_SENDERS: usize = 4_096;
 
-/// The smallest fleet in which balancers publish. In smaller ones each balancer sees enough load by itself, as has been
-/// seen with four to six.
+/// The smallest fleet in which balancers publish. In smaller fleets, as seen with four to six balancers, each balancer
+/// sees enough load by itself.
 pub const MIN_BALANCERS: usize = 10;
 
 /// Counters of reports and datagrams since the start.
--- a/crates/gossip/src/weights.rs
+++ b/crates/gossip/src/weights.rs
@@ -8,7 +8,7 @@
 /// The smallest weight factor. Without this bound an endpoint could be left without the requests that show
 /// its recovery.
 pub const MIN_WEIGHT_FACTOR: f64 = 0.02;
-/// The largest weight factor. An endpoint that looks idle may be idle only until keys have moved to it.
+/// The largest weight factor. It is small because an endpoint may look idle only until its keys have moved to it.
 pub const MAX_WEIGHT_FACTOR: f64 = 1.5;
 /// Exponent of the weight factor's response to load; see `docs/design/fleet.md`.
 const LOAD_EXPONENT: f64 = 2.0;
--- a/crates/gossip/src/wire.rs
+++ b/crates/gossip/src/wire.rs
@@ -123,7 +123,7 @@
     pub loads: Vec<(EndpointHash, EndpointLoad)>,
 }
 
-/// The reason for which a datagram cannot be decoded.
+/// The reason why a datagram cannot be decoded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum DecodeError {
     /// The datagram has another version than [`VERSION`].
--- a/crates/membership/examples/measure_members.rs
+++ b/crates/membership/examples/measure_members.rs
@@ -28,7 +28,8 @@
         ("mixed faults", mixed, 20, mixed_seeds),
     ];
     println!(
-        "\n| scenario | members | seeds | not converged | median s | longest s |\n| --- | --- | --- | --- | --- | --- |"
+        "\n| scenario | members | seeds | not converged | median s | longest s |\n\
+         | --- | --- | --- | --- | --- | --- |"
     );
     for (name, scenario, size, seeds) in scenarios.into_iter().filter(|it| it.3 > 0) {
         let mut durations: Vec<Option<Micros>> = (0..seeds).map(|seed| scenario(size, seed)).collect();
@@ -144,7 +145,8 @@
 /// Measures how often, and for how long at most, a live member is down for another in a minute at 20 % loss.
 fn measure_loss(seeds: u64) {
     println!(
-        "\n| 20 % loss, one minute | times a live member was down for another | longest s |\n| --- | --- | --- |"
+        "\n| 20 % loss, one minute | times a live member was down for another | longest s |\n\
+         | --- | --- | --- |"
     );
     for size in [50, 300] {
         let (mut times, mut longest) = (0, 0);
--- a/crates/membership/src/action.rs
+++ b/crates/membership/src/action.rs
@@ -40,7 +40,7 @@
     Replaced(u64),
 }
 
-/// The reason for which a member is down.
+/// The reason why a member is down.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DownReason {
     /// The member answered neither direct nor indirect probes, and did not refute the suspicion.
--- a/crates/membership/src/counters.rs
+++ b/crates/membership/src/counters.rs
@@ -1,6 +1,6 @@
 //! Counters of a member's datagrams and suspicions.
 
-/// The reason for which a datagram was dropped.
+/// The reason why a datagram was dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DatagramError {
     /// The datagram is longer than [`MAX_DATAGRAM`](crate::MAX_DATAGRAM).
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! Each member probes one other member at a time, directly and then indirectly through further members. A
 //! member that does not answer is suspected and notified of the suspicion, and is declared down unless it
-//! refutes the suspicion in time. Updates are piggybacked on the datagrams of the probes.
+//! refutes the suspicion in time. Updates are piggybacked on datagrams that are sent anyway.
 //!
 //! A member is identified by its number on the [`Roster`] and an *incarnation*. Of two incarnations of a
 //! number, the higher is the later one, and datagrams of the earlier one do not change its state. A member
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -22,8 +22,8 @@
     pub probe_timeout: Micros,
     /// Number of members that are asked to probe a member that did not answer.
     pub indirect_probes: usize,
-    /// Time from a suspicion to declaring the suspect down. It keeps a member up whose process stalls, or
-    /// whose datagrams are lost, for a short time.
+    /// Time from a suspicion to declaring the suspect down. It keeps a stalled process or
+    /// lost datagrams from being mistaken for a crash.
     pub suspicion_timeout: Micros,
     /// Number of reminders that the suspect gets during a suspicion.
     pub reminders: u8,
@@ -34,7 +34,7 @@
     pub gossip_interval: Micros,
     /// Number of members that receive each gossip round.
     pub gossip_fanout: usize,
-    /// Time from one rejoin round to the next.
+    /// Time from one rejoin round to the next while members of the roster are not up.
     pub rejoin_interval: Micros,
     /// Time from one rejoin round to the next within `fast_rejoin_time` of a join, a renewal or a stall.
     pub fast_rejoin_interval: Micros,
