--- a/crates/front/src/accept.rs
+++ b/crates/front/src/accept.rs
@@ -1,8 +1,9 @@
-//! Accepts client connections: which are served, and which are rejected for want of a connection slot.
+//! Accepts client connections, and rejects the requests of a new connection when no connection slot is free.
 //!
-//! A request counts as taken once it is written to a connection that the system has accepted, and its time runs from then on.
-//! So a new connection waits for a slot only for a part of the shortest deadline of requests, the wait in the listener's queue
-//! included. Then what it has written is rejected, and its client can try elsewhere in time.
+//! A request counts as accepted, and its deadline runs, from the time at which it is written to a connection that the
+//! operating system has accepted. A new connection therefore waits for a slot only for a part of the shortest deadline
+//! of requests, including the wait in the listener's queue. After that its requests are rejected, so that its client
+//! can retry elsewhere in time.
 
 use crate::client::{Accepted, Client};
 use crate::front::{Front, SlotGrant};
@@ -18,27 +19,28 @@
 use tokio::sync::oneshot;
 use tokio::time::{Instant, interval, sleep, timeout};
 
-/// The wait after a failed accept, when descriptors may have run out, and the longest wait for a connection to end.
+/// The pause after a failed accept, when descriptors may have run out, and the interval at which a wait for the end of
+/// a connection checks its condition again.
 const RETRY_DELAY: Duration = Duration::from_millis(20);
-/// When the listener is closed: no more is accepted once nothing has arrived for this long.
+/// Before the listener is closed, the connections in its queue are accepted until none has arrived for this long.
 const FINAL_ACCEPT_TIMEOUT: Duration = Duration::from_millis(20);
 /// How often the counters of client connections are logged.
 const REPORT_INTERVAL: Duration = Duration::from_secs(10);
-/// A new connection may wait for a slot for this part of the shortest deadline ...
+/// The longest wait of a new connection for a slot is the shortest deadline of requests divided by this.
 const SLOT_WAIT_DIVISOR: u32 = 4;
-/// ... and for this long at most.
+/// The upper bound of the wait of a new connection for a slot, however long the shortest deadline is.
 const MAX_SLOT_WAIT: Duration = Duration::from_millis(500);
 
-/// How long a new connection may wait for a slot, by the shortest deadline of requests.
+/// Returns how long a new connection may wait for a slot, given the shortest deadline of requests.
 #[must_use]
 pub fn slot_wait(shortest: Duration) -> Duration {
     (shortest / SLOT_WAIT_DIVISOR).min(MAX_SLOT_WAIT)
 }
 
-/// What is known of the waiting times in the listener's queue.
+/// Bounds the time that connections have waited in the listener's queue.
 #[derive(Debug, Clone, Copy)]
 pub struct AcceptQueue {
-    /// When it was last known to be empty: no connection in it arrived before that.
+    /// When the queue was last known to be empty: no connection in it arrived before that.
     empty_at: Instant,
 }
 
@@ -49,25 +51,25 @@
         Self { empty_at: now }
     }
 
-    /// Records that it was empty at `now`.
+    /// Records that the queue was empty at `now`.
     pub fn record_empty(&mut self, now: Instant) {
         self.empty_at = now;
     }
 
-    /// How long the connection at its head may have waited.
+    /// Returns the longest time that the connection at the head of the queue may have waited.
     #[must_use]
     pub fn waited(&self, now: Instant) -> Duration {
         now.saturating_duration_since(self.empty_at)
     }
 
-    /// How long that connection may still wait for a slot.
+    /// Returns how long the connection at the head of the queue may still wait for a slot.
     #[must_use]
     pub fn remaining_wait(&self, now: Instant, slot_wait: Duration) -> Duration {
         slot_wait.saturating_sub(self.waited(now))
     }
 }
 
-/// Accepts the next connection. Nothing is lost if this is dropped before it completes.
+/// Accepts the next connection. Cancel safe.
 async fn accept_next(
     listener: &TcpListener, queue: &mut AcceptQueue, stall_monitor: &StallMonitor,
 ) -> io::Result<(TcpStream, SocketAddr)> {
@@ -76,15 +78,17 @@
     }
     queue.record_empty(Instant::now());
     let accepted = listener.accept().await;
-    // Those behind it may all have arrived while the event loop was stalled.
+    // The connections queued after this one may have arrived at any time while the event loop was stalled.
     let now = Instant::now();
     queue.record_empty(now.checked_sub(stall_monitor.overdue(now)).unwrap_or(now));
     accepted
 }
 
 impl Front {
-    /// Accepts connections until `stop` fires, then accepts what is in the queue and closes the listener. A `shared` listener
-    /// is also held by other processes, which serve meanwhile: nothing is accepted from it before this process is ready.
+    /// Accepts connections until `stop` fires, then accepts the connections left in the queue and closes the listener.
+    ///
+    /// A `shared` listener is also held by other processes, which serve it meanwhile: this process accepts from it only
+    /// once it is ready, and leaves the queue to the other processes when it stops.
     pub async fn accept(
         self: Rc<Self>, listener: TcpListener, shared: bool, mut stop: oneshot::Receiver<()>,
     ) {
@@ -95,10 +99,10 @@
             }
         }
         let mut report = interval(REPORT_INTERVAL);
-        report.reset(); // there is nothing to report yet
+        report.reset(); // skips the tick that fires immediately
         let mut queue = AcceptQueue::empty(Instant::now());
         loop {
-            // The stop signal comes first: a wait for a slot may never end.
+            // The stop signal is checked first: a wait for a slot may never end.
             let accepted = tokio::select! {
                 biased;
                 _ = &mut stop => break,
@@ -109,7 +113,7 @@
                     accept_next(&listener, &mut queue, &self.handle.stall_monitor).await
                 } => accepted,
                 _ = report.tick() => {
-                    queue.record_empty(Instant::now()); // nothing had arrived up to now
+                    queue.record_empty(Instant::now()); // no connection had arrived by now
                     self.log_report();
                     continue;
                 }
@@ -120,11 +124,11 @@
             }
         }
         if !shared {
-            self.accept_rest(&listener, &queue).await; // the queue of a shared one is served by the other processes
+            self.accept_rest(&listener, &queue).await; // other processes serve the queue of a shared listener
         }
     }
 
-    /// Serves a connection as soon as there is a slot for it, or rejects it if that takes too long.
+    /// Serves a connection as soon as a slot is free, or rejects it when no slot becomes free in time.
     async fn admit(self: &Rc<Self>, stream: TcpStream, address: IpAddr, queue: &AcceptQueue) {
         let remaining = queue.remaining_wait(Instant::now(), self.slot_wait);
         match self.wait_for_slot_within(remaining).await {
@@ -133,8 +137,8 @@
         }
     }
 
-    /// Waits for a slot for at most `remaining`. No timer is set where there is no time: it would take a millisecond at least,
-    /// which each connection of a crowd would cost all behind it.
+    /// Waits for a slot for at most `remaining`. Without time remaining, no timer is set: it takes at least a
+    /// millisecond, by which each connection would delay all connections queued after it.
     async fn wait_for_slot_within(&self, remaining: Duration) -> SlotGrant {
         if remaining.is_zero() {
             let is_free = self.update_slots(ConnectionSlots::has_free_slot);
@@ -143,8 +147,9 @@
         timeout(remaining, self.wait_for_slot()).await.unwrap_or(SlotGrant::Denied)
     }
 
-    /// Accepts the connections that the system has accepted already: they would be reset with the listener, and the requests
-    /// written to them lost. Those without a slot are rejected. Ends when none is left, or when all else is to be answered.
+    /// Accepts the connections left in the listener's queue before the listener is closed: closing it would reset them
+    /// and lose the requests written to them. Rejects those for which no slot is free. Returns when the queue is empty,
+    /// or at the deadline by which all requests must be answered.
     async fn accept_rest(self: &Rc<Self>, listener: &TcpListener, queue: &AcceptQueue) {
         let ends = self.shutdown().ends().unwrap_or_else(Instant::now);
         while Instant::now() < ends {
@@ -159,15 +164,15 @@
         }
     }
 
-    /// Serves a connection that has a slot and has waited this long for it.
+    /// Serves a connection that has a slot, for which it has waited for `waited`.
     fn serve(self: &Rc<Self>, stream: TcpStream, address: IpAddr, waited: Duration) {
         let (id, close_signal) = self.register_connection();
         let timeout = self.update_slots(|slots, now| slots.accepted(now, id, address));
         self.spawn_client(id, Accepted { stream, close_signal, timeout, slotless: None, waited });
     }
 
-    /// Rejects what is written on a connection for which there is no slot, as soon as there is a descriptor for it. If a slot
-    /// becomes free by then, the connection is served.
+    /// Rejects the requests of a connection for which no slot is free, once one of the descriptors reserved for such
+    /// connections is available. If a slot becomes free before that, the connection is served.
     async fn reject(self: &Rc<Self>, stream: TcpStream, address: IpAddr, queue: &AcceptQueue) {
         while self.slotless.get() >= MAX_SLOTLESS {
             let _ = timeout(RETRY_DELAY, self.connection_ended.notified()).await;
@@ -179,7 +184,7 @@
         self.serve_without_slot(stream, queue.waited(Instant::now()));
     }
 
-    /// Rejects what is written on a connection without a slot, and closes it.
+    /// Rejects the requests of a connection without a slot, and closes it.
     fn serve_without_slot(self: &Rc<Self>, stream: TcpStream, waited: Duration) {
         let (id, close_signal) = self.register_connection();
         self.slotless.set(self.slotless.get() + 1);
@@ -202,7 +207,8 @@
         });
     }
 
-    /// Waits after a failed accept, so that EMFILE causes no busy loop; the client stays in the queue meanwhile.
+    /// Evicts a connection and pauses after a failed accept, so that EMFILE causes no busy loop. The new connection
+    /// stays in the listener's queue meanwhile.
     async fn handle_accept_error(&self, error: &io::Error) {
         if let Some(suppressed) = self.lines.accept_failed.admit_line() {
             log::warn!("front: accept failed: {error}{suppressed}");
@@ -211,7 +217,7 @@
         sleep(RETRY_DELAY).await;
     }
 
-    /// Waits for a slot, for which a connection that [`ConnectionSlots`] chooses is closed.
+    /// Waits until a slot is free. [`ConnectionSlots`] chooses the connection that is closed to free one.
     async fn wait_for_slot(&self) -> SlotGrant {
         while !self.update_slots(ConnectionSlots::has_free_slot) {
             if self.shutdown().rejects_without_slot(Instant::now()) {
@@ -222,7 +228,7 @@
             {
                 log::warn!("front: all {} client connections are busy{suppressed}", self.max_connections);
             }
-            // The timeout covers a connection that was asked to close just as its next request arrived.
+            // The timeout covers a connection whose next request arrived just as it was asked to close: it stays open.
             let _ = timeout(RETRY_DELAY, self.connection_ended.notified()).await;
         }
         SlotGrant::Granted
--- a/crates/front/src/client.rs
+++ b/crates/front/src/client.rs
@@ -1,4 +1,4 @@
-//! One client connection: commands in, answers out in the order of the commands.
+//! Serves one client connection: reads commands and writes the replies in the order of the commands.
 
 mod closing;
 mod commands;
--- a/crates/front/src/client/closing.rs
+++ b/crates/front/src/client/closing.rs
@@ -1,4 +1,4 @@
-//! How a connection is closed so that no answer, and no command on its way, is lost unnoticed.
+//! Closes client connections without losing a reply, or a command in transit, unnoticed.
 
 use super::connection::{Client, MAX_PENDING_REPLIES, ReportedState};
 use super::socket::client_left;
@@ -9,18 +9,19 @@
 use tokio::task::yield_now;
 use tokio::time::{Instant, sleep, timeout_at};
 
-/// Reads of what has arrived by the time from which on nothing more is read: a client that writes without a pause is cut off.
+/// The most reads of input that has arrived before the end of reading. Bounds them for a client that writes without a
+/// pause.
 const MAX_LAST_READS: usize = 8;
-/// How long after closing an idle connection a command may arrive that raced the close.
+/// How long a command that races the close of an idle connection may take to arrive after the close.
 const RACE_WINDOW: Duration = Duration::from_millis(20);
-/// How long the receiving side stays open after the sending side is closed, where a reset would destroy what is on its way: an
-/// error that the client sends past, or an answer that a command of the client races.
+/// How long the receiving side stays open after the sending side is closed, when a reset would destroy bytes in
+/// transit: an error reply while the client goes on sending, or an answer while the client sends another command.
 const LINGER: Duration = Duration::from_secs(2);
-/// The same at least, where the connection should be closed by now.
+/// The shortest time for which the receiving side stays open, when the deadline for the close is near or has passed.
 const MIN_LINGER: Duration = Duration::from_millis(100);
-/// Bytes that are read and discarded at a time meanwhile ...
+/// The size of the reads whose bytes are discarded during a lingering close.
 const LINGER_READ_BYTES: usize = 16 * 1024;
-/// ... with this pause after each read: a client that goes on sending at full speed must not occupy the event loop.
+/// The pause after each such read, so that a client that sends at full speed does not occupy the event loop.
 const LINGER_READ_PAUSE: Duration = Duration::from_millis(2);
 
 /// Why a connection is closed between requests.
@@ -28,9 +29,9 @@
 pub(super) enum CloseReason {
     /// The balancer is draining, or the process ends.
     Shutdown,
-    /// Another client needs its slot.
+    /// Another connection needs its slot.
     SlotNeeded,
-    /// It was idle for too long, or its first command did not arrive in time.
+    /// It was idle for longer than its timeout, or its first command did not arrive in time.
     IdleTimeout,
 }
 
@@ -45,9 +46,9 @@
 }
 
 impl Client {
-    /// Reads what has arrived; returns whether that was nothing.
+    /// Reads once, without waiting, and handles what was read. Returns whether no input had arrived.
     pub(super) async fn is_input_drained(&mut self) -> io::Result<bool> {
-        yield_now().await; // lets the runtime check its sockets first
+        yield_now().await; // lets the runtime poll its sockets first
         match self.stream.try_read_buf(&mut self.input) {
             Ok(0) => Ok(true),
             Ok(_) => {
@@ -59,8 +60,8 @@
         }
     }
 
-    /// Reads once what has arrived by the time from which on nothing more is read. That time may have passed before the first
-    /// look at the socket, when the event loop is busy.
+    /// Reads the input that has arrived before the end of reading; called once. When the event loop is busy, the end of
+    /// reading may pass before the socket is read for the first time.
     pub(super) async fn read_last_input(&mut self) -> io::Result<()> {
         self.has_read_last_input = true;
         for _ in 0..MAX_LAST_READS {
@@ -74,9 +75,9 @@
 
     /// Closes the connection between requests.
     ///
-    /// A command that races the close is left unread, so that its client sends it again, and is counted. In that case, or if
-    /// an answer may still be on its way, the client's close is waited for: with unread bytes our close would be a reset,
-    /// which destroys what is left of that answer.
+    /// A command that races the close is counted and left unread, so that the client sends it again. In that case, or
+    /// if an answer may still be in transit, this waits for the client to close: closing with unread bytes sends a
+    /// reset, which destroys the rest of that answer.
     pub(super) async fn close_between_requests(mut self, reason: CloseReason) -> io::Result<()> {
         log::debug!("front: client {}: closing: {}", self.id.0, reason.label());
         self.stream.shutdown().await?;
@@ -84,7 +85,7 @@
         let until = self.schedule().linger_until(now, MIN_LINGER, LINGER);
         let has_written_lately = self.written_at.is_some_and(|at| at.elapsed() < LINGER);
         if self.slotless.is_some() && !has_written_lately {
-            return Ok(()); // it has sent nothing, and others wait
+            return Ok(()); // no answer can be in transit, and other connections wait for the descriptor
         }
         let race_until = if has_written_lately { until } else { until.min(now + RACE_WINDOW) };
         let Ok(ready) = timeout_at(race_until, self.stream.ready(Interest::READABLE)).await else {
@@ -97,8 +98,8 @@
         Ok(())
     }
 
-    /// Closes the sending side, then reads for a while: closing with unread bytes would reset the connection, and the client
-    /// might lose the error that it was just sent.
+    /// Closes the sending side, then reads and discards input until the client closes or the time is over. Closing with
+    /// unread bytes would reset the connection, and the client might lose the error that was just sent.
     pub(super) async fn lingering_close(&mut self) -> io::Result<()> {
         self.report_state(ReportedState::AwaitingCommand);
         self.stream.shutdown().await?;
--- a/crates/front/src/client/commands.rs
+++ b/crates/front/src/client/commands.rs
@@ -1,4 +1,4 @@
-//! Decodes commands from the input of a connection, and creates the reply to each.
+//! Decodes the commands in the input of a connection and creates a reply to each.
 
 use super::connection::{Client, MAX_PENDING_REPLIES, ReportedState};
 use super::reply::{BUSY, Reply};
@@ -11,18 +11,18 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How long a large value may take to arrive, from its length on; meanwhile it must go on arriving. Bounds how long one client
-/// holds a part of the memory for values.
+/// How long a large value may take to arrive once its length is known. Bounds how long one client holds a part of the
+/// memory for values. The value must not stop arriving for longer than the command timeout.
 const LARGE_VALUE_TIMEOUT: Duration = Duration::from_secs(30);
 
 impl Client {
-    /// Handles input that was just read.
+    /// Handles input that was just read: records its arrival, skips bytes to discard, and decodes commands.
     pub(super) fn handle_input(&mut self) {
         self.input_age = self.age_of_input();
         self.input_at = Some(Instant::now());
         self.pipelines |= !self.replies.is_empty();
         if self.value_deadline.is_some() {
-            self.command_awaited_since = Some(Instant::now()); // a value that goes on arriving is waited for
+            self.command_awaited_since = Some(Instant::now()); // the command timeout restarts while a value arrives
         }
         if self.bytes_to_skip > 0 {
             let skipped = self.bytes_to_skip.min(self.input.len());
@@ -35,23 +35,23 @@
         self.read_commands();
     }
 
-    /// How long ago the input just read may have arrived: as long as the event loop was stalled now, or when it accepted the
-    /// connection a moment ago.
+    /// Returns the longest time ago at which the input just read may have arrived: the current stall of the event loop
+    /// or, on a new connection, the age of the connection when it was accepted.
     fn age_of_input(&self) -> Duration {
         let age = self.front.handle.stall_monitor.overdue(Instant::now());
         let is_new = self.opened.elapsed() < stall_monitor::CHECK_INTERVAL;
         if is_new { age.max(self.age_at_accept) } else { age }
     }
 
-    /// When the last byte of a command that is decoded now arrived. The wait in our buffer behind other commands does not
-    /// count.
+    /// Returns the earliest time at which the last byte of the command being decoded may have arrived. The time that
+    /// the command waits in the input buffer after other commands is not counted.
     fn received(&self) -> Instant {
         let now = Instant::now();
         now.checked_sub(self.input_age).unwrap_or(now)
     }
 
-    /// Checks an incomplete command: one with a large value needs memory before it is read on. Returns the reply if the command
-    /// ends by it.
+    /// Checks an incomplete command: starts its timers, and reserves memory for a large value before the value is read.
+    /// Returns a reply if the command is rejected.
     fn check_partial_command(&mut self) -> Option<Reply> {
         if self.input.is_empty() || self.memory.is_some() || self.bytes_to_skip > 0 {
             return None;
@@ -67,7 +67,7 @@
             return None;
         }
         let mut command = partial.words;
-        command.0.push(Bytes::new()); // in place of the value, so that it can be parsed
+        command.0.push(Bytes::new()); // a placeholder for the value, so that the command can be parsed
         let ParsedCommand::Request(incoming) = request::parse(&command, &self.front.names, self.received())
         else {
             return Some(self.reject_malformed(ProtoError::TooLong("command"))); // no other command has a large argument
@@ -84,7 +84,7 @@
         Some(Reply::line(BUSY))
     }
 
-    /// Ends the connection with an error.
+    /// Returns an error reply to malformed input, after which the connection ends.
     fn reject_malformed(&mut self, error: ProtoError) -> Reply {
         if let Some(suppressed) = self.front.lines.malformed_command.admit_line() {
             log::info!("front: client {}: {error}{suppressed}", self.id.0);
@@ -93,7 +93,7 @@
         Reply::line(&format!("-ERR {error}\r\n"))
     }
 
-    /// Decodes the complete commands, as far as there is room for their replies.
+    /// Decodes the complete commands in the input, up to the limit of pending replies.
     pub(super) fn read_commands(&mut self) {
         let stage = self.schedule().stage_now();
         while !self.is_ending && self.replies.len() < MAX_PENDING_REPLIES {
@@ -143,7 +143,7 @@
         }
     }
 
-    /// Any reply but `+PONG` makes clients connect elsewhere.
+    /// Returns the reply to `PING`. Any reply other than `+PONG` makes clients connect elsewhere.
     fn ping_reply(&self) -> &'static str {
         let handle = &self.front.handle;
         if self.front.shutdown().is_draining() {
--- a/crates/front/src/client/connection.rs
+++ b/crates/front/src/client/connection.rs
@@ -15,33 +15,33 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// Commands of one connection that may wait for their answers; beyond it nothing is read.
+/// The most unanswered commands of one connection; at this number nothing more is read.
 pub(super) const MAX_PENDING_REPLIES: usize = 32;
 /// The initial capacity of the input buffer.
 const INPUT_BYTES: usize = 1024;
 
 /// A connection that was just accepted.
 pub(crate) struct Accepted {
-    /// Its socket.
+    /// The socket.
     pub(crate) stream: TcpStream,
-    /// Asks it to close for another connection.
+    /// Asks the connection to close when another connection needs its slot.
     pub(crate) close_signal: Rc<Notify>,
-    /// How long its commands are awaited.
+    /// The timeout for reading a command.
     pub(crate) timeout: CommandTimeout,
-    /// How long it is kept open, if it has no slot.
+    /// The timeouts of a connection without a slot; `None` if it has one.
     pub(crate) slotless: Option<SlotlessTimes>,
-    /// How long it has waited for its slot.
+    /// How long the connection has waited for its slot.
     pub(crate) waited: Duration,
 }
 
-/// What the connection slots were last notified of.
+/// The state of a connection that was last reported to the connection slots.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum ReportedState {
-    /// A command is awaited.
+    /// Waiting for a command: the first one, or the rest of one.
     AwaitingCommand,
-    /// A command was read, and its answer is owed.
+    /// A command was read and is not answered yet.
     Busy,
-    /// Everything was answered.
+    /// All commands were answered.
     Idle,
 }
 
@@ -52,42 +52,44 @@
     pub(super) id: ConnectionId,
     pub(super) input: BytesMut,
     pub(super) replies: VecDeque<Reply>,
-    /// Whether it ends once its replies are written.
+    /// Whether the connection ends once its replies are written.
     pub(super) is_ending: bool,
-    /// Whether its client has ended its sending.
+    /// Whether the client has closed its sending side.
     pub(super) client_left: bool,
-    /// Since when an incomplete command is awaited: the first one, or one that has begun.
+    /// When the wait for a command began: the first one, or the rest of an incomplete one.
     pub(super) command_awaited_since: Option<Instant>,
-    /// How long a client may take over a command from its first byte on, and over its first from connecting on. Protects the
-    /// slots from clients that send nothing or half a command; a usual one takes milliseconds.
+    /// How long a command may take from its first byte to its last; for the first command the time starts when the
+    /// connection opens. Protects the slots from clients that send nothing or half a command; a usual command takes
+    /// milliseconds.
     pub(super) command_timeout: Duration,
-    /// When the value of a command under way must have arrived, once its length is known.
+    /// The deadline for the arrival of an incomplete command, once the length of its last word is known.
     pub(super) value_deadline: Option<Instant>,
-    /// The memory reserved for a large value under way.
+    /// The memory reserved for a large value that is arriving.
     pub(super) memory: Option<MemoryPermit>,
-    /// How long before it was read the latest input may have arrived.
+    /// The longest time for which the latest input may have waited before it was read.
     pub(super) input_age: Duration,
-    /// How long the connection may have existed when it was accepted: its wait for a slot and a stall of the event loop.
+    /// The longest time for which the connection may have existed when it was accepted: its wait for a slot and a stall
+    /// of the event loop.
     pub(super) age_at_accept: Duration,
-    /// How long it is kept open, if it has no slot: then every request of it is rejected.
+    /// The timeouts of a connection without a slot, whose requests are all rejected; `None` if it has a slot.
     pub(super) slotless: Option<SlotlessTimes>,
-    /// The bytes still to come of a large value that there was no memory for: they are read and discarded.
+    /// The remaining bytes of a large value that was rejected for lack of memory: they are read and discarded.
     pub(super) bytes_to_skip: usize,
-    /// Asks it to close for another connection.
+    /// Asks the connection to close when another connection needs its slot.
     pub(super) close_signal: Rc<Notify>,
-    /// Whether it was asked to.
+    /// Whether the close signal was received and the connection has sent no command since.
     pub(super) was_asked_to_close: bool,
     pub(super) reported_state: ReportedState,
     pub(super) opened: Instant,
-    /// When the last request was answered while connections were closing, if any was.
+    /// When the last request that was answered during a shutdown was answered.
     pub(super) answered_at: Option<Instant>,
-    /// When something was last written.
+    /// When a reply was last written.
     pub(super) written_at: Option<Instant>,
-    /// When something was last read.
+    /// When input was last read.
     pub(super) input_at: Option<Instant>,
-    /// Whether what had arrived by the time from which on nothing more is read was read.
+    /// Whether the input that had arrived before the end of reading was read.
     pub(super) has_read_last_input: bool,
-    /// Whether its client has sent commands while earlier ones were unanswered, in writes of their own.
+    /// Whether the client pipelines in separate writes: it has sent commands while earlier ones were unanswered.
     pub(super) pipelines: bool,
 }
 
@@ -128,7 +130,7 @@
         !self.input.is_empty() || self.bytes_to_skip > 0
     }
 
-    /// Ends the wait for a command.
+    /// Clears the timers of the wait for a command.
     pub(super) fn clear_command_timers(&mut self) {
         self.command_awaited_since = None;
         self.value_deadline = None;
@@ -145,13 +147,14 @@
         }
     }
 
-    /// When it closes for another connection, if it was asked to and has sent no command since then: not within a batch.
+    /// Returns when the connection closes for another one, if it was asked to and has sent no command since. A batch is
+    /// not interrupted.
     pub(super) fn eviction_deadline(&mut self) -> Option<Instant> {
         self.was_asked_to_close &= self.front.is_closing(self.id);
         self.was_asked_to_close.then(|| self.activity().evictable_from())
     }
 
-    /// When the connection is to close, and what is done with its requests until then.
+    /// Returns when the connection closes, and how its requests are handled until then.
     pub(super) fn schedule(&self) -> Schedule {
         let activity = self.activity();
         let schedule = self.front.shutdown().schedule(&activity);
@@ -161,7 +164,7 @@
         }
     }
 
-    /// Notifies the connection slots of what this connection does, if that has changed.
+    /// Reports the state of the connection to the connection slots if it has changed.
     pub(super) fn report_state(&mut self, state: ReportedState) {
         if mem::replace(&mut self.reported_state, state) == state {
             return;
--- a/crates/front/src/client/reply.rs
+++ b/crates/front/src/client/reply.rs
@@ -1,4 +1,4 @@
-//! The replies that a connection owes, in the order of its commands.
+//! Replies to the commands of a connection, in the order of the commands.
 
 use bytes::{BufMut, BytesMut};
 use gateway::engine::Ticket;
@@ -6,21 +6,21 @@
 use proto::resp;
 use std::collections::VecDeque;
 
-/// Rejects a request: it has had no effect, and may be sent again at once.
+/// The reply that rejects a request. The request had no effect and may be sent again at once.
 pub(super) const BUSY: &str = "-BUSY\r\n";
 
 /// The reply to one command.
 pub(super) enum Reply {
-    /// It can be written.
+    /// An encoded reply that can be written.
     Ready(BytesMut),
-    /// The core has not answered yet.
+    /// A request that the core has not answered yet.
     Pending(Ticket),
-    /// A large value, to be passed on as it arrives.
+    /// A large value, which is forwarded as it arrives.
     Streamed(Box<StreamedValue>),
 }
 
 impl Reply {
-    /// A reply of one line, given with its line end.
+    /// Creates a reply from one line, which includes its line end.
     pub(super) fn line(text: &str) -> Self {
         Reply::Ready(BytesMut::from(text.as_bytes()))
     }
@@ -39,7 +39,7 @@
     }
 }
 
-/// Waits for the answer to the first reply, if the core has yet to give it.
+/// Waits for the answer to the first reply; never completes if that reply is not pending.
 pub(super) async fn next_answer(replies: &mut VecDeque<Reply>) -> Answer {
     match replies.front_mut() {
         Some(Reply::Pending(ticket)) => ticket.await,
--- a/crates/front/src/client/serve.rs
+++ b/crates/front/src/client/serve.rs
@@ -1,4 +1,5 @@
-//! The life of a connection: waits for commands and answers, writes replies, and decides when the connection ends.
+//! The event loop of a connection: waits for commands and answers, writes replies, and decides when the connection
+//! ends.
 
 use super::closing::CloseReason;
 use super::connection::{Client, MAX_PENDING_REPLIES, ReportedState};
@@ -12,38 +13,39 @@
 use tokio::task::yield_now;
 use tokio::time::{Instant, sleep_until};
 
-/// Bytes of replies that are collected before they are written.
+/// The size of a batch of replies from which on no further reply is added to it.
 const MAX_BATCH_BYTES: usize = 256 * 1024;
 /// The capacity of the buffer for the header of a streamed value.
 const HEADER_BYTES: usize = 16;
 
 /// What happened on a connection.
 enum Event {
-    /// Something that was handled.
+    /// An event that needs no further handling.
     Handled,
-    /// Its slot is needed for another connection.
+    /// The slot is needed for another connection.
     SlotNeeded,
-    /// It was idle for too long, or its command is overdue.
+    /// The connection was idle for too long, or its command is overdue.
     Overdue,
-    /// The time for a large value is over.
+    /// The last word of a command, such as a large value, did not arrive in time.
     ValueOverdue,
 }
 
-/// How a connection goes on.
+/// The next step of a connection after an event.
 enum Step {
+    /// Stay open.
     Continue,
-    /// It is closed after an error or `QUIT`.
+    /// Close after an error or `QUIT`.
     LingeringClose,
-    /// It is closed between requests.
+    /// Close between requests.
     Close(CloseReason),
 }
 
 impl Client {
-    /// Serves the connection until it ends. Requests that are unanswered then have lost their client.
+    /// Serves the connection until it ends. The tickets of unanswered requests are dropped.
     pub(crate) async fn run(mut self) -> io::Result<()> {
         self.stream.set_nodelay(true)?;
-        // The client may have left while its connection waited to be accepted. The runtime notices that once it has checked the
-        // socket, and without this would read a request first.
+        // The client may have closed the connection while it waited to be accepted. The runtime notices that once it
+        // has polled the socket; without this yield, a request would be read first.
         yield_now().await;
         let mut batch = BytesMut::new();
         while !self.client_left {
@@ -75,7 +77,7 @@
         Ok(false)
     }
 
-    /// Waits for the next event, and decides how the connection goes on.
+    /// Waits for the next event and returns the next step.
     async fn step(&mut self) -> io::Result<Step> {
         if self.is_ending && self.replies.is_empty() {
             return Ok(Step::LingeringClose);
@@ -87,7 +89,7 @@
         } else {
             if !self.has_read_last_input {
                 self.read_last_input().await?;
-                return Ok(Step::Continue); // what was read has its replies by now
+                return Ok(Step::Continue); // the commands in that input have replies now
             }
             if self.reject_partial_command() {
                 return Ok(Step::Continue);
@@ -103,7 +105,7 @@
         match self.next_event(&schedule, stage).await? {
             Event::Handled => {}
             Event::ValueOverdue => self.end_overdue_command(),
-            // A request that arrived as the connection was about to close has been taken.
+            // A request that arrived just before the close was read and is served.
             Event::SlotNeeded | Event::Overdue if !self.is_input_drained().await? => {}
             Event::Overdue if self.has_partial_command() => self.end_overdue_command(),
             Event::SlotNeeded => return Ok(Step::Close(CloseReason::SlotNeeded)),
@@ -115,13 +117,13 @@
         Ok(Step::Continue)
     }
 
-    /// Ends the connection with an error after the replies owed: the rest of a command did not arrive in time.
+    /// Ends the connection with an error after the pending replies: the rest of a command did not arrive in time.
     fn end_overdue_command(&mut self) {
         self.is_ending = true;
         self.replies.push_back(Reply::line("-ERR the command did not end in time\r\n"));
     }
 
-    /// Waits for the next event, and handles input and answers.
+    /// Waits for the next event. Input and answers are handled here.
     async fn next_event(&mut self, schedule: &Schedule, stage: Stage) -> io::Result<Event> {
         let nothing_owed = self.replies.is_empty();
         if nothing_owed {
@@ -142,7 +144,7 @@
         }
         let idle_deadline = idle_deadline.into_iter().chain(eviction_deadline).min();
         let deadline = command_deadline.into_iter().chain(value_deadline).chain(idle_deadline).min();
-        // Deadlines go before the socket, where there may always be more to read.
+        // Deadlines are checked before the socket, which may always have more to read.
         if let Some(deadline) = deadline.filter(|deadline| *deadline <= Instant::now()) {
             let value_is_overdue = value_deadline.is_some_and(|until| until <= deadline);
             return Ok(if value_is_overdue { Event::ValueOverdue } else { Event::Overdue });
@@ -176,7 +178,8 @@
         }
     }
 
-    /// Moves the replies that are ready to `batch`, and reads further commands as that makes room for their replies.
+    /// Moves the replies that are ready to `batch`, and decodes further commands as the number of pending replies
+    /// falls.
     fn collect_ready_replies(&mut self, batch: &mut BytesMut) {
         loop {
             while batch.len() < MAX_BATCH_BYTES {
@@ -190,7 +193,7 @@
                     None => break,
                 }
             }
-            // Commands that have arrived may have waited for room: without this they would wait for more input.
+            // Decodes commands that the limit of pending replies held back; otherwise they would wait for more input.
             let pending = self.replies.len();
             self.read_commands();
             if self.replies.len() == pending {
@@ -199,10 +202,11 @@
         }
     }
 
-    /// Rejects an incomplete command when no more is read: its last bytes may be on their way, and it would be lost with the
-    /// connection. Returns whether there was one.
+    /// Rejects an incomplete command after the end of reading: the rest of it may be in transit, and the command would
+    /// be lost with the connection. Returns whether there was one.
     fn reject_partial_command(&mut self) -> bool {
-        // With as many replies as may be pending, the input may hold complete commands, which are read as those are answered.
+        // At the limit of pending replies the input may hold complete commands, which are decoded as replies are
+        // written.
         let may_hold_complete = self.replies.len() >= MAX_PENDING_REPLIES;
         if self.is_ending || may_hold_complete || self.input.is_empty() || self.bytes_to_skip > 0 {
             return false;
@@ -214,7 +218,7 @@
         true
     }
 
-    /// Ends the wait for all answers: requests without one are answered as failed, since the connection closes.
+    /// Stops waiting for answers, since the connection closes: unanswered requests are answered as failed.
     fn fail_pending_replies(&mut self) {
         for reply in &mut self.replies {
             if let Reply::Pending(ticket) = reply {
@@ -224,8 +228,8 @@
         }
     }
 
-    /// Passes on a large value as it arrives. If it breaks off, the connection ends, and the client can tell by the length in
-    /// the header.
+    /// Forwards a large value as it arrives. If the value breaks off, the connection ends; the client detects this by
+    /// the length in the header.
     async fn stream_value(&mut self) -> io::Result<()> {
         let Some(Reply::Streamed(mut streamed)) = self.replies.pop_front() else { return Ok(()) };
         let mut header = BytesMut::with_capacity(HEADER_BYTES);
--- a/crates/front/src/client/socket.rs
+++ b/crates/front/src/client/socket.rs
@@ -1,4 +1,4 @@
-//! Reading and writing of a client's socket, and how it is noticed that the client has left.
+//! Reads and writes a client's socket, and detects that the client has closed its sending side.
 
 use bytes::BytesMut;
 use futures_util::FutureExt;
@@ -8,47 +8,48 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout};
 
-/// How long a client may accept no byte of an answer.
+/// The longest time in which a client accepts no byte of a reply before its connection ends.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
-/// How often a client that nothing is read from is checked for having left: nothing may be forwarded for it 0.1 s later.
+/// The interval at which a connection that is not read is checked for a close by its client: 0.1 s after the close no
+/// request may be forwarded for it.
 const CHECK_INTERVAL: Duration = Duration::from_millis(40);
 
-/// What a client did.
+/// An event on a client's socket.
 pub(super) enum ClientEvent {
-    /// Bytes were read.
+    /// Input was read.
     Bytes,
-    /// It has ended its sending.
+    /// The client has closed its sending side.
     End,
-    /// It has sent more, which was not read.
+    /// Input has arrived and was not read.
     Unread,
 }
 
-/// What is waited for on the socket.
+/// The events that are awaited on a client's socket.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum ReadMode {
-    /// More is read.
+    /// Input is read.
     Read,
-    /// Nothing is read; the end of the client's sending is waited for.
+    /// Nothing is read; only the close of the client's sending side is awaited.
     WatchForEnd,
-    /// The same, or that the client has sent more.
+    /// Nothing is read; the close of the client's sending side or the arrival of input is awaited.
     WatchForBytes,
 }
 
-/// Whether the client has ended its sending, as far as the runtime has been notified: also if bytes before it are unread.
+/// Returns whether the client has closed its sending side, as far as the runtime was notified, even with unread input.
 fn has_left(stream: &TcpStream) -> bool {
     let checked = stream.ready(Interest::READABLE).now_or_never();
     checked.is_some_and(|ready| ready.is_ok_and(Ready::is_read_closed))
 }
 
-/// Waits until the client has ended its sending, and reads nothing. The first check is made at once: before the next timer
-/// fires, the core would forward what arrived together with that end.
+/// Waits until the client has closed its sending side, and reads nothing. The first check is made at once: by the time
+/// of the next timer the core would have forwarded a request that arrived together with the close.
 pub(super) async fn client_left(stream: &TcpStream) {
     while !has_left(stream) {
         sleep(CHECK_INTERVAL).await;
     }
 }
 
-/// Reads into `input`, or waits for what `mode` says.
+/// Reads into `input`, or waits for the events of `mode` without reading.
 pub(super) async fn read_or_watch(
     stream: &mut TcpStream, input: &mut BytesMut, mode: ReadMode,
 ) -> io::Result<ClientEvent> {
@@ -65,12 +66,13 @@
     Ok(ClientEvent::End)
 }
 
-/// Whether there are unread bytes.
+/// Returns whether input has arrived that was not read.
 fn has_unread(stream: &TcpStream) -> bool {
     stream.peek(&mut [0]).now_or_never().is_some_and(|peeked| peeked.is_ok_and(|bytes| bytes > 0))
 }
 
-/// Writes all bytes, as long as the client is there and goes on reading: one that reads slowly is not cut off.
+/// Writes all bytes. Fails when the client closes its sending side, or accepts no byte for [`WRITE_TIMEOUT`]; a client
+/// that reads slowly is not cut off.
 pub(super) async fn write(stream: &TcpStream, mut bytes: &[u8]) -> io::Result<()> {
     while !bytes.is_empty() {
         match stream.try_write(bytes) {
--- a/crates/front/src/front.rs
+++ b/crates/front/src/front.rs
@@ -1,4 +1,4 @@
-//! What all client connections of a front share: their slots, their shutdown, and the way to the core.
+//! The state shared by all client connections: connection slots, the shutdown, and the handle of the core.
 
 use crate::shutdown::Shutdown;
 use admission::{ConnectionId, ConnectionSlots, Micros};
@@ -12,16 +12,16 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// Whether a connection has a slot.
+/// The outcome of a wait for a connection slot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum SlotGrant {
-    /// It has one, and is served.
+    /// A slot is free: the connection is served.
     Granted,
-    /// No slot became free in time: what it has written is rejected.
+    /// No slot became free in time: the requests of the connection are rejected.
     Denied,
 }
 
-/// Throttles of the log lines that clients can cause.
+/// Throttles for the log lines that clients can cause at any rate.
 #[derive(Debug, Default)]
 pub(crate) struct FrontLines {
     pub(crate) malformed_command: LogThrottle,
@@ -29,9 +29,9 @@
     pub(crate) accept_failed: LogThrottle,
 }
 
-/// The state that all client connections share.
+/// The RESP front: the state shared by all client connections.
 pub struct Front {
-    /// The way to the core.
+    /// Submits requests to the core, and reports its state.
     pub handle: Handle,
     pub(crate) names: Names,
     pub(crate) max_connections: usize,
@@ -40,22 +40,22 @@
     started: Instant,
     last_id: Cell<u64>,
     slots: RefCell<ConnectionSlots>,
-    /// The way to ask each connection to close.
+    /// The signal that asks each connection to close.
     close_signals: RefCell<FxHashMap<ConnectionId, Rc<Notify>>>,
     pub(crate) lines: FrontLines,
     /// Notified when a connection has ended.
     pub(crate) connection_ended: Notify,
     /// The number of connections without a slot.
     pub(crate) slotless: Cell<usize>,
-    /// Whether and when connections are to close.
+    /// The shutdown in progress.
     shutdown: Cell<Shutdown>,
-    /// Wakes those who wait for that to change.
+    /// Notified when the shutdown has changed.
     pub(crate) shutdown_changed: Notify,
 }
 
 impl Front {
-    /// Creates a front with slots for `max_connections` client connections. A new one waits for a slot for `slot_wait` at
-    /// most.
+    /// Creates a front with `max_connections` connection slots. A new connection waits for a slot for at most
+    /// `slot_wait`.
     #[must_use]
     pub fn new(handle: Handle, names: Names, max_connections: usize, slot_wait: Duration) -> Rc<Self> {
         Rc::new(Self {
@@ -75,7 +75,7 @@
         })
     }
 
-    /// Updates the connection slots, and signals the connections that are to close because of it.
+    /// Updates the connection slots, and signals the connections that must close as a result.
     pub(crate) fn update_slots<T>(&self, update: impl FnOnce(&mut ConnectionSlots, Micros) -> T) -> T {
         let mut slots = self.slots.borrow_mut();
         let result = update(&mut slots, self.now());
@@ -91,17 +91,17 @@
         self.started.elapsed().as_micros() as Micros
     }
 
-    /// Whether every slot is taken by a connection that must not be closed.
+    /// Returns whether every slot is held by a connection that must not be closed.
     pub(crate) fn all_slots_busy(&self) -> bool {
         self.slots.borrow().all_busy()
     }
 
-    /// Whether a connection is still to be closed for another.
+    /// Returns whether a connection must still close to free its slot for another one.
     pub(crate) fn is_closing(&self, id: ConnectionId) -> bool {
         self.slots.borrow().is_closing(id)
     }
 
-    /// Counts a command that arrived on a connection as it was closed.
+    /// Counts a command that raced the close of its connection.
     pub(crate) fn count_close_race(&self) {
         self.slots.borrow_mut().count_close_race();
     }
@@ -125,7 +125,7 @@
         self.connection_ended.notify_one();
     }
 
-    /// Logs how many slots are taken, and the counters of connections.
+    /// Logs the number of slots in use and the counters of client connections.
     pub(crate) fn log_report(&self) {
         let slots = self.slots.borrow();
         let (open, reuse, counters) =
@@ -136,25 +136,26 @@
         );
     }
 
-    /// Announces that the process is about to end: from now on new connections without a slot are rejected.
+    /// Announces that the process is about to end: from now on a new connection is rejected at once when no slot is
+    /// free.
     pub fn announce_end(&self) {
         self.change_shutdown(|shutdown| shutdown.announce_end(Instant::now()));
     }
 
-    /// Closes every connection: idle ones after `idle`, the others once their requests are answered, by `ends` at the latest.
-    /// This is final; the end of a drain does not change it.
+    /// Closes every connection: idle ones after `idle`, the others once their requests are answered, and all at `ends`.
+    /// This cannot be undone; the end of a drain does not change it.
     pub fn terminate(&self, idle: Duration, ends: Instant) {
         self.change_shutdown(|shutdown| shutdown.terminate(Instant::now(), idle, ends));
     }
 
-    /// Closes connections while the balancer is draining, for as long as the program runs.
+    /// Follows the drain state of the balancer until the core stops: client connections close while it is draining.
     pub async fn follow_drain(self: Rc<Self>) {
         let mut draining = self.handle.draining();
         loop {
             let is_draining = *draining.borrow_and_update();
             self.change_shutdown(|shutdown| shutdown.set_draining(Instant::now(), is_draining));
             if draining.changed().await.is_err() {
-                return; // the core is gone
+                return; // the core has stopped
             }
         }
     }
@@ -166,12 +167,12 @@
         self.shutdown_changed.notify_waiters();
     }
 
-    /// Whether and when connections are to close.
+    /// Returns the shutdown in progress, which states whether and when connections close.
     pub(crate) fn shutdown(&self) -> Shutdown {
         self.shutdown.get()
     }
 
-    /// Why clients should not connect now, if there is a reason.
+    /// Returns the reason why clients should not connect now, if there is one.
     #[must_use]
     pub fn closing_reason(&self) -> Option<&'static str> {
         self.shutdown.get().reason()
--- a/crates/front/src/lib.rs
+++ b/crates/front/src/lib.rs
@@ -1,10 +1,10 @@
-//! The RESP front for clients: the listener and the client connections. Beside it, the admin endpoint for operators.
+//! The RESP front for clients, with its listener and client connections, and the admin endpoint for operators.
 //!
-//! A front reads the commands of its protocol, submits requests to the core ([`gateway::engine::Handle::submit`]) and encodes
-//! the answer of each. `admission` decides which connections stay open, as [`Front`] reports what they do. [`operator`] answers
-//! operators from the core, without waiting for traffic.
+//! The front reads RESP commands, submits requests to the core ([`gateway::engine::Handle::submit`]) and encodes their
+//! answers. [`Front`] reports the state of each connection to `admission`, which decides which connections stay open.
+//! [`operator`] answers operators from the core, without waiting for client traffic.
 //!
-//! What becomes of a request is left to the core; the listeners, and when to stop, to the program.
+//! The core decides how each request is answered. The program supplies the listeners and decides when to stop.
 #![forbid(unsafe_code)]
 #![warn(unreachable_pub)]
 
--- a/crates/front/src/operator.rs
+++ b/crates/front/src/operator.rs
@@ -1,4 +1,4 @@
-//! The admin endpoint for operators: HTTP/1.1, one call per connection, answered without waiting for client traffic.
+//! The admin endpoint for operators: HTTP/1.1 with one call per connection, served without waiting for client traffic.
 
 mod call;
 mod connection;
@@ -19,20 +19,20 @@
 use tokio::task::AbortHandle;
 use tokio::time::sleep;
 
-/// Connections at a time. Beyond it the one that has been silent for longest is closed for a new one, so that silent callers
-/// keep nobody out. The configuration reserves as many descriptors.
+/// The most connections that are open at a time. Beyond it the oldest silent connection is closed for a new one, so
+/// that silent callers do not keep others out. The configuration reserves as many descriptors.
 pub const MAX_CALLERS: usize = 16;
-/// The wait after a failed accept, when descriptors may have run out.
+/// The pause after a failed accept, when descriptors may have run out.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// One caller's connection.
+/// The connection of one caller.
 struct Caller {
     number: u64,
     progress: Rc<Cell<Progress>>,
     task: AbortHandle,
 }
 
-/// The connections of all callers, the oldest first.
+/// The state of the admin endpoint. `callers` holds the open connections, oldest first.
 struct AdminEndpoint {
     calls: CallHandler,
     callers: RefCell<VecDeque<Caller>>,
@@ -41,7 +41,7 @@
     silent_closed: LogThrottle,
 }
 
-/// Serves callers until the task is dropped.
+/// Serves the admin endpoint until the future is dropped.
 pub async fn serve(listener: TcpListener, handle: Handle, front: Rc<Front>) {
     let endpoint = Rc::new(AdminEndpoint {
         calls: CallHandler::new(handle, front),
@@ -56,13 +56,14 @@
             Ok((stream, _)) => endpoint.clone().spawn_connection(number, stream),
             Err(error) => endpoint.handle_accept_error(&error).await,
         }
-        // A complete call is read before the next connection is accepted, which might close this one as silent.
+        // Lets a complete call be read before the next connection is accepted, which may close this connection as
+        // silent.
         tokio::task::yield_now().await;
     }
 }
 
 impl AdminEndpoint {
-    /// Waits until a further connection may be accepted, and closes the oldest silent one for it.
+    /// Waits until another connection may be accepted. At the limit, closes the oldest silent connection.
     async fn wait_for_capacity(&self) {
         while self.callers.borrow().len() >= MAX_CALLERS {
             match self.remove_oldest_silent() {
--- a/crates/front/src/operator/call.rs
+++ b/crates/front/src/operator/call.rs
@@ -1,4 +1,4 @@
-//! The calls of the admin endpoint, and the answer to each.
+//! Handles the calls of the admin endpoint.
 
 use super::response;
 use crate::front::Front;
@@ -15,18 +15,18 @@
 use thiserror::Error;
 use tokio::time::{Instant, timeout, timeout_at};
 
-/// The call that proposes a change of the calendar.
+/// The path of the call that proposes a change of the calendar.
 const CALENDAR: &str = "/fleet/calendar";
-/// The calls that change something.
+/// The paths of the calls that change state.
 const POST_CALLS: [&str; 5] = ["/drain", "/undrain", "/cache-hosts/disable", "/cache-hosts/enable", CALENDAR];
-/// The longest body of a call.
+/// The longest body of a call other than a proposal.
 const MAX_BODY_BYTES: usize = 4 * 1024;
-/// The longest proposal for the calendar: one may name hundreds of hosts.
+/// The longest body of a proposal for the calendar, which may name hundreds of cache nodes.
 const MAX_PROPOSAL_BYTES: usize = 64 * 1024;
-/// How long the fleet's thread may take to answer a call: a caller gets its answer within a second.
+/// How long the fleet's thread may take to answer a call, so that the caller gets a response within a second.
 const FLEET_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// What is wrong with a call's body.
+/// The reason why the body of a call is rejected.
 #[derive(Debug, Error)]
 enum BodyError {
     #[error("{0}")]
@@ -65,7 +65,7 @@
         Self { handle, front }
     }
 
-    /// Answers a call, whose body must arrive by `until`.
+    /// Answers a call. Its body must arrive by `until`.
     pub(super) async fn answer(&self, request: Request<Incoming>, until: Instant) -> Response<Full<Bytes>> {
         match (request.uri().path(), request.method()) {
             ("/ready", &Method::GET) => self.ready(),
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Carries out a call that changes something, once its body has arrived.
+    /// Reads the body of a call that changes state, and carries out the call.
     async fn change(
         &self, path: &str, request: Request<Incoming>, until: Instant,
     ) -> Result<Response<Full<Bytes>>, BodyError> {
@@ -128,7 +128,7 @@
         let call = FleetCall::Propose(Box::new(proposal));
         match timeout(FLEET_TIMEOUT, self.handle.call_fleet(call)).await {
             Ok(answer) => fleet_response(answer),
-            // It may still be agreed on: a caller that repeats it under the same id learns that.
+            // The proposal may still be accepted: a caller that repeats it with the same id gets the outcome.
             Err(_) => response::json(StatusCode::ACCEPTED, &json!({"pending": true})),
         }
     }
@@ -147,7 +147,8 @@
     }
 }
 
-/// The answer of the fleet's thread: a status and a JSON body; `None` when there is no fleet.
+/// Converts the answer of the fleet's thread, a status and a JSON body, to a response; `None` means that there is no
+/// fleet.
 fn fleet_response(answer: Option<(u16, String)>) -> Response<Full<Bytes>> {
     let Some((status, body)) = answer else { return response::error(StatusCode::NOT_FOUND, "no fleet") };
     let status = StatusCode::from_u16(status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
@@ -164,7 +165,7 @@
     }
 }
 
-/// Parses the cache host that a call names.
+/// Parses the id of the cache node that a call names.
 fn parse_host(body: &[u8]) -> Result<String, BodyError> {
     #[derive(Deserialize)]
     struct HostCall {
@@ -176,7 +177,7 @@
     }
 }
 
-/// Reads a call's body of at most `max_bytes`, which must arrive by `until`.
+/// Reads the body of a call, which may have at most `max_bytes` and must arrive by `until`.
 async fn read_body(request: Request<Incoming>, max_bytes: usize, until: Instant) -> Result<Bytes, BodyError> {
     match timeout_at(until, Limited::new(request.into_body(), max_bytes).collect()).await {
         Ok(Ok(body)) => Ok(body.to_bytes()),
--- a/crates/front/src/operator/connection.rs
+++ b/crates/front/src/operator/connection.rs
@@ -1,5 +1,5 @@
-//! One caller's connection: hyper reads the call and writes the answer. A call that hyper leaves without an answer is answered
-//! here, and the connection is closed so that no answer is lost to a reset.
+//! Serves one connection of the admin endpoint. hyper reads the call and writes the response. A call to which hyper
+//! writes no response is answered here, and the connection is closed so that a reset destroys no response.
 
 use http_body_util::Full;
 use hyper::body::{Bytes, Incoming};
@@ -19,37 +19,38 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, sleep_until, timeout_at};
 
-/// How long a call may take from connecting to its last byte. Its answer is due within 1 s.
+/// How long a call may take to arrive after the connection opens. The response is due within 1 s.
 const CALL_READ_TIMEOUT: Duration = Duration::from_millis(800);
-/// How long it may take to the last byte of its answer.
+/// How long a call may take until its response is written, after the connection opens.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long a caller that sends more after its call is read from: closing with unread bytes would reset the answer.
+/// How long input after a call is read and discarded: closing with unread bytes would reset the connection and destroy
+/// the response.
 const LINGER: Duration = Duration::from_millis(500);
-/// Bytes that are read and discarded at a time meanwhile.
+/// The size of the reads whose bytes are discarded during a lingering close.
 const LINGER_READ_BYTES: usize = 4 * 1024;
 
-/// The answer to a call that is no HTTP or ends early.
+/// The status of a call that is not valid HTTP or ends early.
 const BAD_REQUEST: &str = "400 Bad Request";
-/// The answer to a call that is not complete in time.
+/// The status of a call that is not complete in time.
 const REQUEST_TIMEOUT: &str = "408 Request Timeout";
 
-/// How far a caller's connection has come.
+/// The progress of a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Progress {
-    /// Its call has not arrived, or was answered: it may be closed for others.
+    /// No call has arrived, or the call was answered: the connection may be closed for another one.
     Waiting,
-    /// Its call is being answered.
+    /// The call is being answered.
     Called,
 }
 
-/// A caller's socket, and whether anything was read or written.
+/// A caller's socket, which records whether bytes were read or written.
 struct CallerStream {
     stream: TcpStream,
     has_read: bool,
     has_written: bool,
 }
 
-/// Reads a call, answers it by `answer`, and closes the connection.
+/// Reads a call, answers it with `answer`, and closes the connection.
 pub(super) async fn serve<F>(
     stream: TcpStream, progress: Rc<Cell<Progress>>, answer: impl Fn(Request<Incoming>, Instant) -> F,
 ) where
@@ -83,12 +84,12 @@
     progress.set(Progress::Waiting);
     if caller.has_read && !caller.has_written {
         let header = format!("HTTP/1.1 {status}\r\nconnection: close\r\ncontent-length: 0\r\n\r\n");
-        let _ = caller.stream.try_write(header.as_bytes()); // nothing was written before: the socket's buffer is empty
+        let _ = caller.stream.try_write(header.as_bytes()); // fits: nothing was written to the socket before
     }
     let _ = timeout_at(Instant::now() + LINGER, caller.close()).await;
 }
 
-/// Waits until a call is overdue; for ever if it has arrived.
+/// Waits until `overdue`, then returns if no call has arrived; otherwise never returns.
 async fn no_call_until(overdue: Instant, progress: &Cell<Progress>) {
     sleep_until(overdue).await;
     if progress.get() == Progress::Called {
@@ -97,7 +98,7 @@
 }
 
 impl CallerStream {
-    /// Closes the sending side, then reads until the caller closes its own.
+    /// Closes the sending side, then reads until the caller closes its sending side.
     async fn close(&mut self) -> io::Result<()> {
         self.stream.shutdown().await?;
         let mut discarded = [0; LINGER_READ_BYTES];
--- a/crates/front/src/operator/response.rs
+++ b/crates/front/src/operator/response.rs
@@ -1,4 +1,4 @@
-//! The HTTP responses of the admin endpoint.
+//! Builds the HTTP responses of the admin endpoint.
 
 use http_body_util::Full;
 use hyper::body::Bytes;
@@ -9,27 +9,27 @@
 const JSON: &str = "application/json";
 const TEXT: &str = "text/plain; charset=utf-8";
 
-/// A response with a body of plain text.
+/// Returns a response with a plain-text body.
 pub(super) fn text(body: String) -> Response<Full<Bytes>> {
     response(StatusCode::OK, TEXT, body)
 }
 
-/// A response with a JSON body.
+/// Returns a response with a JSON body.
 pub(super) fn json(status: StatusCode, body: &Value) -> Response<Full<Bytes>> {
     encoded_json(status, body.to_string())
 }
 
-/// A response with a body that is JSON already.
+/// Returns a response with a body that is already encoded as JSON.
 pub(super) fn encoded_json(status: StatusCode, body: String) -> Response<Full<Bytes>> {
     response(status, JSON, body)
 }
 
-/// An error response.
+/// Returns an error response with the message in its JSON body.
 pub(super) fn error(status: StatusCode, message: &str) -> Response<Full<Bytes>> {
     json(status, &json!({"error": message}))
 }
 
-/// The response to a call with the wrong method.
+/// Returns the response to a call whose method is not `allowed`.
 pub(super) fn wrong_method(allowed: &'static str) -> Response<Full<Bytes>> {
     let mut response = error(StatusCode::METHOD_NOT_ALLOWED, &format!("this call takes {allowed}"));
     response.headers_mut().insert(ALLOW, HeaderValue::from_static(allowed));
--- a/crates/front/src/request.rs
+++ b/crates/front/src/request.rs
@@ -1,4 +1,4 @@
-//! Parses a client's command into a request to the core, or into what the front answers by itself.
+//! Parses a client's command into a request to the core, or into a command that the front answers itself.
 
 use bytes::Bytes;
 use decide::api::{ClassId, Key, TenantId};
@@ -12,29 +12,29 @@
 use thiserror::Error;
 use tokio::time::Instant;
 
-/// The longest time limit that a request may state: ten minutes. No class waits that long.
+/// The longest time limit that a request may state: ten minutes, which is more than any class allows.
 const MAX_TIME_LIMIT_MS: f64 = 600_000.0;
-/// The words of a read: name, key, id and options.
+/// The number of words of a read: name, key, id and options.
 const READ_WORDS: usize = 4;
-/// The words of a write: the same and the value.
+/// The number of words of a write: name, key, id, options and value.
 const WRITE_WORDS: usize = READ_WORDS + 1;
 
-/// What a command asks for.
+/// A parsed command.
 #[derive(Debug)]
 pub(crate) enum ParsedCommand {
     /// A request to the core.
     Request(IncomingRequest),
     /// `PING`.
     Ping,
-    /// Answered with a status.
+    /// A command that is answered with a status and has no effect.
     Ok,
-    /// Answered with a status, then the connection ends.
+    /// `QUIT`: answered with a status, then the connection ends.
     Quit,
-    /// Answered with this error; the connection goes on.
+    /// An invalid command: answered with this error; the connection stays open.
     Invalid(InvalidCommand),
 }
 
-/// Why a command is no request. The texts are part of the protocol.
+/// The reason why a command is invalid. The texts are part of the protocol.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub(crate) enum InvalidCommand {
     #[error("unknown command")]
@@ -119,7 +119,8 @@
     u64::from_str_radix(text, 16).ok()
 }
 
-/// Whether this is one printable word: it becomes part of header lines to the origin, where a line end would forge a header.
+/// Returns whether this is one printable word. It becomes part of header lines to the origin, where a line end would
+/// forge a header.
 fn is_printable_word(text: &[u8]) -> bool {
     !text.is_empty() && text.iter().all(u8::is_ascii_graphic)
 }
@@ -149,7 +150,7 @@
         Ok(options)
     }
 
-    /// Parses one option, which starts at `start` in the text of all.
+    /// Parses one option, which starts at `start` in the text of all options.
     fn parse_one(&mut self, option: &[u8], start: usize, names: &Names) -> Result<(), InvalidCommand> {
         let equals = option.iter().position(|byte| *byte == b'=').ok_or(InvalidCommand::Options)?;
         let (name, value) = (&option[..equals], &option[equals + 1..]);
--- a/crates/front/src/shutdown.rs
+++ b/crates/front/src/shutdown.rs
@@ -1,37 +1,41 @@
-//! Graceful shutdown: when client connections close because the balancer drains or its process ends.
+//! Graceful shutdown of client connections, when the balancer drains or its process ends.
 //!
-//! [`Shutdown`] records a drain and the end of the process. From it each connection gets its [`Schedule`]: until when it is
-//! served, and what is done with it from then on, whatever it is doing. The connection itself carries that out.
+//! [`Shutdown`] records a drain and the end of the process. Each connection derives its [`Schedule`] from it: the times
+//! at which the connection enters each [`Stage`] of the shutdown, whatever it is doing. The connection itself carries
+//! them out.
 
 use crate::slotless::SlotlessTimes;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How long a connection may be idle in a drain. Clients that send a request in this time are closed after its answer, where no
-/// command races the close.
+/// How long idle connections stay open after the start of a drain. A connection on which a request arrives in this time
+/// is closed after the answer, when no command can race the close.
 const DRAIN_IDLE: Duration = Duration::from_millis(1_000);
-/// How long requests are accepted in a drain; later ones are shed, and an incomplete one is rejected. 4 s after the start of
-/// the drain no request accepted in the last 2 s may be open, and the process may have been stalled for a moment or have
-/// learned of the drain from another one.
+/// How long after the start of a drain requests are accepted; later ones are shed, and an incomplete one is rejected.
+/// No request accepted in the last 2 s may be open 4 s after the start of the drain. The time left allows for a short
+/// stall of the process, and for the delay when the process learns of the drain from another process.
 const DRAIN_READS: Duration = Duration::from_millis(1_500);
-/// How long answers are awaited whose client does not wait for them: it sends more, which would be an open request.
+/// How long after the start of a drain answers are awaited for a client that sends more instead of waiting for them:
+/// the bytes it sends would count as an open request.
 const DRAIN_ANSWERS: Duration = Duration::from_millis(2_500);
-/// When a connection with nothing to come is closed: no lingering close lasts longer. Leaves time to 4 s for the same delays.
+/// How long after the start of a drain a lingering close may last. The time left until 4 s allows for a short stall and
+/// for the delay when the process learns of the drain from another process.
 const DRAIN_CLOSED: Duration = Duration::from_millis(3_250);
-/// How long a connection that was just accepted may take to its first command in a shutdown, so that it is not closed while
-/// that command is on its way.
+/// How long the first command of a new connection is awaited during a shutdown, so that the connection is not closed
+/// while that command is in transit.
 pub(crate) const FIRST_COMMAND: Duration = Duration::from_millis(300);
-/// How long the lingering close of a connection that was accepted late may last.
+/// How long after its opening the lingering close of a connection that was accepted late in a drain may last.
 const LATE_CLOSE: Duration = Duration::from_millis(500);
-/// How long the next command of a batch that a client writes one command at a time may take. A client that holds small writes
-/// back sends them a round trip after our last bytes.
+/// How long the next command of a batch is awaited that a client writes one command at a time. A client that delays
+/// small writes (Nagle's algorithm) sends them one round trip after it has received the last bytes.
 pub(crate) const BATCH_GAP: Duration = Duration::from_millis(50);
-/// How long the process lives on after the last answers, to write them.
+/// How long the process runs after the deadline of the last answers, to write them.
 pub const LAST_WRITES: Duration = Duration::from_millis(100);
-/// How long the lingering close of a connection without a slot may last: the next one waits for its descriptor.
+/// How long the lingering close of a connection without a slot may last: the next such connection waits for its
+/// descriptor.
 const SLOTLESS_CLOSE: Duration = Duration::from_millis(60);
 
-/// The end of the process.
+/// The end of the process: when it began, how long idle connections stay open, and when all requests must be answered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct Termination {
     since: Instant,
@@ -39,108 +43,108 @@
     ends: Instant,
 }
 
-/// The shutdown under way: a drain, which may be undone, and the end of the process, which may not. Both may be in force.
+/// The shutdown in progress: a drain, which can be undone, the end of the process, which cannot, or both.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Shutdown {
     draining_since: Option<Instant>,
     termination: Option<Termination>,
-    /// Since when the process is known to end, while its connections are not closed yet.
+    /// When the end of the process was announced, which precedes the termination.
     end_announced: Option<Instant>,
 }
 
-/// What a connection's schedule depends on.
+/// The activity of a connection, on which its schedule depends.
 #[derive(Debug, Clone, Copy)]
 pub struct Activity {
-    /// When it was accepted.
+    /// When the connection was accepted.
     pub opened: Instant,
-    /// Whether it has sent a command.
+    /// Whether the client has sent a command.
     pub has_asked: bool,
-    /// When its last request was answered during the shutdown.
+    /// When the last request that was answered during a shutdown was answered.
     pub answered_at: Option<Instant>,
-    /// When it last sent something.
+    /// When input was last read.
     pub input_at: Option<Instant>,
-    /// Whether it has sent commands while earlier ones were unanswered, in writes of their own.
+    /// Whether the client pipelines in separate writes: it has sent commands while earlier ones were unanswered.
     pub pipelines: bool,
 }
 
 impl Activity {
-    /// Until when a batch that has begun may go on, if the next command comes within `gap`.
+    /// Returns until when the next command of a batch is awaited, if commands arrive at most `gap` apart.
     fn batch_until(&self, gap: Duration) -> Instant {
         self.input_at.unwrap_or(self.opened) + gap
     }
 
-    /// From when on the connection may be closed for another one while it is idle.
+    /// Returns the time from which the connection, while idle, may be closed to free its slot for another one.
     #[must_use]
     pub fn evictable_from(&self) -> Instant {
         if self.pipelines { self.batch_until(BATCH_GAP) } else { self.opened }
     }
 }
 
-/// The times of the steps in which a connection is shut down; `None` for a step that never comes.
+/// The times at which a connection enters the stages of a shutdown; `None` for a stage that it never enters.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Schedule {
-    /// It is closed if it is idle: all requests are answered, and no further command has begun.
+    /// The connection is closed if it is idle: all requests are answered, and no part of a command has arrived.
     pub idle: Option<Instant>,
-    /// New requests are shed.
+    /// New requests are shed from this time.
     shed: Option<Instant>,
-    /// Nothing more is read.
+    /// Nothing is read from this time.
     read: Option<Instant>,
-    /// Pending requests fail if the client sends more.
+    /// Pending requests fail if the client sends more from this time.
     abandon: Option<Instant>,
-    /// Pending requests fail.
+    /// Pending requests fail at this time.
     fail: Option<Instant>,
-    /// Its lingering close is over.
+    /// A lingering close ends at this time.
     closed: Option<Instant>,
 }
 
-/// The step of its schedule that a connection has reached, in order.
+/// The stage of the shutdown that a connection has reached, in order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Stage {
-    /// It is served.
+    /// Requests are served.
     Serving,
     /// New requests are shed.
     Shedding,
-    /// Nothing more is read; what was read is answered, then it is closed.
+    /// Nothing is read; the requests that were read are answered, then the connection is closed.
     Finishing,
-    /// The same; pending requests fail if the client sends more.
+    /// Nothing is read; pending requests are answered, or fail if the client sends more.
     Abandoning,
     /// Pending requests fail.
     Failing,
 }
 
-/// The earlier of two times, if there are any.
+/// Returns the earlier of two optional times.
 fn earlier(one: Option<Instant>, other: Option<Instant>) -> Option<Instant> {
     one.into_iter().chain(other).min()
 }
 
 impl Shutdown {
-    /// Starts or ends a drain. One that is in force keeps its start.
+    /// Starts or ends a drain. Starting a drain again keeps its start time.
     pub fn set_draining(&mut self, now: Instant, draining: bool) {
         self.draining_since = draining.then(|| self.draining_since.unwrap_or(now));
     }
 
-    /// Announces that the process will end soon: from now on no connection waits for a slot.
+    /// Announces that the process will end soon: from now on no new connection waits for a slot.
     pub fn announce_end(&mut self, now: Instant) {
         self.end_announced.get_or_insert(now);
     }
 
-    /// Starts the end of the process: idle connections close after `idle`, and all requests are answered by `ends`. This cannot
-    /// be undone.
+    /// Starts the termination of the process: idle connections close after `idle`, and all requests are answered by
+    /// `ends`. This cannot be undone.
     pub fn terminate(&mut self, now: Instant, idle: Duration, ends: Instant) {
         self.termination = Some(Termination { since: now, idle, ends });
     }
 
-    /// Whether the balancer is being drained.
+    /// Returns whether the balancer is draining.
     pub fn is_draining(&self) -> bool {
         self.draining_since.is_some()
     }
 
-    /// Whether connections are to close.
+    /// Returns whether connections must close.
     pub fn is_closing(&self) -> bool {
         self.reason().is_some()
     }
 
-    /// Why clients should not connect now, if there is a reason.
+    /// Returns the reason why clients should not connect now, if there is one.
     pub fn reason(&self) -> Option<&'static str> {
         match (self.termination, self.draining_since) {
             (Some(_), _) => Some("this process is ending"),
@@ -149,18 +153,18 @@
         }
     }
 
-    /// When all pending requests fail, if the process is ending.
+    /// Returns when all pending requests fail, if the process is ending.
     pub fn ends(&self) -> Option<Instant> {
         self.termination.map(|termination| termination.ends)
     }
 
-    /// Whether connections without a slot are rejected at once: no other connection will end in time for them.
+    /// Returns whether a new connection is rejected at once when no slot is free, since none would become free in time.
     pub fn rejects_without_slot(&self, now: Instant) -> bool {
         let drained = self.draining_since.is_some_and(|since| now >= since + DRAIN_READS);
         drained || self.end_announced.is_some()
     }
 
-    /// The schedule of a connection.
+    /// Returns the schedule of a connection; without a shutdown it has no times.
     pub fn schedule(&self, connection: &Activity) -> Schedule {
         let drain = self.draining_since.map(|since| drain_schedule(since, connection));
         let end = self.termination.map(|termination| termination.schedule(connection));
@@ -171,8 +175,8 @@
     }
 }
 
-/// When an idle connection closes: right after an answer that it was given since then, when no command can race the close,
-/// unless its client does not wait for answers.
+/// Returns when an idle connection closes. A connection with an answer during the shutdown closes right after it, when
+/// no command can race the close, unless its client pipelines.
 fn idle_until(since: Instant, idle: Duration, connection: &Activity) -> Instant {
     let batch_until = connection.batch_until(BATCH_GAP);
     match connection.answered_at {
@@ -210,7 +214,7 @@
 }
 
 impl Schedule {
-    /// The schedule when two shutdowns are in force: the earlier time counts for each step.
+    /// Merges two schedules: the earlier time applies to each stage.
     fn merge(self, other: Self) -> Self {
         Self {
             idle: earlier(self.idle, other.idle),
@@ -222,13 +226,15 @@
         }
     }
 
-    /// The schedule of a connection without a slot: all its requests are shed, and it is closed once its input has paused.
+    /// Returns the schedule of a connection without a slot: its requests are shed, and it is closed once its input has
+    /// paused.
     #[must_use]
     pub fn without_slot(self, connection: &Activity, times: SlotlessTimes) -> Self {
         let opened = connection.opened;
         let (gap, last_batch) = (times.batch_gap, opened + times.batch_span);
         let (idle, read) = match connection.input_at {
-            // It goes on sending: the close follows an answer, when a client that waits for it sends nothing.
+            // The client goes on sending: the close follows an answer, when a client that waits for answers sends
+            // nothing.
             Some(input_at) if input_at >= last_batch => (input_at, last_batch + gap),
             Some(_) if connection.has_asked => (connection.batch_until(gap), last_batch + gap),
             _ => (opened + times.first_command, opened + times.first_command),
@@ -238,7 +244,7 @@
         self.merge(shed)
     }
 
-    /// The step reached at this time.
+    /// Returns the stage at `now`.
     pub fn stage(&self, now: Instant) -> Stage {
         let over = |time: Option<Instant>| time.is_some_and(|time| now >= time);
         match () {
@@ -250,12 +256,12 @@
         }
     }
 
-    /// The step reached now. The clock is read only in a shutdown.
+    /// Returns the current stage. The clock is read only if the schedule sheds requests at some time.
     pub fn stage_now(&self) -> Stage {
         if self.shed.is_none() { Stage::Serving } else { self.stage(Instant::now()) }
     }
 
-    /// When the next step begins.
+    /// Returns when the stage after `stage` begins.
     pub fn next_stage(&self, stage: Stage) -> Option<Instant> {
         match stage {
             Stage::Serving => self.shed,
@@ -266,7 +272,8 @@
         }
     }
 
-    /// When a lingering close that begins now ends: after `most`, but not before `least`, even if its time is over.
+    /// Returns when a lingering close that begins now ends: after `most`, or earlier at the scheduled end, but not
+    /// before `least`.
     pub fn linger_until(&self, now: Instant, least: Duration, most: Duration) -> Instant {
         self.closed.map_or(now + most, |closed| (now + most).min(closed.max(now + least)))
     }
--- a/crates/front/src/slotless.rs
+++ b/crates/front/src/slotless.rs
@@ -1,48 +1,53 @@
-//! Connections without a connection slot: how long each may keep its descriptor while its commands are rejected.
+//! Timeouts of connections without a connection slot, which keep a descriptor while their commands are rejected.
 //!
-//! A client may write a batch one command at a time. The first rejection must not close the connection under the rest of it, so
-//! an answered connection stays open until its input has paused. Those that wait for the descriptor meanwhile have deadlines
-//! too: the more of them wait, and the longer they have waited, the shorter the times are.
+//! A client may write a batch one command at a time. Closing the connection after the first rejection would lose the
+//! rest of the batch, so an answered connection stays open until its input has paused. Other connections wait for its
+//! descriptor meanwhile, and their requests have deadlines too: the timeouts are shorter when many connections have no
+//! slot, and shorter still when the newest of them has waited for long.
 
 use crate::shutdown::{BATCH_GAP, FIRST_COMMAND};
 use std::time::Duration;
 
-/// Connections without a slot that are open at a time, to be rejected. Their descriptors are reserved.
+/// The most connections without a slot that are open at a time. Their descriptors are reserved.
 pub(crate) const MAX_SLOTLESS: usize = 16;
-/// Up to this many of them are not a crowd.
+/// The most open connections without a slot at which the load is low.
 const FEW_SLOTLESS: usize = MAX_SLOTLESS / 2;
-/// How long the first command is awaited in a crowd: a usual client writes it as soon as it is connected.
+/// The timeout for the first command under high load. A usual client writes it as soon as it is connected.
 const FIRST_COMMAND_IN_CROWD: Duration = Duration::from_millis(50);
-/// The same where the crowd has waited too long.
+/// The timeout for the first command when the newest connection is overdue.
 const FIRST_COMMAND_OVERDUE: Duration = Duration::from_millis(10);
-/// The same where requests have short deadlines.
+/// The shortest timeout for the first command, however short the deadlines of requests are.
 const MIN_FIRST_COMMAND: Duration = Duration::from_millis(3);
-/// How long the next command of a batch is awaited where the crowd has waited too long.
+/// The timeout for the next command of a batch when the newest connection is overdue.
 const BATCH_GAP_OVERDUE: Duration = Duration::from_millis(5);
-/// How long batches may go on where the crowd has waited too long; a later command is the last that is answered.
+/// How long batches may continue when the newest connection is overdue. The connection closes after the answer to a
+/// later command.
 const BATCH_SPAN_OVERDUE: Duration = Duration::from_millis(25);
-/// In a crowd a connection may keep others waiting for its batches for this part of the wait for a slot ...
+/// Batches may continue for the longest wait for a slot divided by this; when few connections have no slot, the timeout
+/// for the first command is added.
 const BATCH_SPAN_DIVISOR: u32 = 4;
-/// ... and for its next command for this part.
+/// The timeout for the next command of a batch is at most the longest wait for a slot divided by this.
 const BATCH_GAP_DIVISOR: u32 = 10;
 
-/// How many connections without a slot there are, and how long the next of them has waited.
+/// The load by connections without a slot: how many are open, and how long the newest has waited.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Crowding {
-    /// There are few: each may take its time.
+    /// Few are open: each may use the long timeouts.
     Few,
-    /// There are many.
+    /// Many are open.
     Many,
-    /// The next one has waited so long that its requests may be rejected too late for a retry.
+    /// Many are open, and the newest has waited so long that its requests may be rejected too late for a retry.
     Overdue,
 }
 
 impl Crowding {
-    /// The crowding with so many connections without a slot, where the newest has waited for `waited`, of which `slot_wait`
-    /// was for a slot.
+    /// Returns the load when `slotless` connections without a slot are open, the newest of which has waited for
+    /// `waited`.
+    /// `slot_wait` is the longest wait for a slot.
     #[must_use]
     pub fn assess(slotless: usize, waited: Duration, slot_wait: Duration) -> Self {
-        // A slot is awaited for a quarter of the shortest deadline, and a rejection is still early within a half of it.
+        // The wait for a slot takes a quarter of the shortest deadline; a rejection within half of the deadline is
+        // early enough.
         let latest = slot_wait + slot_wait / 2;
         match () {
             () if waited >= latest && slotless > FEW_SLOTLESS => Self::Overdue,
@@ -52,19 +57,20 @@
     }
 }
 
-/// How long a connection without a slot is kept open.
+/// The timeouts that bound how long a connection without a slot is kept open.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SlotlessTimes {
-    /// How long its first command is awaited.
+    /// The timeout for the first command.
     pub first_command: Duration,
-    /// How long the next command of a batch is awaited.
+    /// The timeout for the next command of a batch.
     pub batch_gap: Duration,
-    /// How long batches may go on, from its opening.
+    /// How long batches may continue after the connection was opened.
     pub batch_span: Duration,
 }
 
 impl SlotlessTimes {
-    /// The times for this crowding, where a slot is awaited for `slot_wait`: shorter where requests have short deadlines.
+    /// Returns the timeouts for this load. `slot_wait` is the longest wait for a slot: the shorter it is, that is, the
+    /// shorter the deadlines of requests are, the shorter are the timeouts.
     #[must_use]
     pub fn new(crowding: Crowding, slot_wait: Duration) -> Self {
         let gap = BATCH_GAP.min(slot_wait / BATCH_GAP_DIVISOR);
--- a/crates/front/tests/accept.rs
+++ b/crates/front/tests/accept.rs
@@ -1,4 +1,5 @@
-//! The accept queue: how long the connection at its head may have waited, and may still wait. No test waits.
+//! The wait of new connections for a slot, and the time they have spent in the accept queue. No test waits in real
+//! time.
 
 use front::accept::{AcceptQueue, slot_wait};
 use std::time::Duration;
@@ -20,9 +21,17 @@
     let start = Instant::now();
     let mut queue = AcceptQueue::empty(start);
     assert_eq!(queue.remaining_wait(start, ms(100)), ms(100));
-    assert_eq!(queue.remaining_wait(start + ms(60), ms(100)), ms(40), "one behind another that has waited");
-    assert_eq!(queue.remaining_wait(start + ms(300), ms(100)), ms(0), "none is left");
-    assert_eq!(queue.waited(start + ms(300)), ms(300), "and all of it counts for its request");
+    assert_eq!(
+        queue.remaining_wait(start + ms(60), ms(100)),
+        ms(40),
+        "a connection queued after another one"
+    );
+    assert_eq!(queue.remaining_wait(start + ms(300), ms(100)), ms(0), "no time is left");
+    assert_eq!(
+        queue.waited(start + ms(300)),
+        ms(300),
+        "the whole wait counts against the deadline of its request"
+    );
     queue.record_empty(start + ms(300));
     assert_eq!(queue.waited(start + ms(301)), ms(1));
     assert_eq!(queue.remaining_wait(start + ms(301), ms(100)), ms(99));
--- a/crates/front/tests/shutdown.rs
+++ b/crates/front/tests/shutdown.rs
@@ -1,4 +1,4 @@
-//! The schedule of a client connection: each kind of shutdown in each stage. No test waits.
+//! The schedule of a client connection in each kind of shutdown and each stage. No test waits in real time.
 
 use front::shutdown::{Activity, Schedule, Shutdown, Stage};
 use rstest::rstest;
@@ -11,17 +11,17 @@
     Duration::from_millis(ms)
 }
 
-/// A connection that was opened long ago, and was answered before any shutdown.
+/// A connection whose requests were all answered before any shutdown.
 fn used(start: Instant) -> Activity {
     Activity { opened: start, has_asked: true, answered_at: None, input_at: None, pipelines: false }
 }
 
-/// What is ordered, so many milliseconds after the start.
+/// A change of the shutdown state, at this many milliseconds after the start.
 #[derive(Debug, Clone, Copy)]
 enum Order {
     Drain(u64),
     Undrain(u64),
-    /// The process ends 3.5 s later.
+    /// All requests must be answered 3.5 s later.
     Terminate(u64),
 }
 
@@ -37,7 +37,7 @@
     shutdown
 }
 
-/// The stage from each of these times on, up to the next.
+/// Each listed time is in the listed stage.
 #[rstest]
 #[case::none(&[], &[(0, Stage::Serving), (HOUR, Stage::Serving)])]
 #[case::drain(
@@ -91,7 +91,7 @@
         pipelines: false,
     };
     assert_eq!(idle(silent(0)), Some(start + ms(1_000)));
-    assert_eq!(idle(silent(900)), Some(start + ms(1_200)), "its first command may be on its way");
+    assert_eq!(idle(silent(900)), Some(start + ms(1_200)), "the first command may be in transit");
     assert_eq!(Shutdown::default().schedule(&used(start)), Schedule::default());
 }
 
@@ -104,16 +104,24 @@
         let activity = Activity { answered_at, input_at: Some(start + ms(input)), pipelines, ..used(start) };
         shutdown.schedule(&activity).idle
     };
-    assert_eq!(at(Some(1_200), 1_190, true), Some(start + ms(1_240)), "behind its last input");
-    assert_eq!(at(Some(1_300), 1_190, true), Some(start + ms(1_300)), "its input has paused for long");
-    assert_eq!(at(Some(1_200), 1_190, false), Some(start + ms(1_200)), "its client waits for each answer");
-    assert_eq!(at(None, 1_480, false), Some(start + ms(1_530)), "it was answered a moment before");
+    assert_eq!(at(Some(1_200), 1_190, true), Some(start + ms(1_240)), "the batch gap after the last input");
+    assert_eq!(
+        at(Some(1_300), 1_190, true),
+        Some(start + ms(1_300)),
+        "the input has paused for longer than the batch gap"
+    );
+    assert_eq!(at(Some(1_200), 1_190, false), Some(start + ms(1_200)), "a client that waits for each answer");
+    assert_eq!(
+        at(None, 1_480, false),
+        Some(start + ms(1_530)),
+        "input just before the idle timeout extends it"
+    );
     let evictable =
         |pipelines| Activity { input_at: Some(start + ms(10)), pipelines, ..used(start) }.evictable_from();
     assert_eq!((evictable(true), evictable(false)), (start + ms(60), start));
 }
 
-/// A connection that is accepted after the time for reading has its first command read and shed.
+/// The first command of a connection accepted after the end of reading is read and shed.
 #[test]
 fn connection_accepted_late_is_read_for_a_moment_and_closed() {
     let start = Instant::now();
@@ -137,7 +145,7 @@
     let until = |at| schedule.linger_until(start + ms(at), ms(100), ms(2_000));
     assert_eq!(until(0), start + ms(2_000));
     assert_eq!(until(2_500), start + ms(3_250));
-    assert_eq!(until(6_000), start + ms(6_100), "an answer to a request taken in time came late");
+    assert_eq!(until(6_000), start + ms(6_100), "the minimum applies after the scheduled end");
     let serving = Schedule::default().linger_until(start, ms(100), ms(2_000));
     assert_eq!(serving, start + ms(2_000));
 }
--- a/crates/front/tests/slotless.rs
+++ b/crates/front/tests/slotless.rs
@@ -1,4 +1,4 @@
-//! Connections without a slot: how long each stays open for the rest of a batch. No test waits.
+//! How long connections without a slot stay open for the rest of a batch. No test waits in real time.
 
 use front::shutdown::{Activity, Schedule, Stage};
 use front::slotless::{Crowding, SlotlessTimes};
@@ -69,7 +69,8 @@
     assert_eq!(schedule.stage(opened + ms(last_batch_ms + gap_ms)), Stage::Finishing);
 }
 
-/// Sixteen of them at a time must not hold up the others beyond their deadlines: 80 ms here, a quarter of it for a slot.
+/// Sixteen connections without a slot at a time must not delay the others past their deadlines: 80 ms here, a quarter
+/// of which is the wait for a slot.
 #[rstest]
 #[case::many(Crowding::Many)]
 #[case::overdue(Crowding::Overdue)]
