--- a/crates/front/src/accept.rs
+++ b/crates/front/src/accept.rs
@@ -5,9 +5,9 @@
 //! of requests, including the wait in the listener's queue. After that its requests are rejected, so that its client
 //! can retry elsewhere in time.
 
-use crate::client::{Accepted, Client};
+use crate::client::{AcceptedConnection, Client};
 use crate::front::{Front, SlotGrant};
-use crate::slotless::{Crowding, MAX_SLOTLESS, SlotlessTimes};
+use crate::slotless::{MAX_SLOTLESS, SlotlessLoad, SlotlessTimeouts};
 use admission::{CommandTimeout, ConnectionId, ConnectionSlots, Micros};
 use futures_util::FutureExt;
 use gateway::stall_monitor::StallMonitor;
@@ -119,7 +119,7 @@
                 }
             };
             match accepted {
-                Ok((stream, address)) => self.admit(stream, address.ip(), &queue).await,
+                Ok((stream, address)) => self.serve_or_reject(stream, address.ip(), &queue).await,
                 Err(error) => self.handle_accept_error(&error).await,
             }
         }
@@ -129,7 +129,7 @@
     }
 
     /// Serves a connection as soon as a slot is free, or rejects it when no slot becomes free in time.
-    async fn admit(self: &Rc<Self>, stream: TcpStream, address: IpAddr, queue: &AcceptQueue) {
+    async fn serve_or_reject(self: &Rc<Self>, stream: TcpStream, address: IpAddr, queue: &AcceptQueue) {
         let remaining = queue.remaining_wait(Instant::now(), self.slot_wait);
         match self.wait_for_slot_within(remaining).await {
             SlotGrant::Granted => self.serve(stream, address, queue.waited(Instant::now())),
@@ -151,8 +151,8 @@
     /// and lose the requests written to them. Rejects those for which no slot is free. Returns when the queue is empty,
     /// or at the deadline by which all requests must be answered.
     async fn accept_rest(self: &Rc<Self>, listener: &TcpListener, queue: &AcceptQueue) {
-        let ends = self.shutdown().ends().unwrap_or_else(Instant::now);
-        while Instant::now() < ends {
+        let deadline = self.shutdown().termination_deadline().unwrap_or_else(Instant::now);
+        while Instant::now() < deadline {
             match timeout(FINAL_ACCEPT_TIMEOUT, listener.accept()).await {
                 Err(_) => return,
                 Ok(Err(error)) => self.handle_accept_error(&error).await,
@@ -168,7 +168,7 @@
     fn serve(self: &Rc<Self>, stream: TcpStream, address: IpAddr, waited: Duration) {
         let (id, close_signal) = self.register_connection();
         let timeout = self.update_slots(|slots, now| slots.accepted(now, id, address));
-        self.spawn_client(id, Accepted { stream, close_signal, timeout, slotless: None, waited });
+        self.spawn_client(id, AcceptedConnection { stream, close_signal, timeout, slotless: None, waited });
     }
 
     /// Rejects the requests of a connection for which no slot is free, once one of the descriptors reserved for such
@@ -188,14 +188,17 @@
     fn serve_without_slot(self: &Rc<Self>, stream: TcpStream, waited: Duration) {
         let (id, close_signal) = self.register_connection();
         self.slotless.set(self.slotless.get() + 1);
-        let crowding = Crowding::assess(self.slotless.get(), waited, self.slot_wait);
-        let times = SlotlessTimes::new(crowding, self.slot_wait);
-        let timeout = CommandTimeout(times.first_command.as_micros() as Micros);
-        let slotless = Some(times);
-        self.spawn_client(id, Accepted { stream, close_signal, timeout, slotless, waited: Duration::ZERO });
+        let load = SlotlessLoad::assess(self.slotless.get(), waited, self.slot_wait);
+        let timeouts = SlotlessTimeouts::new(load, self.slot_wait);
+        let timeout = CommandTimeout(timeouts.first_command.as_micros() as Micros);
+        let slotless = Some(timeouts);
+        self.spawn_client(
+            id,
+            AcceptedConnection { stream, close_signal, timeout, slotless, waited: Duration::ZERO },
+        );
     }
 
-    fn spawn_client(self: &Rc<Self>, id: ConnectionId, accepted: Accepted) {
+    fn spawn_client(self: &Rc<Self>, id: ConnectionId, accepted: AcceptedConnection) {
         let slotless = accepted.slotless.is_some();
         let client = Client::new(self.clone(), id, accepted);
         let front = self.clone();
@@ -210,7 +213,7 @@
     /// Evicts a connection and pauses after a failed accept, so that EMFILE causes no busy loop. The new connection
     /// stays in the listener's queue meanwhile.
     async fn handle_accept_error(&self, error: &io::Error) {
-        if let Some(suppressed) = self.lines.accept_failed.admit_line() {
+        if let Some(suppressed) = self.log_throttles.accept_failed.admit_line() {
             log::warn!("front: accept failed: {error}{suppressed}");
         }
         self.update_slots(|slots, now| slots.evict(now));
@@ -224,7 +227,7 @@
                 return SlotGrant::Denied;
             }
             if self.all_slots_busy()
-                && let Some(suppressed) = self.lines.all_slots_busy.admit_line()
+                && let Some(suppressed) = self.log_throttles.all_slots_busy.admit_line()
             {
                 log::warn!("front: all {} client connections are busy{suppressed}", self.max_connections);
             }
--- a/crates/front/src/client.rs
+++ b/crates/front/src/client.rs
@@ -7,4 +7,4 @@
 mod serve;
 mod socket;
 
-pub(crate) use connection::{Accepted, Client};
+pub(crate) use connection::{AcceptedConnection, Client};
--- a/crates/front/src/client/closing.rs
+++ b/crates/front/src/client/closing.rs
@@ -1,7 +1,7 @@
 //! Closes client connections without losing a reply, or a command in transit, unnoticed.
 
 use super::connection::{Client, MAX_PENDING_REPLIES, ReportedState};
-use super::socket::client_left;
+use super::socket::wait_for_client_close;
 use bytes::BytesMut;
 use std::io;
 use std::time::Duration;
@@ -11,14 +11,14 @@
 
 /// The most reads of input that has arrived before the end of reading. Bounds them for a client that writes without a
 /// pause.
-const MAX_LAST_READS: usize = 8;
+const MAX_FINAL_READS: usize = 8;
 /// How long a command that races the close of an idle connection may take to arrive after the close.
 const RACE_WINDOW: Duration = Duration::from_millis(20);
 /// How long the receiving side stays open after the sending side is closed, when a reset would destroy bytes in
 /// transit: an error reply while the client goes on sending, or an answer while the client sends another command.
-const LINGER: Duration = Duration::from_secs(2);
+const LINGER_PERIOD: Duration = Duration::from_secs(2);
 /// The shortest time for which the receiving side stays open, when the deadline for the close is near or has passed.
-const MIN_LINGER: Duration = Duration::from_millis(100);
+const MIN_LINGER_PERIOD: Duration = Duration::from_millis(100);
 /// The size of the reads whose bytes are discarded during a lingering close.
 const LINGER_READ_BYTES: usize = 16 * 1024;
 /// The pause after each such read, so that a client that sends at full speed does not occupy the event loop.
@@ -46,27 +46,27 @@
 }
 
 impl Client {
-    /// Reads once, without waiting, and handles what was read. Returns whether no input had arrived.
-    pub(super) async fn is_input_drained(&mut self) -> io::Result<bool> {
+    /// Reads once, without waiting, and handles what was read. Returns whether input had arrived.
+    pub(super) async fn read_available_input(&mut self) -> io::Result<bool> {
         yield_now().await; // lets the runtime poll its sockets first
         match self.stream.try_read_buf(&mut self.input) {
-            Ok(0) => Ok(true),
+            Ok(0) => Ok(false),
             Ok(_) => {
                 self.handle_input();
-                Ok(false)
+                Ok(true)
             }
-            Err(error) if error.kind() == io::ErrorKind::WouldBlock => Ok(true),
+            Err(error) if error.kind() == io::ErrorKind::WouldBlock => Ok(false),
             Err(error) => Err(error),
         }
     }
 
     /// Reads the input that has arrived before the end of reading; called once. When the event loop is busy, the end of
     /// reading may pass before the socket is read for the first time.
-    pub(super) async fn read_last_input(&mut self) -> io::Result<()> {
-        self.has_read_last_input = true;
-        for _ in 0..MAX_LAST_READS {
+    pub(super) async fn read_final_input(&mut self) -> io::Result<()> {
+        self.has_read_final_input = true;
+        for _ in 0..MAX_FINAL_READS {
             let has_room = !self.is_ending && self.replies.len() < MAX_PENDING_REPLIES;
-            if !has_room || self.is_input_drained().await? {
+            if !has_room || !self.read_available_input().await? {
                 break;
             }
         }
@@ -82,18 +82,18 @@
         log::debug!("front: client {}: closing: {}", self.id.0, reason.label());
         self.stream.shutdown().await?;
         let now = Instant::now();
-        let until = self.schedule().linger_until(now, MIN_LINGER, LINGER);
-        let has_written_lately = self.written_at.is_some_and(|at| at.elapsed() < LINGER);
-        if self.slotless.is_some() && !has_written_lately {
+        let until = self.schedule().linger_until(now, MIN_LINGER_PERIOD, LINGER_PERIOD);
+        let has_written_recently = self.last_written_at.is_some_and(|at| at.elapsed() < LINGER_PERIOD);
+        if self.slotless.is_some() && !has_written_recently {
             return Ok(()); // no answer can be in transit, and other connections wait for the descriptor
         }
-        let race_until = if has_written_lately { until } else { until.min(now + RACE_WINDOW) };
-        let Ok(ready) = timeout_at(race_until, self.stream.ready(Interest::READABLE)).await else {
+        let race_deadline = if has_written_recently { until } else { until.min(now + RACE_WINDOW) };
+        let Ok(ready) = timeout_at(race_deadline, self.stream.ready(Interest::READABLE)).await else {
             return Ok(());
         };
         if !ready?.is_read_closed() {
             self.front.count_close_race();
-            let _ = timeout_at(until, client_left(&self.stream)).await;
+            let _ = timeout_at(until, wait_for_client_close(&self.stream)).await;
         }
         Ok(())
     }
@@ -103,7 +103,7 @@
     pub(super) async fn lingering_close(&mut self) -> io::Result<()> {
         self.report_state(ReportedState::AwaitingCommand);
         self.stream.shutdown().await?;
-        let until = self.schedule().linger_until(Instant::now(), MIN_LINGER, LINGER);
+        let until = self.schedule().linger_until(Instant::now(), MIN_LINGER_PERIOD, LINGER_PERIOD);
         self.input = BytesMut::with_capacity(LINGER_READ_BYTES);
         let discard_input = async {
             while self.stream.read_buf(&mut self.input).await? > 0 {
--- a/crates/front/src/client/commands.rs
+++ b/crates/front/src/client/commands.rs
@@ -19,7 +19,7 @@
     /// Handles input that was just read: records its arrival, skips bytes to discard, and decodes commands.
     pub(super) fn handle_input(&mut self) {
         self.input_age = self.age_of_input();
-        self.input_at = Some(Instant::now());
+        self.last_input_at = Some(Instant::now());
         self.pipelines |= !self.replies.is_empty();
         if self.value_deadline.is_some() {
             self.command_awaited_since = Some(Instant::now()); // the command timeout restarts while a value arrives
@@ -39,7 +39,7 @@
     /// or, on a new connection, the age of the connection when it was accepted.
     fn age_of_input(&self) -> Duration {
         let age = self.front.handle.stall_monitor.overdue(Instant::now());
-        let is_new = self.opened.elapsed() < stall_monitor::CHECK_INTERVAL;
+        let is_new = self.opened_at.elapsed() < stall_monitor::CHECK_INTERVAL;
         if is_new { age.max(self.age_at_accept) } else { age }
     }
 
@@ -86,7 +86,7 @@
 
     /// Returns an error reply to malformed input, after which the connection ends.
     fn reject_malformed(&mut self, error: ProtoError) -> Reply {
-        if let Some(suppressed) = self.front.lines.malformed_command.admit_line() {
+        if let Some(suppressed) = self.front.log_throttles.malformed_command.admit_line() {
             log::info!("front: client {}: {error}{suppressed}", self.id.0);
         }
         self.is_ending = true;
--- a/crates/front/src/client/connection.rs
+++ b/crates/front/src/client/connection.rs
@@ -3,7 +3,7 @@
 use super::reply::Reply;
 use crate::front::Front;
 use crate::shutdown::{Activity, Schedule};
-use crate::slotless::SlotlessTimes;
+use crate::slotless::SlotlessTimeouts;
 use admission::{CommandTimeout, ConnectionId};
 use bytes::BytesMut;
 use gateway::MemoryPermit;
@@ -21,7 +21,7 @@
 const INPUT_BYTES: usize = 1024;
 
 /// A connection that was just accepted.
-pub(crate) struct Accepted {
+pub(crate) struct AcceptedConnection {
     /// The socket.
     pub(crate) stream: TcpStream,
     /// Asks the connection to close when another connection needs its slot.
@@ -29,7 +29,7 @@
     /// The timeout for reading a command.
     pub(crate) timeout: CommandTimeout,
     /// The timeouts of a connection without a slot; `None` if it has one.
-    pub(crate) slotless: Option<SlotlessTimes>,
+    pub(crate) slotless: Option<SlotlessTimeouts>,
     /// How long the connection has waited for its slot.
     pub(crate) waited: Duration,
 }
@@ -55,7 +55,7 @@
     /// Whether the connection ends once its replies are written.
     pub(super) is_ending: bool,
     /// Whether the client has closed its sending side.
-    pub(super) client_left: bool,
+    pub(super) has_client_closed: bool,
     /// When the wait for a command began: the first one, or the rest of an incomplete one.
     pub(super) command_awaited_since: Option<Instant>,
     /// How long a command may take from its first byte to its last; for the first command the time starts when the
@@ -72,7 +72,7 @@
     /// of the event loop.
     pub(super) age_at_accept: Duration,
     /// The timeouts of a connection without a slot, whose requests are all rejected; `None` if it has a slot.
-    pub(super) slotless: Option<SlotlessTimes>,
+    pub(super) slotless: Option<SlotlessTimeouts>,
     /// The remaining bytes of a large value that was rejected for lack of memory: they are read and discarded.
     pub(super) bytes_to_skip: usize,
     /// Asks the connection to close when another connection needs its slot.
@@ -80,22 +80,22 @@
     /// Whether the close signal was received and the connection has sent no command since.
     pub(super) was_asked_to_close: bool,
     pub(super) reported_state: ReportedState,
-    pub(super) opened: Instant,
+    pub(super) opened_at: Instant,
     /// When the last request that was answered during a shutdown was answered.
-    pub(super) answered_at: Option<Instant>,
+    pub(super) last_answered_at: Option<Instant>,
     /// When a reply was last written.
-    pub(super) written_at: Option<Instant>,
+    pub(super) last_written_at: Option<Instant>,
     /// When input was last read.
-    pub(super) input_at: Option<Instant>,
+    pub(super) last_input_at: Option<Instant>,
     /// Whether the input that had arrived before the end of reading was read.
-    pub(super) has_read_last_input: bool,
+    pub(super) has_read_final_input: bool,
     /// Whether the client pipelines in separate writes: it has sent commands while earlier ones were unanswered.
     pub(super) pipelines: bool,
 }
 
 impl Client {
     /// Creates the state of a connection that was just accepted.
-    pub(crate) fn new(front: Rc<Front>, id: ConnectionId, accepted: Accepted) -> Self {
+    pub(crate) fn new(front: Rc<Front>, id: ConnectionId, accepted: AcceptedConnection) -> Self {
         let now = Instant::now();
         Self {
             id,
@@ -105,7 +105,7 @@
             input: BytesMut::with_capacity(INPUT_BYTES),
             replies: VecDeque::new(),
             is_ending: false,
-            client_left: false,
+            has_client_closed: false,
             command_awaited_since: Some(now),
             command_timeout: Duration::from_micros(accepted.timeout.0),
             value_deadline: None,
@@ -116,11 +116,11 @@
             close_signal: accepted.close_signal,
             was_asked_to_close: false,
             reported_state: ReportedState::AwaitingCommand,
-            opened: now,
-            answered_at: None,
-            written_at: None,
-            input_at: None,
-            has_read_last_input: false,
+            opened_at: now,
+            last_answered_at: None,
+            last_written_at: None,
+            last_input_at: None,
+            has_read_final_input: false,
             pipelines: false,
         }
     }
@@ -137,12 +137,12 @@
     }
 
     fn activity(&self) -> Activity {
-        let was_answered = self.written_at.is_some();
+        let was_answered = self.last_written_at.is_some();
         Activity {
-            opened: self.opened,
-            has_asked: was_answered || self.reported_state != ReportedState::AwaitingCommand,
-            answered_at: self.answered_at,
-            input_at: self.input_at,
+            opened_at: self.opened_at,
+            has_sent_command: was_answered || self.reported_state != ReportedState::AwaitingCommand,
+            last_answered_at: self.last_answered_at,
+            last_input_at: self.last_input_at,
             pipelines: self.pipelines,
         }
     }
@@ -160,7 +160,7 @@
         let schedule = self.front.shutdown().schedule(&activity);
         match self.slotless {
             None => schedule,
-            Some(times) => schedule.without_slot(&activity, times),
+            Some(timeouts) => schedule.without_slot(&activity, timeouts),
         }
     }
 
--- a/crates/front/src/client/serve.rs
+++ b/crates/front/src/client/serve.rs
@@ -4,7 +4,7 @@
 use super::closing::CloseReason;
 use super::connection::{Client, MAX_PENDING_REPLIES, ReportedState};
 use super::reply::{BUSY, Reply, next_answer};
-use super::socket::{ClientEvent, ReadMode, client_left, read_or_watch, write};
+use super::socket::{ClientEvent, ReadMode, read_or_watch, wait_for_client_close, write_all};
 use crate::shutdown::{Schedule, Stage};
 use bytes::BytesMut;
 use futures_util::FutureExt;
@@ -48,9 +48,9 @@
         // has polled the socket; without this yield, a request would be read first.
         yield_now().await;
         let mut batch = BytesMut::new();
-        while !self.client_left {
+        while !self.has_client_closed {
             if self.write_replies(&mut batch).await? {
-                self.written_at = Some(Instant::now());
+                self.last_written_at = Some(Instant::now());
                 continue;
             }
             match self.step().await? {
@@ -66,7 +66,7 @@
     async fn write_replies(&mut self, batch: &mut BytesMut) -> io::Result<bool> {
         self.collect_ready_replies(batch);
         if !batch.is_empty() {
-            write(&self.stream, batch).await?;
+            write_all(&self.stream, batch).await?;
             batch.clear();
             return Ok(true);
         }
@@ -85,10 +85,10 @@
         let schedule = self.schedule();
         let stage = schedule.stage_now();
         if stage < Stage::Finishing {
-            self.has_read_last_input = false;
+            self.has_read_final_input = false;
         } else {
-            if !self.has_read_last_input {
-                self.read_last_input().await?;
+            if !self.has_read_final_input {
+                self.read_final_input().await?;
                 return Ok(Step::Continue); // the commands in that input have replies now
             }
             if self.reject_partial_command() {
@@ -106,7 +106,7 @@
             Event::Handled => {}
             Event::ValueOverdue => self.end_overdue_command(),
             // A request that arrived just before the close was read and is served.
-            Event::SlotNeeded | Event::Overdue if !self.is_input_drained().await? => {}
+            Event::SlotNeeded | Event::Overdue if self.read_available_input().await? => {}
             Event::Overdue if self.has_partial_command() => self.end_overdue_command(),
             Event::SlotNeeded => return Ok(Step::Close(CloseReason::SlotNeeded)),
             Event::Overdue if self.front.shutdown().is_closing() => {
@@ -125,8 +125,8 @@
 
     /// Waits for the next event. Input and answers are handled here.
     async fn next_event(&mut self, schedule: &Schedule, stage: Stage) -> io::Result<Event> {
-        let nothing_owed = self.replies.is_empty();
-        if nothing_owed {
+        let all_answered = self.replies.is_empty();
+        if all_answered {
             let is_awaiting = self.command_awaited_since.is_some();
             let state = if is_awaiting { ReportedState::AwaitingCommand } else { ReportedState::Idle };
             self.report_state(state);
@@ -136,8 +136,8 @@
         let command_deadline = self.command_awaited_since.map(|since| since + self.command_timeout);
         let command_deadline = command_deadline.filter(|_| may_read);
         let value_deadline = self.value_deadline.filter(|_| may_read);
-        let idle_deadline = schedule.idle.filter(|_| nothing_owed && !self.has_partial_command());
-        let eviction_deadline = if nothing_owed { self.eviction_deadline() } else { None };
+        let idle_deadline = schedule.close_idle_at.filter(|_| all_answered && !self.has_partial_command());
+        let eviction_deadline = if all_answered { self.eviction_deadline() } else { None };
         if eviction_deadline.is_some_and(|deadline| deadline <= Instant::now()) {
             self.was_asked_to_close = false;
             return Ok(Event::SlotNeeded);
@@ -154,16 +154,16 @@
             biased;
             answer = next_answer(&mut self.replies) => {
                 self.replies[0] = Reply::encode(answer);
-                self.answered_at = self.front.shutdown().is_closing().then(Instant::now);
+                self.last_answered_at = self.front.shutdown().is_closing().then(Instant::now);
             }
             event = read_or_watch(&mut self.stream, &mut self.input, mode) => match event? {
-                ClientEvent::Bytes => self.handle_input(),
-                ClientEvent::End => self.client_left = true,
-                ClientEvent::Unread => self.fail_pending_replies(),
+                ClientEvent::Input => self.handle_input(),
+                ClientEvent::Closed => self.has_client_closed = true,
+                ClientEvent::UnreadInput => self.fail_pending_replies(),
             },
-            () = self.close_signal.notified(), if nothing_owed => self.was_asked_to_close = true,
+            () = self.close_signal.notified(), if all_answered => self.was_asked_to_close = true,
             () = self.front.shutdown_changed.notified() => {}
-            () = sleep_until(wake_at.unwrap_or(self.opened)), if wake_at.is_some() => {}
+            () = sleep_until(wake_at.unwrap_or(self.opened_at)), if wake_at.is_some() => {}
         }
         Ok(Event::Handled)
     }
@@ -172,9 +172,9 @@
         if !self.is_ending && self.replies.len() < MAX_PENDING_REPLIES && stage < Stage::Finishing {
             ReadMode::Read
         } else if stage >= Stage::Abandoning {
-            ReadMode::WatchForBytes
+            ReadMode::WatchForInput
         } else {
-            ReadMode::WatchForEnd
+            ReadMode::WatchForClose
         }
     }
 
@@ -234,16 +234,16 @@
         let Some(Reply::Streamed(mut streamed)) = self.replies.pop_front() else { return Ok(()) };
         let mut header = BytesMut::with_capacity(HEADER_BYTES);
         resp::encode_bulk_header(&mut header, streamed.length());
-        write(&self.stream, &header).await?;
+        write_all(&self.stream, &header).await?;
         while !streamed.is_finished() {
             let bytes = tokio::select! {
                 bytes = streamed.next_chunk() => bytes?,
-                () = client_left(&self.stream) => return Err(io::ErrorKind::ConnectionAborted.into()),
+                () = wait_for_client_close(&self.stream) => return Err(io::ErrorKind::ConnectionAborted.into()),
             };
             let written = bytes.len();
-            write(&self.stream, bytes).await?;
+            write_all(&self.stream, bytes).await?;
             streamed.consume(written);
         }
-        write(&self.stream, b"\r\n").await
+        write_all(&self.stream, b"\r\n").await
     }
 }
--- a/crates/front/src/client/socket.rs
+++ b/crates/front/src/client/socket.rs
@@ -17,11 +17,11 @@
 /// An event on a client's socket.
 pub(super) enum ClientEvent {
     /// Input was read.
-    Bytes,
+    Input,
     /// The client has closed its sending side.
-    End,
+    Closed,
     /// Input has arrived and was not read.
-    Unread,
+    UnreadInput,
 }
 
 /// The events that are awaited on a client's socket.
@@ -30,21 +30,21 @@
     /// Input is read.
     Read,
     /// Nothing is read; only the close of the client's sending side is awaited.
-    WatchForEnd,
+    WatchForClose,
     /// Nothing is read; the close of the client's sending side or the arrival of input is awaited.
-    WatchForBytes,
+    WatchForInput,
 }
 
 /// Returns whether the client has closed its sending side, as far as the runtime was notified, even with unread input.
-fn has_left(stream: &TcpStream) -> bool {
+fn has_client_closed(stream: &TcpStream) -> bool {
     let checked = stream.ready(Interest::READABLE).now_or_never();
     checked.is_some_and(|ready| ready.is_ok_and(Ready::is_read_closed))
 }
 
 /// Waits until the client has closed its sending side, and reads nothing. The first check is made at once: by the time
 /// of the next timer the core would have forwarded a request that arrived together with the close.
-pub(super) async fn client_left(stream: &TcpStream) {
-    while !has_left(stream) {
+pub(super) async fn wait_for_client_close(stream: &TcpStream) {
+    while !has_client_closed(stream) {
         sleep(CHECK_INTERVAL).await;
     }
 }
@@ -55,25 +55,25 @@
 ) -> io::Result<ClientEvent> {
     if mode == ReadMode::Read {
         let read = stream.read_buf(input).await?;
-        return Ok(if read == 0 { ClientEvent::End } else { ClientEvent::Bytes });
+        return Ok(if read == 0 { ClientEvent::Closed } else { ClientEvent::Input });
     }
-    while !has_left(stream) {
-        if mode == ReadMode::WatchForBytes && has_unread(stream) {
-            return Ok(ClientEvent::Unread);
+    while !has_client_closed(stream) {
+        if mode == ReadMode::WatchForInput && has_unread_input(stream) {
+            return Ok(ClientEvent::UnreadInput);
         }
         sleep(CHECK_INTERVAL).await;
     }
-    Ok(ClientEvent::End)
+    Ok(ClientEvent::Closed)
 }
 
 /// Returns whether input has arrived that was not read.
-fn has_unread(stream: &TcpStream) -> bool {
+fn has_unread_input(stream: &TcpStream) -> bool {
     stream.peek(&mut [0]).now_or_never().is_some_and(|peeked| peeked.is_ok_and(|bytes| bytes > 0))
 }
 
 /// Writes all bytes. Fails when the client closes its sending side, or accepts no byte for [`WRITE_TIMEOUT`]; a client
 /// that reads slowly is not cut off.
-pub(super) async fn write(stream: &TcpStream, mut bytes: &[u8]) -> io::Result<()> {
+pub(super) async fn write_all(stream: &TcpStream, mut bytes: &[u8]) -> io::Result<()> {
     while !bytes.is_empty() {
         match stream.try_write(bytes) {
             Ok(0) => return Err(io::ErrorKind::WriteZero.into()),
@@ -82,7 +82,7 @@
                 writable = timeout(WRITE_TIMEOUT, stream.writable()) => {
                     writable.map_err(|_| io::Error::from(io::ErrorKind::TimedOut))??;
                 }
-                () = client_left(stream) => return Err(io::ErrorKind::ConnectionAborted.into()),
+                () = wait_for_client_close(stream) => return Err(io::ErrorKind::ConnectionAborted.into()),
             },
             Err(error) => return Err(error),
         }
--- a/crates/front/src/front.rs
+++ b/crates/front/src/front.rs
@@ -23,7 +23,7 @@
 
 /// Throttles for the log lines that clients can cause at any rate.
 #[derive(Debug, Default)]
-pub(crate) struct FrontLines {
+pub(crate) struct FrontLogThrottles {
     pub(crate) malformed_command: LogThrottle,
     pub(crate) all_slots_busy: LogThrottle,
     pub(crate) accept_failed: LogThrottle,
@@ -42,7 +42,7 @@
     slots: RefCell<ConnectionSlots>,
     /// The signal that asks each connection to close.
     close_signals: RefCell<FxHashMap<ConnectionId, Rc<Notify>>>,
-    pub(crate) lines: FrontLines,
+    pub(crate) log_throttles: FrontLogThrottles,
     /// Notified when a connection has ended.
     pub(crate) connection_ended: Notify,
     /// The number of connections without a slot.
@@ -67,7 +67,7 @@
             last_id: Cell::default(),
             slots: RefCell::new(ConnectionSlots::new(max_connections)),
             close_signals: RefCell::default(),
-            lines: FrontLines::default(),
+            log_throttles: FrontLogThrottles::default(),
             connection_ended: Notify::new(),
             slotless: Cell::default(),
             shutdown: Cell::default(),
@@ -142,10 +142,10 @@
         self.change_shutdown(|shutdown| shutdown.announce_end(Instant::now()));
     }
 
-    /// Closes every connection: idle ones after `idle`, the others once their requests are answered, and all at `ends`.
-    /// This cannot be undone; the end of a drain does not change it.
-    pub fn terminate(&self, idle: Duration, ends: Instant) {
-        self.change_shutdown(|shutdown| shutdown.terminate(Instant::now(), idle, ends));
+    /// Closes every connection: idle ones after `idle_timeout`, the others once their requests are answered, and all at
+    /// `deadline`. This cannot be undone; the end of a drain does not change it.
+    pub fn terminate(&self, idle_timeout: Duration, deadline: Instant) {
+        self.change_shutdown(|shutdown| shutdown.terminate(Instant::now(), idle_timeout, deadline));
     }
 
     /// Follows the drain state of the balancer until the core stops: client connections close while it is draining.
--- a/crates/front/src/operator/connection.rs
+++ b/crates/front/src/operator/connection.rs
@@ -25,7 +25,7 @@
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 /// How long input after a call is read and discarded: closing with unread bytes would reset the connection and destroy
 /// the response.
-const LINGER: Duration = Duration::from_millis(500);
+const LINGER_PERIOD: Duration = Duration::from_millis(500);
 /// The size of the reads whose bytes are discarded during a lingering close.
 const LINGER_READ_BYTES: usize = 4 * 1024;
 
@@ -40,7 +40,7 @@
     /// No call has arrived, or the call was answered: the connection may be closed for another one.
     Waiting,
     /// The call is being answered.
-    Called,
+    Answering,
 }
 
 /// A caller's socket, which records whether bytes were read or written.
@@ -58,7 +58,7 @@
 {
     let opened = Instant::now();
     let service = service_fn(|request| {
-        progress.set(Progress::Called);
+        progress.set(Progress::Answering);
         let answer = answer(request, opened + CALL_READ_TIMEOUT);
         Box::pin(async move { Ok::<_, Infallible>(answer.await) })
     });
@@ -76,7 +76,7 @@
                 }
                 BAD_REQUEST
             }
-            () = no_call_until(opened + CALL_READ_TIMEOUT, &progress) => REQUEST_TIMEOUT,
+            () = wait_for_overdue_call(opened + CALL_READ_TIMEOUT, &progress) => REQUEST_TIMEOUT,
         }
     };
     let status = timeout_at(opened + CALL_TIMEOUT, answered).await.unwrap_or(REQUEST_TIMEOUT);
@@ -86,13 +86,13 @@
         let header = format!("HTTP/1.1 {status}\r\nconnection: close\r\ncontent-length: 0\r\n\r\n");
         let _ = caller.stream.try_write(header.as_bytes()); // fits: nothing was written to the socket before
     }
-    let _ = timeout_at(Instant::now() + LINGER, caller.close()).await;
+    let _ = timeout_at(Instant::now() + LINGER_PERIOD, caller.close()).await;
 }
 
 /// Waits until `overdue`, then returns if no call has arrived; otherwise never returns.
-async fn no_call_until(overdue: Instant, progress: &Cell<Progress>) {
+async fn wait_for_overdue_call(overdue: Instant, progress: &Cell<Progress>) {
     sleep_until(overdue).await;
-    if progress.get() == Progress::Called {
+    if progress.get() == Progress::Answering {
         std::future::pending().await
     }
 }
--- a/crates/front/src/request.rs
+++ b/crates/front/src/request.rs
@@ -76,13 +76,13 @@
 }
 
 fn parse_request(command: &Command, words: usize, names: &Names, received: Instant) -> ParsedCommand {
-    match request(command, words, names, received) {
+    match build_request(command, words, names, received) {
         Ok(incoming) => ParsedCommand::Request(incoming),
         Err(error) => ParsedCommand::Invalid(error),
     }
 }
 
-fn request(
+fn build_request(
     command: &Command, words: usize, names: &Names, received: Instant,
 ) -> Result<IncomingRequest, InvalidCommand> {
     if command.0.len() != words {
@@ -144,14 +144,14 @@
         let mut options = Options { class: None, tenant: TenantId(0), time_limit: None };
         let mut start = 0;
         for option in text.split(|byte| *byte == b',') {
-            options.parse_one(option, start, names)?;
+            options.parse_option(option, start, names)?;
             start += option.len() + 1;
         }
         Ok(options)
     }
 
     /// Parses one option, which starts at `start` in the text of all options.
-    fn parse_one(&mut self, option: &[u8], start: usize, names: &Names) -> Result<(), InvalidCommand> {
+    fn parse_option(&mut self, option: &[u8], start: usize, names: &Names) -> Result<(), InvalidCommand> {
         let equals = option.iter().position(|byte| *byte == b'=').ok_or(InvalidCommand::Options)?;
         let (name, value) = (&option[..equals], &option[equals + 1..]);
         let value = std::str::from_utf8(value).map_err(|_| InvalidCommand::Options)?;
--- a/crates/front/src/slotless.rs
+++ b/crates/front/src/slotless.rs
@@ -5,24 +5,24 @@
 //! descriptor meanwhile, and their requests have deadlines too: the timeouts are shorter when many connections have no
 //! slot, and shorter still when the newest of them has waited for long.
 
-use crate::shutdown::{BATCH_GAP, FIRST_COMMAND};
+use crate::shutdown::{BATCH_GAP, FIRST_COMMAND_TIMEOUT};
 use std::time::Duration;
 
 /// The most connections without a slot that are open at a time. Their descriptors are reserved.
 pub(crate) const MAX_SLOTLESS: usize = 16;
 /// The most open connections without a slot at which the load is low.
-const FEW_SLOTLESS: usize = MAX_SLOTLESS / 2;
+const MAX_LOW_LOAD: usize = MAX_SLOTLESS / 2;
 /// The timeout for the first command under high load. A usual client writes it as soon as it is connected.
-const FIRST_COMMAND_IN_CROWD: Duration = Duration::from_millis(50);
+const HIGH_LOAD_FIRST_COMMAND_TIMEOUT: Duration = Duration::from_millis(50);
 /// The timeout for the first command when the newest connection is overdue.
-const FIRST_COMMAND_OVERDUE: Duration = Duration::from_millis(10);
+const OVERDUE_FIRST_COMMAND_TIMEOUT: Duration = Duration::from_millis(10);
 /// The shortest timeout for the first command, however short the deadlines of requests are.
-const MIN_FIRST_COMMAND: Duration = Duration::from_millis(3);
+const MIN_FIRST_COMMAND_TIMEOUT: Duration = Duration::from_millis(3);
 /// The timeout for the next command of a batch when the newest connection is overdue.
-const BATCH_GAP_OVERDUE: Duration = Duration::from_millis(5);
+const OVERDUE_BATCH_GAP: Duration = Duration::from_millis(5);
 /// How long batches may continue when the newest connection is overdue. The connection closes after the answer to a
 /// later command.
-const BATCH_SPAN_OVERDUE: Duration = Duration::from_millis(25);
+const OVERDUE_BATCH_SPAN: Duration = Duration::from_millis(25);
 /// Batches may continue for the longest wait for a slot divided by this; when few connections have no slot, the timeout
 /// for the first command is added.
 const BATCH_SPAN_DIVISOR: u32 = 4;
@@ -31,16 +31,16 @@
 
 /// The load by connections without a slot: how many are open, and how long the newest has waited.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Crowding {
+pub enum SlotlessLoad {
     /// Few are open: each may use the long timeouts.
-    Few,
+    Low,
     /// Many are open.
-    Many,
+    High,
     /// Many are open, and the newest has waited so long that its requests may be rejected too late for a retry.
     Overdue,
 }
 
-impl Crowding {
+impl SlotlessLoad {
     /// Returns the load when `slotless` connections without a slot are open, the newest of which has waited for
     /// `waited`.
     /// `slot_wait` is the longest wait for a slot.
@@ -50,16 +50,16 @@
         // early enough.
         let latest = slot_wait + slot_wait / 2;
         match () {
-            () if waited >= latest && slotless > FEW_SLOTLESS => Self::Overdue,
-            () if slotless > FEW_SLOTLESS => Self::Many,
-            () => Self::Few,
+            () if waited >= latest && slotless > MAX_LOW_LOAD => Self::Overdue,
+            () if slotless > MAX_LOW_LOAD => Self::High,
+            () => Self::Low,
         }
     }
 }
 
 /// The timeouts that bound how long a connection without a slot is kept open.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct SlotlessTimes {
+pub struct SlotlessTimeouts {
     /// The timeout for the first command.
     pub first_command: Duration,
     /// The timeout for the next command of a batch.
@@ -68,26 +68,28 @@
     pub batch_span: Duration,
 }
 
-impl SlotlessTimes {
+impl SlotlessTimeouts {
     /// Returns the timeouts for this load. `slot_wait` is the longest wait for a slot: the shorter it is, that is, the
     /// shorter the deadlines of requests are, the shorter are the timeouts.
     #[must_use]
-    pub fn new(crowding: Crowding, slot_wait: Duration) -> Self {
+    pub fn new(load: SlotlessLoad, slot_wait: Duration) -> Self {
         let gap = BATCH_GAP.min(slot_wait / BATCH_GAP_DIVISOR);
         let span = slot_wait / BATCH_SPAN_DIVISOR;
-        match crowding {
-            Crowding::Few => {
-                Self { first_command: FIRST_COMMAND, batch_gap: gap, batch_span: FIRST_COMMAND + span }
-            }
-            Crowding::Many => Self {
-                first_command: FIRST_COMMAND_IN_CROWD.min(gap).max(MIN_FIRST_COMMAND),
+        match load {
+            SlotlessLoad::Low => Self {
+                first_command: FIRST_COMMAND_TIMEOUT,
+                batch_gap: gap,
+                batch_span: FIRST_COMMAND_TIMEOUT + span,
+            },
+            SlotlessLoad::High => Self {
+                first_command: HIGH_LOAD_FIRST_COMMAND_TIMEOUT.min(gap).max(MIN_FIRST_COMMAND_TIMEOUT),
                 batch_gap: gap,
                 batch_span: span,
             },
-            Crowding::Overdue => Self {
-                first_command: FIRST_COMMAND_OVERDUE.min(gap).max(MIN_FIRST_COMMAND),
-                batch_gap: BATCH_GAP_OVERDUE.min(gap),
-                batch_span: BATCH_SPAN_OVERDUE.min(span),
+            SlotlessLoad::Overdue => Self {
+                first_command: OVERDUE_FIRST_COMMAND_TIMEOUT.min(gap).max(MIN_FIRST_COMMAND_TIMEOUT),
+                batch_gap: OVERDUE_BATCH_GAP.min(gap),
+                batch_span: OVERDUE_BATCH_SPAN.min(span),
             },
         }
     }
--- a/crates/front/tests/accept.rs
+++ b/crates/front/tests/accept.rs
@@ -10,14 +10,14 @@
 }
 
 #[test]
-fn new_connection_waits_for_a_quarter_of_the_shortest_deadline_and_half_a_second_at_most() {
+fn slot_wait_is_quarter_of_shortest_deadline_up_to_500_ms() {
     for (shortest, wait) in [(0, 0), (80, 20), (400, 100), (2_000, 500), (60_000, 500)] {
         assert_eq!(slot_wait(ms(shortest)), ms(wait), "{shortest} ms");
     }
 }
 
 #[test]
-fn connections_ahead_in_the_queue_count_for_the_wait() {
+fn slot_wait_includes_time_in_accept_queue() {
     let start = Instant::now();
     let mut queue = AcceptQueue::empty(start);
     assert_eq!(queue.remaining_wait(start, ms(100)), ms(100));
