--- a/crates/proto/src/discovery.rs
+++ b/crates/proto/src/discovery.rs
@@ -1,4 +1,4 @@
-//! The endpoint list of discovery, and the lines of its watch.
+//! Parses the endpoint list of discovery and the lines of a watch.
 
 mod scan;
 
@@ -9,47 +9,47 @@
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// Endpoints of the largest list: sixteen times the two hundred of a usual one.
+/// The most endpoints of a list: sixteen times the 200 of a usual one.
 const MAX_ENDPOINTS: usize = 16 * 200;
-/// Bytes of an endpoint with the longest names and the deepest indentation; a usual one takes 150 bytes.
+/// The most bytes of an endpoint, with the longest names and the deepest indentation; a usual one takes 150 bytes.
 const MAX_ENDPOINT_BYTES: usize = 1024;
-/// The longest line or list, in bytes: twice what the largest list may take. Bounds the memory for one.
+/// The most bytes of a line or list: twice the size of the largest list. Bounds the memory for one line.
 pub const MAX_LIST_BYTES: usize = 2 * MAX_ENDPOINTS * MAX_ENDPOINT_BYTES;
 
 /// The state of an endpoint's process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Phase {
-    /// Accepts work.
+    /// The endpoint accepts requests.
     Ready,
-    /// Completes the work it has.
+    /// The endpoint only completes the requests that it has.
     Draining,
-    /// Removed; only in a list of changes.
+    /// The endpoint was removed; occurs only in a list of changes.
     Gone,
 }
 
 /// An endpoint as discovery lists it.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct EndpointRecord {
-    /// Its id, the same for every balancer and across restarts.
+    /// The id, the same for every balancer and across restarts.
     pub id: String,
-    /// The address where this balancer reaches it.
+    /// The address at which this balancer reaches the endpoint.
     pub host_port: SocketAddr,
-    /// Its zone, by name.
+    /// The name of the endpoint's zone.
     #[serde(default)]
     pub locality: String,
-    /// Its kind, by name.
+    /// The name of the endpoint's type.
     #[serde(default)]
     pub flavor: String,
-    /// Its cell.
+    /// The endpoint's cell.
     #[serde(default)]
     pub cell: u16,
-    /// Its state.
+    /// The state of the endpoint's process.
     pub phase: Phase,
-    /// Its listed weight.
+    /// The endpoint's weight, as listed.
     #[serde(default)]
     pub size: f64,
-    /// Its last start in Unix milliseconds; 0 for long ago.
+    /// The last start of the endpoint in Unix milliseconds; 0 if it started long ago.
     #[serde(default)]
     pub up_since_ms: u64,
 }
@@ -57,36 +57,36 @@
 /// The complete list, or changes to it.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct EndpointList {
-    /// The revision of the list once this is applied.
+    /// The revision of the endpoint list after this list or these changes are applied.
     pub revision: u64,
-    /// Whether these are all endpoints.
+    /// Whether `members` are all endpoints, or only those that changed.
     pub complete: bool,
-    /// All endpoints, or those that changed.
+    /// The endpoints.
     pub members: Vec<EndpointRecord>,
 }
 
-/// What arrives from discovery.
+/// An event from discovery.
 #[derive(Debug)]
 pub enum WatchEvent {
-    /// The watch was accepted; what there is to report follows.
+    /// The watch was accepted; its lines follow.
     Subscribed,
-    /// A list.
+    /// A complete list, or a list of changes.
     List(EndpointList),
 }
 
-/// Why a list, or a line of a watch, cannot be used. What follows it on the connection cannot be trusted.
+/// The reason why a list, or a line of a watch, is invalid. The bytes that follow on the connection cannot be trusted.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum ListError {
-    /// It is longer than any list.
+    /// The list is longer than [`MAX_LIST_BYTES`].
     #[error("the list is longer than {MAX_LIST_BYTES} bytes")]
     TooLong,
-    /// It is no JSON.
+    /// The list is not valid JSON; contains the position of the first invalid byte.
     #[error("the list is no JSON: its byte {0} cannot stand there")]
     Syntax(usize),
-    /// It is JSON, but no list; the text says what is wrong, with line and column.
+    /// The list is valid JSON, but not an endpoint list; contains the reason, with line and column.
     #[error("the list is none: {0}")]
     Form(String),
-    /// A complete list contains an endpoint twice.
+    /// A complete list contains the endpoint with this id twice.
     #[error("the list has {0} twice")]
     Duplicate(String),
 }
@@ -94,12 +94,12 @@
 /// Parses one list.
 ///
 /// # Errors
-/// When it is no list; the error says what is wrong and where.
+/// When the text is not a valid list; the error states the reason and the position.
 pub fn parse_endpoint_list(text: &[u8]) -> Result<EndpointList, ListError> {
     let list: EndpointList =
         serde_json::from_slice(text).map_err(|error| ListError::Form(error.to_string()))?;
     let mut ids = FxHashSet::default();
-    // In a list of changes an endpoint may occur again: the last entry counts.
+    // A list of changes may contain an endpoint more than once: the last entry applies.
     for member in list.members.iter().filter(|_| list.complete) {
         if !ids.insert(member.id.as_str()) {
             return Err(ListError::Duplicate(member.id.clone()));
@@ -111,27 +111,27 @@
 /// The content of a line of a watch.
 #[derive(Debug, Clone, PartialEq)]
 pub enum WatchLine {
-    /// Nothing changed.
+    /// A blank line: nothing changed.
     KeepAlive,
-    /// Changes, or the complete list.
+    /// A list of changes, or the complete list.
     Update(EndpointList),
 }
 
-/// Reads the lines of a watch. An indented list extends over several lines. Each byte is scanned once as it arrives, in pieces
-/// of any size, and once more when its list is complete.
+/// Reads the lines of a watch. An indented list extends over several lines. Each byte is scanned once when it arrives,
+/// in pieces of any size, and parsed once when its list is complete.
 #[derive(Debug, Default)]
 pub struct WatchReader {
     scanner: Scanner,
-    /// Bytes of the buffer that were scanned.
+    /// The number of bytes at the start of the buffer that were scanned.
     scanned: usize,
 }
 
 impl WatchReader {
-    /// Removes the next line from the buffer; `None` while it is incomplete. Between two calls, bytes may only be appended to
-    /// the buffer.
+    /// Removes the next line from the buffer; `None` while it is incomplete. Between two calls, bytes may only be
+    /// appended to the buffer.
     ///
     /// # Errors
-    /// When the line is too long, or no list.
+    /// When the line is too long, or not a valid list.
     pub fn next(&mut self, buffer: &mut BytesMut) -> Result<Option<WatchLine>, ListError> {
         while let Some(byte) = buffer.get(self.scanned).copied() {
             self.scanned += 1;
--- a/crates/proto/src/discovery/scan.rs
+++ b/crates/proto/src/discovery/scan.rs
@@ -1,27 +1,27 @@
-//! Finds the end of a JSON object that arrives byte by byte, and bytes that cannot be part of one.
+//! Scans a JSON object byte by byte as it arrives, to find its end and invalid bytes.
 
 use actson::feeder::JsonFeeder;
 use actson::options::JsonParserOptionsBuilder;
 use actson::{JsonEvent, JsonParser};
 use std::fmt;
 
-/// How deep objects and arrays may be nested; those of a list are three deep.
+/// The deepest nesting of objects and arrays; an endpoint list has a depth of three.
 const MAX_DEPTH: usize = 16;
 
-/// What a line is once a byte was scanned.
+/// The state of a line after a byte was scanned.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Scanned {
-    /// It is incomplete.
+    /// The line is incomplete.
     Incomplete,
-    /// It is complete and blank.
+    /// The line is complete and blank.
     BlankLine,
-    /// It is complete and contains an object.
+    /// The line is complete and contains an object.
     ObjectLine,
-    /// The byte cannot follow.
+    /// The byte is invalid at this position.
     Invalid,
 }
 
-/// Passes the byte that has arrived to the parser.
+/// Feeds bytes to the parser one at a time.
 #[derive(Default)]
 struct Feeder(Option<u8>);
 
@@ -37,17 +37,17 @@
     }
 }
 
-/// Where the scanner is in a line.
+/// The position of the scanner in a line.
 enum State {
-    /// Before the object: only white space has arrived.
+    /// Before the object: only white space was scanned.
     Before,
-    /// In the object.
+    /// Inside the object.
     Inside { parser: Box<JsonParser<Feeder>>, depth: usize },
-    /// After the object, whose line has not ended.
+    /// After the object, before the end of its line.
     After,
 }
 
-/// Scans one line, or the lines of one indented object.
+/// Scans one line, or the lines of one indented object, byte by byte.
 pub(super) struct Scanner(State);
 
 impl Default for Scanner {
--- a/crates/proto/src/http.rs
+++ b/crates/proto/src/http.rs
@@ -1,4 +1,4 @@
-//! The client's side of HTTP/1.1, as far as the origin and discovery need it.
+//! The client side of HTTP/1.1, limited to what requests to the origin and to discovery need.
 
 mod decoder;
 mod head;
--- a/crates/proto/src/http/decoder.rs
+++ b/crates/proto/src/http/decoder.rs
@@ -1,4 +1,4 @@
-//! Decodes responses piece by piece, so that a watch that never ends can be followed as well.
+//! Decodes responses incrementally, which includes the response of a watch, whose body never ends.
 
 use super::head::{self, BodyFraming, ResponseHead};
 use super::parse::{Found, Input, MAX_HEADERS, Parsed, Step, checked_length, single_line, take};
@@ -10,49 +10,56 @@
 
 /// The most bytes of a head, or of a trailer.
 const MAX_HEAD_BYTES: usize = 16 * 1024;
-/// The most interim responses before a final one.
+/// The most interim responses (1xx) before a final one.
 const MAX_INTERIM: usize = 8;
 /// The most bytes of the line before a chunk.
 const MAX_CHUNK_LINE_BYTES: usize = 256;
-/// The bytes of the line end after a chunk.
+/// The length in bytes of the line end after a chunk.
 const LINE_END_BYTES: usize = 2;
-/// The first status that is no interim response.
+/// The lowest status of a final response; lower ones are interim responses.
 const FIRST_FINAL_STATUS: u16 = 200;
 
-/// Where the decoder is in a response.
+/// The position of the decoder in a response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum State {
+    /// Before or inside the head.
     Head,
+    /// Before a body of this length.
     Length(usize),
+    /// Before or inside the line before a chunk.
     ChunkLine,
+    /// Inside a chunk, with this many bytes left.
     Chunk(usize),
+    /// Before the line end after a chunk.
     ChunkEnd,
+    /// After the last chunk, before the end of the trailer.
     Trailer,
+    /// Inside a body that ends with the connection.
     UntilClose,
 }
 
-/// What the decoder found next.
+/// A decoded piece of a response.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum BodyEvent {
     /// The head of a response.
     Head(ResponseHead),
-    /// A part of the body, a slice of the buffer it was read into.
+    /// A piece of the body, as a slice of the buffer that it was read into.
     Data(Bytes),
     /// The response is complete.
     End,
 }
 
-/// What one step of the decoder came to.
+/// The result of one step of the decoder.
 enum Progress {
-    /// Something was found.
+    /// A piece was decoded.
     Event(BodyEvent),
-    /// The state has changed; the next step may find something.
+    /// The state has changed; the next step may decode a piece.
     Continue,
     /// More bytes are needed.
     NeedMore,
 }
 
-/// Decodes responses piece by piece.
+/// An incremental decoder of responses.
 #[derive(Debug, Clone)]
 pub struct Decoder {
     state: State,
@@ -67,7 +74,7 @@
 }
 
 impl Decoder {
-    /// Creates a decoder for bodies of up to `max_length` bytes where they state a length.
+    /// Creates a decoder that rejects a body whose stated length is more than `max_length` bytes.
     #[must_use]
     pub fn new(max_length: usize) -> Self {
         Self { max_length, ..Self::default() }
@@ -76,7 +83,7 @@
     /// Removes the next piece from the buffer; `None` while more bytes are needed.
     ///
     /// # Errors
-    /// When the bytes are no response; the connection cannot be used any more.
+    /// When the bytes are not a valid response; the connection cannot be used any more.
     pub fn next(&mut self, buffer: &mut BytesMut) -> Result<Option<BodyEvent>, ProtoError> {
         loop {
             match self.step(buffer)? {
@@ -87,7 +94,8 @@
         }
     }
 
-    /// Handles the end of the connection, by a FIN and not by a reset: returns the end of the body if it ends that way.
+    /// Handles the end of the connection by a FIN, not by a reset. Returns the end of the body if the body ends with
+    /// the connection.
     pub fn ended(&mut self) -> Option<BodyEvent> {
         (self.state == State::UntilClose).then(|| {
             self.state = State::Head;
@@ -131,7 +139,7 @@
         Ok(Progress::Event(BodyEvent::Head(head)))
     }
 
-    /// Decodes a body of a known length. Most are small: the whole body is awaited, and returned as one slice.
+    /// Decodes a body of a known length. Most bodies are small, so the whole body is awaited and returned as one slice.
     fn decode_body(&mut self, buffer: &mut BytesMut, length: usize) -> Progress {
         if length == 0 {
             self.state = State::Head;
@@ -181,15 +189,15 @@
     }
 }
 
-/// Parses the line before a chunk: its length, and extensions that are ignored. httparse is not used for it: it accepts a line
-/// without digits as the length 0, the last chunk.
+/// Parses the line before a chunk: its length, and extensions, which are ignored. This does not use httparse, which
+/// accepts a line without digits as the length 0, that is, as the last chunk.
 fn chunk_line(input: &mut Input<'_>) -> Parsed<usize> {
     let length: u32 = hex_uint.parse_next(input)?;
     (take_till(0.., (b'\r', b'\n')), crlf).void().parse_next(input)?;
     Ok(length as usize)
 }
 
-/// Parses the end of a chunked body: its trailer lines, then an empty one.
+/// Parses the trailer of a chunked body: header lines, then an empty line.
 fn trailer(text: &[u8]) -> Step<()> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let parsed = httparse::parse_headers(text, &mut headers);
--- a/crates/proto/src/http/head.rs
+++ b/crates/proto/src/http/head.rs
@@ -1,4 +1,4 @@
-//! The head of a response: its status line and headers.
+//! Parses the head of a response: its status line and headers.
 
 use super::parse::{Found, MAX_HEADERS, Malformed, Step, checked_length};
 use crate::MAX_BUFFERED_VALUE_BYTES;
@@ -10,26 +10,26 @@
 pub struct ResponseHead {
     /// The status code.
     pub status: u16,
-    /// `Srv-Declined: 1`: the request never ran.
+    /// Whether the response has `Srv-Declined: 1`: the request did not run.
     pub declined: bool,
     /// Whether the connection stays open after this response.
     pub keep: bool,
     pub(super) body: BodyFraming,
 }
 
-/// How the end of a body is found.
+/// The framing of a body, which determines where it ends.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum BodyFraming {
-    /// It has this length.
+    /// The body has this length.
     Length(usize),
-    /// It is sent in chunks.
+    /// The body is sent in chunks.
     Chunked,
-    /// It ends with the connection.
+    /// The body ends with the connection.
     UntilClose,
 }
 
 impl ResponseHead {
-    /// The length of the body, if it is stated and longer than what is read as one message.
+    /// Returns the length of the body if it is stated and more than [`MAX_BUFFERED_VALUE_BYTES`].
     #[must_use]
     pub fn large(&self) -> Option<usize> {
         match self.body {
@@ -39,9 +39,9 @@
     }
 }
 
-/// Parses a head.
+/// Parses the head of a response.
 pub(super) fn parse(text: &[u8]) -> Step<ResponseHead> {
-    // httparse skips empty lines here; nothing may stand before a response.
+    // httparse skips empty lines before a response, where none are allowed.
     if text.first().is_some_and(|byte| *byte != b'H') {
         return Err(Malformed);
     }
@@ -49,7 +49,7 @@
     let mut response = Response::new(&mut []);
     let parsed =
         ParserConfig::default().parse_response_with_uninit_headers(&mut response, text, &mut headers);
-    // An invalid status is rejected before the rest of its head has arrived.
+    // Rejects an invalid status before the rest of the head has arrived.
     if response.code.is_some_and(|code| !(100..600).contains(&code)) {
         return Err(Malformed);
     }
@@ -57,7 +57,7 @@
     Ok(Some(Found { value: interpret(&response)?, length }))
 }
 
-/// The headers that matter.
+/// The values of the headers that the decoder uses.
 #[derive(Default)]
 struct Headers {
     content_length: Option<usize>,
@@ -72,7 +72,7 @@
         if name.eq_ignore_ascii_case("content-length") {
             let text = std::str::from_utf8(value).map_err(|_| Malformed)?;
             let length = text.parse().map_err(|_| Malformed)?;
-            // Two lengths that differ would let one response be read as two.
+            // With two different lengths, one response could be read as two (response splitting).
             if self.content_length.is_some_and(|earlier| earlier != length) {
                 return Err(Malformed);
             }
@@ -99,9 +99,9 @@
         match self.content_length {
             _ if self.is_chunked => Ok(BodyFraming::Chunked),
             Some(length) => Ok(BodyFraming::Length(length)),
-            // It ends with its connection, and says so. The version alone does not say it.
+            // `Connection: close` states that the body ends with the connection; HTTP/1.0 alone does not.
             None if self.closes => Ok(BodyFraming::UntilClose),
-            // Any other body without a stated end cannot be told from a broken one.
+            // Any other body without a stated end cannot be distinguished from a truncated one.
             None => Err(Malformed),
         }
     }
--- a/crates/proto/src/http/parse.rs
+++ b/crates/proto/src/http/parse.rs
@@ -1,4 +1,4 @@
-//! Runs parsers over the start of a buffer, and checks line ends.
+//! Runs parsers on the start of a buffer, and checks line ends.
 
 use crate::ProtoError;
 use bytes::{Buf, BytesMut};
@@ -8,7 +8,7 @@
 use winnow::error::{ContextError, ErrMode};
 use winnow::stream::Partial;
 
-/// The most header lines of a response, and trailer lines of a body; real ones have some ten.
+/// The most header lines of a response, or trailer lines of a body; usual responses have about ten.
 pub(super) const MAX_HEADERS: usize = 63;
 
 /// The input of a parser of a single line.
@@ -16,22 +16,22 @@
 /// The result of a parser of a single line.
 pub(super) type Parsed<T> = Result<T, ErrMode<ContextError>>;
 
-/// The bytes are not in the protocol's form.
+/// The error of a parser: the bytes do not follow the protocol.
 pub(super) struct Malformed;
 
-/// What a parser found at the start of the buffer.
+/// The result of a parser, from the start of the buffer.
 pub(super) struct Found<T> {
-    /// What it found.
+    /// The parsed value.
     pub(super) value: T,
-    /// The bytes that this took.
+    /// The number of bytes parsed.
     pub(super) length: usize,
 }
 
 /// The result of a parser: `None` while more bytes are needed.
 pub(super) type Step<T> = Result<Option<Found<T>>, Malformed>;
 
-/// Runs a parser over the start of the buffer, and removes the bytes of what it found. `max_bytes` bounds what may be buffered
-/// for it.
+/// Runs a parser on the start of the buffer, and removes the bytes parsed. Fails if the buffer holds more than
+/// `max_bytes` without a result; `what` names the parsed part in errors.
 pub(super) fn take<T>(
     buffer: &mut BytesMut, max_bytes: usize, what: &'static str, parser: impl FnOnce(&[u8]) -> Step<T>,
 ) -> Result<Option<T>, ProtoError> {
@@ -56,7 +56,8 @@
     }
 }
 
-/// The length of header lines up to and with the empty one, as httparse found them; `None` while more bytes are needed.
+/// Checks the line ends of header lines that httparse has parsed. Returns their length including the empty line, or
+/// `None` while more bytes are needed.
 pub(super) fn checked_length<T>(
     text: &[u8], parsed: httparse::Result<T>, length_of: impl Fn(T) -> usize,
 ) -> Result<Option<usize>, Malformed> {
@@ -68,8 +69,8 @@
     if line_ends_are_complete(lines) { Ok(length) } else { Err(Malformed) }
 }
 
-/// Whether every line ends with CR LF. httparse accepts a bare line feed as well; an intermediary may not, and would see
-/// other headers than we do.
+/// Returns whether every line ends with CR LF. httparse also accepts a bare line feed; an intermediary may not, and
+/// would see other headers than this parser.
 fn line_ends_are_complete(text: &[u8]) -> bool {
     memchr_iter(b'\n', text).all(|at| at > 0 && text[at - 1] == b'\r')
 }
--- a/crates/proto/src/http/reader.rs
+++ b/crates/proto/src/http/reader.rs
@@ -1,4 +1,4 @@
-//! Collects the pieces of one response with a body of bounded size.
+//! Reads a complete response with a body of bounded size.
 
 use super::decoder::{BodyEvent, Decoder};
 use super::head::ResponseHead;
@@ -6,7 +6,7 @@
 use bytes::{BufMut, Bytes, BytesMut};
 use std::mem;
 
-/// Collects the pieces of one response.
+/// Collects the pieces of one response until it is complete.
 #[derive(Debug, Default)]
 pub struct ResponseReader {
     decoder: Decoder,
@@ -25,7 +25,7 @@
     /// Returns the response once it is complete; `None` while more bytes are needed. A body in one piece is not copied.
     ///
     /// # Errors
-    /// When the bytes are no response, or its body is too long.
+    /// When the bytes are not a valid response, or its body is too long.
     pub fn next(&mut self, buffer: &mut BytesMut) -> Result<Option<(ResponseHead, Bytes)>, ProtoError> {
         while let Some(event) = self.decoder.next(buffer)? {
             match event {
--- a/crates/proto/src/http/request.rs
+++ b/crates/proto/src/http/request.rs
@@ -2,10 +2,10 @@
 
 use bytes::{BufMut, BytesMut};
 
-/// The capacity for a usual head.
+/// The initial capacity of the buffer, which holds a usual head.
 const HEAD_BYTES: usize = 256;
 
-/// Encodes the head of a request. The body, if any, follows it unchanged.
+/// Encodes the head of a request. A body, if any, is sent after it unchanged.
 #[must_use]
 pub fn encode_request(method: &str, path: &[u8], host: &str, headers: &[(&str, &[u8])]) -> BytesMut {
     let mut head = BytesMut::with_capacity(HEAD_BYTES);
--- a/crates/proto/src/lib.rs
+++ b/crates/proto/src/lib.rs
@@ -1,4 +1,4 @@
-//! The platform's protocols as state machines that decode bytes and use no sockets.
+//! Codecs for the platform's protocols. They work on buffers and use no sockets.
 #![forbid(unsafe_code)]
 #![warn(unreachable_pub)]
 
@@ -8,18 +8,19 @@
 
 use thiserror::Error;
 
-/// The longest value that is read as one message. A longer one is large: its length is read first, then its bytes.
+/// The longest value, in bytes, that is decoded as part of its message. A longer value is large: its length is decoded
+/// first, and its bytes are read separately.
 pub const MAX_BUFFERED_VALUE_BYTES: usize = 64 * 1024;
-/// The longest value.
+/// The longest value in bytes.
 pub const MAX_VALUE_BYTES: usize = 4 * 1024 * 1024;
 
-/// Bytes that are not in the protocol's form. What follows them on the connection cannot be trusted.
+/// A violation of the protocol. The bytes that follow on the connection cannot be trusted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum ProtoError {
-    /// It has the wrong form.
+    /// The named part does not follow the protocol.
     #[error("malformed {0}")]
     Malformed(&'static str),
-    /// It is longer than allowed.
+    /// The named part is longer than allowed.
     #[error("{0} too long")]
     TooLong(&'static str),
 }
--- a/crates/proto/src/resp.rs
+++ b/crates/proto/src/resp.rs
@@ -1,4 +1,4 @@
-//! RESP2: decodes the commands of clients and the replies of endpoints, and encodes for both.
+//! RESP2: decodes the commands of clients and the replies of endpoints, and encodes commands and replies.
 
 use crate::{MAX_BUFFERED_VALUE_BYTES, MAX_VALUE_BYTES, ProtoError};
 use bytes::{Buf, BufMut, Bytes, BytesMut};
@@ -10,7 +10,7 @@
 use winnow::stream::{LocatingSlice, Partial};
 use winnow::token::{any, take, take_while};
 
-/// The most words of a command, or parts of a reply; the longest command that clients send has five.
+/// The most words of a command, or parts of a reply. The longest command that clients send has five words.
 const MAX_WORDS: i64 = 16;
 /// The most bytes of a command's words other than its value.
 const MAX_HEAD_BYTES: usize = 4 * 1024;
@@ -24,11 +24,11 @@
 type Input<'a> = Partial<LocatingSlice<&'a [u8]>>;
 type Parsed<T> = Result<T, ErrMode<ContextError>>;
 
-/// A command: its words, each a slice of the buffer it was read into.
+/// The words of a command, each a slice of the buffer that the command was read into.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Command(pub Vec<Bytes>);
 
-/// One part of a reply, as a range of the message.
+/// One part of a reply, as a range of bytes in the message.
 #[derive(Debug, Clone, PartialEq, Eq)]
 enum Part {
     Bulk(Range<usize>),
@@ -39,27 +39,27 @@
 /// The reply of an endpoint.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Reply {
-    /// A value, or the receipt of a write.
+    /// The value of a read, or the confirmation of a write.
     Served(Bytes),
-    /// The endpoint lacks the key.
+    /// The endpoint does not have the key.
     Miss {
-        /// Whether the endpoint has told another request to fetch the key.
+        /// Whether the endpoint has instructed another request to fetch the key.
         pending: bool,
     },
-    /// Rejected; it never ran.
+    /// The request was rejected and did not run.
     Busy,
-    /// Failed; it may have run. The text is the endpoint's.
+    /// The request failed and may have run. Contains the error text of the endpoint.
     Failed(Bytes),
-    /// Served, with a large value that follows on the connection, and then its [`ReplyTail`].
+    /// The start of a reply with a large value. The value follows on the connection, and then the [`ReplyTail`].
     Large {
-        /// The value's length.
+        /// The length of the value.
         length: usize,
-        /// What follows the value.
+        /// The part of the reply that follows the value.
         tail: ReplyTail,
     },
 }
 
-/// What follows a large value: its line end, and this many parts.
+/// The part of a reply that follows a large value: the line end of the value, and this many parts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ReplyTail(usize);
 
@@ -67,18 +67,18 @@
     terminated(dec_int, crlf).parse_next(input)
 }
 
-/// Parses the length of a bulk string after its `$`; `None` for the null one.
+/// Parses the length of a bulk string after its `$`; returns `None` for the null bulk string.
 fn bulk_length(input: &mut Input<'_>) -> Parsed<Option<usize>> {
     let len = number.parse_next(input)?;
     if len == -1 {
         return Ok(None);
     }
-    // Protects memory: a length is rejected before any of its bytes are awaited.
+    // Protects memory: a length that is too large is rejected before its bytes are awaited.
     let len = usize::try_from(len).ok().filter(|&len| len <= MAX_VALUE_BYTES);
     len.map(Some).ok_or_else(|| ErrMode::Cut(ContextError::new()))
 }
 
-/// Parses a bulk string after its `$`; `None` for the null one.
+/// Parses a bulk string after its `$`; returns `None` for the null bulk string.
 fn bulk_body(input: &mut Input<'_>) -> Parsed<Option<Range<usize>>> {
     match bulk_length.parse_next(input)? {
         Some(len) => terminated(take(len).span(), crlf).map(Some).parse_next(input),
@@ -108,7 +108,7 @@
     .parse_next(input)
 }
 
-/// A reply as it was parsed.
+/// A parsed reply, with its texts as ranges of bytes in the message.
 enum ReplyShape {
     Array(Vec<Part>),
     Error(Range<usize>),
@@ -138,7 +138,7 @@
     }
 }
 
-/// Parses the words of a command before its last, and the length of the last, which may not have arrived.
+/// Parses all words of a command but the last, and the length of the last word, which may not have arrived.
 fn partial_words(input: &mut Input<'_>) -> Parsed<(Vec<Range<usize>>, usize)> {
     let words = preceded(b'*', number).verify(|n| (1..=MAX_WORDS).contains(n)).parse_next(input)?;
     let before = repeat(words as usize - 1, word).parse_next(input)?;
@@ -146,8 +146,8 @@
     Ok((before, length))
 }
 
-/// Runs a parser over the buffer, and returns what it found and the bytes that took; `None` while the message, of at most
-/// `max_bytes`, is incomplete.
+/// Runs a parser over the buffer. Returns the result and the number of bytes parsed, or `None` while the message is
+/// incomplete. The message may have at most `max_bytes`; `what` names it in errors.
 fn parse<'a, T>(
     buffer: &'a [u8], max_bytes: usize, what: &'static str,
     mut parser: impl FnMut(&mut Input<'a>) -> Parsed<T>,
@@ -168,7 +168,7 @@
 /// Removes the next command from the buffer; `None` while it is incomplete.
 ///
 /// # Errors
-/// When the bytes are no command; the connection cannot be used any more.
+/// When the bytes are not a valid command; the connection cannot be used any more.
 pub fn decode_command(buffer: &mut BytesMut) -> Result<Option<Command>, ProtoError> {
     split_command(buffer, MAX_MESSAGE_BYTES)
 }
@@ -179,29 +179,29 @@
     Ok(Some(Command(words.into_iter().map(|at| message.slice(at)).collect())))
 }
 
-/// The same for a command that may end with a large value.
+/// Removes the next command, which may end with a large value, from the buffer; `None` while it is incomplete.
 ///
 /// # Errors
-/// When the bytes are no command; the connection cannot be used any more.
+/// When the bytes are not a valid command; the connection cannot be used any more.
 pub fn decode_large_command(buffer: &mut BytesMut) -> Result<Option<Command>, ProtoError> {
     split_command(buffer, MAX_LARGE_MESSAGE_BYTES)
 }
 
-/// A command of which everything has arrived but its last word.
+/// A command of which all words but the last have arrived.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PartialCommand {
     /// The words before the last.
     pub words: Command,
-    /// The bytes of the complete command, as it states them.
+    /// The length of the complete command in bytes, from the stated length of its last word.
     pub bytes: usize,
     /// Whether the last word is large.
     pub large: bool,
 }
 
-/// Parses what has arrived of an incomplete command; `None` while the length of its last word is unknown.
+/// Parses the start of an incomplete command; `None` while the length of its last word is unknown.
 ///
 /// # Errors
-/// When the bytes are no command; the connection cannot be used any more.
+/// When the bytes are not a valid command; the connection cannot be used any more.
 pub fn partial_command(buffer: &[u8]) -> Result<Option<PartialCommand>, ProtoError> {
     let Some(((words, length), end)) = parse(buffer, MAX_LARGE_MESSAGE_BYTES, "command", partial_words)?
     else {
@@ -211,11 +211,11 @@
     Ok(Some(PartialCommand { words, bytes: end + length + 2, large: length > MAX_BUFFERED_VALUE_BYTES }))
 }
 
-/// Removes the next reply from the buffer; `None` while it is incomplete. Of a reply with a large value only the start is
-/// removed.
+/// Removes the next reply from the buffer; `None` while it is incomplete. If the reply has a large value, only the
+/// start before the value is removed.
 ///
 /// # Errors
-/// When the bytes are no reply; the connection cannot be used any more.
+/// When the bytes are not a valid reply; the connection cannot be used any more.
 pub fn decode_reply(buffer: &mut BytesMut) -> Result<Option<Reply>, ProtoError> {
     if buffer.len() <= MAX_BUFFERED_VALUE_BYTES
         && let Some((shape, end)) = parse(buffer, MAX_MESSAGE_BYTES, "answer", reply)?
@@ -254,10 +254,10 @@
     })
 }
 
-/// Removes what follows a large value from the buffer; `None` while it is incomplete.
+/// Removes the part of a reply that follows a large value from the buffer; `None` while it is incomplete.
 ///
 /// # Errors
-/// When the bytes are something else; the connection cannot be used any more.
+/// When the bytes are not such a part; the connection cannot be used any more.
 pub fn decode_reply_tail(
     buffer: &mut BytesMut, ReplyTail(parts): ReplyTail,
 ) -> Result<Option<()>, ProtoError> {
@@ -275,7 +275,7 @@
     out.put_slice(b"\r\n");
 }
 
-/// Appends the header of a bulk string. Its bytes and a line end follow.
+/// Appends the header of a bulk string. The caller appends its bytes and a line end.
 pub fn encode_bulk_header(out: &mut BytesMut, length: usize) {
     encode_count(out, b'$', length);
 }
@@ -288,7 +288,7 @@
     out.put_slice(b"\r\n");
 }
 
-/// Appends a command of these words.
+/// Appends a command that consists of `words`.
 pub fn encode_command(out: &mut BytesMut, words: &[&[u8]]) {
     encode_count(out, b'*', words.len());
     for word in words {
--- a/crates/proto/tests/bad_lists.rs
+++ b/crates/proto/tests/bad_lists.rs
@@ -1,4 +1,4 @@
-//! Lists that cannot be used: each is an error that names what is wrong and where, and takes nothing else with it.
+//! Invalid lists: each is reported with the fault and its position, and does not affect later lists.
 
 use bytes::BytesMut;
 use proto::discovery::{ListError, MAX_LIST_BYTES, WatchLine, WatchReader, parse_endpoint_list};
@@ -15,27 +15,22 @@
 fn error_of_a_list_names_the_fault_and_its_place() {
     let spoilt = [
         ("\"ready\"", "\"asleep\"", "unknown variant `asleep`", "an unknown phase"),
-        (
-            "127.0.0.1:1",
-            "nowhere",
-            "invalid socket address syntax at line 1 column 74",
-            "an address that is none",
-        ),
+        ("127.0.0.1:1", "nowhere", "invalid socket address syntax at line 1 column 74", "an invalid address"),
         ("\"revision\":7,", "", "missing field `revision`", "no revision"),
         ("\"id\":\"s-1\",", "", "missing field `id` at line 1", "no id"),
-        ("7", "-7", "invalid value: integer `-7`", "a revision below all"),
-        ("true", "tru", "its byte 28 cannot stand there", "no JSON"),
-        ("true", "tru\n", "its byte 28 cannot stand there", "no JSON, on several lines"),
-        ("]}", "}}", "cannot stand there", "another bracket"),
-        ("}]}", "}]} x", "cannot stand there", "more behind it"),
-        ("{\"rev", "x{\"rev", "its byte 0 cannot stand there", "something ahead of it"),
+        ("7", "-7", "invalid value: integer `-7`", "a negative revision"),
+        ("true", "tru", "its byte 28 cannot stand there", "invalid JSON"),
+        ("true", "tru\n", "its byte 28 cannot stand there", "invalid JSON, on several lines"),
+        ("]}", "}}", "cannot stand there", "a wrong bracket"),
+        ("}]}", "}]} x", "cannot stand there", "text after the list"),
+        ("{\"rev", "x{\"rev", "its byte 0 cannot stand there", "text before the list"),
     ];
     for (from, to, says, what) in spoilt {
         let text = GOOD.replacen(from, to, 1);
         assert_ne!(text, GOOD, "{what}");
         let error = read(&text).expect_err(what).to_string();
         assert!(error.contains(says), "{what}: {error}");
-        assert!(parse_endpoint_list(text.as_bytes()).is_err(), "{what}, as a whole answer");
+        assert!(parse_endpoint_list(text.as_bytes()).is_err(), "{what}, as a complete list");
     }
     assert!(matches!(read(GOOD), Ok(Some(WatchLine::Update(_)))));
 }
--- a/crates/proto/tests/parsers.rs
+++ b/crates/proto/tests/parsers.rs
@@ -1,4 +1,4 @@
-//! Every parser against random cuts of valid messages and against garbage.
+//! Tests every parser with valid messages that are split at random positions, and with garbage.
 
 use bytes::BytesMut;
 use proptest::prelude::*;
@@ -12,7 +12,7 @@
     Config { cases: 48, failure_persistence: None, rng_seed: RngSeed::Fixed(7), ..Config::default() }
 }
 
-/// Feeds `bytes` in pieces cut at `cuts`, and gathers what the parser finds.
+/// Feeds `bytes` to a parser in pieces that end at `cuts`, and collects the parsed items.
 fn fed<T, E>(
     bytes: &[u8], cuts: &[usize], mut next: impl FnMut(&mut BytesMut) -> Result<Option<T>, E>,
 ) -> Result<Vec<T>, E> {
@@ -82,7 +82,7 @@
         let mut bytes = BytesMut::from("*3\r\n");
         resp::encode_bulk(&mut bytes, &value);
         bytes.extend_from_slice(b"$3\r\nhit\r\n$-1\r\n-BUSY\r\n");
-        // As a connection does: the value is taken off as it comes, then its tail, then the next answer.
+        // Reads like a connection: the value as it arrives, then its tail, then the next reply.
         let (mut left, mut behind) = (0, None);
         let found: Result<_, ProtoError> = fed(&bytes, &cuts, |buffer| {
             let taken = left.min(buffer.len());
@@ -148,7 +148,7 @@
         prop_assert_eq!(&found[0], &WatchLine::KeepAlive);
         let WatchLine::Update(list) = &found[1] else { panic!("{found:?}") };
         prop_assert_eq!((list.revision, list.members[0].phase), (revision, Phase::Draining));
-        // Lists may come indented, the first of a watch as well.
+        // Lists may be indented, including the first list of a watch.
         let value: serde_json::Value = serde_json::from_str(&line).unwrap();
         let indented = serde_json::to_string_pretty(&value).unwrap() + "\n\n" + &line;
         let found_again = lines(indented.as_bytes(), &cuts).unwrap();
@@ -162,7 +162,7 @@
         cuts in prop::collection::vec(any::<usize>(), 0..6),
     ) {
         let bytes = [start.as_bytes(), &noise].concat();
-        // Whatever is found must not depend on how the bytes were cut.
+        // The result must not depend on where the bytes were split.
         prop_assert_eq!(fed(&bytes, &cuts, resp::decode_command).ok(), fed(&bytes, &[], resp::decode_command).ok());
         prop_assert_eq!(fed(&bytes, &cuts, resp::decode_reply).ok(), fed(&bytes, &[], resp::decode_reply).ok());
         prop_assert_eq!(http(&bytes, &cuts).ok(), http(&bytes, &[]).ok());
@@ -180,17 +180,20 @@
     assert!(http(&with(b"HTTP/1.1 200 OK\r\nA: "), &[]).is_err(), "a header without end");
     assert!(http(b"HTTP/1.1 200 OK\r\nContent-Length: 65537\r\n\r\n", &[]).is_err(), "a body too long");
     let chunks = with(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1ffff\r\n");
-    assert!(http(&chunks, &[]).is_err(), "chunks beyond the longest value");
-    assert!(http(b"HTTP/1.1 200 OK\r\n\r\n", &[]).is_err(), "no stated end");
-    assert!(http(b"HTTP/1.0 200 OK\r\n\r\nnoise", &[]).is_err(), "nor one by its version");
+    assert!(http(&chunks, &[]).is_err(), "chunks longer than the longest value");
+    assert!(http(b"HTTP/1.1 200 OK\r\n\r\n", &[]).is_err(), "a body without a stated end");
+    assert!(http(b"HTTP/1.0 200 OK\r\n\r\nnoise", &[]).is_err(), "HTTP/1.0 does not state the end");
     assert!(
         http(&with(b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n"), &[]).is_err(),
-        "beyond the longest value"
+        "a body longer than the longest value"
+    );
+    assert!(
+        fed(b"*1\r\n$4194305\r\n", &[], resp::decode_reply).is_err(),
+        "a length above that of the longest value"
     );
-    assert!(fed(b"*1\r\n$4194305\r\n", &[], resp::decode_reply).is_err(), "beyond the largest value");
     assert!(resp::partial_command(b"*1\r\n$4194305\r\n").is_err());
     assert!(http(b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n", &[]).is_err());
-    assert!(http(&b"HTTP/1.1 100 Continue\r\n\r\n".repeat(9), &[]).is_err(), "interim answers without end");
+    assert!(http(&b"HTTP/1.1 100 Continue\r\n\r\n".repeat(9), &[]).is_err(), "interim responses without end");
     let line = [&b"{\"a\":\""[..], &vec![b'x'; MAX_LIST_BYTES]].concat();
     assert_eq!(lines(&line, &[]), Err(ListError::TooLong), "a line without end");
 }
@@ -200,14 +203,14 @@
     let good = "HTTP/1.1 200 OK\r\nA: b\r\nContent-Length: 0\r\n\r\n";
     assert_eq!(http(good.as_bytes(), &[]).unwrap().len(), 1);
     let spoilt = [
-        ("\r\n", "HTTP", "\r\nHTTP", "an empty line ahead"),
-        ("OK\n", "OK\r\n", "OK\n", "a bare line feed behind the status"),
-        ("b\n", "b\r\n", "b\n", "a bare line feed behind a header"),
+        ("\r\n", "HTTP", "\r\nHTTP", "an empty line before the head"),
+        ("OK\n", "OK\r\n", "OK\n", "a bare line feed after the status"),
+        ("b\n", "b\r\n", "b\n", "a bare line feed after a header"),
         (": 0\r\n\n", ": 0\r\n\r\n", ": 0\r\n\n", "a bare line feed at the end"),
-        ("1 099", "200", "099", "a status below all"),
-        ("1 600 ", "200", "600", "a status above all"),
-        ("A :", "A:", "A :", "a space behind a name"),
-        ("\r\n c", "A: b\r\n", "A: b\r\n c\r\n", "a line that goes on"),
+        ("1 099", "200", "099", "a status below the valid range"),
+        ("1 600 ", "200", "600", "a status above the valid range"),
+        ("A :", "A:", "A :", "a space after a header name"),
+        ("\r\n c", "A: b\r\n", "A: b\r\n c\r\n", "a folded header line"),
         ("2 200", "1.1 ", "1.2 ", "another version"),
     ];
     for (shows, from, to, what) in spoilt {
