--- a/crates/front/src/client/commands.rs
+++ b/crates/front/src/client/commands.rs
@@ -57,7 +57,7 @@
             return None;
         }
         self.command_awaited_since.get_or_insert_with(Instant::now);
-        let partial = match resp::partial_command(&self.input) {
+        let partial = match resp::parse_partial_command(&self.input) {
             Ok(found) => found?,
             Err(error) => return Some(self.reject_malformed(error)),
         };
--- a/crates/proto/src/discovery.rs
+++ b/crates/proto/src/discovery.rs
@@ -81,13 +81,13 @@
     #[error("the list is longer than {MAX_LIST_BYTES} bytes")]
     TooLong,
     /// The list is not valid JSON; contains the position of the first invalid byte.
-    #[error("the list is no JSON: its byte {0} cannot stand there")]
+    #[error("the list is not valid JSON: unexpected byte at offset {0}")]
     Syntax(usize),
     /// The list is valid JSON, but not an endpoint list; contains the reason, with line and column.
-    #[error("the list is none: {0}")]
+    #[error("the list is invalid: {0}")]
     Form(String),
     /// A complete list contains the endpoint with this id twice.
-    #[error("the list has {0} twice")]
+    #[error("the list contains endpoint {0} twice")]
     Duplicate(String),
 }
 
@@ -100,9 +100,9 @@
         serde_json::from_slice(text).map_err(|error| ListError::Form(error.to_string()))?;
     let mut ids = FxHashSet::default();
     // A list of changes may contain an endpoint more than once: the last entry applies.
-    for member in list.members.iter().filter(|_| list.complete) {
-        if !ids.insert(member.id.as_str()) {
-            return Err(ListError::Duplicate(member.id.clone()));
+    for endpoint in list.members.iter().filter(|_| list.complete) {
+        if !ids.insert(endpoint.id.as_str()) {
+            return Err(ListError::Duplicate(endpoint.id.clone()));
         }
     }
     Ok(list)
--- a/crates/proto/src/http/decoder.rs
+++ b/crates/proto/src/http/decoder.rs
@@ -1,7 +1,9 @@
 //! Decodes responses incrementally, which includes the response of a watch, whose body never ends.
 
 use super::head::{self, BodyFraming, ResponseHead};
-use super::parse::{Found, Input, MAX_HEADERS, Parsed, Step, checked_length, single_line, take};
+use super::parse::{
+    Input, MAX_HEADERS, ParseResult, Parsed, Prefix, checked_header_length, parse_prefix, parse_single_line,
+};
 use crate::{MAX_BUFFERED_VALUE_BYTES, ProtoError};
 use bytes::{Bytes, BytesMut};
 use winnow::Parser;
@@ -63,13 +65,13 @@
 #[derive(Debug, Clone)]
 pub struct Decoder {
     state: State,
-    interim: usize,
+    interim_responses: usize,
     pub(super) max_length: usize,
 }
 
 impl Default for Decoder {
     fn default() -> Self {
-        Self { state: State::Head, interim: 0, max_length: MAX_BUFFERED_VALUE_BYTES }
+        Self { state: State::Head, interim_responses: 0, max_length: MAX_BUFFERED_VALUE_BYTES }
     }
 }
 
@@ -117,17 +119,17 @@
     }
 
     fn decode_head(&mut self, buffer: &mut BytesMut) -> Result<Progress, ProtoError> {
-        let Some(head) = take(buffer, MAX_HEAD_BYTES, "head", head::parse)? else {
+        let Some(head) = parse_prefix(buffer, MAX_HEAD_BYTES, "head", head::parse)? else {
             return Ok(Progress::NeedMore);
         };
         if head.status < FIRST_FINAL_STATUS {
-            self.interim += 1;
-            if self.interim > MAX_INTERIM {
+            self.interim_responses += 1;
+            if self.interim_responses > MAX_INTERIM {
                 return Err(ProtoError::TooLong("run of interim answers"));
             }
             return Ok(Progress::Continue);
         }
-        self.interim = 0;
+        self.interim_responses = 0;
         self.state = match head.body {
             BodyFraming::Length(length) if length > self.max_length => {
                 return Err(ProtoError::TooLong("body"));
@@ -153,8 +155,8 @@
     }
 
     fn decode_chunk_line(&mut self, buffer: &mut BytesMut) -> Result<Progress, ProtoError> {
-        let parse = |text: &[u8]| single_line(text, chunk_line);
-        let Some(length) = take(buffer, MAX_CHUNK_LINE_BYTES, "chunk", parse)? else {
+        let parse = |text: &[u8]| parse_single_line(text, chunk_line);
+        let Some(length) = parse_prefix(buffer, MAX_CHUNK_LINE_BYTES, "chunk", parse)? else {
             return Ok(Progress::NeedMore);
         };
         self.state = if length == 0 { State::Trailer } else { State::Chunk(length) };
@@ -172,8 +174,8 @@
     }
 
     fn decode_chunk_end(&mut self, buffer: &mut BytesMut) -> Result<Progress, ProtoError> {
-        let parse = |text: &[u8]| single_line(text, |input| crlf.void().parse_next(input));
-        if take(buffer, LINE_END_BYTES, "chunk", parse)?.is_none() {
+        let parse = |text: &[u8]| parse_single_line(text, |input| crlf.void().parse_next(input));
+        if parse_prefix(buffer, LINE_END_BYTES, "chunk", parse)?.is_none() {
             return Ok(Progress::NeedMore);
         }
         self.state = State::ChunkLine;
@@ -181,7 +183,7 @@
     }
 
     fn decode_trailer(&mut self, buffer: &mut BytesMut) -> Result<Progress, ProtoError> {
-        if take(buffer, MAX_HEAD_BYTES, "trailer", trailer)?.is_none() {
+        if parse_prefix(buffer, MAX_HEAD_BYTES, "trailer", trailer)?.is_none() {
             return Ok(Progress::NeedMore);
         }
         self.state = State::Head;
@@ -198,9 +200,9 @@
 }
 
 /// Parses the trailer of a chunked body: header lines, then an empty line.
-fn trailer(text: &[u8]) -> Step<()> {
+fn trailer(text: &[u8]) -> ParseResult<()> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let parsed = httparse::parse_headers(text, &mut headers);
-    let length = checked_length(text, parsed, |(length, _)| length)?;
-    Ok(length.map(|length| Found { value: (), length }))
+    let length = checked_header_length(text, parsed, |(length, _)| length)?;
+    Ok(length.map(|length| Prefix { value: (), length }))
 }
--- a/crates/proto/src/http/head.rs
+++ b/crates/proto/src/http/head.rs
@@ -1,6 +1,6 @@
 //! Parses the head of a response: its status line and headers.
 
-use super::parse::{Found, MAX_HEADERS, Malformed, Step, checked_length};
+use super::parse::{MAX_HEADERS, Malformed, ParseResult, Prefix, checked_header_length};
 use crate::MAX_BUFFERED_VALUE_BYTES;
 use httparse::{Header, ParserConfig, Response};
 use std::mem::MaybeUninit;
@@ -40,7 +40,7 @@
 }
 
 /// Parses the head of a response.
-pub(super) fn parse(text: &[u8]) -> Step<ResponseHead> {
+pub(super) fn parse(text: &[u8]) -> ParseResult<ResponseHead> {
     // httparse skips empty lines before a response, where none are allowed.
     if text.first().is_some_and(|byte| *byte != b'H') {
         return Err(Malformed);
@@ -53,8 +53,8 @@
     if response.code.is_some_and(|code| !(100..600).contains(&code)) {
         return Err(Malformed);
     }
-    let Some(length) = checked_length(text, parsed, |length| length)? else { return Ok(None) };
-    Ok(Some(Found { value: interpret(&response)?, length }))
+    let Some(length) = checked_header_length(text, parsed, |length| length)? else { return Ok(None) };
+    Ok(Some(Prefix { value: build_head(&response)?, length }))
 }
 
 /// The values of the headers that the decoder uses.
@@ -67,7 +67,7 @@
 }
 
 impl Headers {
-    fn read(&mut self, header: &Header<'_>) -> Result<(), Malformed> {
+    fn record(&mut self, header: &Header<'_>) -> Result<(), Malformed> {
         let Header { name, value } = header;
         if name.eq_ignore_ascii_case("content-length") {
             let text = std::str::from_utf8(value).map_err(|_| Malformed)?;
@@ -107,11 +107,11 @@
     }
 }
 
-fn interpret(response: &Response<'_, '_>) -> Result<ResponseHead, Malformed> {
+fn build_head(response: &Response<'_, '_>) -> Result<ResponseHead, Malformed> {
     let status = response.code.ok_or(Malformed)?;
     let mut headers = Headers::default();
     for header in response.headers.iter() {
-        headers.read(header)?;
+        headers.record(header)?;
     }
     let is_http_1_1 = response.version == Some(1);
     let body = headers.framing(status)?;
--- a/crates/proto/src/http/reader.rs
+++ b/crates/proto/src/http/reader.rs
@@ -11,8 +11,8 @@
 pub struct ResponseReader {
     decoder: Decoder,
     head: Option<ResponseHead>,
-    first: Bytes,
-    more: BytesMut,
+    first_piece: Bytes,
+    other_pieces: BytesMut,
 }
 
 impl ResponseReader {
@@ -41,22 +41,22 @@
     }
 
     fn append(&mut self, data: Bytes) -> Result<(), ProtoError> {
-        if self.first.len() + self.more.len() + data.len() > self.decoder.max_length {
+        if self.first_piece.len() + self.other_pieces.len() + data.len() > self.decoder.max_length {
             return Err(ProtoError::TooLong("body"));
         }
-        if self.first.is_empty() {
-            self.first = data;
+        if self.first_piece.is_empty() {
+            self.first_piece = data;
         } else {
-            self.more.put_slice(&data);
+            self.other_pieces.put_slice(&data);
         }
         Ok(())
     }
 
     fn take_body(&mut self) -> Bytes {
-        let first = mem::take(&mut self.first);
-        if self.more.is_empty() {
+        let first = mem::take(&mut self.first_piece);
+        if self.other_pieces.is_empty() {
             return first;
         }
-        [&first[..], &self.more.split()[..]].concat().into()
+        [&first[..], &self.other_pieces.split()[..]].concat().into()
     }
 }
--- a/crates/proto/src/resp.rs
+++ b/crates/proto/src/resp.rs
@@ -94,8 +94,8 @@
     terminated(take_while(0..MAX_LINE_BYTES, |b| b != b'\r' && b != b'\n').span(), crlf).parse_next(input)
 }
 
-fn command(input: &mut Input<'_>) -> Parsed<Vec<Range<usize>>> {
-    let words = preceded(b'*', number).verify(|n| (1..=MAX_WORDS).contains(n)).parse_next(input)?;
+fn command_words(input: &mut Input<'_>) -> Parsed<Vec<Range<usize>>> {
+    let words = preceded(b'*', number).verify(|count| (1..=MAX_WORDS).contains(count)).parse_next(input)?;
     repeat(words as usize, word).parse_next(input)
 }
 
@@ -116,15 +116,15 @@
 
 fn reply(input: &mut Input<'_>) -> Parsed<ReplyShape> {
     let array = preceded(b'*', number)
-        .verify(|n| (1..=MAX_WORDS).contains(n))
-        .flat_map(|n| repeat(n as usize, part))
+        .verify(|count| (1..=MAX_WORDS).contains(count))
+        .flat_map(|count| repeat(count as usize, part))
         .map(ReplyShape::Array);
     alt((array, preceded(b'-', line).map(ReplyShape::Error))).parse_next(input)
 }
 
 /// Parses the start of a reply whose first part is a large value: the number of parts, and the value's length.
 fn large_reply(input: &mut Input<'_>) -> Parsed<(usize, usize)> {
-    let parts = preceded(b'*', number).verify(|n| (1..=MAX_WORDS).contains(n)).parse_next(input)?;
+    let parts = preceded(b'*', number).verify(|count| (1..=MAX_WORDS).contains(count)).parse_next(input)?;
     let mut length =
         preceded(b'$', bulk_length).verify_map(|len| len.filter(|len| *len > MAX_BUFFERED_VALUE_BYTES));
     Ok((parts as usize, length.parse_next(input)?))
@@ -140,7 +140,7 @@
 
 /// Parses all words of a command but the last, and the length of the last word, which may not have arrived.
 fn partial_words(input: &mut Input<'_>) -> Parsed<(Vec<Range<usize>>, usize)> {
-    let words = preceded(b'*', number).verify(|n| (1..=MAX_WORDS).contains(n)).parse_next(input)?;
+    let words = preceded(b'*', number).verify(|count| (1..=MAX_WORDS).contains(count)).parse_next(input)?;
     let before = repeat(words as usize - 1, word).parse_next(input)?;
     let length = preceded(b'$', bulk_length).verify_map(|len| len).parse_next(input)?;
     Ok((before, length))
@@ -170,11 +170,11 @@
 /// # Errors
 /// When the bytes are not a valid command; the connection cannot be used any more.
 pub fn decode_command(buffer: &mut BytesMut) -> Result<Option<Command>, ProtoError> {
-    split_command(buffer, MAX_MESSAGE_BYTES)
+    take_command(buffer, MAX_MESSAGE_BYTES)
 }
 
-fn split_command(buffer: &mut BytesMut, max_bytes: usize) -> Result<Option<Command>, ProtoError> {
-    let Some((words, end)) = parse(buffer, max_bytes, "command", command)? else { return Ok(None) };
+fn take_command(buffer: &mut BytesMut, max_bytes: usize) -> Result<Option<Command>, ProtoError> {
+    let Some((words, end)) = parse(buffer, max_bytes, "command", command_words)? else { return Ok(None) };
     let message = buffer.split_to(end).freeze();
     Ok(Some(Command(words.into_iter().map(|at| message.slice(at)).collect())))
 }
@@ -184,7 +184,7 @@
 /// # Errors
 /// When the bytes are not a valid command; the connection cannot be used any more.
 pub fn decode_large_command(buffer: &mut BytesMut) -> Result<Option<Command>, ProtoError> {
-    split_command(buffer, MAX_LARGE_MESSAGE_BYTES)
+    take_command(buffer, MAX_LARGE_MESSAGE_BYTES)
 }
 
 /// A command of which all words but the last have arrived.
@@ -202,7 +202,7 @@
 ///
 /// # Errors
 /// When the bytes are not a valid command; the connection cannot be used any more.
-pub fn partial_command(buffer: &[u8]) -> Result<Option<PartialCommand>, ProtoError> {
+pub fn parse_partial_command(buffer: &[u8]) -> Result<Option<PartialCommand>, ProtoError> {
     let Some(((words, length), end)) = parse(buffer, MAX_LARGE_MESSAGE_BYTES, "command", partial_words)?
     else {
         return Ok(None);
@@ -220,34 +220,35 @@
     if buffer.len() <= MAX_BUFFERED_VALUE_BYTES
         && let Some((shape, end)) = parse(buffer, MAX_MESSAGE_BYTES, "answer", reply)?
     {
-        return split_reply(buffer, shape, end).map(Some);
+        return take_reply(buffer, shape, end).map(Some);
     }
     if let Ok(Some(((parts, length), end))) = parse(buffer, usize::MAX, "answer", large_reply) {
         buffer.advance(end);
         return Ok(Some(Reply::Large { length, tail: ReplyTail(parts - 1) }));
     }
     match parse(buffer, MAX_MESSAGE_BYTES, "answer", reply)? {
-        Some((shape, end)) => split_reply(buffer, shape, end).map(Some),
+        Some((shape, end)) => take_reply(buffer, shape, end).map(Some),
         None => Ok(None),
     }
 }
 
-fn split_reply(buffer: &mut BytesMut, shape: ReplyShape, end: usize) -> Result<Reply, ProtoError> {
+fn take_reply(buffer: &mut BytesMut, shape: ReplyShape, end: usize) -> Result<Reply, ProtoError> {
     let message = buffer.split_to(end).freeze();
     Ok(match shape {
         ReplyShape::Error(at) => {
             let text = message.slice(at);
-            let busy = text.strip_prefix(b"BUSY").is_some_and(|rest| rest.first().is_none_or(|b| *b == b' '));
-            if busy { Reply::Busy } else { Reply::Failed(text) }
+            let is_busy =
+                text.strip_prefix(b"BUSY").is_some_and(|rest| rest.first().is_none_or(|b| *b == b' '));
+            if is_busy { Reply::Busy } else { Reply::Failed(text) }
         }
         ReplyShape::Array(parts) => match &parts[0] {
             Part::Bulk(at) => Reply::Served(message.slice(at.clone())),
             Part::Null => {
-                let note = parts.get(1).map(|part| match part {
+                let reason = parts.get(1).map(|part| match part {
                     Part::Bulk(at) | Part::Line(at) => &message[at.clone()],
                     Part::Null => &[],
                 });
-                Reply::Miss { pending: note == Some(b"pending") }
+                Reply::Miss { pending: reason == Some(b"pending") }
             }
             Part::Line(_) => return Err(ProtoError::Malformed("answer")),
         },
