--- a/crates/discovery/src/agent.rs
+++ b/crates/discovery/src/agent.rs
@@ -1,6 +1,7 @@
-//! The connections to the agent at one address: its watches, the requests in flight beside them, and how each event changes them.
+//! Manages the connections to the agent at one address: its watches and the requests in flight, and handles their
+//! events.
 //!
-//! `docs/design/crossings-list.md` lists the states by the events that can happen in them.
+//! `docs/design/crossings-list.md` lists every event in every state.
 
 use crate::dial::Dial;
 use crate::error::RequestError;
@@ -18,30 +19,31 @@
 
 type RequestsInFlight<S> = FuturesUnordered<LocalBoxFuture<'static, Result<Response<S>, RequestError>>>;
 
-/// The agent at one address. A broken watch is resumed from the last revision. Another agent counts its own revisions, so the
-/// first response of a new agent is a complete list.
+/// The agent at one address. A broken watch is resumed from the last revision. Each agent counts its own revisions, so
+/// the first response of a new agent is a complete list.
 pub(crate) struct Agent<D: Dial> {
     addr: SocketAddr,
     dial: D,
     schedule: RetrySchedule,
-    /// The revision to resume from; none if the complete list is needed.
+    /// The revision to resume from; `None` if the complete list must be requested.
     revision: Option<u64>,
-    /// The watch that sent the last line, followed by one that was requested when the former fell silent and has sent only its
-    /// head. The first of them to send a line is kept.
+    /// The watch that sent the last line, and after it a second watch, requested when the first one fell silent, that
+    /// has sent only its head. The first of them to send a line is kept.
     watches: VecDeque<Watch<D::Stream>>,
-    /// Lists received on a watch that has been closed since, and not yet returned.
+    /// Lists that were received on watches and not returned yet. Their watch may be closed already.
     pending: VecDeque<EndpointList>,
     requests: RequestsInFlight<D::Stream>,
     requested_at: Instant,
     /// When the next request is due. While the watch sends lines, this is its silence timeout.
     next_request_at: Instant,
     silence_logged: bool,
-    /// Set once discovery has moved to another address: no new request is made after that time. What is open is read on.
+    /// After discovery has moved to another address: the time from which no new request is sent. Open connections are
+    /// still read.
     requests_until: Option<Instant>,
 }
 
 impl<D: Dial> Agent<D> {
-    /// An agent that is contacted at once.
+    /// Creates an agent that is contacted at once.
     pub(crate) fn new(addr: SocketAddr, revision: Option<u64>, schedule: RetrySchedule, dial: D) -> Self {
         let now = Instant::now();
         Self {
@@ -59,7 +61,7 @@
         }
     }
 
-    /// Where the agent is.
+    /// Returns the address of the agent.
     pub(crate) fn addr(&self) -> SocketAddr {
         self.addr
     }
@@ -70,7 +72,7 @@
         self
     }
 
-    /// The next event. Cancel safe.
+    /// Waits for the next event. Cancel safe.
     pub(crate) async fn next_event(&mut self) -> WatchEvent {
         loop {
             if let Some(list) = self.pending.pop_front() {
@@ -78,11 +80,12 @@
             }
             let may_request = self.may_request();
             tokio::select! {
-                // What has arrived precedes new requests. Responses come before lines, since a line cancels the requests.
+                // Input that has arrived is handled before new requests are sent. Responses are handled before lines,
+                // since a line cancels the requests in flight.
                 biased;
                 Some(response) = self.requests.next() => match response {
                     Ok(response) => return self.handle_response(response),
-                    // Beside other requests in flight a failure changes nothing: the next request is scheduled already.
+                    // With other requests in flight, a failure changes nothing: the next request is scheduled already.
                     Err(error) if self.requests.is_empty() => self.back_off(&error),
                     Err(_) => {}
                 },
@@ -101,21 +104,23 @@
         has_capacity && self.requests_until.is_none_or(|until| self.next_request_at < until)
     }
 
-    /// Resets the schedule after a complete line or list.
+    /// Resets the backoff and restarts the silence timeout, after a complete line or list.
     fn reset_schedule(&mut self) {
         self.schedule.reset();
         self.await_next_line();
     }
 
-    /// Cancels the requests in flight, so that no watch starts from an older revision, and restarts the silence timeout.
+    /// Cancels the requests in flight, so that no watch starts from an older revision, and restarts the silence
+    /// timeout.
     fn await_next_line(&mut self) {
         self.requests.clear();
         self.silence_logged = false;
         self.next_request_at = Instant::now() + self.schedule.silence_timeout(fastrand::f64());
     }
 
-    /// Keeps one watch: that with the latest revision, else the one that sent the line. Lines received on the other watch still
-    /// apply, so they are read before it is closed. Both are read, since only then it is known which has the latest revision.
+    /// Handles a line of a watch and closes the other watch. Keeps the watch with the latest revision or, if neither
+    /// has sent a list, the one that sent the line. Lines already received on both watches are read first: they show
+    /// which watch has the latest revision, and those of the closed watch still apply.
     fn handle_line(&mut self, index: usize, line: WatchLine) {
         let mut lines = vec![(index, line)];
         if self.watches.len() > 1 {
@@ -138,7 +143,7 @@
 
     fn handle_broken_watch(&mut self, index: usize, error: &RequestError) {
         self.watches.remove(index);
-        // With a request in flight or a newer watch open, the changes that this watch missed are requested already.
+        // With a request in flight or a newer watch open, the changes missed by this watch were already requested.
         let was_newest = index == self.watches.len();
         if self.requests.is_empty() && was_newest {
             self.back_off(error);
@@ -169,15 +174,15 @@
         if is_only_watch {
             self.await_next_line();
         } else if let Some(silence_timeout) = self.schedule.second_watch_silence_timeout() {
-            // A head alone brings no change: like the watch before it, this one may stay silent.
+            // A head alone delivers no change: this watch may stay silent like the one before it.
             self.requests.clear();
             self.next_request_at = Instant::now() + silence_timeout;
         }
     }
 
-    /// Records the revision of a list. If the revision of a change is lower than the last one, the agent was restarted and the
-    /// change is relative to a list that is not known here. It is still applied, since it is the latest, and the complete list
-    /// is requested.
+    /// Records the revision of a list. If a list of changes has a lower revision than the last list, the agent was
+    /// restarted, and the changes are relative to a list that is not known here. They still apply, since they are the
+    /// latest, and the complete list is requested.
     fn apply_list(&mut self, list: EndpointList) -> WatchEvent {
         let went_back = !list.complete && self.revision.is_some_and(|last| list.revision < last);
         self.revision = (!went_back).then_some(list.revision);
@@ -189,7 +194,7 @@
         WatchEvent::List(list)
     }
 
-    /// Sends a request beside those in flight.
+    /// Sends another request.
     fn send_request(&mut self) {
         if !self.watches.is_empty() && !self.silence_logged {
             self.silence_logged = true;
--- a/crates/discovery/src/dial.rs
+++ b/crates/discovery/src/dial.rs
@@ -1,4 +1,4 @@
-//! Opens connections to the agent, also when the process has run out of file descriptors.
+//! Opens connections to the agent, even when the process has run out of file descriptors.
 
 use futures_util::future::LocalBoxFuture;
 use std::cell::RefCell;
@@ -16,9 +16,9 @@
 
 /// Opens connections to the agent.
 pub trait Dial: Clone + 'static {
-    /// A connection.
+    /// The type of a connection.
     type Stream: AsyncRead + AsyncWrite + Unpin + 'static;
-    /// Connects to this address.
+    /// Opens a connection to `addr`.
     fn dial(&self, addr: SocketAddr) -> LocalBoxFuture<'static, io::Result<Self::Stream>>;
 }
 
@@ -32,15 +32,16 @@
     }
 }
 
-/// Connects to the agent, with one file descriptor in reserve.
+/// Opens TCP connections to the agent, and reserves one file descriptor for them.
 ///
-/// Guards against a descriptor limit that is lower than configured. Clients and endpoints then use up all descriptors, and do not
-/// release them soon, since they may wait for the very changes that discovery would deliver.
+/// The reserve guards against a descriptor limit that is lower than configured. Connections to clients and endpoints
+/// then use up all descriptors, and may not release them soon, since they may wait for the changes that discovery would
+/// deliver.
 #[derive(Debug, Clone)]
 pub struct Dialer(Rc<RefCell<Option<File>>>);
 
 impl Dialer {
-    /// A dialler that reserves a descriptor if one is available.
+    /// Creates a dialer that reserves a descriptor if one is available.
     #[must_use]
     pub fn new() -> Self {
         let dialler = Self(Rc::default());
@@ -63,7 +64,7 @@
         self.reserve_descriptor();
         let (stream, loan) = match TcpStream::connect(addr).await {
             Err(error) if error.raw_os_error() == Some(EMFILE) && self.0.take().is_some() => {
-                // The descriptor cannot be taken by another task: the new socket is opened without an await in between.
+                // No other task can take the descriptor: the new socket is opened without an await in between.
                 let loan = DescriptorLoan(self);
                 (TcpStream::connect(addr).await?, Some(loan))
             }
@@ -80,7 +81,7 @@
     }
 }
 
-/// The reserved descriptor is in use; it is reserved again when this is dropped.
+/// Marks the reserved descriptor as in use. Dropping this reserves a descriptor again.
 #[derive(Debug)]
 struct DescriptorLoan(Dialer);
 
@@ -94,7 +95,7 @@
 #[derive(Debug)]
 pub struct Connection {
     stream: TcpStream,
-    /// Declared after the stream, so that the stream is closed first.
+    /// Declared after `stream`, so that the stream is closed before a descriptor is reserved again.
     _loan: Option<DescriptorLoan>,
 }
 
--- a/crates/discovery/src/endpoint_history.rs
+++ b/crates/discovery/src/endpoint_history.rs
@@ -1,27 +1,28 @@
-//! Endpoint states received from the previous agent, which take precedence over a new agent with an older revision.
+//! Keeps the endpoint states received from the previous agent, which take precedence over a new agent with an older
+//! revision.
 
 use crate::pace::{MAX_REMEMBERED_ENDPOINTS, MAX_REVISION_LAG};
 use proto::discovery::{EndpointList, EndpointRecord, Phase};
 use std::collections::{HashMap, HashSet};
 use tokio::time::Instant;
 
-/// The last state received of each endpoint.
+/// The last received state of each endpoint.
 ///
-/// A list of a new agent with a lower revision than the previous agent's does not bring back an endpoint that is draining or
-/// gone, unless the endpoint has started since, and does not bring back an earlier start of an endpoint. This applies until the
-/// new agent has caught up, or [`MAX_REVISION_LAG`] has passed.
+/// A list of a new agent with a lower revision than the previous agent's does not bring back an endpoint that is
+/// draining or gone, unless the endpoint has started since, and does not bring back an earlier start of an endpoint.
+/// This applies until the new agent has caught up, or [`MAX_REVISION_LAG`] has passed.
 #[derive(Debug, Default)]
 pub(crate) struct EndpointHistory {
     endpoints: HashMap<String, EndpointRecord>,
     revision: u64,
-    /// The highest revision received before the agent was replaced; none once the new agent has reached it.
+    /// The highest revision received before the agent was replaced; `None` once the new agent has reached it.
     catch_up_revision: Option<u64>,
-    /// Until when a new agent may lag; set by its first list.
+    /// The time until which a new agent may lag; set by its first list.
     lag_until: Option<Instant>,
 }
 
 impl EndpointHistory {
-    /// The history that starts with the list known from an earlier run.
+    /// Creates a history that starts with the list known from an earlier run, if any.
     pub(crate) fn new(known: Option<EndpointList>) -> Self {
         let mut history = Self::default();
         if let Some(list) = &known {
@@ -30,20 +31,21 @@
         history
     }
 
-    /// Discovery has moved to another agent.
+    /// Records that discovery has moved to another agent.
     pub(crate) fn change_agent(&mut self) {
         self.catch_up_revision = self.catch_up_revision.max(Some(self.revision));
         self.lag_until = None;
     }
 
-    /// Records a list of the previous agent, which applies as it is.
+    /// Records a list of the previous agent, which applies unchanged.
     pub(crate) fn apply_previous(&mut self, list: EndpointList) -> EndpointList {
         self.record(&list, Source::UpToDate);
         self.catch_up_revision = self.catch_up_revision.max(Some(list.revision));
         list
     }
 
-    /// Records a list of the current agent, and returns what applies of it.
+    /// Records a list of the current agent, and returns the list that applies: while the agent lags, without outdated
+    /// states.
     pub(crate) fn apply_current(&mut self, mut list: EndpointList, now: Instant) -> EndpointList {
         let lag_until = *self.lag_until.get_or_insert(now + MAX_REVISION_LAG);
         let is_behind = self.catch_up_revision.is_some_and(|revision| list.revision < revision);
@@ -57,7 +59,7 @@
         list
     }
 
-    /// Replaces a record by the one known here if that is newer. Returns whether the endpoint is listed at all.
+    /// Replaces a record by the known one if the known one is newer. Returns whether the endpoint stays in the list.
     fn keep_newer_state(&self, endpoint: &mut EndpointRecord) -> bool {
         let Some(known) = self.endpoints.get(&endpoint.id) else { return true };
         if endpoint.up_since_ms > known.up_since_ms {
@@ -76,7 +78,7 @@
 
     fn record(&mut self, list: &EndpointList, source: Source) {
         self.revision = list.revision;
-        // An endpoint that a lagging agent does not list may be too new for it.
+        // An endpoint missing from the list of a lagging agent may be newer than that list.
         if list.complete && source == Source::UpToDate {
             self.mark_missing_as_gone(list);
         }
@@ -105,7 +107,7 @@
     Lagging,
 }
 
-/// The phase as log lines name it.
+/// Returns the name of a phase in log lines.
 fn phase_name(phase: Phase) -> &'static str {
     match phase {
         Phase::Ready => "Ready",
--- a/crates/discovery/src/error.rs
+++ b/crates/discovery/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a request to the discovery agent, or a watch, failed.
+//! The errors of requests to the discovery agent, and of watches.
 
 use crate::pace::Failure;
 use proto::ProtoError;
@@ -6,7 +6,7 @@
 use std::io;
 use thiserror::Error;
 
-/// Why a request or a watch failed.
+/// The reason why a request or a watch failed.
 #[derive(Debug, Error)]
 pub(crate) enum RequestError {
     /// The connection could not be established.
@@ -24,7 +24,7 @@
     /// The agent closed the connection before the response was complete.
     #[error("connection closed")]
     Closed,
-    /// The response has another status than 200.
+    /// The response has a status other than 200.
     #[error("status {0}")]
     Status(u16),
     /// The response is not valid HTTP.
@@ -33,7 +33,7 @@
     /// The body is not a valid endpoint list.
     #[error(transparent)]
     List(#[from] ListError),
-    /// A response body came without a head, or with a second one.
+    /// The response has a body without a head, or a second head.
     #[error("malformed response")]
     MalformedResponse,
     /// The agent ended the watch.
@@ -42,7 +42,7 @@
 }
 
 impl RequestError {
-    /// Checks the status of a response.
+    /// Returns an error if the status of a response is not 200.
     pub(crate) fn check_status(status: u16) -> Result<(), Self> {
         match status {
             200 => Ok(()),
@@ -50,7 +50,7 @@
         }
     }
 
-    /// What the failure means for the next request.
+    /// Returns the kind of failure, which determines the backoff before the next request.
     pub(crate) fn failure(&self) -> Failure {
         match self {
             Self::Status(429 | 503) => Failure::Rejected,
--- a/crates/discovery/src/follow.rs
+++ b/crates/discovery/src/follow.rs
@@ -1,4 +1,4 @@
-//! Follows the endpoint list at the configured address, also when the configuration moves discovery to another one.
+//! Follows the endpoint list at the configured address, and moves to another address when the configuration changes.
 
 use crate::agent::Agent;
 use crate::dial::Dial;
@@ -10,11 +10,13 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// Follows discovery at the latest address until the returned future is dropped, and publishes each event as it arrives.
+/// Follows discovery at the latest address until the returned future is dropped, and publishes each event as it
+/// arrives.
 ///
-/// A list known from an earlier run is updated by a watch alone: one request instead of two when a hundred balancers start at
-/// once. After the address has changed, the previous agent is followed until the new one has sent its list, since changes that
-/// the previous agent sends still apply. What it sent also takes precedence over a new agent with an older revision.
+/// A list known from an earlier run is updated by a watch alone, which takes one request instead of two when a hundred
+/// balancers start at once. After the address has changed, the previous agent is followed until the new one has sent
+/// its list, since changes sent by the previous agent still apply. Its states also take precedence over a new agent
+/// with an older revision.
 pub async fn follow<D: Dial>(
     mut address: watch::Receiver<SocketAddr>, known: Option<EndpointList>, way: Delivery, balancers: u32,
     dial: D, publish: impl Fn(WatchEvent),
@@ -28,7 +30,7 @@
     loop {
         let previous_event = OptionFuture::from(previous.as_mut().map(Agent::next_event));
         tokio::select! {
-            biased; // an event of the previous agent that has arrived precedes the list that ends it
+            biased; // events of the previous agent are handled before the list of the new agent, which ends it
             Some(event) = previous_event => publish(match event {
                 WatchEvent::List(list) => WatchEvent::List(history.apply_previous(list)),
                 other => other,
@@ -43,10 +45,10 @@
             Ok(()) = address.changed() => {
                 let addr = *address.borrow_and_update();
                 if addr == current.addr() {
-                    continue; // changed and changed back in between: the open connections are still valid
+                    continue; // the address changed and changed back: the open connections are still valid
                 }
                 let replaced = std::mem::replace(&mut current, new_agent(addr, None));
-                // After two changes in a row, the agent that has sent a list is the one to keep following.
+                // After two changes in a row, the agent that has sent a list is still followed.
                 previous = previous.or(Some(replaced)).map(Agent::retire);
                 history.change_agent();
             }
--- a/crates/discovery/src/lib.rs
+++ b/crates/discovery/src/lib.rs
@@ -1,15 +1,18 @@
-//! Client of the discovery service: keeps one watch of the endpoint list open and reconnects before a change can be missed.
+//! Client of the discovery service. Keeps one watch of the endpoint list open, and reconnects before a change can be
+//! missed.
 //!
-//! A change must be applied within a fixed time, whether or not it was received ([`pace`] has the timings). A watch is
-//! therefore considered broken when it has been silent for longer than its keep-alive interval allows. *Before* that deadline
-//! a second watch is requested in parallel, and the first of the two to send a line is kept.
+//! A change must be applied within a fixed time, even if the open watch does not deliver it ([`pace`] has the timings).
+//! A watch is therefore considered broken when it has been silent for longer than its keep-alive interval allows.
+//! Before the deadline for a change, a second watch is requested in parallel, and the first of the two to send a line
+//! is kept.
 //!
-//! Two ways of delivery are supported ([`Delivery`]). Where changes are pushed to an agent on this machine, requests are free, and a
-//! silent agent is polled continuously: what it receives at the end of an outage must be known within the 250 ms that the
-//! rules on draining endpoints allow. Where each request costs a service that all balancers share, at most one request is in
-//! flight, and it is given the time that it may spend in the service's queue.
+//! Two kinds of delivery are supported ([`Delivery`]). With [`Delivery::Push`], changes are pushed to an agent on this
+//! machine. Requests are free, and a silent agent is polled continuously: the changes that it receives at the end of an
+//! outage must be known within the 250 ms that the rules on draining endpoints allow. With [`Delivery::Poll`], each
+//! request costs a service that all balancers share. At most one request is in flight, and its timeout includes the
+//! time that it may spend in the service's queue.
 //!
-//! [`follow()`] opens no socket itself: it is given a [`Dial`] implementation ([`Dialer`] in production), so that tests run on a
+//! [`follow()`] opens connections through a [`Dial`] implementation ([`Dialer`] in production), so that tests run on a
 //! paused clock. It does not store the endpoint list: the caller receives each change as it arrives.
 #![forbid(unsafe_code)]
 #![warn(unreachable_pub)]
--- a/crates/discovery/src/pace.rs
+++ b/crates/discovery/src/pace.rs
@@ -1,89 +1,100 @@
-//! Timings of the endpoint list: when a silent watch counts as broken, and how often the agent is contacted.
+//! Timings of the endpoint list: when a silent watch is considered broken, and how often the agent is contacted.
 //!
-//! One deadline comes first: a change must be applied within 6 s after discovery had it and could be reached, whatever pauses
-//! followed earlier failures. `docs/design/crossings-list.md` adds up the times of each path.
+//! The main deadline: a change must be applied within 6 s from when discovery has it and is reachable, whatever the
+//! backoff after earlier failures. `docs/design/crossings-list.md` adds up the times of each path.
 //!
-//! | event | deadline for applying the change | how it is met |
+//! | event | deadline for applying the change | means |
 //! | --- | --- | --- |
-//! | a line arrived | at once | it is published at once |
-//! | push: the agent has a change | at once, also after an outage and at a start | a silent agent is contacted every [`RETRY_INTERVAL`] |
+//! | a line arrived | at once | the line is published at once |
+//! | push: the agent has a change | at once, including after an outage and at startup | a silent agent is contacted every [`RETRY_INTERVAL`] |
 //! | a watch fell silent | 6 s | another is requested after [`RetrySchedule::silence_timeout`], which leaves time for one lost request |
-//! | a request may be queued by the service | 2 s after the queueing | it is given [`RetrySchedule::response_timeout`], and retried soon after a failure |
-//! | discovery rejected a request | 6 s after the change could be delivered | [`REJECTED_BACKOFF_MAX`] bounds the pause, whatever the number of balancers |
+//! | a request may be queued by the service | 2 s after the queueing | the request has [`RetrySchedule::response_timeout`], and is retried soon after a failure |
+//! | discovery rejected a request | 6 s after the change could be delivered | [`REJECTED_BACKOFF_MAX`] bounds the backoff for any number of balancers |
 //! | SIGHUP moved discovery | 4 s | the new agent is contacted at once; the previous one is followed until the new one has sent its list |
 
 use std::time::Duration;
 
-/// Silence after which a watch is broken, where requests are free. A watch sends a line every 2 s.
+/// The silence timeout of a watch with push delivery. A watch sends a line every 2 s.
 const PUSH_SILENCE_TIMEOUT: Duration = Duration::from_millis(2_250);
-/// The shortest silence after which a watch is broken, where requests cost the service. The timeout is drawn between this and
-/// [`POLL_SILENCE_TIMEOUT_MAX`], so that watches that fell silent together are not all requested again at the same time.
+/// The shortest silence timeout of a watch with poll delivery. The timeout is drawn between this and
+/// [`POLL_SILENCE_TIMEOUT_MAX`], so that watches that fell silent together are not all requested again at the same
+/// time.
 const POLL_SILENCE_TIMEOUT_MIN: Duration = Duration::from_millis(2_350);
-/// The longest such silence. With one lost request and one that is answered within 1 s it stays below 6 s.
+/// The longest silence timeout of a watch with poll delivery. The sum of it, one lost request, and one request that is
+/// answered within 1 s is less than 6 s.
 const POLL_SILENCE_TIMEOUT_MAX: Duration = Duration::from_millis(2_600);
-/// How often a silent agent on this machine is contacted. Guards the end of an outage: what the agent has received by then
-/// applies at once, and no request may go to an endpoint that started draining 250 ms earlier.
+/// The interval at which a silent agent on this machine is contacted. At the end of an outage the changes that the
+/// agent has received apply at once, and no request may go to an endpoint that started draining 250 ms earlier.
 pub const RETRY_INTERVAL: Duration = Duration::from_millis(150);
-/// Timeout of a request to such an agent, which answers at once or not at all.
+/// Timeout of a request with push delivery. An agent on this machine answers at once or not at all.
 const PUSH_RESPONSE_TIMEOUT: Duration = Duration::from_millis(1_200);
-/// Timeout of a request that may be queued: the service answers or rejects it after about 2 s.
+/// Timeout of a request with poll delivery, which may be queued: the service answers or rejects it after about 2 s.
 const POLL_RESPONSE_TIMEOUT: Duration = Duration::from_millis(2_200);
-/// Timeout of its connection, which is established before the request is queued. A lost connection attempt is detected earlier,
-/// at no cost to the service.
+/// Timeout of connecting with poll delivery. The connection is established before the request is queued, so a lost
+/// connection attempt is detected earlier than a lost request, at no cost to the service.
 const POLL_CONNECT_TIMEOUT: Duration = Duration::from_millis(1_200);
-/// Requests in flight where they are free: one every [`RETRY_INTERVAL`] for as long as one may take. Bounds file descriptors.
+/// The most requests in flight with push delivery: one every [`RETRY_INTERVAL`] for the time that one may take. Bounds
+/// the file descriptors in use.
 pub const MAX_REQUESTS_IN_FLIGHT: usize = 8;
-/// Open watches: the one that sent the last line, and one that was requested since and has sent no line.
+/// The most open watches: the one that sent the last line, and one that was requested since and has sent no line.
 pub const MAX_WATCHES: usize = 2;
-/// Lines that are read from a watch before it is closed in favor of another. Bounds the delay that an agent which sends lines
-/// without end can cause.
+/// The most lines that are read from a watch before it is closed for another one. Bounds the delay that an agent can
+/// cause by sending lines without end.
 pub const MAX_DRAINED_LINES: usize = 64;
-/// How long after its first list a new agent may lag behind the previous one: every change reaches it within 6 s. An agent whose
-/// revisions are still lower after that counts its own.
+/// How long after its first list a new agent may lag behind the previous one: every change reaches it within 6 s. An
+/// agent whose revisions are still lower after that uses revision numbers of its own.
 pub const MAX_REVISION_LAG: Duration = Duration::from_secs(6);
-/// Endpoints whose drain or removal is remembered. Bounds memory when endpoints are replaced by new ones all day.
+/// The number of endpoints above which removed endpoints are forgotten. Bounds memory when endpoints are replaced all
+/// day.
 pub const MAX_REMEMBERED_ENDPOINTS: usize = 4_096;
-/// Connections that are open at a time: to the agent, and after a move to the previous agent. The configuration reserves their
-/// descriptors, so that clients and endpoints cannot use them.
+/// The most connections that are open at a time: to the agent and, after a move, to the previous agent. The
+/// configuration reserves their descriptors, so that connections to clients and endpoints cannot use them.
 pub const MAX_CONNECTIONS: usize = 2 * (MAX_REQUESTS_IN_FLIGHT + MAX_WATCHES);
-/// How long after a move a broken watch of the previous agent is requested again. After that the new agent's list applies.
+/// How long after a move a broken watch of the previous agent is requested again. After that only the new agent's list
+/// applies.
 pub const PREVIOUS_AGENT_RETRY_PERIOD: Duration = Duration::from_secs(4);
-/// The first pause after a failed request. Pauses double up to a maximum, and each is drawn from 0.5 to 1.5 times its value.
-/// Guards discovery, which may be one small service for a hundred balancers, against being overloaded by retries.
+/// The first backoff after a failed request. The backoff doubles up to a maximum, and each pause is drawn from 0.5 to
+/// 1.5 times its value. Protects discovery, which may be one small service for a hundred balancers, from an overload by
+/// retries.
 const BACKOFF_MIN: Duration = Duration::from_millis(50);
-/// The longest such pause where requests cost the service, before jitter.
+/// The longest backoff after a failed request with poll delivery, before jitter.
 const POLL_BACKOFF_MAX: Duration = Duration::from_millis(500);
-/// The longest such pause where the agent is on this machine. With jitter it stays below what the rules on draining allow.
+/// The longest backoff after a failed request with push delivery, before jitter. With jitter it is less than the 250 ms
+/// that the rules on draining endpoints allow.
 const PUSH_BACKOFF_MAX: Duration = Duration::from_millis(100);
-/// The first interval between requests after a rejection, for each balancer that may be sending requests: the service is up,
-/// and overloaded. The interval doubles up to [`REJECTED_BACKOFF_MAX`], and each is drawn from 0.5 to 1.5 times its value.
+/// The first interval between requests after a rejection, multiplied by the number of balancers: the service is up, but
+/// overloaded by them. The interval doubles up to [`REJECTED_BACKOFF_MAX`], and each is drawn from 0.5 to 1.5 times its
+/// value.
 const REJECTED_BACKOFF_PER_BALANCER: Duration = Duration::from_millis(25);
-/// The shortest first interval. After a request that was rejected only after it had been queued, the pause may be half of that.
+/// The shortest first interval after a rejection. If the request was queued before it was rejected, the pause after the
+/// rejection may be half of that.
 const REJECTED_BACKOFF_MIN: Duration = Duration::from_millis(200);
-/// The longest interval before jitter. With jitter and a queued request it stays below 6 s, and below the 4 s after a move.
+/// The longest interval after a rejection, before jitter. With jitter and a queued request it is less than 6 s, and
+/// less than the 4 s after a move.
 pub const REJECTED_BACKOFF_MAX: Duration = Duration::from_millis(1_600);
 
-/// How changes reach the agent, as configured.
+/// The configured way in which changes are delivered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Delivery {
-    /// They are pushed to the agent, which answers at once and at no cost.
+    /// Changes are pushed to an agent on this machine, which answers requests at once and at no cost.
     Push,
-    /// They are polled: each request costs a service that all balancers share, and may be queued there.
+    /// Changes are polled from a service that all balancers share. Each request costs the service, and may be queued
+    /// there.
     Poll,
 }
 
-/// How a request or a watch failed.
+/// The kind of failure of a request or a watch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Failure {
     /// No complete response arrived.
     NoResponse,
-    /// Discovery is up, and rejected the request.
+    /// Discovery is up and rejected the request.
     Rejected,
-    /// The response is not a valid list. The same response may follow, and is expensive to read each time.
+    /// The response is not a valid list. A retry may get the same response, which is expensive to read each time.
     InvalidList,
 }
 
-/// Timeouts of one way of delivery, and the backoff after failed requests.
+/// The timeouts of one kind of delivery, and the backoff after failed requests.
 #[derive(Debug)]
 pub struct RetrySchedule {
     way: Delivery,
@@ -93,7 +104,7 @@
 }
 
 impl RetrySchedule {
-    /// The schedule at a start, for one of `balancers` balancers.
+    /// Creates the schedule of one of `balancers` balancers, without earlier failures.
     #[must_use]
     pub fn new(way: Delivery, balancers: u32) -> Self {
         let rejected_backoff = REJECTED_BACKOFF_PER_BALANCER
@@ -102,7 +113,7 @@
         Self { way, balancers, backoff: BACKOFF_MIN, rejected_backoff }
     }
 
-    /// How long a watch may be silent before another is requested; `jitter` is drawn uniformly from 0 to 1.
+    /// Returns how long a watch may be silent before another one is requested; `jitter` is drawn uniformly from 0 to 1.
     #[must_use]
     pub fn silence_timeout(&self, jitter: f64) -> Duration {
         match self.way {
@@ -114,14 +125,15 @@
         }
     }
 
-    /// How long a watch that was requested beside a silent one may be silent after its head. Where requests are free, the agent
-    /// has answered, and the watch is one like any other. Where they cost, the retry interval continues: `None`.
+    /// Returns how long a second watch, requested in parallel with a silent one, may be silent after its head. With
+    /// push delivery the agent has answered, and the watch has the usual silence timeout. With poll delivery the retry
+    /// interval continues, so this is `None`.
     #[must_use]
     pub fn second_watch_silence_timeout(&self) -> Option<Duration> {
         (self.way == Delivery::Push).then_some(PUSH_SILENCE_TIMEOUT)
     }
 
-    /// Timeout of a connection.
+    /// Returns the timeout of connecting.
     #[must_use]
     pub fn connect_timeout(&self) -> Duration {
         match self.way {
@@ -130,7 +142,7 @@
         }
     }
 
-    /// Timeout of a request, its connection included.
+    /// Returns the timeout of a request, which includes connecting.
     #[must_use]
     pub fn response_timeout(&self) -> Duration {
         match self.way {
@@ -139,7 +151,8 @@
         }
     }
 
-    /// The interval from a request that has brought no line to the next, be it unanswered or answered with a head alone.
+    /// Returns the interval after a request until the next one is sent, unless a line arrives: the request is
+    /// unanswered, or was answered with a head alone.
     #[must_use]
     pub fn retry_interval(&self) -> Duration {
         match self.way {
@@ -148,7 +161,7 @@
         }
     }
 
-    /// How many requests may be in flight; one where they cost.
+    /// Returns the most requests that may be in flight; one with poll delivery.
     #[must_use]
     pub fn max_requests_in_flight(&self) -> usize {
         match self.way {
@@ -157,12 +170,13 @@
         }
     }
 
-    /// Forgets earlier failures: a complete line or list has arrived.
+    /// Resets the backoff after a complete line or list.
     pub fn reset(&mut self) {
         *self = Self::new(self.way, self.balancers);
     }
 
-    /// The pause after a failed request that was sent `since_request` ago; `jitter` is drawn uniformly from 0 to 1.
+    /// Returns the pause after a failed request that was sent `since_request` ago; `jitter` is drawn uniformly from 0
+    /// to 1.
     pub fn next_backoff(&mut self, failure: Failure, since_request: Duration, jitter: f64) -> Duration {
         match (failure, self.way) {
             (Failure::InvalidList, _) | (Failure::Rejected, Delivery::Poll) => {
@@ -186,7 +200,7 @@
 
     fn next_rejected_backoff(&mut self, since_request: Duration, jitter: f64) -> Duration {
         let interval = self.rejected_backoff.mul_f64(jitter + 0.5);
-        // Requests that were queued together are rejected together: time in the queue has not spread them.
+        // Requests that were queued together are rejected together: the time in the queue does not spread them out.
         let shortest = self.rejected_backoff.mul_f64(jitter).max(REJECTED_BACKOFF_MIN / 2);
         self.rejected_backoff = (self.rejected_backoff * 2).min(REJECTED_BACKOFF_MAX);
         interval.saturating_sub(since_request).max(shortest)
--- a/crates/discovery/src/request.rs
+++ b/crates/discovery/src/request.rs
@@ -1,4 +1,4 @@
-//! One request to the agent, for the complete endpoint list or for a watch.
+//! Sends one request to the agent, for the complete endpoint list or for a watch.
 
 use crate::error::RequestError;
 use crate::transfer::{TransferStats, Yielding, read_more};
@@ -16,7 +16,7 @@
 pub(crate) enum Response<S> {
     /// The complete list.
     List(EndpointList),
-    /// A watch from the requested revision on.
+    /// A watch of the changes after the requested revision.
     Watch(Watch<S>),
 }
 
--- a/crates/discovery/src/transfer.rs
+++ b/crates/discovery/src/transfer.rs
@@ -1,4 +1,4 @@
-//! Reading from a connection in bounded pieces, and what it took to receive one endpoint list.
+//! Reads from a connection in bounded pieces, and keeps statistics of each received list.
 
 use crate::error::RequestError;
 use bytes::BytesMut;
@@ -7,22 +7,22 @@
 use tokio::task::yield_now;
 use tokio::time::Instant;
 
-/// Bytes that are requested in one read.
+/// The buffer space reserved for one read, in bytes.
 const READ_BYTES: usize = 16 * 1024;
-/// Reads after which other tasks get to run. Guards requests against the list of a very large set of endpoints, which
-/// otherwise occupies the event loop until it is complete.
+/// The number of reads after which the task yields. Otherwise the list of a very large set of endpoints would occupy
+/// the event loop until it is complete, and delay requests.
 const READS_PER_YIELD: usize = 4;
 
-/// Whether reading a long list gives way to other tasks.
+/// Whether reading yields to other tasks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Yielding {
-    /// After every few reads.
+    /// Yields after every [`READS_PER_YIELD`] reads.
     Periodic,
-    /// Never: only what has arrived already is read.
+    /// Never yields: only bytes that have already arrived are read.
     Never,
 }
 
-/// What it took to receive a list.
+/// Statistics of the transfer of one list.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct TransferStats {
     bytes: usize,
@@ -41,7 +41,7 @@
         self.last_read = Instant::now();
     }
 
-    /// Logs what a complete list took.
+    /// Logs the statistics of a complete list.
     pub(crate) fn log(&self, list: &EndpointList) {
         let revision = list.revision;
         let endpoints = list.members.len();
@@ -54,7 +54,7 @@
     }
 }
 
-/// Reads once into the buffer.
+/// Reads once into the buffer, and yields first if `yielding` requires it.
 pub(crate) async fn read_more(
     stream: &mut (impl AsyncRead + Unpin), buffer: &mut BytesMut, stats: &mut TransferStats,
     yielding: Yielding,
--- a/crates/discovery/src/watch.rs
+++ b/crates/discovery/src/watch.rs
@@ -14,17 +14,17 @@
 pub(crate) struct Watch<S> {
     stream: S,
     decoder: Decoder,
-    /// Received bytes that are not decoded yet.
+    /// Received bytes that were not decoded yet.
     received: BytesMut,
-    /// Decoded body bytes that do not make a complete line yet.
+    /// Decoded bytes of the body that do not form a complete line yet.
     body: BytesMut,
     line_reader: WatchReader,
-    /// Since the last line.
+    /// Statistics of the transfer since the last line.
     stats: TransferStats,
 }
 
 impl<S: AsyncRead + Unpin> Watch<S> {
-    /// Reads the head of the response.
+    /// Opens a watch on a connection on which the request was sent: reads the head of the response.
     pub(crate) async fn open(stream: S) -> Result<Self, RequestError> {
         let mut watch = Self {
             stream,
@@ -46,12 +46,12 @@
         }
     }
 
-    /// The next line. Cancel safe: what has been received stays in the buffers.
+    /// Waits for the next line. Cancel safe: received bytes stay in the buffers.
     pub(crate) async fn next_line(&mut self) -> Result<WatchLine, RequestError> {
         self.read_line(Yielding::Periodic).await
     }
 
-    /// The next line that has been received completely; `None` if there is no such line, or the watch is broken.
+    /// Returns the next line if it was completely received; `None` if not, or if the watch is broken.
     pub(crate) fn next_received_line(&mut self) -> Option<WatchLine> {
         self.read_line(Yielding::Never).now_or_never()?.ok()
     }
@@ -79,7 +79,8 @@
     }
 }
 
-/// The next line of any of these watches, with the index of its watch; `None` if no watch is open.
+/// Waits for the next line of any of these watches, and returns it with the index of its watch; `None` if no watch is
+/// open.
 pub(crate) async fn next_line<S: AsyncRead + Unpin>(
     watches: &mut VecDeque<Watch<S>>,
 ) -> Option<(usize, Result<WatchLine, RequestError>)> {
--- a/crates/discovery/tests/agent_moves.rs
+++ b/crates/discovery/tests/agent_moves.rs
@@ -1,4 +1,5 @@
-//! Discovery moves to another agent: what the previous one has sent still applies, and the new one may lag behind it.
+//! Discovery moves to another agent: the changes of the previous agent still apply, and the new agent may lag behind
+//! it.
 
 mod fake_agent;
 mod scenario;
@@ -11,8 +12,9 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::time::{Instant, sleep};
 
-/// What the previous agent had sent when the list of the new one is read still applies. A list that lags behind it brings back no
-/// endpoint that is draining or gone, unless the endpoint has started since, and no start before the last one.
+/// Changes that the previous agent sent before the list of the new agent is read still apply. A lagging list does not
+/// restore an endpoint that is draining or gone, unless the endpoint has started since, and does not restore an earlier
+/// start.
 #[rstest]
 #[case::drains("draining", 0, 0, None)]
 #[case::gone("gone", 0, 0, None)]
@@ -28,14 +30,14 @@
         run_local(async {
             let mut scenario = Scenario::in_state(Moved, way).await;
             let mut old = scenario.watch.take().unwrap();
-            // Both have arrived when the client reads.
+            // The change and the list have both arrived when the client reads.
             old.send_line(&list_since(42, false, phase, since)).await;
             scenario.request.take().unwrap().respond(&list_since(40, true, "ready", late)).await;
             scenario.agent.expect_revision(42).await;
             scenario.agent.expect_revision(40).await;
             let published = |scenario: &Scenario| scenario.agent.ready.borrow().first().map(|it| it.1);
             assert_eq!(published(&scenario), up);
-            // A lagging change brings back none either; one that has caught up does.
+            // A lagging change does not restore an endpoint either; a change of an agent that has caught up does.
             let mut new = scenario.agent.next_watch().await;
             for (revision, up) in [(41, up), (43, Some(late))] {
                 new.send_line(&list_since(revision, false, "ready", late)).await;
@@ -47,7 +49,7 @@
     }
 }
 
-/// An agent that lags for longer than discovery can be late counts its own revisions.
+/// An agent that lags for longer than a change can take to reach it uses revision numbers of its own.
 #[tokio::test(start_paused = true)]
 async fn permanently_lagging_agent_is_accepted() {
     run_local(async {
@@ -55,7 +57,7 @@
         let mut old = scenario.watch.take().unwrap();
         old.send_draining(42).await;
         scenario.agent.expect_revision(42).await;
-        sleep(Duration::from_secs(20)).await; // both are silent, so the lag period has not begun
+        sleep(Duration::from_secs(20)).await; // both agents are silent, so the lag period has not begun
         scenario.request = None;
         let mut requests = scenario.agent.unanswered_requests(Duration::from_secs(1)).await;
         requests.pop().unwrap().respond_with_list(1).await;
@@ -73,7 +75,7 @@
     .await;
 }
 
-/// A move in the middle of a line: the rest of it is read until the new agent has sent its list, and not after.
+/// Discovery moves in the middle of a line: the rest of the line is read until the new agent has sent its list.
 #[rstest]
 #[case::one_move(Moved)]
 #[case::two_moves(MovedTwice)]
@@ -108,7 +110,8 @@
     .await;
 }
 
-/// Changes of the previous agent apply until 4 s after the move: its watch is requested again if it breaks by then, and not later.
+/// Changes of the previous agent apply until 4 s after the move: until then, and not later, its watch is requested
+/// again if it breaks.
 #[rstest]
 #[case::pushed(Delivery::Push)]
 #[case::asked(Delivery::Poll)]
@@ -143,7 +146,7 @@
     .await;
 }
 
-/// The address changes and changes back before anybody looks: the open connections stay.
+/// The address changes and changes back before the client reads it: the open connections stay.
 #[tokio::test(start_paused = true)]
 async fn move_away_and_back_keeps_connections() {
     run_local(async {
--- a/crates/discovery/tests/fake_agent/mod.rs
+++ b/crates/discovery/tests/fake_agent/mod.rs
@@ -1,4 +1,4 @@
-//! A discovery agent whose responses are scripted by the test, on a paused clock, with pipes in place of sockets.
+//! A discovery agent whose responses are scripted by the test. It uses a paused clock, and pipes in place of sockets.
 #![allow(dead_code, unreachable_pub, reason = "shared by several test programs, each of which uses a part")]
 
 use discovery::{Delivery, follow};
@@ -20,7 +20,7 @@
 pub const SECOND_ADDRESS: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 2);
 /// How long a request may still go to an endpoint after its drain was published.
 pub const DRAIN_GRACE: Duration = Duration::from_millis(250);
-/// How long a test waits for a request or a list.
+/// The timeout for a request or a list in a test.
 const PATIENCE: Duration = Duration::from_secs(60);
 
 /// A request as the agent receives it.
@@ -62,19 +62,19 @@
     }
 }
 
-/// A list with one endpoint, as JSON.
+/// Returns a list with one endpoint as JSON.
 pub fn list(revision: u64, complete: bool, phase: &str) -> String {
     list_since(revision, complete, phase, 0)
 }
 
-/// The same, with the time at which the endpoint started.
+/// Returns a list with one endpoint that started at `up_since_ms` as JSON.
 pub fn list_since(revision: u64, complete: bool, phase: &str, up_since_ms: u64) -> String {
     json!({"revision": revision, "complete": complete, "members": [
         {"id": "s-0", "host_port": "10.0.0.1:6379", "phase": phase, "size": 1.0, "up_since_ms": up_since_ms}]})
     .to_string()
 }
 
-/// What happens to connection attempts.
+/// The outcome of connection attempts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DialOutcome {
     Connected,
@@ -82,14 +82,14 @@
     Hangs,
 }
 
-/// The agent, and what the balancer has received from it.
+/// The agent, and the lists that the balancer has published.
 pub struct FakeAgent {
     pub requests: mpsc::UnboundedReceiver<Request>,
     /// Published revisions, each with its time.
     pub published: mpsc::UnboundedReceiver<(u64, Instant)>,
-    /// The endpoints that are ready as published, with their last starts.
+    /// The endpoints that are ready according to the published lists, with their last starts.
     pub ready: Rc<RefCell<Vec<(String, u64)>>>,
-    /// Where the balancer looks for discovery.
+    /// The configured address of discovery.
     pub address: watch::Sender<SocketAddr>,
     pub dial_outcome: Rc<RefCell<DialOutcome>>,
 }
@@ -140,7 +140,7 @@
         at
     }
 
-    /// Leaves every request unanswered for this long, and returns those that are still open.
+    /// Leaves all requests unanswered for `span`, and returns them.
     pub async fn unanswered_requests(&mut self, span: Duration) -> Vec<Request> {
         let until = Instant::now() + span;
         let mut open = Vec::new();
@@ -151,7 +151,7 @@
     }
 }
 
-/// Connects by pipes, and hands each request to the test once its head has arrived.
+/// Returns a dial function that connects by pipes, and sends each request to the test once its head has arrived.
 fn dial_function(
     requests: mpsc::UnboundedSender<Request>, outcome: Rc<RefCell<DialOutcome>>,
 ) -> impl Fn(SocketAddr) -> LocalBoxFuture<'static, io::Result<DuplexStream>> + Clone + 'static {
--- a/crates/discovery/tests/invalid_lists.rs
+++ b/crates/discovery/tests/invalid_lists.rs
@@ -1,5 +1,5 @@
-//! Lists that are invalid, on a watch or in a response: the last valid list stays, the list is requested again after a pause, and
-//! the next valid list is published.
+//! Invalid lists on a watch: the last valid list stays in force, the list is requested again after a pause, and the
+//! next valid list is published.
 
 mod fake_agent;
 
@@ -10,7 +10,7 @@
 use tokio::io::AsyncWriteExt;
 use tokio::time::Instant;
 
-/// What is wrong with a list.
+/// The defect of a list.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Defect {
     TooLong,
@@ -62,7 +62,7 @@
         let mut watch = agent.next_watch().await;
         let published = Instant::now();
         let writing = tokio::task::spawn_local(async move {
-            // A truncated line ends in the middle of the list, with its connection.
+            // The connection ends after the line, in the middle of a truncated list.
             let line = defect.corrupted_list();
             let text = format!("{:x}\r\n{line}\n\r\n", line.len() + 1);
             let _ = watch.stream.write_all(text.as_bytes()).await;
@@ -73,7 +73,8 @@
             "the watch resumes from the last published revision"
         );
         let pause = again.at - published;
-        // A truncated list is not a complete invalid one: it is requested again as after any broken watch.
+        // A truncated list counts as a broken watch, not as an invalid list, and is requested again without the longer
+        // pause.
         let least = if defect == Defect::Truncated { Duration::ZERO } else { Duration::from_millis(100) };
         assert!(pause >= least && pause <= Duration::from_millis(2_400), "{defect:?}: {pause:?}");
         assert_eq!(agent.ready.borrow().len(), 1, "the endpoint keeps its published state");
--- a/crates/discovery/tests/retry_schedule.rs
+++ b/crates/discovery/tests/retry_schedule.rs
@@ -1,17 +1,18 @@
-//! The backoff between requests by itself: how soon, how often, and how far apart.
+//! Tests the retry schedule in isolation: the delays, the number of requests, and how they are spread out.
 
 use discovery::Delivery;
 use discovery::pace::{Failure, REJECTED_BACKOFF_MAX, RETRY_INTERVAL, RetrySchedule};
 use rstest::rstest;
 use std::time::Duration;
 
-/// A change must be applied by then, and a request that discovery answers may take [`RESPONSE_TIME`].
+/// How long a change may take to be applied.
 const DEADLINE: Duration = Duration::from_secs(6);
+/// How long discovery may take to answer a request.
 const RESPONSE_TIME: Duration = Duration::from_secs(1);
 /// How long a request may be queued.
 const QUEUEING_TIME: Duration = Duration::from_secs(2);
 
-/// When each balancer sends requests while all of them are rejected, each after this wait.
+/// Returns the times of the requests of each balancer while every request is rejected after `wait`.
 fn requests(balancers: u32, wait: Duration) -> Vec<Vec<Duration>> {
     let mut rng = fastrand::Rng::with_seed(1);
     let one = |_| {
@@ -26,8 +27,8 @@
     (0..balancers).map(one).collect()
 }
 
-/// Guards against a regression: pauses once grew with the number of balancers, to 45 s for 300, so that changes were received
-/// too late. Each balancer retries within 6 s, and no two seconds see more than their share of the requests.
+/// Guards against pauses that grow with the number of balancers: they reached 45 s for 300 balancers, and changes were
+/// received too late. Each balancer must retry within 6 s, and the requests must be spread out.
 #[rstest]
 #[case::ten_at_once(10, Duration::ZERO)]
 #[case::ten_in_turn(10, QUEUEING_TIME)]
@@ -37,16 +38,17 @@
     let requests = requests(balancers, wait);
     for one in &requests {
         let apart = one.windows(2).map(|pair| pair[1] - pair[0]);
-        // Discovery may be back just after a request was sent, and may queue the next one as well.
+        // Discovery may recover just after a request was sent, and may queue the next one.
         assert!(
             apart.clone().max().unwrap() + QUEUEING_TIME.max(RESPONSE_TIME) < DEADLINE,
             "{:?}",
             apart.max()
         );
-        // One in 1.6 s in the long run, which no pause that fits into 6 s can reduce much, and a few quick ones at first.
+        // One request per 1.6 s in the long run, which no pause that fits into 6 s can reduce much, and a few more at
+        // first.
         assert!(one.len() <= 60 * 10 / 16 + 8, "{} requests in a minute", one.len());
     }
-    // All began at once: from the second request on they are spread out.
+    // All balancers start at the same time: after the first requests they are spread out.
     let mut all: Vec<_> =
         requests.iter().flat_map(|one| one.iter().skip(if balancers < 100 { 4 } else { 1 })).collect();
     all.sort();
@@ -58,7 +60,8 @@
     assert!((most.max().unwrap() as f64) < 2.5 * even + 5.0, "{balancers} balancers, {even} a tenth evenly");
 }
 
-/// All times where requests cost: a watch fell silent as the change arrived, the first request is lost, the next is answered.
+/// With poll delivery the sum of the delays is less than 6 s when the watch falls silent as a change arrives, the first
+/// request is lost, and the next one is answered.
 #[test]
 fn silence_and_lost_request_fit_six_seconds() {
     let mut schedule = RetrySchedule::new(Delivery::Poll, 300);
@@ -80,7 +83,7 @@
     assert!((0..50).all(|_| schedule.next_backoff(Failure::NoResponse, Duration::ZERO, 1.0) <= most));
     schedule.reset();
     assert_eq!(schedule.next_backoff(Failure::NoResponse, Duration::ZERO, 0.5), first);
-    // An agent on this machine is not overloaded by retries: a rejection backs off as any other failure does.
+    // An agent on this machine is not overloaded by retries: a rejection has the same backoff as any other failure.
     let rejected: Vec<_> =
         (0..50).map(|_| schedule.next_backoff(Failure::Rejected, Duration::ZERO, 1.0)).collect();
     let longest = if way == Delivery::Push { RETRY_INTERVAL } else { REJECTED_BACKOFF_MAX.mul_f64(1.5) };
--- a/crates/discovery/tests/scenario/mod.rs
+++ b/crates/discovery/tests/scenario/mod.rs
@@ -15,9 +15,9 @@
 use tokio::time::{Instant, sleep, timeout_at};
 
 pub const THIRD_ADDRESS: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 3);
-/// A change must be published by then.
+/// How long a change may take to be published.
 pub const DEADLINE: Duration = Duration::from_secs(6);
-/// How long a fault lasts: until the backoff has reached its maximum.
+/// How long a fault lasts, which is enough for the backoff to reach its maximum.
 const FAULT_DURATION: Duration = Duration::from_secs(20);
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -31,8 +31,8 @@
     MovedTwice,
 }
 
-/// What happens to the watch that sent the last line (after a move, that of the previous agent), to the request in flight and
-/// those after it, or to the configuration.
+/// An event on the watch that sent the last line (after a move, the watch of the previous agent), on the request in
+/// flight and the requests after it, or in the configuration.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Event {
     WatchChange,
@@ -67,7 +67,7 @@
     pub request: Option<Request>,
     /// Whether the response head of the request in flight has been sent.
     pub second_watch_opened: bool,
-    /// Never closed, and silent.
+    /// Connections that the agent neither uses nor closes any more.
     pub open_streams: Vec<DuplexStream>,
 }
 
@@ -116,7 +116,8 @@
         self.open_streams.extend(self.request.replace(request).map(|it| it.stream));
     }
 
-    /// Lets the event happen, and returns the revisions it publishes; `None` if it cannot happen in this state.
+    /// Applies the event, and returns the revisions that the balancer must publish; `None` if it cannot happen in this
+    /// state.
     pub async fn apply_event(&mut self, event: Event) -> Option<Vec<u64>> {
         match event {
             Sighup => {
@@ -203,7 +204,7 @@
     async fn fail_requests(&mut self, event: Event) -> Option<Vec<u64>> {
         let request = self.request.take()?;
         if self.second_watch_opened && event != RequestPartial {
-            self.open_streams.push(request.stream); // it stays silent, and the following requests fail
+            self.open_streams.push(request.stream); // the second watch stays silent, and the requests after it fail
         } else {
             self.fail(request, event).await;
         }
@@ -211,7 +212,7 @@
         while let Ok(request) = timeout_at(until, self.agent.requests.recv()).await {
             self.fail(request.unwrap(), event).await;
         }
-        // Discovery is back just after a request was sent.
+        // Discovery recovers just after another request was sent.
         let last = self.agent.next_request().await;
         self.fail(last, event).await;
         Some(vec![])
@@ -246,7 +247,7 @@
     }
 }
 
-/// Answers a request; returns the stream of a watch, which stays open.
+/// Answers a request. Returns the stream if the request is a watch, which stays open.
 pub async fn answer(
     mut request: Request, revision: u64, complete: bool, head_given: bool,
 ) -> Option<DuplexStream> {
@@ -260,7 +261,7 @@
     Some(request.stream)
 }
 
-/// Sends a long line by a byte now and then.
+/// Sends a part of a long line, one byte every 100 ms.
 async fn trickle(stream: &mut DuplexStream) {
     let _ = stream.write_all(b"fff\r\n").await;
     for _ in 0..40 {
--- a/crates/discovery/tests/state_events.rs
+++ b/crates/discovery/tests/state_events.rs
@@ -1,5 +1,5 @@
-//! Every event in every state (`docs/design/crossings-list.md`). From then on discovery can be reached and answers within 1 s what
-//! is new to it: its changes must be published within 6 s, whatever happened before.
+//! Every event in every state (`docs/design/crossings-list.md`). After the event discovery is reachable and answers new
+//! requests within 1 s: its changes must be published within 6 s, whatever happened before.
 
 mod fake_agent;
 mod scenario;
@@ -56,7 +56,7 @@
             received.push(revision);
         }
         assert_eq!(received, published);
-        // Requests sent before are never answered; those from now on are, within a second.
+        // Requests sent until now are never answered; later ones are answered within 1 s.
         while let Ok(request) = scenario.agent.requests.try_recv() {
             scenario.open_streams.push(request.stream);
         }
@@ -90,12 +90,13 @@
         let base =
             scenario.known.map_or("/v1/endpoints".into(), |known| format!("/v1/endpoints?watch=1&from={known}"));
         assert_eq!(bases[0], base, "the request resumes from the known revision");
-        // Where requests cost, one is in flight at a time: two can have been answered within 6 s.
+        // With poll delivery one request is in flight at a time: only two can have been answered within 6 s.
         assert!(way == Delivery::Push || bases.len() <= 3, "{bases:?}");
     })
     .await;
 }
-/// However long discovery stays in a state, the number of open connections is bounded.
+
+/// The number of open connections is bounded, however long discovery stays in a state.
 #[rstest]
 #[tokio::test(start_paused = true)]
 async fn open_connections_are_bounded(
--- a/crates/discovery/tests/timing.rs
+++ b/crates/discovery/tests/timing.rs
@@ -1,4 +1,4 @@
-//! Timings of the endpoint list, a test for each row of the table in `discovery::pace`, measured on a paused clock.
+//! Timings of the endpoint list on a paused clock, with a test for each row of the table in `discovery::pace`.
 
 mod fake_agent;
 
@@ -10,7 +10,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::time::{Instant, sleep};
 
-/// Row 1, at a start: a known list is updated by the watch alone; otherwise the complete list is requested first.
+/// Row 1, at startup: a known list is updated by the watch alone; otherwise the complete list is requested first.
 #[rstest]
 #[case::known(Some(41))]
 #[case::unknown(None)]
@@ -33,8 +33,8 @@
     .await;
 }
 
-/// Row 2: changes that the agent receives at the end of an outage, or had before a start, are received within 250 ms of its first
-/// response, whether it answers the requests in flight or only new ones.
+/// Row 2: changes that the agent receives at the end of an outage, or had before startup, are received within 250 ms
+/// after it recovers, whether it answers the requests in flight or only new ones.
 #[rstest]
 #[case::start_answers_open_calls(None, true)]
 #[case::start_answers_new_calls(None, false)]
@@ -73,8 +73,7 @@
     }
 }
 
-/// Row 3: changes that a silent watch misses are received within 6 s, and much earlier where requests are free. Where they cost,
-/// one request is in flight at a time.
+/// Row 3: changes that a silent watch misses are received within 4 s, which is less than the deadline of 6 s.
 #[rstest]
 #[case::pushed(Delivery::Push)]
 #[case::asked(Delivery::Poll)]
@@ -102,7 +101,7 @@
     .await;
 }
 
-/// Row 3: the first of two watches to send a line is kept; a later one resumes from the last published revision.
+/// Row 3: the first of two watches to send a line is kept; a later watch resumes from the last published revision.
 #[tokio::test(start_paused = true)]
 async fn watch_that_resumes_before_second_one_is_kept() {
     run_local(async {
@@ -119,7 +118,8 @@
     .await;
 }
 
-/// Row 4: a queued request is awaited; one that is rejected is followed by another within 2 s, at first.
+/// Row 4: a queued request is awaited, and is the only one in flight; a watch that the service closes is requested
+/// again soon.
 #[tokio::test(start_paused = true)]
 async fn queued_request_is_awaited_and_is_the_only_one_in_flight() {
     run_local(async {
@@ -139,7 +139,7 @@
     .await;
 }
 
-/// Row 5: a service that rejects requests gets fewer, though each balancer retries within 6 s, whatever the number of
+/// Row 5: a service that rejects requests gets fewer of them, but each balancer retries within 6 s for any number of
 /// balancers.
 #[rstest]
 #[case::few(4)]
@@ -165,7 +165,8 @@
     .await;
 }
 
-/// Row 6: after SIGHUP the complete list is requested from the new agent at once; until it is received, the previous agent is followed.
+/// Row 6: after SIGHUP the complete list is requested from the new agent at once, and the previous agent is followed
+/// until the list is received.
 #[rstest]
 #[case::pushed(Delivery::Push)]
 #[case::asked(Delivery::Poll)]
@@ -185,7 +186,7 @@
         agent.expect_revision(7).await;
         assert!(agent.next_watch().await.path.ends_with("from=7"));
         assert!(old.stream.write_all(b"x").await.is_err(), "the old watch is closed");
-        // An agent that has not answered within 4 s of SIGHUP has been contacted again by then.
+        // An agent that does not answer is contacted again within 4 s after SIGHUP.
         agent.address.send(FIRST_ADDRESS).unwrap();
         let at = Instant::now();
         let lost = agent.next_request().await;
--- a/crates/discovery/tests/watch_replacement.rs
+++ b/crates/discovery/tests/watch_replacement.rs
@@ -1,4 +1,4 @@
-//! A silent or outdated watch is replaced by another one, and no change is lost on the way.
+//! A silent or outdated watch is replaced by another one, and no change is lost.
 
 mod fake_agent;
 mod scenario;
@@ -11,7 +11,7 @@
 use tokio::io::AsyncWriteExt;
 use tokio::time::Instant;
 
-/// The second watch has sent its head. Until it sends a line, the first one is still read, and the first to send a line is kept.
+/// The second watch has sent its head only. Both watches are read until one of them sends a line; that one is kept.
 #[rstest]
 #[tokio::test(start_paused = true)]
 async fn response_head_alone_does_not_end_previous_watch(
@@ -30,7 +30,7 @@
     .await;
 }
 
-/// All times of two faults in a row: the watch fell silent, and the one requested beside it sends only its head.
+/// Two faults in a row take less than the deadline: the watch falls silent, and the second watch sends only its head.
 #[rstest]
 #[case::pushed(Delivery::Push)]
 #[case::asked(Delivery::Poll)]
@@ -42,7 +42,7 @@
         let second = scenario.agent.next_watch().await;
         scenario.open_streams.push(second.stream);
         let third = loop {
-            let request = scenario.agent.next_request().await; // push: other requests were in flight beside the second
+            let request = scenario.agent.next_request().await; // with push delivery, other requests were in flight too
             if request.at > second.at + Duration::from_secs(1) {
                 break request;
             }
@@ -55,7 +55,7 @@
     .await;
 }
 
-/// A change whose revision goes back is relative to an unknown list.
+/// A change with a lower revision than the last list is relative to an unknown list.
 #[tokio::test(start_paused = true)]
 async fn revision_going_back_requests_complete_list() {
     run_local(async {
@@ -73,7 +73,7 @@
     .await;
 }
 
-/// Lines may have arrived on either of two watches when one of them is closed: both are published.
+/// Lines may have arrived on both watches when one of them is closed: the lines of both are published.
 #[rstest]
 #[tokio::test(start_paused = true)]
 async fn lines_received_on_closed_watch_are_published(
