--- a/crates/discovery/src/agent.rs
+++ b/crates/discovery/src/agent.rs
@@ -184,9 +184,9 @@
     /// restarted, and the changes are relative to a list that is not known here. They still apply, since they are the
     /// latest, and the complete list is requested.
     fn apply_list(&mut self, list: EndpointList) -> WatchEvent {
-        let went_back = !list.complete && self.revision.is_some_and(|last| list.revision < last);
-        self.revision = (!went_back).then_some(list.revision);
-        if went_back {
+        let has_gone_back = !list.complete && self.revision.is_some_and(|last| list.revision < last);
+        self.revision = (!has_gone_back).then_some(list.revision);
+        if has_gone_back {
             log::warn!("discovery: went back to revision {}; requesting the complete list", list.revision);
             self.watches.clear();
             self.schedule_retry(Failure::NoResponse, Duration::ZERO);
@@ -223,7 +223,7 @@
     }
 
     fn schedule_retry(&mut self, failure: Failure, since_request: Duration) {
-        let pause = self.schedule.next_backoff(failure, since_request, fastrand::f64());
-        self.next_request_at = Instant::now() + pause;
+        let backoff = self.schedule.next_backoff(failure, since_request, fastrand::f64());
+        self.next_request_at = Instant::now() + backoff;
     }
 }
--- a/crates/discovery/src/dial.rs
+++ b/crates/discovery/src/dial.rs
@@ -44,9 +44,9 @@
     /// Creates a dialer that reserves a descriptor if one is available.
     #[must_use]
     pub fn new() -> Self {
-        let dialler = Self(Rc::default());
-        dialler.reserve_descriptor();
-        dialler
+        let dialer = Self(Rc::default());
+        dialer.reserve_descriptor();
+        dialer
     }
 
     fn reserve_descriptor(&self) {
--- a/crates/discovery/src/follow.rs
+++ b/crates/discovery/src/follow.rs
@@ -18,11 +18,11 @@
 /// its list, since changes sent by the previous agent still apply. Its states also take precedence over a new agent
 /// with an older revision.
 pub async fn follow<D: Dial>(
-    mut address: watch::Receiver<SocketAddr>, known: Option<EndpointList>, way: Delivery, balancers: u32,
-    dial: D, publish: impl Fn(WatchEvent),
+    mut address: watch::Receiver<SocketAddr>, known: Option<EndpointList>, delivery: Delivery,
+    balancers: u32, dial: D, publish: impl Fn(WatchEvent),
 ) {
     let new_agent =
-        |addr, revision| Agent::new(addr, revision, RetrySchedule::new(way, balancers), dial.clone());
+        |addr, revision| Agent::new(addr, revision, RetrySchedule::new(delivery, balancers), dial.clone());
     let revision = known.as_ref().map(|list| list.revision);
     let mut current = new_agent(*address.borrow_and_update(), revision);
     let mut previous: Option<Agent<D>> = None;
--- a/crates/discovery/src/pace.rs
+++ b/crates/discovery/src/pace.rs
@@ -97,7 +97,7 @@
 /// The timeouts of one kind of delivery, and the backoff after failed requests.
 #[derive(Debug)]
 pub struct RetrySchedule {
-    way: Delivery,
+    delivery: Delivery,
     balancers: u32,
     backoff: Duration,
     rejected_backoff: Duration,
@@ -106,17 +106,17 @@
 impl RetrySchedule {
     /// Creates the schedule of one of `balancers` balancers, without earlier failures.
     #[must_use]
-    pub fn new(way: Delivery, balancers: u32) -> Self {
+    pub fn new(delivery: Delivery, balancers: u32) -> Self {
         let rejected_backoff = REJECTED_BACKOFF_PER_BALANCER
             .saturating_mul(balancers)
             .clamp(REJECTED_BACKOFF_MIN, REJECTED_BACKOFF_MAX);
-        Self { way, balancers, backoff: BACKOFF_MIN, rejected_backoff }
+        Self { delivery, balancers, backoff: BACKOFF_MIN, rejected_backoff }
     }
 
     /// Returns how long a watch may be silent before another one is requested; `jitter` is drawn uniformly from 0 to 1.
     #[must_use]
     pub fn silence_timeout(&self, jitter: f64) -> Duration {
-        match self.way {
+        match self.delivery {
             Delivery::Push => PUSH_SILENCE_TIMEOUT,
             Delivery::Poll => {
                 let spread = POLL_SILENCE_TIMEOUT_MAX - POLL_SILENCE_TIMEOUT_MIN;
@@ -130,13 +130,13 @@
     /// interval continues, so this is `None`.
     #[must_use]
     pub fn second_watch_silence_timeout(&self) -> Option<Duration> {
-        (self.way == Delivery::Push).then_some(PUSH_SILENCE_TIMEOUT)
+        (self.delivery == Delivery::Push).then_some(PUSH_SILENCE_TIMEOUT)
     }
 
     /// Returns the timeout of connecting.
     #[must_use]
     pub fn connect_timeout(&self) -> Duration {
-        match self.way {
+        match self.delivery {
             Delivery::Push => PUSH_RESPONSE_TIMEOUT,
             Delivery::Poll => POLL_CONNECT_TIMEOUT,
         }
@@ -145,7 +145,7 @@
     /// Returns the timeout of a request, which includes connecting.
     #[must_use]
     pub fn response_timeout(&self) -> Duration {
-        match self.way {
+        match self.delivery {
             Delivery::Push => PUSH_RESPONSE_TIMEOUT,
             Delivery::Poll => POLL_RESPONSE_TIMEOUT,
         }
@@ -155,7 +155,7 @@
     /// unanswered, or was answered with a head alone.
     #[must_use]
     pub fn retry_interval(&self) -> Duration {
-        match self.way {
+        match self.delivery {
             Delivery::Push => RETRY_INTERVAL,
             Delivery::Poll => POLL_RESPONSE_TIMEOUT,
         }
@@ -164,7 +164,7 @@
     /// Returns the most requests that may be in flight; one with poll delivery.
     #[must_use]
     pub fn max_requests_in_flight(&self) -> usize {
-        match self.way {
+        match self.delivery {
             Delivery::Push => MAX_REQUESTS_IN_FLIGHT,
             Delivery::Poll => 1,
         }
@@ -172,13 +172,13 @@
 
     /// Resets the backoff after a complete line or list.
     pub fn reset(&mut self) {
-        *self = Self::new(self.way, self.balancers);
+        *self = Self::new(self.delivery, self.balancers);
     }
 
     /// Returns the pause after a failed request that was sent `since_request` ago; `jitter` is drawn uniformly from 0
     /// to 1.
     pub fn next_backoff(&mut self, failure: Failure, since_request: Duration, jitter: f64) -> Duration {
-        match (failure, self.way) {
+        match (failure, self.delivery) {
             (Failure::InvalidList, _) | (Failure::Rejected, Delivery::Poll) => {
                 self.next_rejected_backoff(since_request, jitter)
             }
@@ -189,20 +189,20 @@
     }
 
     fn next_failed_backoff(&mut self, jitter: f64) -> Duration {
-        let longest = match self.way {
+        let max = match self.delivery {
             Delivery::Push => PUSH_BACKOFF_MAX,
             Delivery::Poll => POLL_BACKOFF_MAX,
         };
         let pause = self.backoff.mul_f64(jitter + 0.5);
-        self.backoff = (self.backoff * 2).min(longest);
+        self.backoff = (self.backoff * 2).min(max);
         pause
     }
 
     fn next_rejected_backoff(&mut self, since_request: Duration, jitter: f64) -> Duration {
         let interval = self.rejected_backoff.mul_f64(jitter + 0.5);
         // Requests that were queued together are rejected together: the time in the queue does not spread them out.
-        let shortest = self.rejected_backoff.mul_f64(jitter).max(REJECTED_BACKOFF_MIN / 2);
+        let min = self.rejected_backoff.mul_f64(jitter).max(REJECTED_BACKOFF_MIN / 2);
         self.rejected_backoff = (self.rejected_backoff * 2).min(REJECTED_BACKOFF_MAX);
-        interval.saturating_sub(since_request).max(shortest)
+        interval.saturating_sub(since_request).max(min)
     }
 }
--- a/crates/discovery/tests/agent_moves.rs
+++ b/crates/discovery/tests/agent_moves.rs
@@ -23,26 +23,27 @@
 #[case::started_before("ready", 5, 0, Some(5))]
 #[tokio::test(start_paused = true)]
 async fn lagging_list_brings_back_no_endpoint(
-    #[case] phase: &str, #[case] since: u64, #[case] late: u64, #[case] up: Option<u64>,
-    #[values(Delivery::Push, Delivery::Poll)] way: Delivery,
+    #[case] phase: &str, #[case] previous_start: u64, #[case] lagging_start: u64,
+    #[case] expected_start: Option<u64>, #[values(Delivery::Push, Delivery::Poll)] delivery: Delivery,
 ) {
     for _ in 0..8 {
         run_local(async {
-            let mut scenario = Scenario::in_state(Moved, way).await;
-            let mut old = scenario.watch.take().unwrap();
+            let mut scenario = Scenario::in_state(Moved, delivery).await;
+            let mut previous_watch = scenario.watch.take().unwrap();
             // The change and the list have both arrived when the client reads.
-            old.send_line(&list_since(42, false, phase, since)).await;
-            scenario.request.take().unwrap().respond(&list_since(40, true, "ready", late)).await;
+            previous_watch.send_line(&list_since(42, false, phase, previous_start)).await;
+            scenario.request.take().unwrap().respond(&list_since(40, true, "ready", lagging_start)).await;
             scenario.agent.expect_revision(42).await;
             scenario.agent.expect_revision(40).await;
-            let published = |scenario: &Scenario| scenario.agent.ready.borrow().first().map(|it| it.1);
-            assert_eq!(published(&scenario), up);
+            let published =
+                |scenario: &Scenario| scenario.agent.ready.borrow().first().map(|endpoint| endpoint.1);
+            assert_eq!(published(&scenario), expected_start);
             // A lagging change does not restore an endpoint either; a change of an agent that has caught up does.
-            let mut new = scenario.agent.next_watch().await;
-            for (revision, up) in [(41, up), (43, Some(late))] {
-                new.send_line(&list_since(revision, false, "ready", late)).await;
+            let mut new_watch = scenario.agent.next_watch().await;
+            for (revision, expected_start) in [(41, expected_start), (43, Some(lagging_start))] {
+                new_watch.send_line(&list_since(revision, false, "ready", lagging_start)).await;
                 scenario.agent.expect_revision(revision).await;
-                assert_eq!(published(&scenario), up, "revision {revision}");
+                assert_eq!(published(&scenario), expected_start, "revision {revision}");
             }
         })
         .await;
@@ -54,8 +55,8 @@
 async fn permanently_lagging_agent_is_accepted() {
     run_local(async {
         let mut scenario = Scenario::in_state(Moved, Delivery::Push).await;
-        let mut old = scenario.watch.take().unwrap();
-        old.send_draining(42).await;
+        let mut previous_watch = scenario.watch.take().unwrap();
+        previous_watch.send_draining(42).await;
         scenario.agent.expect_revision(42).await;
         sleep(Duration::from_secs(20)).await; // both agents are silent, so the lag period has not begun
         scenario.request = None;
@@ -63,12 +64,12 @@
         requests.pop().unwrap().respond_with_list(1).await;
         scenario.agent.expect_revision(1).await;
         assert!(scenario.agent.ready.borrow().is_empty());
-        let mut new = scenario.agent.next_watch().await;
+        let mut new_watch = scenario.agent.next_watch().await;
         for _ in 0..3 {
             sleep(Duration::from_secs(2)).await;
-            new.send_line("").await;
+            new_watch.send_line("").await;
         }
-        new.send_line(&list(2, false, "ready")).await;
+        new_watch.send_line(&list(2, false, "ready")).await;
         scenario.agent.expect_revision(2).await;
         assert!(!scenario.agent.ready.borrow().is_empty());
     })
@@ -83,27 +84,27 @@
 async fn partial_line_at_move_is_read_to_its_end(#[case] moved: State) {
     run_local(async {
         let mut scenario = Scenario::in_state(Watching, Delivery::Push).await;
-        let mut old = scenario.watch.take().unwrap();
+        let mut previous_watch = scenario.watch.take().unwrap();
         let line = list(42, false, "draining");
         let (first, rest) = line.split_at(20);
-        old.stream.write_all(format!("{:x}\r\n{first}", line.len() + 1).as_bytes()).await.unwrap();
+        previous_watch.stream.write_all(format!("{:x}\r\n{first}", line.len() + 1).as_bytes()).await.unwrap();
         sleep(Duration::from_millis(1)).await;
         scenario.move_to(SECOND_ADDRESS).await;
         if moved == MovedTwice {
             scenario.move_to(THIRD_ADDRESS).await;
-            let mut between = scenario.open_streams.pop().unwrap();
+            let mut second_agent = scenario.open_streams.pop().unwrap();
             assert_eq!(
-                between.read(&mut [0]).await.unwrap(),
+                second_agent.read(&mut [0]).await.unwrap(),
                 0,
                 "an agent that has sent nothing is not followed further"
             );
         }
-        old.stream.write_all(format!("{rest}\n\r\n").as_bytes()).await.unwrap();
+        previous_watch.stream.write_all(format!("{rest}\n\r\n").as_bytes()).await.unwrap();
         scenario.agent.expect_revision(42).await;
         scenario.request.take().unwrap().respond_with_list(5).await;
         scenario.agent.expect_revision(5).await;
         assert!(
-            old.stream.write_all(b"x").await.is_err(),
+            previous_watch.stream.write_all(b"x").await.is_err(),
             "the previous agent is disconnected after the new list"
         );
     })
@@ -113,17 +114,17 @@
 /// Changes of the previous agent apply until 4 s after the move: until then, and not later, its watch is requested
 /// again if it breaks.
 #[rstest]
-#[case::pushed(Delivery::Push)]
-#[case::asked(Delivery::Poll)]
+#[case::push(Delivery::Push)]
+#[case::poll(Delivery::Poll)]
 #[tokio::test(start_paused = true)]
-async fn previous_agent_is_retried_for_retry_period(#[case] way: Delivery) {
+async fn previous_agent_is_retried_for_retry_period(#[case] delivery: Delivery) {
     run_local(async {
-        let mut scenario = Scenario::in_state(Moved, way).await;
+        let mut scenario = Scenario::in_state(Moved, delivery).await;
         let moved = Instant::now();
         drop(scenario.watch.take());
-        let mut anew = loop {
+        let mut resumed = loop {
             let request = scenario.agent.next_request().await;
-            if request.to == FIRST_ADDRESS {
+            if request.address == FIRST_ADDRESS {
                 break request;
             }
             assert!(
@@ -132,16 +133,18 @@
             );
             scenario.open_streams.push(request.stream);
         };
-        assert!(anew.at - moved < Duration::from_millis(100) && anew.path.ends_with("from=41"));
-        anew.open_watch().await;
-        anew.send_draining(42).await;
+        assert!(resumed.at - moved < Duration::from_millis(100) && resumed.path.ends_with("from=41"));
+        resumed.open_watch().await;
+        resumed.send_draining(42).await;
         scenario.agent.expect_revision(42).await;
-        let late = scenario.agent.unanswered_requests(Duration::from_secs(20)).await;
+        let requests = scenario.agent.unanswered_requests(Duration::from_secs(20)).await;
         assert!(
-            late.iter()
-                .all(|request| request.to == SECOND_ADDRESS || request.at - moved < Duration::from_secs(4))
+            requests
+                .iter()
+                .all(|request| request.address == SECOND_ADDRESS
+                    || request.at - moved < Duration::from_secs(4))
         );
-        assert!(late.iter().any(|request| request.to == SECOND_ADDRESS));
+        assert!(requests.iter().any(|request| request.address == SECOND_ADDRESS));
     })
     .await;
 }
--- a/crates/discovery/tests/fake_agent/mod.rs
+++ b/crates/discovery/tests/fake_agent/mod.rs
@@ -21,12 +21,12 @@
 /// How long a request may still go to an endpoint after its drain was published.
 pub const DRAIN_GRACE: Duration = Duration::from_millis(250);
 /// The timeout for a request or a list in a test.
-const PATIENCE: Duration = Duration::from_secs(60);
+const EVENT_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// A request as the agent receives it.
 pub struct Request {
     pub path: String,
-    pub to: SocketAddr,
+    pub address: SocketAddr,
     pub at: Instant,
     pub stream: DuplexStream,
 }
@@ -95,11 +95,11 @@
 }
 
 impl FakeAgent {
-    pub fn start(way: Delivery, known: Option<u64>) -> Self {
-        Self::start_with_balancers(300, way, known)
+    pub fn start(delivery: Delivery, known: Option<u64>) -> Self {
+        Self::start_with_balancers(300, delivery, known)
     }
 
-    pub fn start_with_balancers(balancers: u32, way: Delivery, known: Option<u64>) -> Self {
+    pub fn start_with_balancers(balancers: u32, delivery: Delivery, known: Option<u64>) -> Self {
         let (requests_sender, requests) = mpsc::unbounded_channel();
         let (published_sender, published) = mpsc::unbounded_channel();
         let (address, address_receiver) = watch::channel(FIRST_ADDRESS);
@@ -110,20 +110,22 @@
         let publish = move |event| {
             if let WatchEvent::List(list) = event {
                 let mut ready = published_ready.borrow_mut();
-                ready.retain(|(id, _)| !list.complete && list.members.iter().all(|it| it.id != *id));
-                let now = list.members.iter().filter(|it| it.phase == Phase::Ready);
-                ready.extend(now.map(|it| (it.id.clone(), it.up_since_ms)));
+                ready.retain(|(id, _)| {
+                    !list.complete && list.members.iter().all(|endpoint| endpoint.id != *id)
+                });
+                let ready_now = list.members.iter().filter(|endpoint| endpoint.phase == Phase::Ready);
+                ready.extend(ready_now.map(|endpoint| (endpoint.id.clone(), endpoint.up_since_ms)));
                 let _ = published_sender.send((list.revision, Instant::now()));
             }
         };
         let known =
             known.map(|revision| parse_endpoint_list(list(revision, true, "ready").as_bytes()).unwrap());
-        spawn_local(follow(address_receiver, known, way, balancers, dial, publish));
+        spawn_local(follow(address_receiver, known, delivery, balancers, dial, publish));
         Self { requests, published, ready, address, dial_outcome }
     }
 
     pub async fn next_request(&mut self) -> Request {
-        timeout(PATIENCE, self.requests.recv()).await.expect("a request is sent").unwrap()
+        timeout(EVENT_TIMEOUT, self.requests.recv()).await.expect("a request is sent").unwrap()
     }
 
     pub async fn next_watch(&mut self) -> Request {
@@ -134,15 +136,15 @@
     }
 
     pub async fn expect_revision(&mut self, revision: u64) -> Instant {
-        let (found, at) =
-            timeout(PATIENCE, self.published.recv()).await.expect("a list is published").unwrap();
-        assert_eq!(found, revision);
+        let (published, at) =
+            timeout(EVENT_TIMEOUT, self.published.recv()).await.expect("a list is published").unwrap();
+        assert_eq!(published, revision);
         at
     }
 
-    /// Leaves all requests unanswered for `span`, and returns them.
-    pub async fn unanswered_requests(&mut self, span: Duration) -> Vec<Request> {
-        let until = Instant::now() + span;
+    /// Leaves all requests unanswered for `duration`, and returns them.
+    pub async fn unanswered_requests(&mut self, duration: Duration) -> Vec<Request> {
+        let until = Instant::now() + duration;
         let mut open = Vec::new();
         while let Ok(request) = tokio::time::timeout_at(until, self.requests.recv()).await {
             open.push(request.unwrap());
@@ -155,7 +157,7 @@
 fn dial_function(
     requests: mpsc::UnboundedSender<Request>, outcome: Rc<RefCell<DialOutcome>>,
 ) -> impl Fn(SocketAddr) -> LocalBoxFuture<'static, io::Result<DuplexStream>> + Clone + 'static {
-    move |to| {
+    move |address| {
         match *outcome.borrow() {
             DialOutcome::Connected => {}
             DialOutcome::Refused => {
@@ -167,9 +169,10 @@
         let (requests, at) = (requests.clone(), Instant::now());
         spawn_local(async move {
             let mut head = vec![0; 1024];
-            let n = stream.read(&mut head).await.unwrap_or_default();
-            let path = String::from_utf8_lossy(&head[..n]).split(' ').nth(1).unwrap_or_default().to_owned();
-            let _ = requests.send(Request { path, to, at, stream });
+            let length = stream.read(&mut head).await.unwrap_or_default();
+            let path =
+                String::from_utf8_lossy(&head[..length]).split(' ').nth(1).unwrap_or_default().to_owned();
+            let _ = requests.send(Request { path, address, at, stream });
         });
         async move { Ok(client) }.boxed_local()
     }
--- a/crates/discovery/tests/invalid_lists.rs
+++ b/crates/discovery/tests/invalid_lists.rs
@@ -53,10 +53,10 @@
         Defect::InvalidAddress
     )]
     defect: Defect,
-    #[values(Delivery::Push, Delivery::Poll)] way: Delivery,
+    #[values(Delivery::Push, Delivery::Poll)] delivery: Delivery,
 ) {
     run_local(async {
-        let mut agent = FakeAgent::start(way, None);
+        let mut agent = FakeAgent::start(delivery, None);
         agent.next_request().await.respond_with_list(41).await;
         agent.expect_revision(41).await;
         let mut watch = agent.next_watch().await;
@@ -67,18 +67,18 @@
             let text = format!("{:x}\r\n{line}\n\r\n", line.len() + 1);
             let _ = watch.stream.write_all(text.as_bytes()).await;
         });
-        let mut again = agent.next_watch().await;
+        let mut second_watch = agent.next_watch().await;
         assert_eq!(
-            again.path, "/v1/endpoints?watch=1&from=41",
+            second_watch.path, "/v1/endpoints?watch=1&from=41",
             "the watch resumes from the last published revision"
         );
-        let pause = again.at - published;
+        let pause = second_watch.at - published;
         // A truncated list counts as a broken watch, not as an invalid list, and is requested again without the longer
         // pause.
-        let least = if defect == Defect::Truncated { Duration::ZERO } else { Duration::from_millis(100) };
-        assert!(pause >= least && pause <= Duration::from_millis(2_400), "{defect:?}: {pause:?}");
+        let min_pause = if defect == Defect::Truncated { Duration::ZERO } else { Duration::from_millis(100) };
+        assert!(pause >= min_pause && pause <= Duration::from_millis(2_400), "{defect:?}: {pause:?}");
         assert_eq!(agent.ready.borrow().len(), 1, "the endpoint keeps its published state");
-        again.send_draining(43).await;
+        second_watch.send_draining(43).await;
         agent.expect_revision(43).await;
         assert!(agent.ready.borrow().is_empty(), "the valid list applies");
         writing.abort();
--- a/crates/discovery/tests/retry_schedule.rs
+++ b/crates/discovery/tests/retry_schedule.rs
@@ -13,9 +13,9 @@
 const QUEUEING_TIME: Duration = Duration::from_secs(2);
 
 /// Returns the times of the requests of each balancer while every request is rejected after `wait`.
-fn requests(balancers: u32, wait: Duration) -> Vec<Vec<Duration>> {
+fn rejected_requests(balancers: u32, wait: Duration) -> Vec<Vec<Duration>> {
     let mut rng = fastrand::Rng::with_seed(1);
-    let one = |_| {
+    let requests_of_one = |_| {
         let (mut schedule, mut at, mut requests) =
             (RetrySchedule::new(Delivery::Poll, balancers), Duration::ZERO, Vec::new());
         while at < Duration::from_secs(60) {
@@ -24,7 +24,7 @@
         }
         requests
     };
-    (0..balancers).map(one).collect()
+    (0..balancers).map(requests_of_one).collect()
 }
 
 /// Guards against pauses that grow with the number of balancers: they reached 45 s for 300 balancers, and changes were
@@ -35,29 +35,36 @@
 #[case::hundreds_at_once(300, Duration::ZERO)]
 #[case::hundreds_in_turn(300, QUEUEING_TIME)]
 fn rejected_balancers_retry_in_time_and_spread_out(#[case] balancers: u32, #[case] wait: Duration) {
-    let requests = requests(balancers, wait);
-    for one in &requests {
-        let apart = one.windows(2).map(|pair| pair[1] - pair[0]);
+    let requests = rejected_requests(balancers, wait);
+    for balancer_requests in &requests {
+        let intervals = balancer_requests.windows(2).map(|pair| pair[1] - pair[0]);
         // Discovery may recover just after a request was sent, and may queue the next one.
         assert!(
-            apart.clone().max().unwrap() + QUEUEING_TIME.max(RESPONSE_TIME) < DEADLINE,
+            intervals.clone().max().unwrap() + QUEUEING_TIME.max(RESPONSE_TIME) < DEADLINE,
             "{:?}",
-            apart.max()
+            intervals.max()
         );
         // One request per 1.6 s in the long run, which no pause that fits into 6 s can reduce much, and a few more at
         // first.
-        assert!(one.len() <= 60 * 10 / 16 + 8, "{} requests in a minute", one.len());
+        assert!(
+            balancer_requests.len() <= 60 * 10 / 16 + 8,
+            "{} requests in a minute",
+            balancer_requests.len()
+        );
     }
     // All balancers start at the same time: after the first requests they are spread out.
     let mut all: Vec<_> =
         requests.iter().flat_map(|one| one.iter().skip(if balancers < 100 { 4 } else { 1 })).collect();
     all.sort();
-    let most = all
+    let counts = all
         .iter()
         .map(|from| all.iter().filter(|at| **at >= *from && ***at < **from + RETRY_INTERVAL).count());
-    let even = f64::from(balancers) * RETRY_INTERVAL.as_secs_f64()
+    let even_share = f64::from(balancers) * RETRY_INTERVAL.as_secs_f64()
         / wait.max(REJECTED_BACKOFF_MAX / 2).as_secs_f64();
-    assert!((most.max().unwrap() as f64) < 2.5 * even + 5.0, "{balancers} balancers, {even} a tenth evenly");
+    assert!(
+        (counts.max().unwrap() as f64) < 2.5 * even_share + 5.0,
+        "{balancers} balancers, {even_share} per retry interval if spread evenly"
+    );
 }
 
 /// With poll delivery the sum of the delays is less than 6 s when the watch falls silent as a change arrives, the first
@@ -75,24 +82,29 @@
 }
 
 #[rstest]
-#[case::asked(Delivery::Poll, Duration::from_millis(750))]
-#[case::pushed(Delivery::Push, RETRY_INTERVAL)]
-fn failed_request_is_retried_soon_and_success_resets_backoff(#[case] way: Delivery, #[case] most: Duration) {
-    let mut schedule = RetrySchedule::new(way, 100);
+#[case::poll(Delivery::Poll, Duration::from_millis(750))]
+#[case::push(Delivery::Push, RETRY_INTERVAL)]
+fn failed_request_is_retried_soon_and_success_resets_backoff(
+    #[case] delivery: Delivery, #[case] max_pause: Duration,
+) {
+    let mut schedule = RetrySchedule::new(delivery, 100);
     let first = schedule.next_backoff(Failure::NoResponse, Duration::ZERO, 0.5);
-    assert!((0..50).all(|_| schedule.next_backoff(Failure::NoResponse, Duration::ZERO, 1.0) <= most));
+    assert!((0..50).all(|_| schedule.next_backoff(Failure::NoResponse, Duration::ZERO, 1.0) <= max_pause));
     schedule.reset();
     assert_eq!(schedule.next_backoff(Failure::NoResponse, Duration::ZERO, 0.5), first);
     // An agent on this machine is not overloaded by retries: a rejection has the same backoff as any other failure.
     let rejected: Vec<_> =
         (0..50).map(|_| schedule.next_backoff(Failure::Rejected, Duration::ZERO, 1.0)).collect();
-    let longest = if way == Delivery::Push { RETRY_INTERVAL } else { REJECTED_BACKOFF_MAX.mul_f64(1.5) };
-    assert!(rejected.iter().all(|pause| *pause <= longest) && rejected[0] > first);
+    let max_rejected_pause =
+        if delivery == Delivery::Push { RETRY_INTERVAL } else { REJECTED_BACKOFF_MAX.mul_f64(1.5) };
+    assert!(rejected.iter().all(|pause| *pause <= max_rejected_pause) && rejected[0] > first);
 }
 
 #[rstest]
-fn invalid_list_is_retried_with_growing_backoff(#[values(Delivery::Push, Delivery::Poll)] way: Delivery) {
-    let mut schedule = RetrySchedule::new(way, 1);
+fn invalid_list_is_retried_with_growing_backoff(
+    #[values(Delivery::Push, Delivery::Poll)] delivery: Delivery,
+) {
+    let mut schedule = RetrySchedule::new(delivery, 1);
     let pauses: Vec<_> = (0..6)
         .map(|_| schedule.next_backoff(Failure::InvalidList, Duration::ZERO, 0.5).as_millis())
         .collect();
--- a/crates/discovery/tests/scenario/mod.rs
+++ b/crates/discovery/tests/scenario/mod.rs
@@ -39,12 +39,12 @@
     WatchKeepAlive,
     WatchPartialLine,
     WatchTrickles,
-    WatchCutChunk,
+    WatchTruncatedChunk,
     WatchReset,
-    WatchListBack,
-    WatchChangeBack,
+    WatchOlderList,
+    WatchOlderChange,
     RequestHead,
-    RequestAnswer,
+    RequestAnswered,
     RequestPartial,
     RequestRejected,
     RequestRejectedLate,
@@ -52,7 +52,7 @@
     RequestHangs,
     RequestDialHangs,
     RequestDialRefused,
-    RequestListBack,
+    RequestOlderList,
     Sighup,
 }
 
@@ -61,8 +61,8 @@
 
 pub struct Scenario {
     pub agent: FakeAgent,
-    pub at: SocketAddr,
-    pub known: Option<u64>,
+    pub agent_address: SocketAddr,
+    pub known_revision: Option<u64>,
     pub watch: Option<Request>,
     pub request: Option<Request>,
     /// Whether the response head of the request in flight has been sent.
@@ -72,48 +72,53 @@
 }
 
 impl Scenario {
-    pub async fn in_state(state: State, way: Delivery) -> Self {
-        let known = (state != RequestingList).then_some(41);
-        let (agent, second_watch_opened) = (FakeAgent::start(way, known), state == SecondWatchOpened);
-        let mut it = Self {
+    pub async fn in_state(state: State, delivery: Delivery) -> Self {
+        let known_revision = (state != RequestingList).then_some(41);
+        let (agent, second_watch_opened) =
+            (FakeAgent::start(delivery, known_revision), state == SecondWatchOpened);
+        let mut scenario = Self {
             agent,
-            at: FIRST_ADDRESS,
-            known,
+            agent_address: FIRST_ADDRESS,
+            known_revision,
             watch: None,
             request: None,
             second_watch_opened,
             open_streams: Vec::new(),
         };
         if matches!(state, RequestingList | RequestingWatch) {
-            it.request = Some(it.agent.next_request().await);
-            return it;
+            scenario.request = Some(scenario.agent.next_request().await);
+            return scenario;
         }
-        let mut watch = it.agent.next_watch().await;
+        let mut watch = scenario.agent.next_watch().await;
         watch.send_line("").await;
-        it.watch = Some(watch);
+        scenario.watch = Some(watch);
         sleep(Duration::from_millis(1)).await;
         match state {
-            WatchSilent => it.request = Some(it.agent.next_request().await),
+            WatchSilent => scenario.request = Some(scenario.agent.next_request().await),
             SecondWatchOpened => {
-                it.request = Some(it.agent.next_watch().await);
+                scenario.request = Some(scenario.agent.next_watch().await);
                 sleep(Duration::from_millis(1)).await;
             }
-            Moved => it.move_to(SECOND_ADDRESS).await,
+            Moved => scenario.move_to(SECOND_ADDRESS).await,
             MovedTwice => {
-                it.move_to(SECOND_ADDRESS).await;
-                it.move_to(THIRD_ADDRESS).await;
+                scenario.move_to(SECOND_ADDRESS).await;
+                scenario.move_to(THIRD_ADDRESS).await;
             }
             _ => {}
         }
-        it
+        scenario
     }
 
     pub async fn move_to(&mut self, to: SocketAddr) {
         self.agent.address.send(to).unwrap();
-        (self.at, self.known) = (to, None);
+        (self.agent_address, self.known_revision) = (to, None);
         let request = self.agent.next_request().await;
-        assert_eq!((request.to, request.path.as_str()), (to, "/v1/endpoints"), "asked at once");
-        self.open_streams.extend(self.request.replace(request).map(|it| it.stream));
+        assert_eq!(
+            (request.address, request.path.as_str()),
+            (to, "/v1/endpoints"),
+            "the complete list is requested at once"
+        );
+        self.open_streams.extend(self.request.replace(request).map(|request| request.stream));
     }
 
     /// Applies the event, and returns the revisions that the balancer must publish; `None` if it cannot happen in this
@@ -121,7 +126,7 @@
     pub async fn apply_event(&mut self, event: Event) -> Option<Vec<u64>> {
         match event {
             Sighup => {
-                let to = if self.at == SECOND_ADDRESS { THIRD_ADDRESS } else { SECOND_ADDRESS };
+                let to = if self.agent_address == SECOND_ADDRESS { THIRD_ADDRESS } else { SECOND_ADDRESS };
                 self.move_to(to).await;
                 Some(vec![])
             }
@@ -130,12 +135,12 @@
                 sleep(Duration::from_millis(1)).await;
                 Some(vec![])
             }
-            WatchChange | WatchKeepAlive | WatchPartialLine | WatchTrickles | WatchCutChunk
-            | WatchListBack | WatchChangeBack => self.send_on_watch(event).await,
+            WatchChange | WatchKeepAlive | WatchPartialLine | WatchTrickles | WatchTruncatedChunk
+            | WatchOlderList | WatchOlderChange => self.send_on_watch(event).await,
             RequestDialHangs => self.fail_dials(DialOutcome::Hangs).await,
             RequestDialRefused => self.fail_dials(DialOutcome::Refused).await,
-            RequestAnswer => self.answer_request(42, false).await,
-            RequestListBack => self.answer_request(7, true).await,
+            RequestAnswered => self.answer_request(42, false).await,
+            RequestOlderList => self.answer_request(7, true).await,
             RequestHead | RequestPartial | RequestRejected | RequestRejectedLate | RequestReset
             | RequestHangs => self.fail_requests(event).await,
         }
@@ -143,41 +148,41 @@
 
     async fn send_on_watch(&mut self, event: Event) -> Option<Vec<u64>> {
         let mut watch = self.watch.take()?;
-        let (published, known) = match event {
+        let (published, known_revision) = match event {
             WatchChange => {
                 watch.send_draining(42).await;
                 (Some(42), Some(42))
             }
-            WatchCutChunk => {
+            WatchTruncatedChunk => {
                 let line = list(42, false, "draining");
                 let chunk = format!("{:x}\r\n{line}\n", line.len() + 99);
                 let _ = watch.stream.write_all(chunk.as_bytes()).await;
                 (Some(42), Some(42))
             }
-            WatchListBack => {
+            WatchOlderList => {
                 watch.send_line(&list(7, true, "ready")).await;
                 (Some(7), Some(7))
             }
-            WatchChangeBack => {
+            WatchOlderChange => {
                 watch.send_line(&list(7, false, "draining")).await;
                 (Some(7), None)
             }
             WatchKeepAlive => {
                 watch.send_line("").await;
-                (None, self.known)
+                (None, self.known_revision)
             }
             WatchPartialLine => {
                 let _ = watch.stream.write_all(b"99\r\n{\"revision\":42,").await;
-                (None, self.known)
+                (None, self.known_revision)
             }
             WatchTrickles => {
                 trickle(&mut watch.stream).await;
-                (None, self.known)
+                (None, self.known_revision)
             }
             other => unreachable!("{other:?} is not sent on a watch"),
         };
-        let moved = self.at != FIRST_ADDRESS;
-        self.known = if moved { None } else { known };
+        let moved = self.agent_address != FIRST_ADDRESS;
+        self.known_revision = if moved { None } else { known_revision };
         self.open_streams.push(watch.stream);
         Some(published.into_iter().collect())
     }
@@ -192,10 +197,10 @@
 
     async fn answer_request(&mut self, revision: u64, complete: bool) -> Option<Vec<u64>> {
         let request = self.request.take()?;
-        self.known = Some(revision);
-        let watched = request.path.contains("watch");
+        self.known_revision = Some(revision);
+        let is_watch = request.path.contains("watch");
         let answered = answer(request, revision, complete, self.second_watch_opened).await;
-        if watched {
+        if is_watch {
             self.open_streams.extend(answered);
         }
         Some(vec![revision])
@@ -219,19 +224,19 @@
     }
 
     async fn fail(&mut self, mut request: Request, event: Event) {
-        let watched = request.path.contains("watch");
+        let is_watch = request.path.contains("watch");
         match event {
             RequestHead | RequestPartial => {
-                let head = match watched {
+                let head = match is_watch {
                     true => "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n",
                     false => "HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n",
                 };
-                let half = match (event, watched) {
+                let partial_body = match (event, is_watch) {
                     (RequestHead, _) => "",
                     (_, true) => "99\r\n{\"revision\":42,",
                     (_, false) => "{\"revision\":42,",
                 };
-                let _ = request.stream.write_all(format!("{head}{half}").as_bytes()).await;
+                let _ = request.stream.write_all(format!("{head}{partial_body}").as_bytes()).await;
                 self.open_streams.push(request.stream);
             }
             RequestRejected => request.reject().await,
@@ -249,14 +254,14 @@
 
 /// Answers a request. Returns the stream if the request is a watch, which stays open.
 pub async fn answer(
-    mut request: Request, revision: u64, complete: bool, head_given: bool,
+    mut request: Request, revision: u64, complete: bool, head_sent: bool,
 ) -> Option<DuplexStream> {
     if !request.path.contains("watch") {
         request.respond_with_list(revision).await;
         return None;
     }
     let line = list(revision, complete, "draining");
-    let head = if head_given { "" } else { "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" };
+    let head = if head_sent { "" } else { "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" };
     let _ = request.stream.write_all(format!("{head}{:x}\r\n{line}\n\r\n", line.len() + 1).as_bytes()).await;
     Some(request.stream)
 }
--- a/crates/discovery/tests/state_events.rs
+++ b/crates/discovery/tests/state_events.rs
@@ -17,8 +17,8 @@
 
 #[rstest]
 #[tokio::test(start_paused = true)]
-async fn every_event_in_every_state_publishes_changes_within_six_seconds(
-    #[values(Delivery::Push, Delivery::Poll)] way: Delivery,
+async fn changes_are_published_in_6_s_after_any_event_in_any_state(
+    #[values(Delivery::Push, Delivery::Poll)] delivery: Delivery,
     #[values(RequestingList, RequestingWatch, Watching, WatchSilent, SecondWatchOpened, Moved, MovedTwice)]
     state: State,
     #[values(
@@ -26,12 +26,12 @@
         WatchKeepAlive,
         WatchPartialLine,
         WatchTrickles,
-        WatchCutChunk,
+        WatchTruncatedChunk,
         WatchReset,
-        WatchListBack,
-        WatchChangeBack,
+        WatchOlderList,
+        WatchOlderChange,
         RequestHead,
-        RequestAnswer,
+        RequestAnswered,
         RequestPartial,
         RequestRejected,
         RequestRejectedLate,
@@ -39,15 +39,18 @@
         RequestHangs,
         RequestDialHangs,
         RequestDialRefused,
-        RequestListBack,
+        RequestOlderList,
         Sighup
     )]
     event: Event,
 ) {
     run_local(async {
-        let mut scenario = Scenario::in_state(state, way).await;
+        let mut scenario = Scenario::in_state(state, delivery).await;
         let Some(published) = scenario.apply_event(event).await else {
-            assert!(matches!(state, RequestingList | RequestingWatch | Watching), "the event can happen in this state");
+            assert!(
+                matches!(state, RequestingList | RequestingWatch | Watching),
+                "the event can happen in this state"
+            );
             return;
         };
         sleep(Duration::from_millis(1)).await;
@@ -60,7 +63,7 @@
         while let Ok(request) = scenario.agent.requests.try_recv() {
             scenario.open_streams.push(request.stream);
         }
-        let (since, mut bases) = (Instant::now(), Vec::new());
+        let (since, mut request_paths) = (Instant::now(), Vec::new());
         let at = loop {
             tokio::select! {
                 event = scenario.agent.published.recv() => match event.unwrap() {
@@ -69,13 +72,13 @@
                 },
                 request = scenario.agent.requests.recv() => {
                     let request = request.unwrap();
-                    if request.to != scenario.at {
+                    if request.address != scenario.agent_address {
                         scenario.open_streams.push(request.stream); // the previous agent stays silent
                         continue;
                     }
-                    bases.push(request.path.clone());
+                    request_paths.push(request.path.clone());
                     spawn_local(async move {
-                        if way == Delivery::Poll {
+                        if delivery == Delivery::Poll {
                             sleep(Duration::from_secs(1)).await;
                         }
                         let open = answer(request, NEW_REVISION, false, false).await;
@@ -83,15 +86,18 @@
                         drop(open);
                     });
                 }
-                () = sleep_until(since + DEADLINE) => panic!("nothing published within {DEADLINE:?}; requested {bases:?}"),
+                () = sleep_until(since + DEADLINE) => {
+                    panic!("nothing published within {DEADLINE:?}; requested {request_paths:?}")
+                }
             }
         };
         assert!(at - since < DEADLINE, "{:?}", at - since);
-        let base =
-            scenario.known.map_or("/v1/endpoints".into(), |known| format!("/v1/endpoints?watch=1&from={known}"));
-        assert_eq!(bases[0], base, "the request resumes from the known revision");
+        let expected_path = scenario
+            .known_revision
+            .map_or("/v1/endpoints".into(), |revision| format!("/v1/endpoints?watch=1&from={revision}"));
+        assert_eq!(request_paths[0], expected_path, "the request resumes from the known revision");
         // With poll delivery one request is in flight at a time: only two can have been answered within 6 s.
-        assert!(way == Delivery::Push || bases.len() <= 3, "{bases:?}");
+        assert!(delivery == Delivery::Push || request_paths.len() <= 3, "{request_paths:?}");
     })
     .await;
 }
@@ -111,8 +117,8 @@
             let ended = tokio::time::timeout(Duration::from_millis(0), stream.read(&mut [0])).await;
             open += usize::from(ended.is_err());
         }
-        let most = discovery::pace::MAX_REQUESTS_IN_FLIGHT + discovery::pace::MAX_WATCHES;
-        assert!(open <= most && open > 0, "{open} open");
+        let max_open = discovery::pace::MAX_REQUESTS_IN_FLIGHT + discovery::pace::MAX_WATCHES;
+        assert!(open <= max_open && open > 0, "{open} open");
     })
     .await;
 }
--- a/crates/discovery/tests/timing.rs
+++ b/crates/discovery/tests/timing.rs
@@ -15,7 +15,7 @@
 #[case::known(Some(41))]
 #[case::unknown(None)]
 #[tokio::test(start_paused = true)]
-async fn start_requests_at_once_and_publishes_lines_as_they_arrive(#[case] known: Option<u64>) {
+async fn startup_requests_at_once_and_publishes_lines(#[case] known: Option<u64>) {
     run_local(async {
         let started = Instant::now();
         let mut agent = FakeAgent::start(Delivery::Push, known);
@@ -36,13 +36,13 @@
 /// Row 2: changes that the agent receives at the end of an outage, or had before startup, are received within 250 ms
 /// after it recovers, whether it answers the requests in flight or only new ones.
 #[rstest]
-#[case::start_answers_open_calls(None, true)]
-#[case::start_answers_new_calls(None, false)]
-#[case::outage_answers_open_calls(Some(1), true)]
-#[case::outage_answers_new_calls(Some(1), false)]
+#[case::start_answers_open_requests(None, true)]
+#[case::start_answers_new_requests(None, false)]
+#[case::outage_answers_open_requests(Some(1), true)]
+#[case::outage_answers_new_requests(Some(1), false)]
 #[tokio::test(start_paused = true)]
-async fn pushed_change_is_received_as_soon_as_agent_responds(
-    #[case] known: Option<u64>, #[case] open_ones: bool,
+async fn pushed_change_is_received_when_agent_recovers(
+    #[case] known: Option<u64>, #[case] answers_open_requests: bool,
 ) {
     for ms in [10, 2_000, 4_321, 8_000, 8_077, 20_111] {
         run_local(async {
@@ -54,8 +54,8 @@
             }
             let mut open = agent.unanswered_requests(Duration::from_millis(ms)).await;
             assert!(open.len() as u64 <= ms / 150 + 2, "{} requests in {ms} ms", open.len());
-            let back = Instant::now();
-            let mut request = match (open_ones, open.pop()) {
+            let recovered_at = Instant::now();
+            let mut request = match (answers_open_requests, open.pop()) {
                 (true, Some(request)) => request,
                 _ if known.is_some() && ms < 2_250 => return, // the silence is not detected yet: row 3
                 _ => agent.next_request().await,
@@ -66,7 +66,7 @@
             } else {
                 request.respond_with_list(2).await;
             }
-            let published = agent.expect_revision(2).await - back;
+            let published = agent.expect_revision(2).await - recovered_at;
             assert!(published < DRAIN_GRACE, "{published:?} after an outage of {ms} ms");
         })
         .await;
@@ -75,12 +75,12 @@
 
 /// Row 3: changes that a silent watch misses are received within 4 s, which is less than the deadline of 6 s.
 #[rstest]
-#[case::pushed(Delivery::Push)]
-#[case::asked(Delivery::Poll)]
+#[case::push(Delivery::Push)]
+#[case::poll(Delivery::Poll)]
 #[tokio::test(start_paused = true)]
-async fn silent_watch_is_replaced_in_time_without_losing_changes(#[case] way: Delivery) {
+async fn silent_watch_is_replaced_without_losing_changes(#[case] delivery: Delivery) {
     run_local(async {
-        let mut agent = FakeAgent::start(way, Some(41));
+        let mut agent = FakeAgent::start(delivery, Some(41));
         let mut silent = agent.next_watch().await;
         for _ in 0..3 {
             sleep(Duration::from_secs(2)).await;
@@ -121,12 +121,12 @@
 /// Row 4: a queued request is awaited, and is the only one in flight; a watch that the service closes is requested
 /// again soon.
 #[tokio::test(start_paused = true)]
-async fn queued_request_is_awaited_and_is_the_only_one_in_flight() {
+async fn queued_request_is_awaited_as_only_one_in_flight() {
     run_local(async {
         let mut agent = FakeAgent::start(Delivery::Poll, None);
         let first = agent.next_request().await;
-        let beside = agent.unanswered_requests(Duration::from_millis(2_100)).await;
-        assert!(beside.is_empty(), "one request is in flight at a time");
+        let other_requests = agent.unanswered_requests(Duration::from_millis(2_100)).await;
+        assert!(other_requests.is_empty(), "one request is in flight at a time");
         first.respond_with_list(41).await;
         agent.expect_revision(41).await;
         let watching = agent.next_request().await;
@@ -149,14 +149,14 @@
 async fn overloaded_service_gets_fewer_requests(#[case] balancers: u32) {
     run_local(async {
         let mut agent = FakeAgent::start_with_balancers(balancers, Delivery::Poll, Some(41));
-        for nth in 0..20 {
+        for attempt in 0..20 {
             agent.next_request().await.reject().await;
             let ended = Instant::now();
             let next = agent.next_request().await;
             let pause = next.at - ended;
-            let least = if nth > 4 || balancers >= 300 { 800 } else { 100 };
+            let min_pause_ms = if attempt > 4 || balancers >= 300 { 800 } else { 100 };
             assert!(
-                pause >= Duration::from_millis(least) && pause <= REJECTED_BACKOFF_MAX.mul_f64(1.5),
+                pause >= Duration::from_millis(min_pause_ms) && pause <= REJECTED_BACKOFF_MAX.mul_f64(1.5),
                 "{pause:?}"
             );
             next.reject().await;
@@ -168,24 +168,30 @@
 /// Row 6: after SIGHUP the complete list is requested from the new agent at once, and the previous agent is followed
 /// until the list is received.
 #[rstest]
-#[case::pushed(Delivery::Push)]
-#[case::asked(Delivery::Poll)]
+#[case::push(Delivery::Push)]
+#[case::poll(Delivery::Poll)]
 #[tokio::test(start_paused = true)]
-async fn new_agent_is_contacted_at_once_and_previous_one_followed_until_it_answers(#[case] way: Delivery) {
+async fn previous_agent_is_followed_until_new_one_answers(#[case] delivery: Delivery) {
     run_local(async {
-        let mut agent = FakeAgent::start(way, Some(41));
-        let mut old = agent.next_watch().await;
-        old.send_line("").await;
+        let mut agent = FakeAgent::start(delivery, Some(41));
+        let mut previous_watch = agent.next_watch().await;
+        previous_watch.send_line("").await;
         let moved = Instant::now();
         agent.address.send(SECOND_ADDRESS).unwrap();
         let request = agent.next_request().await;
-        assert_eq!((request.to, request.path.as_str(), request.at), (SECOND_ADDRESS, "/v1/endpoints", moved));
-        old.send_draining(42).await;
+        assert_eq!(
+            (request.address, request.path.as_str(), request.at),
+            (SECOND_ADDRESS, "/v1/endpoints", moved)
+        );
+        previous_watch.send_draining(42).await;
         agent.expect_revision(42).await;
         request.respond_with_list(7).await;
         agent.expect_revision(7).await;
         assert!(agent.next_watch().await.path.ends_with("from=7"));
-        assert!(old.stream.write_all(b"x").await.is_err(), "the old watch is closed");
+        assert!(
+            previous_watch.stream.write_all(b"x").await.is_err(),
+            "the watch of the previous agent is closed"
+        );
         // An agent that does not answer is contacted again within 4 s after SIGHUP.
         agent.address.send(FIRST_ADDRESS).unwrap();
         let at = Instant::now();
--- a/crates/discovery/tests/watch_replacement.rs
+++ b/crates/discovery/tests/watch_replacement.rs
@@ -15,12 +15,12 @@
 #[rstest]
 #[tokio::test(start_paused = true)]
 async fn response_head_alone_does_not_end_previous_watch(
-    #[values(Delivery::Push, Delivery::Poll)] way: Delivery, #[values(true, false)] old_sends: bool,
+    #[values(Delivery::Push, Delivery::Poll)] delivery: Delivery, #[values(true, false)] first_sends: bool,
 ) {
     run_local(async {
-        let mut scenario = Scenario::in_state(SecondWatchOpened, way).await;
-        let (mut old, mut second) = (scenario.watch.take().unwrap(), scenario.request.take().unwrap());
-        let (sender, other) = if old_sends { (&mut old, &mut second) } else { (&mut second, &mut old) };
+        let mut scenario = Scenario::in_state(SecondWatchOpened, delivery).await;
+        let (mut first, mut second) = (scenario.watch.take().unwrap(), scenario.request.take().unwrap());
+        let (sender, other) = if first_sends { (&mut first, &mut second) } else { (&mut second, &mut first) };
         sender.send_draining(42).await;
         scenario.agent.expect_revision(42).await;
         assert!(other.stream.write_all(b"x").await.is_err(), "the other watch is closed");
@@ -32,12 +32,12 @@
 
 /// Two faults in a row take less than the deadline: the watch falls silent, and the second watch sends only its head.
 #[rstest]
-#[case::pushed(Delivery::Push)]
-#[case::asked(Delivery::Poll)]
+#[case::push(Delivery::Push)]
+#[case::poll(Delivery::Poll)]
 #[tokio::test(start_paused = true)]
-async fn silent_second_watch_is_replaced_in_time(#[case] way: Delivery) {
+async fn silent_second_watch_is_replaced_in_time(#[case] delivery: Delivery) {
     run_local(async {
-        let mut scenario = Scenario::in_state(Watching, way).await;
+        let mut scenario = Scenario::in_state(Watching, delivery).await;
         let silent_since = Instant::now();
         let second = scenario.agent.next_watch().await;
         scenario.open_streams.push(second.stream);
@@ -77,17 +77,17 @@
 #[rstest]
 #[tokio::test(start_paused = true)]
 async fn lines_received_on_closed_watch_are_published(
-    #[values(Delivery::Push, Delivery::Poll)] way: Delivery,
-    #[values(WatchSilent, SecondWatchOpened)] state: State, #[values(true, false)] old_sends: bool,
+    #[values(Delivery::Push, Delivery::Poll)] delivery: Delivery,
+    #[values(WatchSilent, SecondWatchOpened)] state: State, #[values(true, false)] first_sends: bool,
 ) {
     run_local(async {
-        let mut scenario = Scenario::in_state(state, way).await;
-        let (mut old, mut second) = (scenario.watch.take().unwrap(), scenario.request.take().unwrap());
+        let mut scenario = Scenario::in_state(state, delivery).await;
+        let (mut first, mut second) = (scenario.watch.take().unwrap(), scenario.request.take().unwrap());
         if state == WatchSilent {
             second.open_watch().await;
         }
-        let (sender, quiet) = if old_sends { (&mut old, &mut second) } else { (&mut second, &mut old) };
-        quiet.send_line("").await;
+        let (sender, other) = if first_sends { (&mut first, &mut second) } else { (&mut second, &mut first) };
+        other.send_line("").await;
         sender.send_draining(42).await;
         let written = Instant::now();
         assert_eq!(scenario.agent.expect_revision(42).await, written);
