--- a/crates/log-throttle/src/lib.rs
+++ b/crates/log-throttle/src/lib.rs
@@ -1,6 +1,7 @@
-//! A throttle for log lines that others can cause at any rate: a few a second are written, the rest are counted.
+//! Throttles log lines that clients or peers can cause at any rate: a few per second are written, the others are
+//! counted.
 //!
-//! The owner writes the lines itself, and keeps one throttle for each kind of line.
+//! The caller writes the lines, and keeps one throttle for each kind of line.
 #![forbid(unsafe_code)]
 #![warn(unreachable_pub)]
 
@@ -8,12 +9,12 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Lines of one kind that are written in one [`WINDOW`].
+/// The most lines of one kind that are written in one [`WINDOW`].
 const MAX_LINES_PER_WINDOW: u32 = 5;
-/// The time after which lines are written again.
+/// The length of the window in which the written lines are counted.
 const WINDOW: Duration = Duration::from_secs(1);
 
-/// Decides which lines of one kind are written. Protects the log, and the time of the thread, against floods.
+/// Decides which lines of one kind are written. Protects the log and the thread against floods of lines.
 #[derive(Debug, Default)]
 pub struct LogThrottle {
     window_started_at: Cell<Option<Instant>>,
@@ -22,8 +23,8 @@
 }
 
 impl LogThrottle {
-    /// Returns `None` if a line is to be suppressed now, and counts it. Otherwise returns what to append to the line: the
-    /// number of lines suppressed since the last one, or nothing.
+    /// Returns `None`, and counts the line as suppressed, if a line must not be written now. Otherwise returns the text
+    /// to append to the line: the number of lines suppressed since the last written one, or an empty string.
     pub fn admit_line(&self) -> Option<String> {
         let now = Instant::now();
         if self.window_started_at.get().is_none_or(|started_at| now - started_at >= WINDOW) {
--- a/crates/log-throttle/tests/throttle.rs
+++ b/crates/log-throttle/tests/throttle.rs
@@ -1,10 +1,10 @@
-//! Which lines are written, and what is appended to them.
+//! Tests which lines are written, and the text that is appended to them.
 
 use log_throttle::LogThrottle;
 use std::time::Duration;
 
 #[tokio::test(start_paused = true)]
-async fn flood_of_lines_is_counted_and_the_count_is_appended_in_the_next_second() {
+async fn suppressed_lines_are_counted_on_first_line_of_next_window() {
     let throttle = LogThrottle::default();
     let written = (0..1000).filter(|_| throttle.admit_line().is_some()).count();
     assert_eq!(written, 5);
--- a/crates/socket-activation/tests/listener.rs
+++ b/crates/socket-activation/tests/listener.rs
@@ -1,14 +1,14 @@
-//! Which descriptors are taken over.
+//! Tests which descriptors can be taken over.
 
 use socket_activation::{InheritedSocketError, take_listener};
 use std::net::{TcpListener, TcpStream};
 use std::os::fd::{AsRawFd, IntoRawFd};
 
 #[test]
-fn listening_socket_is_taken_over_once_and_nothing_else_ever() {
+fn only_listening_socket_is_taken_over_and_only_once() {
     let own = TcpListener::bind("127.0.0.1:0").unwrap();
     let addr = own.local_addr().unwrap();
-    let number = own.into_raw_fd(); // as after exec: open, and without an owner
+    let number = own.into_raw_fd(); // open and without an owner, as after exec
     let taken = take_listener(number).unwrap();
     assert_eq!((taken.local_addr().unwrap(), taken.as_raw_fd()), (addr, number));
     assert_eq!(take_listener(number).unwrap_err(), InheritedSocketError::Taken(number));
