--- a/crates/discovery/src/pace.rs
+++ b/crates/discovery/src/pace.rs
@@ -50,7 +50,7 @@
 /// The most connections that are open at a time: to the agent and, after a move, to the previous agent. The
 /// configuration reserves their descriptors, so that connections to clients and endpoints cannot use them.
 pub const MAX_CONNECTIONS: usize = 2 * (MAX_REQUESTS_IN_FLIGHT + MAX_WATCHES);
-/// How long after a move a broken watch of the previous agent is requested again. After that only the new agent's list
+/// How long after a move a broken watch of the previous agent is requested again. After that the new agent's list
 /// applies.
 pub const PREVIOUS_AGENT_RETRY_PERIOD: Duration = Duration::from_secs(4);
 /// The first backoff after a failed request. The backoff doubles up to a maximum, and each pause is drawn from 0.5 to
--- a/crates/front/src/accept.rs
+++ b/crates/front/src/accept.rs
@@ -33,8 +33,8 @@
 
 /// Returns how long a new connection may wait for a slot, given the shortest deadline of requests.
 #[must_use]
-pub fn slot_wait(shortest: Duration) -> Duration {
-    (shortest / SLOT_WAIT_DIVISOR).min(MAX_SLOT_WAIT)
+pub fn slot_wait(shortest_deadline: Duration) -> Duration {
+    (shortest_deadline / SLOT_WAIT_DIVISOR).min(MAX_SLOT_WAIT)
 }
 
 /// Bounds the time that connections have waited in the listener's queue.
@@ -124,7 +124,7 @@
             }
         }
         if !shared {
-            self.accept_rest(&listener, &queue).await; // other processes serve the queue of a shared listener
+            self.accept_remaining(&listener, &queue).await; // other processes serve the queue of a shared listener
         }
     }
 
@@ -150,7 +150,7 @@
     /// Accepts the connections left in the listener's queue before the listener is closed: closing it would reset them
     /// and lose the requests written to them. Rejects those for which no slot is free. Returns when the queue is empty,
     /// or at the deadline by which all requests must be answered.
-    async fn accept_rest(self: &Rc<Self>, listener: &TcpListener, queue: &AcceptQueue) {
+    async fn accept_remaining(self: &Rc<Self>, listener: &TcpListener, queue: &AcceptQueue) {
         let deadline = self.shutdown().termination_deadline().unwrap_or_else(Instant::now);
         while Instant::now() < deadline {
             match timeout(FINAL_ACCEPT_TIMEOUT, listener.accept()).await {
--- a/crates/front/src/client/closing.rs
+++ b/crates/front/src/client/closing.rs
@@ -9,8 +9,8 @@
 use tokio::task::yield_now;
 use tokio::time::{Instant, sleep, timeout_at};
 
-/// The most reads of input that has arrived before the end of reading. Bounds them for a client that writes without a
-/// pause.
+/// The most reads of input that has arrived before the end of reading. A client that writes without a pause is cut off
+/// after them.
 const MAX_FINAL_READS: usize = 8;
 /// How long a command that races the close of an idle connection may take to arrive after the close.
 const RACE_WINDOW: Duration = Duration::from_millis(20);
@@ -21,17 +21,18 @@
 const MIN_LINGER_PERIOD: Duration = Duration::from_millis(100);
 /// The size of the reads whose bytes are discarded during a lingering close.
 const LINGER_READ_BYTES: usize = 16 * 1024;
-/// The pause after each such read, so that a client that sends at full speed does not occupy the event loop.
+/// The pause after each read of a lingering close, so that a client that sends at full speed does not occupy the event
+/// loop.
 const LINGER_READ_PAUSE: Duration = Duration::from_millis(2);
 
-/// Why a connection is closed between requests.
+/// The reason why a connection is closed between requests.
 #[derive(Debug, Clone, Copy)]
 pub(super) enum CloseReason {
     /// The balancer is draining, or the process ends.
     Shutdown,
-    /// Another connection needs its slot.
+    /// Another connection needs the slot.
     SlotNeeded,
-    /// It was idle for longer than its timeout, or its first command did not arrive in time.
+    /// The connection was idle for longer than its timeout, or its first command did not arrive in time.
     IdleTimeout,
 }
 
@@ -98,8 +99,8 @@
         Ok(())
     }
 
-    /// Closes the sending side, then reads and discards input until the client closes or the time is over. Closing with
-    /// unread bytes would reset the connection, and the client might lose the error that was just sent.
+    /// Closes the sending side, then reads and discards input until the client closes or the lingering close ends.
+    /// Closing with unread bytes would reset the connection, and the client might lose the error that was just sent.
     pub(super) async fn lingering_close(&mut self) -> io::Result<()> {
         self.report_state(ReportedState::AwaitingCommand);
         self.stream.shutdown().await?;
--- a/crates/front/src/client/commands.rs
+++ b/crates/front/src/client/commands.rs
@@ -18,7 +18,7 @@
 impl Client {
     /// Handles input that was just read: records its arrival, skips bytes to discard, and decodes commands.
     pub(super) fn handle_input(&mut self) {
-        self.input_age = self.age_of_input();
+        self.input_age = self.latest_input_age();
         self.last_input_at = Some(Instant::now());
         self.pipelines |= !self.replies.is_empty();
         if self.value_deadline.is_some() {
@@ -37,7 +37,7 @@
 
     /// Returns the longest time ago at which the input just read may have arrived: the current stall of the event loop
     /// or, on a new connection, the age of the connection when it was accepted.
-    fn age_of_input(&self) -> Duration {
+    fn latest_input_age(&self) -> Duration {
         let age = self.front.handle.stall_monitor.overdue(Instant::now());
         let is_new = self.opened_at.elapsed() < stall_monitor::CHECK_INTERVAL;
         if is_new { age.max(self.age_at_accept) } else { age }
@@ -45,7 +45,7 @@
 
     /// Returns the earliest time at which the last byte of the command being decoded may have arrived. The time that
     /// the command waits in the input buffer after other commands is not counted.
-    fn received(&self) -> Instant {
+    fn received_at(&self) -> Instant {
         let now = Instant::now();
         now.checked_sub(self.input_age).unwrap_or(now)
     }
@@ -58,7 +58,7 @@
         }
         self.command_awaited_since.get_or_insert_with(Instant::now);
         let partial = match resp::parse_partial_command(&self.input) {
-            Ok(found) => found?,
+            Ok(partial) => partial?,
             Err(error) => return Some(self.reject_malformed(error)),
         };
         let timeout = if partial.large { LARGE_VALUE_TIMEOUT } else { self.command_timeout };
@@ -68,7 +68,8 @@
         }
         let mut command = partial.words;
         command.0.push(Bytes::new()); // a placeholder for the value, so that the command can be parsed
-        let ParsedCommand::Request(incoming) = request::parse(&command, &self.front.names, self.received())
+        let ParsedCommand::Request(incoming) =
+            request::parse(&command, &self.front.names, self.received_at())
         else {
             return Some(self.reject_malformed(ProtoError::TooLong("command"))); // no other command has a large argument
         };
@@ -121,7 +122,7 @@
     }
 
     fn reply_to(&mut self, command: &Command, memory: Option<MemoryPermit>, stage: Stage) -> Reply {
-        match request::parse(command, &self.front.names, self.received()) {
+        match request::parse(command, &self.front.names, self.received_at()) {
             ParsedCommand::Request(incoming) if stage >= Stage::Shedding => {
                 self.front.handle.count_shed(incoming.class);
                 Reply::line(BUSY)
--- a/crates/front/src/client/connection.rs
+++ b/crates/front/src/client/connection.rs
@@ -28,7 +28,7 @@
     pub(crate) close_signal: Rc<Notify>,
     /// The timeout for reading a command.
     pub(crate) timeout: CommandTimeout,
-    /// The timeouts of a connection without a slot; `None` if it has one.
+    /// The timeouts of a connection without a slot; `None` if the connection has a slot.
     pub(crate) slotless: Option<SlotlessTimeouts>,
     /// How long the connection has waited for its slot.
     pub(crate) waited: Duration,
@@ -81,7 +81,7 @@
     pub(super) was_asked_to_close: bool,
     pub(super) reported_state: ReportedState,
     pub(super) opened_at: Instant,
-    /// When the last request that was answered during a shutdown was answered.
+    /// The time of the last answer, if it was given during a shutdown.
     pub(super) last_answered_at: Option<Instant>,
     /// When a reply was last written.
     pub(super) last_written_at: Option<Instant>,
--- a/crates/front/src/client/serve.rs
+++ b/crates/front/src/client/serve.rs
@@ -41,7 +41,8 @@
 }
 
 impl Client {
-    /// Serves the connection until it ends. The tickets of unanswered requests are dropped.
+    /// Serves the connection until it ends. Dropping the tickets of unanswered requests tells the core that their
+    /// client has left.
     pub(crate) async fn run(mut self) -> io::Result<()> {
         self.stream.set_nodelay(true)?;
         // The client may have closed the connection while it waited to be accepted. The runtime notices that once it
--- a/crates/front/src/shutdown.rs
+++ b/crates/front/src/shutdown.rs
@@ -49,7 +49,7 @@
     draining_since: Option<Instant>,
     termination: Option<Termination>,
     /// When the end of the process was announced, which precedes the termination.
-    end_announced: Option<Instant>,
+    end_announced_at: Option<Instant>,
 }
 
 /// The activity of a connection, on which its schedule depends.
@@ -59,7 +59,7 @@
     pub opened_at: Instant,
     /// Whether the client has sent a command.
     pub has_sent_command: bool,
-    /// When the last request that was answered during a shutdown was answered.
+    /// The time of the last answer, if it was given during a shutdown.
     pub last_answered_at: Option<Instant>,
     /// When input was last read.
     pub last_input_at: Option<Instant>,
@@ -125,7 +125,7 @@
 
     /// Announces that the process will end soon: from now on no new connection waits for a slot.
     pub fn announce_end(&mut self, now: Instant) {
-        self.end_announced.get_or_insert(now);
+        self.end_announced_at.get_or_insert(now);
     }
 
     /// Starts the termination of the process: idle connections close after `idle_timeout`, and all requests are
@@ -161,10 +161,10 @@
     /// Returns whether a new connection is rejected at once when no slot is free, since none would become free in time.
     pub fn rejects_without_slot(&self, now: Instant) -> bool {
         let drained = self.draining_since.is_some_and(|since| now >= since + DRAIN_READ_PERIOD);
-        drained || self.end_announced.is_some()
+        drained || self.end_announced_at.is_some()
     }
 
-    /// Returns the schedule of a connection; without a shutdown it has no times.
+    /// Returns the schedule of a connection. Without a shutdown, all its times are `None`.
     pub fn schedule(&self, connection: &Activity) -> Schedule {
         let drain = self.draining_since.map(|since| drain_schedule(since, connection));
         let end = self.termination.map(|termination| termination.schedule(connection));
@@ -175,8 +175,8 @@
     }
 }
 
-/// Returns when an idle connection closes. A connection with an answer during the shutdown closes right after it, when
-/// no command can race the close, unless its client pipelines.
+/// Returns when an idle connection closes. After an answer during the shutdown it closes at once, since no command can
+/// race the close, unless its client pipelines.
 fn idle_close_time(since: Instant, idle_timeout: Duration, connection: &Activity) -> Instant {
     let batch_deadline = connection.batch_deadline(BATCH_GAP);
     match connection.last_answered_at {
--- a/crates/front/src/slotless.rs
+++ b/crates/front/src/slotless.rs
@@ -10,7 +10,7 @@
 
 /// The most connections without a slot that are open at a time. Their descriptors are reserved.
 pub(crate) const MAX_SLOTLESS: usize = 16;
-/// The most open connections without a slot at which the load is low.
+/// The load is low up to this many open connections without a slot.
 const MAX_LOW_LOAD: usize = MAX_SLOTLESS / 2;
 /// The timeout for the first command under high load. A usual client writes it as soon as it is connected.
 const HIGH_LOAD_FIRST_COMMAND_TIMEOUT: Duration = Duration::from_millis(50);
@@ -42,8 +42,7 @@
 
 impl SlotlessLoad {
     /// Returns the load when `slotless` connections without a slot are open, the newest of which has waited for
-    /// `waited`.
-    /// `slot_wait` is the longest wait for a slot.
+    /// `waited`. `slot_wait` is the longest wait for a slot.
     #[must_use]
     pub fn assess(slotless: usize, waited: Duration, slot_wait: Duration) -> Self {
         // The wait for a slot takes a quarter of the shortest deadline; a rejection within half of the deadline is
@@ -69,8 +68,8 @@
 }
 
 impl SlotlessTimeouts {
-    /// Returns the timeouts for this load. `slot_wait` is the longest wait for a slot: the shorter it is, that is, the
-    /// shorter the deadlines of requests are, the shorter are the timeouts.
+    /// Returns the timeouts for this load. `slot_wait` is the longest wait for a slot, which is derived from the
+    /// shortest deadline of requests: short deadlines give short timeouts.
     #[must_use]
     pub fn new(load: SlotlessLoad, slot_wait: Duration) -> Self {
         let gap = BATCH_GAP.min(slot_wait / BATCH_GAP_DIVISOR);
--- a/crates/front/tests/shutdown.rs
+++ b/crates/front/tests/shutdown.rs
@@ -43,7 +43,7 @@
     shutdown
 }
 
-/// Each listed time is in the listed stage.
+/// At each listed time the connection is in the listed stage.
 #[rstest]
 #[case::none(&[], &[(0, Stage::Serving), (HOUR, Stage::Serving)])]
 #[case::drain(
@@ -73,7 +73,7 @@
     &[Change::Terminate(0), Change::Drain(100), Change::Undrain(200)],
     &[(2_000, Stage::Serving), (3_500, Stage::Failing)]
 )]
-fn stages_follow_in_time_for_each_kind_of_shutdown(
+fn stages_begin_on_schedule_in_each_kind_of_shutdown(
     #[case] changes: &[Change], #[case] stages: &[(u64, Stage)],
 ) {
     let start = Instant::now();
