--- a/crates/front/src/client.rs
+++ b/crates/front/src/client.rs
@@ -1,4 +1,4 @@
-//! One client connection: commands in, answers out in the order of the commands.
+//! Serves one client connection: reads commands and writes the replies in the order of the commands.
 
 mod closing;
 mod commands;
@@ -7,4 +7,4 @@
 mod serve;
 mod socket;
 
-pub(crate) use connection::{Accepted, Client};
+pub(crate) use connection::{AcceptedConnection, Client};
--- a/crates/front/src/client/serve.rs
+++ b/crates/front/src/client/serve.rs
@@ -1,9 +1,10 @@
-//! The life of a connection: waits for commands and answers, writes replies, and decides when the connection ends.
+//! The event loop of a connection: waits for commands and answers, writes replies, and decides when the connection
+//! ends.
 
 use super::closing::CloseReason;
 use super::connection::{Client, MAX_PENDING_REPLIES, ReportedState};
 use super::reply::{BUSY, Reply, next_answer};
-use super::socket::{ClientEvent, ReadMode, client_left, read_or_watch, write};
+use super::socket::{ClientEvent, ReadMode, read_or_watch, wait_for_client_close, write_all};
 use crate::shutdown::{Schedule, Stage};
 use bytes::BytesMut;
 use futures_util::FutureExt;
@@ -12,43 +13,45 @@
 use tokio::task::yield_now;
 use tokio::time::{Instant, sleep_until};
 
-/// Bytes of replies that are collected before they are written.
+/// The size of a batch of replies from which on no further reply is added to it.
 const MAX_BATCH_BYTES: usize = 256 * 1024;
 /// The capacity of the buffer for the header of a streamed value.
 const HEADER_BYTES: usize = 16;
 
 /// What happened on a connection.
 enum Event {
-    /// Something that was handled.
+    /// An event that needs no further handling.
     Handled,
-    /// Its slot is needed for another connection.
+    /// The slot is needed for another connection.
     SlotNeeded,
-    /// It was idle for too long, or its command is overdue.
+    /// The connection was idle for too long, or its command is overdue.
     Overdue,
-    /// The time for a large value is over.
+    /// The last word of a command, such as a large value, did not arrive in time.
     ValueOverdue,
 }
 
-/// How a connection goes on.
+/// The next step of a connection after an event.
 enum Step {
+    /// Stay open.
     Continue,
-    /// It is closed after an error or `QUIT`.
+    /// Close after an error or `QUIT`.
     LingeringClose,
-    /// It is closed between requests.
+    /// Close between requests.
     Close(CloseReason),
 }
 
 impl Client {
-    /// Serves the connection until it ends. Requests that are unanswered then have lost their client.
+    /// Serves the connection until it ends. Dropping the tickets of unanswered requests tells the core that their
+    /// client has left.
     pub(crate) async fn run(mut self) -> io::Result<()> {
         self.stream.set_nodelay(true)?;
-        // The client may have left while its connection waited to be accepted. The runtime notices that once it has checked the
-        // socket, and without this would read a request first.
+        // The client may have closed the connection while it waited to be accepted. The runtime notices that once it
+        // has polled the socket; without this yield, a request would be read first.
         yield_now().await;
         let mut batch = BytesMut::new();
-        while !self.client_left {
+        while !self.has_client_closed {
             if self.write_replies(&mut batch).await? {
-                self.written_at = Some(Instant::now());
+                self.last_written_at = Some(Instant::now());
                 continue;
             }
             match self.step().await? {
@@ -64,7 +67,7 @@
     async fn write_replies(&mut self, batch: &mut BytesMut) -> io::Result<bool> {
         self.collect_ready_replies(batch);
         if !batch.is_empty() {
-            write(&self.stream, batch).await?;
+            write_all(&self.stream, batch).await?;
             batch.clear();
             return Ok(true);
         }
@@ -75,7 +78,7 @@
         Ok(false)
     }
 
-    /// Waits for the next event, and decides how the connection goes on.
+    /// Waits for the next event and returns the next step.
     async fn step(&mut self) -> io::Result<Step> {
         if self.is_ending && self.replies.is_empty() {
             return Ok(Step::LingeringClose);
@@ -83,11 +86,11 @@
         let schedule = self.schedule();
         let stage = schedule.stage_now();
         if stage < Stage::Finishing {
-            self.has_read_last_input = false;
+            self.has_read_final_input = false;
         } else {
-            if !self.has_read_last_input {
-                self.read_last_input().await?;
-                return Ok(Step::Continue); // what was read has its replies by now
+            if !self.has_read_final_input {
+                self.read_final_input().await?;
+                return Ok(Step::Continue); // the commands in that input have replies now
             }
             if self.reject_partial_command() {
                 return Ok(Step::Continue);
@@ -103,8 +106,8 @@
         match self.next_event(&schedule, stage).await? {
             Event::Handled => {}
             Event::ValueOverdue => self.end_overdue_command(),
-            // A request that arrived as the connection was about to close has been taken.
-            Event::SlotNeeded | Event::Overdue if !self.is_input_drained().await? => {}
+            // A request that arrived just before the close was read and is served.
+            Event::SlotNeeded | Event::Overdue if self.read_available_input().await? => {}
             Event::Overdue if self.has_partial_command() => self.end_overdue_command(),
             Event::SlotNeeded => return Ok(Step::Close(CloseReason::SlotNeeded)),
             Event::Overdue if self.front.shutdown().is_closing() => {
@@ -115,16 +118,16 @@
         Ok(Step::Continue)
     }
 
-    /// Ends the connection with an error after the replies owed: the rest of a command did not arrive in time.
+    /// Ends the connection with an error after the pending replies: the rest of a command did not arrive in time.
     fn end_overdue_command(&mut self) {
         self.is_ending = true;
         self.replies.push_back(Reply::line("-ERR the command did not end in time\r\n"));
     }
 
-    /// Waits for the next event, and handles input and answers.
+    /// Waits for the next event. Input and answers are handled here.
     async fn next_event(&mut self, schedule: &Schedule, stage: Stage) -> io::Result<Event> {
-        let nothing_owed = self.replies.is_empty();
-        if nothing_owed {
+        let all_answered = self.replies.is_empty();
+        if all_answered {
             let is_awaiting = self.command_awaited_since.is_some();
             let state = if is_awaiting { ReportedState::AwaitingCommand } else { ReportedState::Idle };
             self.report_state(state);
@@ -134,15 +137,15 @@
         let command_deadline = self.command_awaited_since.map(|since| since + self.command_timeout);
         let command_deadline = command_deadline.filter(|_| may_read);
         let value_deadline = self.value_deadline.filter(|_| may_read);
-        let idle_deadline = schedule.idle.filter(|_| nothing_owed && !self.has_partial_command());
-        let eviction_deadline = if nothing_owed { self.eviction_deadline() } else { None };
+        let idle_deadline = schedule.close_idle_at.filter(|_| all_answered && !self.has_partial_command());
+        let eviction_deadline = if all_answered { self.eviction_deadline() } else { None };
         if eviction_deadline.is_some_and(|deadline| deadline <= Instant::now()) {
             self.was_asked_to_close = false;
             return Ok(Event::SlotNeeded);
         }
         let idle_deadline = idle_deadline.into_iter().chain(eviction_deadline).min();
         let deadline = command_deadline.into_iter().chain(value_deadline).chain(idle_deadline).min();
-        // Deadlines go before the socket, where there may always be more to read.
+        // Deadlines are checked before the socket, which may always have more to read.
         if let Some(deadline) = deadline.filter(|deadline| *deadline <= Instant::now()) {
             let value_is_overdue = value_deadline.is_some_and(|until| until <= deadline);
             return Ok(if value_is_overdue { Event::ValueOverdue } else { Event::Overdue });
@@ -152,16 +155,16 @@
             biased;
             answer = next_answer(&mut self.replies) => {
                 self.replies[0] = Reply::encode(answer);
-                self.answered_at = self.front.shutdown().is_closing().then(Instant::now);
+                self.last_answered_at = self.front.shutdown().is_closing().then(Instant::now);
             }
             event = read_or_watch(&mut self.stream, &mut self.input, mode) => match event? {
-                ClientEvent::Bytes => self.handle_input(),
-                ClientEvent::End => self.client_left = true,
-                ClientEvent::Unread => self.fail_pending_replies(),
+                ClientEvent::Input => self.handle_input(),
+                ClientEvent::Closed => self.has_client_closed = true,
+                ClientEvent::UnreadInput => self.fail_pending_replies(),
             },
-            () = self.close_signal.notified(), if nothing_owed => self.was_asked_to_close = true,
+            () = self.close_signal.notified(), if all_answered => self.was_asked_to_close = true,
             () = self.front.shutdown_changed.notified() => {}
-            () = sleep_until(wake_at.unwrap_or(self.opened)), if wake_at.is_some() => {}
+            () = sleep_until(wake_at.unwrap_or(self.opened_at)), if wake_at.is_some() => {}
         }
         Ok(Event::Handled)
     }
@@ -170,13 +173,14 @@
         if !self.is_ending && self.replies.len() < MAX_PENDING_REPLIES && stage < Stage::Finishing {
             ReadMode::Read
         } else if stage >= Stage::Abandoning {
-            ReadMode::WatchForBytes
+            ReadMode::WatchForInput
         } else {
-            ReadMode::WatchForEnd
+            ReadMode::WatchForClose
         }
     }
 
-    /// Moves the replies that are ready to `batch`, and reads further commands as that makes room for their replies.
+    /// Moves the replies that are ready to `batch`, and decodes further commands as the number of pending replies
+    /// falls.
     fn collect_ready_replies(&mut self, batch: &mut BytesMut) {
         loop {
             while batch.len() < MAX_BATCH_BYTES {
@@ -190,7 +194,7 @@
                     None => break,
                 }
             }
-            // Commands that have arrived may have waited for room: without this they would wait for more input.
+            // Decodes commands that the limit of pending replies held back; otherwise they would wait for more input.
             let pending = self.replies.len();
             self.read_commands();
             if self.replies.len() == pending {
@@ -199,10 +203,11 @@
         }
     }
 
-    /// Rejects an incomplete command when no more is read: its last bytes may be on their way, and it would be lost with the
-    /// connection. Returns whether there was one.
+    /// Rejects an incomplete command after the end of reading: the rest of it may be in transit, and the command would
+    /// be lost with the connection. Returns whether there was one.
     fn reject_partial_command(&mut self) -> bool {
-        // With as many replies as may be pending, the input may hold complete commands, which are read as those are answered.
+        // At the limit of pending replies the input may hold complete commands, which are decoded as replies are
+        // written.
         let may_hold_complete = self.replies.len() >= MAX_PENDING_REPLIES;
         if self.is_ending || may_hold_complete || self.input.is_empty() || self.bytes_to_skip > 0 {
             return false;
@@ -214,7 +219,7 @@
         true
     }
 
-    /// Ends the wait for all answers: requests without one are answered as failed, since the connection closes.
+    /// Stops waiting for answers, since the connection closes: unanswered requests are answered as failed.
     fn fail_pending_replies(&mut self) {
         for reply in &mut self.replies {
             if let Reply::Pending(ticket) = reply {
@@ -224,22 +229,22 @@
         }
     }
 
-    /// Passes on a large value as it arrives. If it breaks off, the connection ends, and the client can tell by the length in
-    /// the header.
+    /// Forwards a large value as it arrives. If the value breaks off, the connection ends; the client detects this by
+    /// the length in the header.
     async fn stream_value(&mut self) -> io::Result<()> {
         let Some(Reply::Streamed(mut streamed)) = self.replies.pop_front() else { return Ok(()) };
         let mut header = BytesMut::with_capacity(HEADER_BYTES);
         resp::encode_bulk_header(&mut header, streamed.length());
-        write(&self.stream, &header).await?;
+        write_all(&self.stream, &header).await?;
         while !streamed.is_finished() {
             let bytes = tokio::select! {
                 bytes = streamed.next_chunk() => bytes?,
-                () = client_left(&self.stream) => return Err(io::ErrorKind::ConnectionAborted.into()),
+                () = wait_for_client_close(&self.stream) => return Err(io::ErrorKind::ConnectionAborted.into()),
             };
             let written = bytes.len();
-            write(&self.stream, bytes).await?;
+            write_all(&self.stream, bytes).await?;
             streamed.consume(written);
         }
-        write(&self.stream, b"\r\n").await
+        write_all(&self.stream, b"\r\n").await
     }
 }
--- a/crates/proto/src/http/reader.rs
+++ b/crates/proto/src/http/reader.rs
@@ -1,4 +1,4 @@
-//! Collects the pieces of one response with a body of bounded size.
+//! Reads a complete response with a body of bounded size.
 
 use super::decoder::{BodyEvent, Decoder};
 use super::head::ResponseHead;
@@ -6,13 +6,13 @@
 use bytes::{BufMut, Bytes, BytesMut};
 use std::mem;
 
-/// Collects the pieces of one response.
+/// Collects the pieces of one response until it is complete.
 #[derive(Debug, Default)]
 pub struct ResponseReader {
     decoder: Decoder,
     head: Option<ResponseHead>,
-    first: Bytes,
-    more: BytesMut,
+    first_piece: Bytes,
+    other_pieces: BytesMut,
 }
 
 impl ResponseReader {
@@ -25,7 +25,7 @@
     /// Returns the response once it is complete; `None` while more bytes are needed. A body in one piece is not copied.
     ///
     /// # Errors
-    /// When the bytes are no response, or its body is too long.
+    /// When the bytes are not a valid response, or its body is too long.
     pub fn next(&mut self, buffer: &mut BytesMut) -> Result<Option<(ResponseHead, Bytes)>, ProtoError> {
         while let Some(event) = self.decoder.next(buffer)? {
             match event {
@@ -41,22 +41,22 @@
     }
 
     fn append(&mut self, data: Bytes) -> Result<(), ProtoError> {
-        if self.first.len() + self.more.len() + data.len() > self.decoder.max_length {
+        if self.first_piece.len() + self.other_pieces.len() + data.len() > self.decoder.max_length {
             return Err(ProtoError::TooLong("body"));
         }
-        if self.first.is_empty() {
-            self.first = data;
+        if self.first_piece.is_empty() {
+            self.first_piece = data;
         } else {
-            self.more.put_slice(&data);
+            self.other_pieces.put_slice(&data);
         }
         Ok(())
     }
 
     fn take_body(&mut self) -> Bytes {
-        let first = mem::take(&mut self.first);
-        if self.more.is_empty() {
+        let first = mem::take(&mut self.first_piece);
+        if self.other_pieces.is_empty() {
             return first;
         }
-        [&first[..], &self.more.split()[..]].concat().into()
+        [&first[..], &self.other_pieces.split()[..]].concat().into()
     }
 }
