--- a/crates/audit/src/activity.rs
+++ b/crates/audit/src/activity.rs
@@ -1,10 +1,10 @@
-//! What a balancer reports of its activity: counts under one version of its state, and their encoding.
+//! Activity reports and ledger entries: counts of a balancer under one version of its state, and their encoding.
 
 use crate::lease::TimeInterval;
 use crate::version::Version;
 use serde::{Deserialize, Serialize};
 
-/// Periods in one report: this many fit [`MAX_REPORT_BYTES`] with every number at its largest.
+/// Maximum number of periods in one report. This many fit [`MAX_REPORT_BYTES`] with every number at its largest.
 pub const MAX_PERIODS_PER_REPORT: usize = 3;
 
 /// Upper bound on the size of an encoded report, which shares a datagram with other messages.
@@ -16,7 +16,8 @@
 /// Integers and fixed-size arrays of them always encode into a growing buffer.
 const ALWAYS_ENCODES: &str = "a record of integers always encodes";
 
-/// What is counted. The order of the variants is the order of [`ActivityPeriod::counts`] on the wire and on disk.
+/// A kind of counted event. The order of the variants is the order of [`ActivityPeriod::counts`] on the wire and on
+/// disk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[repr(u8)]
 pub enum CountKind {
@@ -24,7 +25,7 @@
     ReadOk,
     /// A read attempt that failed with an error.
     ReadError,
-    /// A read attempt that the endpoint rejected for want of capacity.
+    /// A read attempt that the endpoint rejected because it had no free capacity.
     ReadFull,
     /// A read attempt that timed out.
     ReadTimeout,
@@ -34,7 +35,7 @@
     WriteOk,
     /// A write attempt that failed with an error.
     WriteError,
-    /// A write attempt that the endpoint rejected for want of capacity.
+    /// A write attempt that the endpoint rejected because it had no free capacity.
     WriteFull,
     /// A write attempt that timed out.
     WriteTimeout,
@@ -44,7 +45,7 @@
     FetchOk,
     /// An origin fetch attempt that failed with an error.
     FetchError,
-    /// An origin fetch attempt that the endpoint rejected for want of capacity.
+    /// An origin fetch attempt that the endpoint rejected because it had no free capacity.
     FetchFull,
     /// An origin fetch attempt that timed out.
     FetchTimeout,
@@ -58,7 +59,7 @@
     ChangeRefused,
 }
 
-/// A period in which a balancer acted on one version, and its counts in that period.
+/// A period in which a balancer acted on one version, with its counts in that period.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ActivityPeriod {
     /// Number of the period within the incarnation. It grows by one with each period, so a gap shows a lost period.
--- a/crates/audit/src/activity_counter.rs
+++ b/crates/audit/src/activity_counter.rs
@@ -7,10 +7,12 @@
 use crate::version::Version;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Versions remembered at once. At one new version a second, an attempt begun sixteen seconds ago still finds its version.
+/// Maximum number of versions kept. At one new version a second, an attempt that began sixteen seconds ago is still
+/// counted under its version.
 pub const MAX_VERSIONS: usize = 16;
 
-/// Reports that repeat a period after it ended: three datagrams in a row would have to be lost for the period to be lost.
+/// Number of reports that contain a period after it has ended. The period is lost only if three datagrams in a row
+/// are lost.
 const REPORTS_PER_PERIOD: u8 = 3;
 
 /// Identifies the version in force when an attempt began, so that its outcome is counted under that version.
@@ -80,7 +82,7 @@
         }
     }
 
-    /// Puts another version in force. Returns the period that it evicts from the ring, if any, which the owner must hand to
+    /// Puts `version` in force. Returns the period that this evicts from the ring, if any, which the owner must pass to
     /// [`Ledger::record_own_entry`](crate::ledger::Ledger::record_own_entry) so that its counts are not lost.
     pub fn switch_version(&mut self, version: Version, now: TimeInterval) -> Option<LedgerEntry> {
         self.update_current(now);
@@ -101,8 +103,8 @@
         })
     }
 
-    /// Makes a report of the period in progress and of the oldest ended periods that were in too few reports so far.
-    /// Counts are totals since the period's start, so a later report makes up for a lost one.
+    /// Creates a report of the period in progress and of the oldest ended periods that were in too few reports so far.
+    /// Counts are totals since the start of the period, so a later report replaces a lost one.
     pub fn report(&mut self, now: TimeInterval) -> ActivityReport {
         self.update_current(now);
         self.sequence += 1;
@@ -128,12 +130,12 @@
         }
     }
 
-    /// How many counts were dropped because their version was no longer remembered.
+    /// The number of counts that were dropped because their version was no longer in the ring.
     pub fn expired(&self) -> u64 {
         self.expired
     }
 
-    /// Brings the period in progress up to now.
+    /// Updates the end and the counts of the period in progress.
     fn update_current(&mut self, now: TimeInterval) {
         if let Some(slot) = &mut self.ring[slot_index(self.current)] {
             slot.period.to = now;
--- a/crates/audit/src/lease/granter.rs
+++ b/crates/audit/src/lease/granter.rs
@@ -4,18 +4,19 @@
 use crate::Micros;
 use std::collections::BTreeMap;
 
-/// The shortest interval between two log entries of grants. Two entries a second carry the leases of any number of balancers.
+/// The shortest interval between two log entries of grants. Two entries a second carry the leases of any number of
+/// balancers.
 pub const GRANT_INTERVAL: Micros = 500_000;
 
-/// A request that was not granted yet.
+/// A request that has not been granted yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct PendingRequest {
     incarnation: u64,
     serial: u64,
 }
 
-/// Collects lease requests and yields the grants to propose. It keeps the newest request of each balancer, so the roster
-/// bounds its size.
+/// Collects lease requests and returns the grants to propose. It keeps the newest request of each balancer, so its
+/// size is bounded by the roster.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseGranter {
     roster: u16,
@@ -30,13 +31,13 @@
         Self::with_interval(roster, GRANT_INTERVAL)
     }
 
-    /// The same with another interval between log entries.
+    /// Creates the granter of a fleet of `roster` balancers, with the given interval between log entries.
     pub fn with_interval(roster: u16, interval: Micros) -> Self {
         Self { roster, interval, pending: BTreeMap::new(), next_at: 0 }
     }
 
-    /// Takes in a request. A late or duplicated request never replaces a newer one of the same incarnation. A request of
-    /// another incarnation does, since that is the process which sends now.
+    /// Handles a request. A late or duplicated request never replaces a newer one of the same incarnation. A request of
+    /// another incarnation always replaces the pending one, since it comes from the process that runs now.
     pub fn handle_request(&mut self, request: LeaseRequest) {
         if request.number >= self.roster {
             return;
@@ -48,8 +49,8 @@
         }
     }
 
-    /// The grants to propose now as one log entry: `None` without a pending request, or too soon after the last entry.
-    /// An entry that is not committed needs no retry, since a balancer without a lease requests again.
+    /// Returns the grants to propose now as one log entry, or `None` if no request is pending or the last entry is too
+    /// recent. An entry that is not committed needs no retry, since a balancer without a lease sends another request.
     pub fn poll_grants(&mut self, now: Micros) -> Option<Vec<LeaseGrant>> {
         if self.pending.is_empty() || now < self.next_at {
             return None;
@@ -64,12 +65,13 @@
         Some(pending.into_iter().map(grant).collect())
     }
 
-    /// When to call [`LeaseGranter::poll_grants`] next; `None` without a pending request.
+    /// When to call [`LeaseGranter::poll_grants`] next; `None` if no request is pending.
     pub fn next_grant_at(&self) -> Option<Micros> {
         (!self.pending.is_empty()).then_some(self.next_at)
     }
 
-    /// Drops all pending requests, when this balancer is no longer the leader. The next leader is asked again.
+    /// Drops all pending requests. Call this when this balancer is no longer the leader; balancers send new requests
+    /// to the next leader.
     pub fn clear(&mut self) {
         self.pending.clear();
     }
--- a/crates/audit/src/lease/holders.rs
+++ b/crates/audit/src/lease/holders.rs
@@ -1,33 +1,34 @@
-//! Which balancers hold a lease in the view of the fleet, from the applied log.
+//! Tracks which balancers hold a lease, from the applied log.
 
 use super::messages::LeaseGrant;
 use super::settings::Settings;
 use crate::Micros;
 use std::collections::BTreeMap;
 
-/// Incarnations of one balancer tracked at once. A request of an ended incarnation may be granted after one of its successor.
-/// If only one were tracked, the live one would be taken for fenced.
+/// Maximum number of incarnations tracked for each balancer. A request of an ended incarnation may be granted after
+/// one of its successor. If only one incarnation were tracked, the running one would appear to be fenced.
 const MAX_INCARNATIONS: usize = 4;
 
-/// Whose lease: a balancer in one incarnation. Ordered by balancer first.
+/// The holder of a lease: one incarnation of a balancer. Ordered by balancer first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 struct Holder {
     number: u16,
     incarnation: u64,
 }
 
-/// A lease as every balancer but its holder sees it.
+/// A lease as observed by balancers other than its holder.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct ObservedLease {
     serial: u64,
     ends: Micros,
 }
 
-/// Which balancers hold a lease, as far as the log is applied here. Bounded by the roster and by four incarnations of each
-/// balancer.
+/// Tracks which balancers hold a lease, according to the log entries applied here. Its size is bounded by the roster
+/// and by four incarnations of each balancer.
 ///
-/// A lease counts from when its grant was *applied* here, which is never before it was requested. So it ends here later than
-/// for its holder. That a balancer holds none is known only up to the applied revision: a lagging replica may miss a grant.
+/// A lease is counted from when its grant was *applied* here, which is never before it was requested. So it ends
+/// later here than at its holder. The absence of a lease is known only up to the applied revision: a lagging replica
+/// may miss a grant.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseHolders {
     settings: Settings,
@@ -36,12 +37,13 @@
 }
 
 impl LeaseHolders {
-    /// Creates a view in which nobody holds a lease.
+    /// Creates a view in which no balancer holds a lease.
     pub fn new(settings: Settings) -> Self {
         Self { settings, leases: BTreeMap::new(), applied: 0 }
     }
 
-    /// Applies the grants of the log entry `revision`, or of a snapshot up to it. A revision seen before changes nothing.
+    /// Applies the grants of the log entry `revision`, or of a snapshot up to it. Ignores a revision that is already
+    /// applied.
     pub fn apply_grants(&mut self, now: Micros, revision: u64, grants: &[LeaseGrant]) {
         if revision <= self.applied {
             return;
@@ -56,7 +58,7 @@
         }
     }
 
-    /// Drops the incarnation whose lease ends first, if too many of one balancer are tracked.
+    /// Drops the incarnation whose lease ends first if more than [`MAX_INCARNATIONS`] of this balancer are tracked.
     fn evict_incarnation(&mut self, number: u16) {
         let first = Holder { number, incarnation: 0 };
         let last = Holder { number, incarnation: u64::MAX };
@@ -68,7 +70,8 @@
         }
     }
 
-    /// Whether the balancer holds a lease in this incarnation. Messages of a balancer without one are not to be counted.
+    /// Whether the balancer holds a lease in this incarnation. Messages from a balancer without one must not be
+    /// counted.
     pub fn holds(&self, number: u16, incarnation: u64, now: Micros) -> bool {
         self.leases.get(&Holder { number, incarnation }).is_some_and(|lease| now < lease.ends)
     }
--- a/crates/audit/src/lease/messages.rs
+++ b/crates/audit/src/lease/messages.rs
@@ -1,4 +1,4 @@
-//! What goes over the log and between balancers about leases.
+//! Lease requests, lease grants in the log, and bounds on fleet time.
 
 use crate::FleetMicros;
 use serde::{Deserialize, Serialize};
@@ -21,7 +21,7 @@
     pub number: u16,
     /// The holder's incarnation. A restarted balancer does not inherit the lease.
     pub incarnation: u64,
-    /// The request that is granted.
+    /// Number of the granted request.
     pub serial: u64,
 }
 
--- a/crates/audit/src/lease/mod.rs
+++ b/crates/audit/src/lease/mod.rs
@@ -1,4 +1,4 @@
-//! Leases: which balancer may serve, who grants leases, and who holds one in the view of the others.
+//! Leases: a balancer's own lease, the leader that grants leases, and the view of which balancers hold one.
 
 mod granter;
 mod holders;
--- a/crates/audit/src/lease/own_lease.rs
+++ b/crates/audit/src/lease/own_lease.rs
@@ -6,26 +6,28 @@
 use crate::{FleetMicros, Micros};
 use std::collections::VecDeque;
 
-/// Requests whose send time is remembered: those of two leases. A lease granted for an older request has ended on arrival.
+/// Number of requests whose send time is kept: those of two leases. A lease granted for an older request has already
+/// ended when the grant arrives.
 const MAX_SENT_REQUESTS: usize = 8;
 
-/// Jitter: an interval between requests is shorter by up to one part in this many, so that balancers started together spread
-/// their requests.
+/// Jitter shortens an interval between requests by up to one part in `JITTER_FRACTION`, so that balancers started
+/// together spread their requests.
 const JITTER_FRACTION: u64 = 4;
 
-/// What a balancer may do.
+/// The state of a balancer's lease, which determines what the balancer may do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum LeaseState {
     /// A lease is in force, and everything is allowed.
     Held,
-    /// No lease, and the fault is here: peers are still granted leases, or too few peers report. No new request is admitted.
+    /// No lease is in force and the fault is local: peers are still granted leases, or too few peers report. No new
+    /// request is admitted.
     Fenced,
-    /// No lease, and no peer that reports is granted one any more: the quorum group is lost. Requests are served, planned
-    /// changes are held.
+    /// No lease is in force and no reporting peer is granted one any more: the quorum group is lost. Requests are
+    /// served, planned changes are held.
     Orphaned,
 }
 
-/// When a request was sent, on the local clock.
+/// A sent request, with its send time on the local clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct SentRequest {
     serial: u64,
@@ -38,14 +40,14 @@
     stamp: FleetMicros,
     requested_at: Micros,
     received_at: Micros,
-    /// By how much fleet time here was already ahead of the stamp.
+    /// How far the fleet time derived from the previous anchor was ahead of this stamp.
     ahead: Micros,
 }
 
 /// One balancer's own lease.
 ///
-/// The lease counts from when it was *requested*, on the local clock. No leader can have granted it earlier, so whoever counts
-/// from the grant sees it end later than its holder does.
+/// The lease is counted from when it was *requested*, on the local clock. No leader can have granted it earlier, so
+/// every balancer that counts from the grant sees it end later than its holder does.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Lease {
     number: u16,
@@ -56,7 +58,7 @@
     sent: VecDeque<SentRequest>,
     /// The last applied revision that contained grants.
     applied: u64,
-    /// The lease is held before this time only.
+    /// The lease is held until this time, exclusive.
     ends: Micros,
     /// The revision at which the lease in force was granted.
     revision: u64,
@@ -65,8 +67,9 @@
 }
 
 impl Lease {
-    /// Creates the lease of a balancer that starts now and holds none. It is fenced until its first grant, or until it has
-    /// listened for a whole lease without a new grant to anybody, when all earlier leases have ended.
+    /// Creates the lease of a balancer that starts now and holds none. The balancer is fenced until its first grant,
+    /// or until it has listened for a whole lease without a new grant to any balancer, after which all earlier leases
+    /// have ended.
     pub fn new(number: u16, incarnation: u64, settings: Settings, now: Micros) -> Self {
         Self {
             number,
@@ -83,7 +86,8 @@
         }
     }
 
-    /// The request to send to the leader, if one is due. The caller sends it at once, since the lease counts from now.
+    /// Returns the request to send to the leader, if one is due. The caller must send it at once, since the lease is
+    /// counted from `now`.
     pub fn poll_request(&mut self, now: Micros) -> Option<LeaseRequest> {
         if now < self.next_request_at {
             return None;
@@ -104,8 +108,9 @@
 
     /// Applies the grants of the log entry `revision`, or of a snapshot up to it, stamped `at`.
     ///
-    /// The caller calls this in log order, and only after *everything* up to `revision` is applied. The guarantee that a lease
-    /// holder has applied all entries before its grant depends on this. A revision seen before changes nothing.
+    /// Call this in log order, and only after *everything* up to `revision` is applied. The guarantee that a lease
+    /// holder has applied all entries before its grant depends on this. A revision that is already applied is
+    /// ignored.
     pub fn apply_grants(&mut self, now: Micros, revision: u64, at: FleetMicros, grants: &[LeaseGrant]) {
         if revision <= self.applied {
             return;
@@ -131,8 +136,8 @@
         }
     }
 
-    /// Keeps fleet time from going back, which could undo what is in force: the stamps of the next leader may be behind by
-    /// the latency of a message.
+    /// Keeps fleet time from going back, which could undo what is in force. The stamps of a new leader may be behind
+    /// by the latency of a message.
     fn keep_monotonic(&mut self, now: Micros, before: Option<TimeInterval>) {
         let after = self.fleet_time(now);
         if let (Some(before), Some(after), Some(anchor)) = (before, after, &mut self.anchor) {
@@ -147,10 +152,10 @@
         }
     }
 
-    /// The stamp of the last applied grant to this balancer, to be reported to peers even after the lease has ended. `None`
-    /// before the first grant.
+    /// The stamp of the last applied grant to this balancer, or `None` before the first grant. It is reported to
+    /// peers even after the lease has ended.
     pub fn granted_at(&self) -> Option<FleetMicros> {
-        self.anchor.map(|it| it.stamp)
+        self.anchor.map(|anchor| anchor.stamp)
     }
 
     /// The state of the lease, and when to check it again because the lease ends or a report expires.
@@ -165,27 +170,28 @@
         (LeaseState::Fenced, self.peers.next_expiry(now, self.settings.report_ttl))
     }
 
-    /// Until when new requests may be admitted; 0 if none may.
+    /// The time until which new requests may be admitted, or 0 if none may be admitted.
     ///
-    /// If the quorum group is known to be lost before the lease ends, the result is after that end. Requests are then served
-    /// without a call in between.
+    /// If the quorum group is known to be lost before the lease ends, the result is later than that end. Requests are
+    /// then served past the end without another call.
     pub fn serve_until(&self, now: Micros) -> Micros {
         let until = self.ends.max(self.peers.orphaned_until(now, self.granted_at(), &self.settings));
         if now < until { until } else { 0 }
     }
 
-    /// Until when planned changes may be made; 0 if none may. Only a lease allows them. The caller checks this for each
-    /// change, so that a process that was stopped finds its lease ended.
+    /// The time until which planned changes may be made, or 0 if none may be made. Only a lease in force allows them.
+    /// The caller checks this before each change, so that a process that was stopped detects that its lease has
+    /// ended.
     pub fn change_until(&self, now: Micros) -> Micros {
         if now < self.ends { self.ends } else { 0 }
     }
 
-    /// The revision at which the lease in force was granted. Everything up to it is applied.
+    /// The revision at which the lease in force was granted, or `None` without a lease. Everything up to it is applied.
     pub fn revision(&self, now: Micros) -> Option<u64> {
         (now < self.ends).then_some(self.revision)
     }
 
-    /// Fleet time now, derived from the last grant. `None` before the first grant.
+    /// The current fleet time, derived from the last grant. `None` before the first grant.
     pub fn fleet_time(&self, now: Micros) -> Option<TimeInterval> {
         let Anchor { stamp, requested_at, received_at, ahead } = self.anchor?;
         let stamp = stamp.saturating_add(ahead);
--- a/crates/audit/src/lease/peer_grants.rs
+++ b/crates/audit/src/lease/peer_grants.rs
@@ -1,16 +1,17 @@
-//! What peers report of their last grants, and whether the reports show that the quorum group is lost.
+//! Tracks the last grants that peers report, and detects from them that the quorum group is lost.
 
 use super::granter::GRANT_INTERVAL;
 use super::settings::Settings;
 use crate::{FleetMicros, Micros};
 use std::collections::BTreeMap;
 
-/// By how much two last grants may differ without a fault of their holders, beyond the request interval and one lost request:
-/// one grant interval in which the leader batches, and as much for the log entry to be applied.
+/// How far the last grants of two balancers may differ without a fault of either, beyond the request interval and one
+/// lost request: one grant interval in which the leader batches requests, and another for the log entry to be
+/// applied.
 const GRANT_MARGIN: Micros = 2 * GRANT_INTERVAL;
 
-/// A pause between two reports counts as listening for at most this fraction of [`Settings::report_ttl`], since a stopped
-/// process receives nothing.
+/// A pause between two reports counts as time spent listening for at most [`Settings::report_ttl`] divided by this,
+/// since a stopped process receives nothing.
 const MAX_PAUSE_FRACTION: Micros = 4;
 
 /// The last report of one peer.
@@ -20,22 +21,23 @@
     granted_at: Option<FleetMicros>,
 }
 
-/// The last grants that peers reported. Bounded by the roster, since the caller admits no other numbers.
+/// The last grants that peers reported. Its size is bounded by the roster, since the caller passes no other numbers.
 ///
-/// A working quorum group grants leases continuously, so the newest grant stamp known from the log or from reports grows. The
-/// group is lost if enough peers report and that stamp *stalls* while this balancer listens: for
-/// [`Settings::max_grant_gap`], or for a whole lease if a peer was granted a lease much later than this balancer (then it was
-/// the requests of this balancer that failed first) or if this balancer was never granted one. Stamps are compared with
-/// stamps only, since fleet time may stand still for as long as a new leader's clock is behind. The stall is measured while
-/// reports arrive, so neither a stopped process nor reports queued in the socket meanwhile add to it.
+/// A working quorum group grants leases continuously, so the newest grant stamp known from the log or from reports
+/// grows. The group is lost if enough peers report and that stamp *stalls* while this balancer listens: for
+/// [`Settings::max_grant_gap`], or for a whole lease if a peer was granted a lease much later than this balancer (in
+/// that case the requests of this balancer failed first) or if this balancer was never granted one. Stamps are
+/// compared only with stamps, since fleet time may stand still for as long as a new leader's clock is behind. The
+/// stall is measured while reports arrive, so neither the time in which this process is stopped nor reports queued in
+/// its socket add to it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct PeerGrants {
     reports: BTreeMap<u16, Report>,
     last_report_at: Micros,
-    /// How long reports arrived since the newest stamp grew.
+    /// How long reports have arrived without growth of the newest stamp.
     stalled_for: Micros,
     newest_reported: FleetMicros,
-    /// Kept apart from reported stamps, so that no wrong report hides that the log advances.
+    /// Kept apart from reported stamps, so that a wrong report cannot hide that the log advances.
     newest_logged: FleetMicros,
 }
 
@@ -50,6 +52,7 @@
         }
     }
 
+    /// Records the last grant that a peer reported.
     pub(super) fn record_report(
         &mut self, now: Micros, number: u16, granted_at: Option<FleetMicros>, report_ttl: Micros,
     ) {
@@ -77,26 +80,27 @@
         }
     }
 
-    /// Until when the quorum group counts as lost by the reports so far, for a balancer last granted a lease at `own`. The
-    /// group is not lost now if the result is not after `now`.
+    /// The time until which the quorum group counts as lost according to the reports so far, for a balancer that was
+    /// last granted a lease at `own_grant`. If the result is not after `now`, the group does not count as lost.
     pub(super) fn orphaned_until(
-        &self, now: Micros, own: Option<FleetMicros>, settings: &Settings,
+        &self, now: Micros, own_grant: Option<FleetMicros>, settings: &Settings,
     ) -> Micros {
         let margin = settings.request_interval.saturating_add(GRANT_MARGIN);
-        let latest = own.map(|stamp| stamp.saturating_add(settings.request_interval).saturating_add(margin));
+        let max_expected =
+            own_grant.map(|stamp| stamp.saturating_add(settings.request_interval).saturating_add(margin));
         let mut needed = settings.max_grant_gap();
-        let mut ends = Vec::with_capacity(self.reports.len());
+        let mut expiries = Vec::with_capacity(self.reports.len());
         for report in self.current(now, settings.report_ttl) {
-            if latest.is_none() || report.granted_at > latest {
+            if max_expected.is_none() || report.granted_at > max_expected {
                 needed = needed.max(settings.max_elapsed(settings.lease));
             }
-            ends.push(report.received_at.saturating_add(settings.report_ttl));
+            expiries.push(report.received_at.saturating_add(settings.report_ttl));
         }
         if self.stalled_for < needed {
             return 0;
         }
-        ends.sort_unstable_by(|a, b| b.cmp(a));
-        ends.get(usize::from(settings.orphan_quorum.max(1)) - 1).copied().unwrap_or(0)
+        expiries.sort_unstable_by(|a, b| b.cmp(a));
+        expiries.get(usize::from(settings.orphan_quorum.max(1)) - 1).copied().unwrap_or(0)
     }
 
     /// When the next report expires, which may change the lease state without another report.
--- a/crates/audit/src/lease/settings.rs
+++ b/crates/audit/src/lease/settings.rs
@@ -2,43 +2,43 @@
 
 use crate::Micros;
 
-/// The rates of two monotonic clocks differ by at most one part in this many.
+/// The rates of two monotonic clocks differ by at most one part in `RATE_ERROR`.
 pub const RATE_ERROR: u64 = 1_000;
 
-/// Requests sent during one lease: three in a row may be lost.
+/// Number of requests sent during one lease, of which three in a row may be lost.
 pub const REQUESTS_PER_LEASE: u64 = 4;
 
-/// Upper bound on [`Settings::orphan_quorum`]. Each balancer reports to a few randomly drawn peers only, so in a large fleet
-/// most peers are never heard within [`Settings::report_ttl`]. Four peers that hear nobody else are assumed to be cut off
-/// by more than their own fault.
+/// Upper bound on [`Settings::orphan_quorum`]. Each balancer reports to a few randomly drawn peers only, so in a
+/// large fleet most peers are never heard within [`Settings::report_ttl`]. Four peers that hear nobody else are
+/// assumed to be cut off by a fault that is not theirs alone.
 pub const MAX_ORPHAN_QUORUM: u16 = 3;
 
-/// Requests that the quorum group may leave unanswered before it counts as lost. In the smallest fleets one request may be
-/// late, or this process may have been stopped for a moment.
+/// Number of requests that the quorum group may leave unanswered before it counts as lost. One would be too few: in the
+/// smallest fleets a request may be late, or this process may have been stopped briefly.
 const REQUESTS_BEFORE_LOST: Micros = 2;
 
-/// Large fleets need one report in this many balancers before the quorum group counts as lost.
+/// Number of balancers in the roster for each report that [`Settings::orphan_quorum`] requires, within its bounds.
 const ROSTER_PER_REPORT: u16 = 4;
 
-/// How long leases last, and how long the reports of peers count.
+/// Durations of leases and reports, and the number of reports that show the loss of the quorum group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Settings {
     /// Duration of a lease.
     pub lease: Micros,
-    /// The rates of two clocks differ by at most one part in this many.
+    /// The rates of two clocks differ by at most one part in `rate_error`.
     pub rate_error: u64,
     /// The longest interval between two requests.
     pub request_interval: Micros,
-    /// How long a peer's report on its lease counts.
+    /// How long a peer's report of its last grant is valid.
     pub report_ttl: Micros,
     /// The number of balancers, which are numbered from 0.
     pub roster: u16,
-    /// How many peers must report, none with a new grant, for the quorum group to count as lost.
+    /// Number of peers that must report, none of them a new grant, before the quorum group counts as lost.
     pub orphan_quorum: u16,
 }
 
 impl Settings {
-    /// Derives the settings from the duration of a lease, the time that a report counts and the number of balancers.
+    /// Derives the settings from the duration of a lease, the validity of a report and the number of balancers.
     pub fn new(lease: Micros, report_ttl: Micros, roster: u16) -> Self {
         Self {
             lease,
@@ -52,24 +52,24 @@
 
     /// The longest duration that another clock may measure while this one measures `span`.
     pub fn max_elapsed(&self, span: Micros) -> Micros {
-        span.saturating_add(self.error(span))
+        span.saturating_add(self.max_clock_error(span))
     }
 
     /// The shortest duration that another clock may measure while this one measures `span`.
     pub fn min_elapsed(&self, span: Micros) -> Micros {
-        span - self.error(span)
+        span - self.max_clock_error(span)
     }
 
     /// How long peers may report without any new grant before the quorum group counts as lost.
     ///
-    /// Leases end no sooner than three request intervals after the last grant, so the loss is known before the first lease
-    /// ends.
+    /// Leases end no sooner than three request intervals after the last grant, so the loss is known before the first
+    /// lease ends.
     pub fn max_grant_gap(&self) -> Micros {
         self.request_interval.saturating_mul(REQUESTS_BEFORE_LOST).max(self.report_ttl)
     }
 
-    /// Rounded up, so that a short duration is never taken as exact.
-    fn error(&self, span: Micros) -> Micros {
+    /// The largest measurement error over `span`, rounded up so that a short duration is never treated as exact.
+    fn max_clock_error(&self, span: Micros) -> Micros {
         span.div_ceil(self.rate_error.max(1))
     }
 }
--- a/crates/audit/src/ledger/account.rs
+++ b/crates/audit/src/ledger/account.rs
@@ -1,48 +1,50 @@
-//! What one balancer reported, in each of its incarnations.
+//! The reports and ledger entries of one balancer, by incarnation.
 
 use crate::activity::{ActivityReport, LedgerEntry};
 use crate::lease::TimeInterval;
 use std::collections::VecDeque;
 
-/// Periods kept in memory of each balancer: those of 300 balancers take 3 MB. Older ones are on disk only.
+/// Maximum number of periods kept in memory for each balancer. Those of 300 balancers take 3 MB. Older ones are on
+/// disk only.
 pub const MAX_PERIODS_PER_BALANCER: usize = 32;
 
-/// Incarnations kept of each balancer: how often it may restart while reports of its first incarnation are in flight.
+/// Maximum number of incarnations kept for each balancer. It limits how often a balancer may restart while reports of
+/// its first incarnation are in flight.
 pub const MAX_INCARNATIONS_PER_BALANCER: usize = 4;
 
-/// How far behind the highest sequence number a late report is still told from a duplicate: the bits of
-/// [`IncarnationRecord::seen`].
+/// How far behind the highest sequence number a late report can be distinguished from a duplicate: the number of bits
+/// of [`IncarnationRecord::seen`].
 const REORDER_WINDOW: u64 = u64::BITS as u64;
 
-/// What became of a report.
+/// The result of recording a report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum ReportStatus {
-    /// The newest report of its incarnation.
+    /// The report is the newest of its incarnation.
     Newest,
-    /// A reordered report. Only what no newer report contains is taken in.
+    /// The report arrived after a newer one. Only the periods that no newer report contains are recorded.
     Late,
-    /// A duplicate, or too old to tell from one. Nothing is taken in.
+    /// The report is a duplicate, or too old to be distinguished from one. Nothing is recorded.
     Repeated,
-    /// Rejected: the sender is not on the roster, or the report is over its limits.
+    /// The report is rejected: its sender is not on the roster, or it contains too many periods.
     Refused,
 }
 
-/// Whether an entry is to be written to disk.
+/// Whether an entry must still be written to disk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Persistence {
-    /// The disk does not have the entry in this form.
+    /// The entry on disk is missing or out of date.
     Unsaved,
-    /// The disk has the entry, or it was handed out to be written.
+    /// The entry is on disk, or was returned to the owner to be written.
     Saved,
 }
 
-/// Which reports of one incarnation were received.
+/// Records which reports of one incarnation were received.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct IncarnationRecord {
     pub(super) incarnation: u64,
     pub(super) at: TimeInterval,
     highest: u64,
-    /// Bit n: the report n before the highest was received.
+    /// Bit n is set if the report with the sequence number `highest - n` was received.
     seen: u64,
     received: u64,
     pub(super) repeated: u64,
@@ -53,7 +55,7 @@
         Self { incarnation, at, highest: 0, seen: 0, received: 0, repeated: 0 }
     }
 
-    /// Counts every report up to the stored entry's as received, since the entry contains what they said.
+    /// Counts every report up to that of the stored entry as received, since the entry contains their counts.
     fn restore(&mut self, entry: &LedgerEntry) {
         if entry.sequence > self.highest {
             self.received += entry.sequence - self.highest;
@@ -63,7 +65,7 @@
         }
     }
 
-    /// How many reports were made and not received so far.
+    /// The number of reports that were sent and not received so far.
     pub(super) fn missing(&self) -> u64 {
         self.highest.saturating_sub(self.received)
     }
@@ -77,12 +79,12 @@
             self.received += 1;
             return ReportStatus::Newest;
         }
-        let ago = self.highest - report.sequence;
-        if report.sequence == 0 || ago >= REORDER_WINDOW || self.seen & (1 << ago) != 0 {
+        let age = self.highest - report.sequence;
+        if report.sequence == 0 || age >= REORDER_WINDOW || self.seen & (1 << age) != 0 {
             self.repeated += 1;
             return ReportStatus::Repeated;
         }
-        self.seen |= 1 << ago;
+        self.seen |= 1 << age;
         self.received += 1;
         ReportStatus::Late
     }
@@ -95,12 +97,12 @@
     persistence: Persistence,
 }
 
-/// What one balancer reported, the newest last.
+/// The incarnations and entries of one balancer, in the order in which they were added.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Account {
     incarnations: VecDeque<IncarnationRecord>,
     entries: VecDeque<StoredEntry>,
-    /// Entries that were evicted before they were handed out for the disk.
+    /// Number of entries that were evicted before they were returned to be written to disk.
     pub(super) evicted_unsaved: u64,
 }
 
@@ -130,7 +132,7 @@
         status
     }
 
-    /// Takes in an entry from disk. The record of its incarnation continues from there.
+    /// Restores an entry from disk. The record of its incarnation continues from the report that contained the entry.
     pub(super) fn restore(&mut self, entry: LedgerEntry) {
         if let Some(incarnation) = self.incarnations.iter_mut().find(|it| it.incarnation == entry.incarnation)
         {
@@ -180,7 +182,8 @@
         self.entries.iter().map(|stored| &stored.entry)
     }
 
-    /// The incarnation that reported last, by its own fleet time: incarnations have no order of their own.
+    /// The incarnation that reported last, according to the fleet time of its reports, since incarnations are not
+    /// ordered.
     pub(super) fn latest_incarnation(&self) -> Option<&IncarnationRecord> {
         self.incarnations.iter().max_by_key(|it| (it.at.earliest, it.at.latest))
     }
--- a/crates/audit/src/ledger/query.rs
+++ b/crates/audit/src/ledger/query.rs
@@ -7,7 +7,7 @@
 use crate::{FleetMicros, Micros};
 use serde::Serialize;
 
-/// What a balancer acts on, by its last report.
+/// The version that a balancer acts on, according to its last report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub struct CurrentActivity {
     /// The balancer.
@@ -17,17 +17,17 @@
     pub incarnation: u64,
     /// The version acted on.
     pub version: Version,
-    /// Since when it acts on that version.
+    /// When the balancer began to act on that version.
     pub since: TimeInterval,
-    /// The time up to which this is known. After it the balancer may have acted on any version.
+    /// The time up to which the version is known. After it the balancer may have acted on any version.
     pub known_until: FleetMicros,
-    /// Reports of this incarnation that were made and not received.
+    /// Number of reports of this incarnation that were sent and not received.
     pub missing: u64,
-    /// Duplicate reports of this incarnation.
+    /// Number of duplicate reports of this incarnation.
     pub repeated: u64,
 }
 
-/// What a balancer did under a version.
+/// The activity of a balancer in one period under a version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub struct PastActivity {
     /// The balancer.
@@ -41,19 +41,19 @@
     pub to: TimeInterval,
     /// Counts by [`CountKind`](crate::activity_counter::CountKind) over the whole period.
     pub counts: [u64; COUNT_KINDS],
-    /// Digest of its topology changes.
+    /// Digest of the topology changes of the period.
     pub digest: u64,
-    /// Whether the period certainly overlaps the requested time; otherwise it may.
+    /// Whether the period certainly overlaps the requested time. If not, it possibly does.
     pub certain: bool,
 }
 
-/// Up to when the activity of a balancer is known.
+/// The time up to which the activity of a balancer is known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub struct KnownUntil {
     /// The incarnation that reported last.
     #[serde(rename = "life")]
     pub incarnation: u64,
-    /// The reports cover at least the time up to here. A killed balancer never reports what came later.
+    /// The reports cover at least the time up to this one. A killed balancer never reports its later activity.
     pub until: FleetMicros,
 }
 
@@ -71,7 +71,7 @@
 }
 
 impl Ledger {
-    /// What each balancer acts on, by its last report.
+    /// The version that each balancer acts on, according to its last report.
     pub fn current_activity(&self) -> Vec<CurrentActivity> {
         let latest = self.accounts.iter().filter_map(|it| it.latest());
         latest
@@ -106,14 +106,14 @@
             .collect()
     }
 
-    /// Up to when the activity of a balancer is known; `None` if it never reported.
+    /// The time up to which the activity of a balancer is known, or `None` if it never reported.
     pub fn known_until(&self, number: u16) -> Option<KnownUntil> {
         let incarnation = self.accounts.get(usize::from(number))?.latest_incarnation()?;
         Some(KnownUntil { incarnation: incarnation.incarnation, until: incarnation.at.earliest })
     }
 
-    /// The balancers that lag by more than `revisions`, or that lag or have been silent for longer than `time`. `now` is fleet
-    /// time.
+    /// The balancers that lag by more than `revisions`, or that lag or have been silent for longer than `time`. `now`
+    /// is in fleet time.
     pub fn lagging_nodes(&self, now: FleetMicros, revisions: u64, time: Micros) -> Vec<LaggingNode> {
         let numbered = self.accounts.iter().zip(0u16..);
         let all = numbered.map(|(account, number)| {
@@ -134,7 +134,7 @@
         all.filter(|node| lags(node) || silent(node)).collect()
     }
 
-    /// The lag of a version in revisions, and since when others have certainly had a newer one.
+    /// The lag of a version in revisions, and the time since which other balancers have certainly acted on a newer one.
     fn lag(&self, version: &Version) -> (u64, Option<FleetMicros>) {
         let newest = self.accounts.iter().filter_map(|it| it.latest());
         let revisions = newest.map(|(_, it)| version.lag_behind(&it.period.version)).max().unwrap_or(0);
--- a/crates/audit/src/lib.rs
+++ b/crates/audit/src/lib.rs
@@ -1,15 +1,17 @@
 //! Leases that fence lagging balancers, and the ledger of which balancer acted on which version.
 //!
-//! [`lease`] decides whether a balancer may serve. A [`lease::Lease`] requests leases, learns of grants from the applied log,
-//! and fences its balancer when its own lease has ended while others are still granted theirs. [`lease::LeaseGranter`] batches
-//! the requests at the leader; [`lease::LeaseHolders`] is the view that the rest of the fleet has of who holds a lease.
+//! [`lease`] decides whether a balancer may serve. A [`lease::Lease`] requests leases, reads grants from the applied
+//! log, and fences its balancer when its own lease has ended while others are still granted theirs.
+//! [`lease::LeaseGranter`] batches the requests at the leader. [`lease::LeaseHolders`] tracks which other balancers
+//! hold a lease.
 //!
-//! [`version::Version`] identifies the state that a decision was made from. [`activity_counter::ActivityCounter`] counts attempts,
-//! rejections and topology changes under the version in force and makes reports of them. [`ledger::Ledger`] collects the
-//! reports of the whole fleet.
+//! [`version::Version`] identifies the state that a decision was made from. [`activity_counter::ActivityCounter`]
+//! counts attempts, rejections and topology changes under the version in force and makes reports of them.
+//! [`ledger::Ledger`] collects the reports of the whole fleet.
 //!
-//! The crate does no I/O, reads no clock and draws no randomness: time is the owner's monotonic clock, and the jitter is
-//! derived from the incarnation. The owner provides the log and the datagrams, and calls in at the times the crate names.
+//! The crate does no I/O, reads no clock and draws no randomness: time is the owner's monotonic clock, and the jitter
+//! is derived from the incarnation. The owner provides the log and the datagrams, and calls the crate at the times
+//! that it returns.
 #![forbid(unsafe_code)]
 #![warn(unreachable_pub)]
 
--- a/crates/audit/src/version.rs
+++ b/crates/audit/src/version.rs
@@ -22,7 +22,8 @@
 }
 
 impl Version {
-    /// The lag behind another version in revisions: the largest lag of any source. Lists of different sources are not compared.
+    /// The lag behind another version in revisions: the largest lag of any source. Endpoint lists of different
+    /// sources are not compared.
     pub fn lag_behind(&self, other: &Self) -> u64 {
         let list = if self.list_source == other.list_source {
             other.list_revision.saturating_sub(self.list_revision)
