--- a/crates/audit/tests/golden.rs
+++ b/crates/audit/tests/golden.rs
@@ -23,13 +23,20 @@
     }
 }
 
-fn span(at: u64) -> TimeInterval {
+fn interval(at: u64) -> TimeInterval {
     TimeInterval { earliest: at, latest: at + 10 }
 }
 
 fn period() -> ActivityPeriod {
     let counts = std::array::from_fn(|kind| 1_000 + kind as u64);
-    ActivityPeriod { serial: 8, version: version(5), from: span(100), to: span(200), counts, digest: 9 }
+    ActivityPeriod {
+        serial: 8,
+        version: version(5),
+        from: interval(100),
+        to: interval(200),
+        counts,
+        digest: 9,
+    }
 }
 
 #[test]
@@ -38,24 +45,25 @@
         number: 300,
         incarnation: 10,
         sequence: 11,
-        at: span(250),
+        at: interval(250),
         periods: vec![period(), period()],
     };
     let entry = LedgerEntry { number: 300, incarnation: 10, sequence: 11, period: period() };
     assert_eq!(ActivityReport::from_bytes(&report.to_bytes()), Some(report.clone()));
     assert_eq!(LedgerEntry::from_bytes(&entry.to_bytes()), Some(entry));
-    let ask = postcard::to_allocvec(&LeaseRequest { number: 300, incarnation: 10, serial: 1_000 }).unwrap();
+    let request =
+        postcard::to_allocvec(&LeaseRequest { number: 300, incarnation: 10, serial: 1_000 }).unwrap();
     let grant = postcard::to_allocvec(&LeaseGrant { number: 300, incarnation: 10, serial: 1_000 }).unwrap();
     let mut text = String::new();
     writeln!(text, "report {}", hex(&report.to_bytes())).unwrap();
     writeln!(text, "span {}", hex(&entry.to_bytes())).unwrap();
-    writeln!(text, "ask {}\ngrant {}", hex(&ask), hex(&grant)).unwrap();
+    writeln!(text, "ask {}\ngrant {}", hex(&request), hex(&grant)).unwrap();
     expect_file!["golden/bytes.txt"].assert_eq(&text);
 }
 
 #[test]
-fn counts_keep_their_order_and_digests_their_values() {
-    const ALL: [CountKind; COUNT_KINDS] = [
+fn reports_keep_order_of_counts_and_digest_values() {
+    const KINDS: [CountKind; COUNT_KINDS] = [
         CountKind::ReadOk,
         CountKind::ReadError,
         CountKind::ReadFull,
@@ -75,34 +83,34 @@
         CountKind::ChangeAccepted,
         CountKind::ChangeRefused,
     ];
-    let mut counting = ActivityCounter::new(1, 2, version(5), span(0));
-    for (place, kind) in ALL.into_iter().enumerate() {
-        (0..=place).for_each(|_| counting.count(kind));
+    let mut counter = ActivityCounter::new(1, 2, version(5), interval(0));
+    for (index, kind) in KINDS.into_iter().enumerate() {
+        (0..=index).for_each(|_| counter.count(kind));
     }
-    counting.record_topology_change(b"s-1\nJoin\n7", true);
-    counting.record_topology_change(b"s-2\nDrain\n7", false);
-    let report = counting.report(span(100));
+    counter.record_topology_change(b"s-1\nJoin\n7", true);
+    counter.record_topology_change(b"s-2\nDrain\n7", false);
+    let report = counter.report(interval(100));
     expect_file!["golden/counted.txt"].assert_eq(&format!("{}\n", hex(&report.to_bytes())));
 }
 
 #[test]
-fn answers_keep_their_json() {
+fn query_results_keep_their_json() {
     let mut ledger = Ledger::new(3);
-    let mut old = period();
-    old.version.calendar = 2;
+    let mut old_period = period();
+    old_period.version.calendar = 2;
     ledger.record_report(&ActivityReport {
         number: 0,
         incarnation: 10,
         sequence: 1,
-        at: span(250),
+        at: interval(250),
         periods: vec![period()],
     });
     ledger.record_report(&ActivityReport {
         number: 1,
         incarnation: 20,
         sequence: 4,
-        at: span(260),
-        periods: vec![old],
+        at: interval(260),
+        periods: vec![old_period],
     });
     let answers = serde_json::json!({
         "now": ledger.current_activity(),
--- a/crates/audit/tests/lease.rs
+++ b/crates/audit/tests/lease.rs
@@ -1,4 +1,4 @@
-//! What a lease allows under faults of its holder, the quorum group and the clocks.
+//! Lease states under faults of the holder, the quorum group and the clocks.
 
 use audit::Micros;
 use audit::lease::{
@@ -9,7 +9,7 @@
 const LEASE: Micros = 8 * SECOND;
 const REPORT_TTL: Micros = 3 * SECOND;
 const START: Micros = 500 * SECOND;
-/// A lease on its holder's clock: shorter by the clock rate error.
+/// Duration of a lease on its holder's clock: shorter by the clock rate error.
 const LEASE_AT_HOLDER: Micros = LEASE - LEASE / 1_000;
 
 fn settings(roster: u16) -> Settings {
@@ -28,7 +28,7 @@
     lease
 }
 
-/// All peers report this grant twice a second, from `from` to `to`.
+/// Records reports of `granted_at` from all peers twice a second, from `from` to `to`.
 fn report_from_all_peers(
     lease: &mut Lease, from: Micros, to: Micros, granted_at: impl Fn(Micros) -> Option<u64>,
 ) {
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn new_balancer_is_fenced_until_its_first_grant_or_a_lease_without_new_grants() {
+fn new_balancer_is_fenced_until_first_grant_or_quorum_loss() {
     for last in [None, Some(90_000)] {
         let mut lease = Lease::new(0, 7, settings(12), START);
         assert_eq!(lease.granted_at(), None);
@@ -68,7 +68,7 @@
         report_from_all_peers(&mut orphan, now, now + SECOND, |_| last);
         assert_eq!(orphan.state(now + SECOND).0, LeaseState::Orphaned);
         orphan.record_peer_grant(now + SECOND, 3, Some(90_001));
-        assert_eq!(orphan.state(now + SECOND).0, LeaseState::Fenced, "somebody was granted one");
+        assert_eq!(orphan.state(now + SECOND).0, LeaseState::Fenced, "a peer was granted a lease");
         let request = lease.poll_request(now).unwrap();
         lease.apply_grants(
             now,
@@ -83,40 +83,43 @@
 }
 
 #[test]
-fn requests_continue_without_gap_and_changes_stop_after_quorum_group_is_lost() {
+fn quorum_loss_keeps_requests_and_stops_changes() {
     let mut lease = held();
     let ends = START + LEASE_AT_HOLDER;
     report_from_all_peers(&mut lease, START, ends, |now| stamp(now.min(START + 2 * SECOND)));
-    assert!(lease.serve_until(ends - 1) > ends, "no call is needed when the lease ends");
+    assert!(lease.serve_until(ends - 1) > ends, "the lease end needs no further call");
     assert_eq!(lease.change_until(ends - 1), ends);
     let (state, until) = lease.state(ends);
     assert_eq!(state, LeaseState::Orphaned);
     assert_eq!((lease.serve_until(ends), lease.change_until(ends)), (until, 0));
     assert!(until <= ends + REPORT_TTL);
-    assert_eq!(lease.state(until).0, LeaseState::Fenced, "it ends by itself in a stopped process");
-    // Reports queued in its socket meanwhile prove nothing.
+    assert_eq!(lease.state(until).0, LeaseState::Fenced, "a stopped process is fenced without a call");
+    // Reports that were queued in the socket of the stopped process do not show a stall.
     let resumed = until + 60 * SECOND;
     (1..12).for_each(|number| lease.record_peer_grant(resumed, number, stamp(START)));
     assert_eq!(lease.state(resumed), (LeaseState::Fenced, resumed + REPORT_TTL));
 }
 
 #[test]
-fn balancer_whose_requests_are_lost_is_fenced_even_if_stopped_when_its_lease_ends() {
+fn balancer_with_lost_requests_is_fenced_if_stopped_at_expiry() {
     // A new leader's clock may be behind: fleet time then advances by single microseconds.
-    // In a small fleet no grant is reported for a request interval and a second.
+    // In a small fleet, up to a request interval and a second pass without a reported grant.
     for (pause, step) in [(1, 1), (SECOND, 1), (3 * SECOND, 1), (3 * SECOND, 3 * SECOND)] {
         let reported = |now: Micros| Some(90_000 + (now - START) / pause * step);
         for stopped in (0..REPORT_TTL).step_by(SECOND as usize / 4) {
             let (mut lease, ends) = (held(), START + LEASE_AT_HOLDER);
-            // All peers but one report an old grant, which are enough for the quorum.
+            // Ten of eleven peers report an old grant, which is enough for the orphan quorum.
             for now in (START..ends - stopped).step_by(SECOND as usize / 4) {
                 (1..12).for_each(|it| {
                     lease.record_peer_grant(now, it, if it == 1 { reported(now) } else { reported(START) })
                 });
-                assert!(lease.serve_until(now) <= ends, "stopped at {now}, it would go on past its lease");
+                assert!(
+                    lease.serve_until(now) <= ends,
+                    "at {now}, requests are admitted past the end of the lease"
+                );
             }
             assert_eq!((lease.state(ends).0, lease.serve_until(ends)), (LeaseState::Fenced, 0));
-            // Sent while the process was stopped, and read when it resumes.
+            // These reports were sent while the process was stopped, and are read when it resumes.
             (2..12).for_each(|it| lease.record_peer_grant(ends, it, reported(START)));
             assert_eq!(lease.state(ends).0, LeaseState::Fenced, "stopped for {stopped}");
         }
@@ -127,13 +130,17 @@
 fn balancer_with_an_old_grant_or_too_few_reports_is_fenced() {
     let (mut lease, ends) = (held(), START + LEASE_AT_HOLDER);
     report_from_all_peers(&mut lease, START, ends, |_| stamp(START + 5 * SECOND));
-    assert_eq!(lease.state(ends).0, LeaseState::Orphaned, "one request lost, late and batched");
+    assert_eq!(
+        lease.state(ends).0,
+        LeaseState::Orphaned,
+        "the difference is within one lost, late and batched request"
+    );
     let mut late = held();
     report_from_all_peers(&mut late, START, ends, |_| stamp(START + 5 * SECOND + 1));
     assert_eq!(
         late.state(ends).0,
         LeaseState::Fenced,
-        "peers were granted leases much later: the fault is here"
+        "peers were granted leases much later, so the fault is local"
     );
     report_from_all_peers(&mut late, ends, ends + SECOND, |_| stamp(START));
     assert_eq!(late.state(ends + SECOND).0, LeaseState::Orphaned, "the leases of the peers have ended too");
@@ -150,20 +157,20 @@
     isolated.record_peer_grant(ends, 3, None);
     assert_eq!(isolated.state(ends).0, LeaseState::Orphaned);
     isolated.apply_grants(ends, 2, 95_000, &[LeaseGrant { number: 3, incarnation: 3, serial: 3 }]);
-    assert_eq!(isolated.state(ends).0, LeaseState::Fenced, "the log advances, whatever peers report");
+    assert_eq!(isolated.state(ends).0, LeaseState::Fenced, "a logged grant outweighs the reports of peers");
 }
 
 #[test]
-fn holder_sees_its_lease_end_first_at_the_largest_clock_rate_error() {
+fn holder_sees_lease_end_first_at_max_clock_rate_error() {
     let mut lease = Lease::new(0, 7, settings(12), 0);
     let mut holders = LeaseHolders::new(settings(12));
     let request = lease.poll_request(0).unwrap();
     lease.apply_grants(0, 1, 0, &[grant(request)]);
     holders.apply_grants(0, 1, &[grant(request)]);
-    // The holder's clock is slow by one part in a thousand, the others are exact.
+    // The holder's clock is slow by one part in a thousand. The other clock is exact.
     for real in (0..2 * LEASE).step_by(1_000) {
-        let own = real - real / 1_000;
-        assert!(lease.change_until(own) == 0 || holders.holds(0, 7, real), "at {real}");
+        let at_holder = real - real / 1_000;
+        assert!(lease.change_until(at_holder) == 0 || holders.holds(0, 7, real), "at {real}");
     }
     assert!(!holders.holds(0, 8, 0), "a restarted balancer does not inherit the lease");
     assert!(!holders.holds(0, 7, 2 * LEASE));
@@ -171,15 +178,16 @@
 }
 
 #[test]
-fn fleet_time_is_bounded_by_request_and_grant_and_stamp_jumps_move_no_lease() {
+fn fleet_time_is_bounded_and_stamp_jumps_move_no_lease() {
     let mut lease = held();
     let now = START + 3 * SECOND;
-    let span = TimeInterval { earliest: 90_000 + 2 * SECOND - 2_000, latest: 90_000 + 3 * SECOND + 3_000 };
-    assert_eq!(lease.fleet_time(now), Some(span));
+    let interval =
+        TimeInterval { earliest: 90_000 + 2 * SECOND - 2_000, latest: 90_000 + 3 * SECOND + 3_000 };
+    assert_eq!(lease.fleet_time(now), Some(interval));
     let before = lease.state(now);
     let other = LeaseGrant { number: 3, incarnation: 3, serial: 3 };
     lease.apply_grants(now, 2, 3_600 * SECOND, &[other]);
-    assert_eq!((lease.state(now), lease.fleet_time(now)), (before, Some(span)));
+    assert_eq!((lease.state(now), lease.fleet_time(now)), (before, Some(interval)));
     let request = lease.poll_request(now).unwrap();
     lease.apply_grants(now, 3, 7_200 * SECOND, &[grant(request)]);
     assert_eq!(lease.state(now).1, now + LEASE_AT_HOLDER, "counted on the local clock, not the leader's");
@@ -188,7 +196,7 @@
 }
 
 #[test]
-fn lease_is_requested_four_times_and_a_late_grant_counts_from_its_own_request() {
+fn lease_is_requested_four_times_and_counts_from_its_request() {
     let mut lease = Lease::new(0, 7, settings(12), START);
     let requests: Vec<_> = (START..START + LEASE)
         .step_by(1_000)
@@ -197,7 +205,7 @@
     assert!((4..=6).contains(&requests.len()), "{requests:?}");
     assert!(
         requests.windows(2).any(|it| it[1].0 - it[0].0 != requests[1].0 - requests[0].0),
-        "without jitter"
+        "all intervals are equal, so there is no jitter"
     );
     lease.apply_grants(START + LEASE - 1, 1, 0, &[grant(requests[2].1)]);
     assert_eq!(lease.state(START + LEASE - 1).1, requests[2].0 + LEASE_AT_HOLDER);
@@ -210,7 +218,7 @@
 }
 
 #[test]
-fn granter_batches_the_newest_request_of_each_balancer_in_one_interval() {
+fn granter_batches_newest_request_of_each_balancer() {
     let mut granter = LeaseGranter::new(3);
     let request = |number, incarnation, serial| LeaseRequest { number, incarnation, serial };
     assert_eq!(granter.poll_grants(START), None);
--- a/crates/audit/tests/ledger.rs
+++ b/crates/audit/tests/ledger.rs
@@ -24,33 +24,33 @@
     activities.iter().map(|it| (it.number, it.counts[CountKind::ReadOk as usize])).collect()
 }
 
-/// A balancer that counts `n` reads in each of `seconds`, and reports after each.
-fn reports(counter: &mut ActivityCounter, seconds: std::ops::Range<u64>, n: u64) -> Vec<ActivityReport> {
+/// Counts `reads` reads in each of `seconds`, and returns the report made at the end of each.
+fn reports(counter: &mut ActivityCounter, seconds: std::ops::Range<u64>, reads: u64) -> Vec<ActivityReport> {
     seconds
         .map(|second| {
-            (0..n).for_each(|_| counter.count(CountKind::ReadOk));
+            (0..reads).for_each(|_| counter.count(CountKind::ReadOk));
             counter.report(at(second))
         })
         .collect()
 }
 
 #[test]
-fn lost_duplicate_and_reordered_reports_are_detected_and_counted_once() {
+fn lost_duplicate_and_reordered_reports_are_counted_once() {
     let mut counter = ActivityCounter::new(2, 9, calendar(1), at(0));
     let sent = reports(&mut counter, 1..7, 10);
     let mut ledger = Ledger::new(300);
     let statuses: Vec<_> = [0, 0, 3, 1, 1, 3].iter().map(|it| ledger.record_report(&sent[*it])).collect();
     use ReportStatus::{Late, Newest, Repeated};
     assert_eq!(statuses, [Newest, Repeated, Newest, Late, Repeated, Repeated]);
-    assert_eq!(reads(&ledger, 1), [(2, 40)], "the newest count, although an older one arrived after it");
+    assert_eq!(reads(&ledger, 1), [(2, 40)], "the newest count is kept when an older one arrives after it");
     assert_eq!((ledger.current_activity()[0].missing, ledger.current_activity()[0].repeated), (1, 3));
     ledger.record_report(&sent[5]);
-    assert_eq!(reads(&ledger, 1), [(2, 60)], "a later report makes up for lost ones");
+    assert_eq!(reads(&ledger, 1), [(2, 60)], "a later report replaces lost ones");
     let far_ahead = ActivityReport { sequence: 1_000, ..sent[5].clone() };
     assert_eq!(
         (ledger.record_report(&far_ahead), ledger.record_report(&sent[4])),
         (Newest, Repeated),
-        "too old to tell from a duplicate"
+        "the report is too old to be distinguished from a duplicate"
     );
     assert_eq!(
         ledger.record_report(&ActivityReport { number: 300, ..far_ahead.clone() }),
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn attempt_counts_under_its_first_version_and_ended_periods_are_repeated() {
+fn attempt_counts_under_first_version_and_ended_period_repeats() {
     let mut counter = ActivityCounter::new(0, 9, calendar(1), at(0));
     let at_start = counter.version();
     assert_eq!(counter.switch_version(calendar(2), at(5)), None);
@@ -75,15 +75,15 @@
     counter.count_under(at_start, CountKind::ReadOk);
     counter.count(CountKind::ReadOk);
     counter.count_under(counter.version(), CountKind::ReadOk);
-    let lost = [counter.report(at(7)), counter.report(at(8))];
-    assert!(lost.iter().all(|it| it.periods.len() == 2));
+    let lost_reports = [counter.report(at(7)), counter.report(at(8))];
+    assert!(lost_reports.iter().all(|it| it.periods.len() == 2));
     let mut ledger = Ledger::new(1);
     ledger.record_report(&counter.report(at(9)));
     assert_eq!((reads(&ledger, 1), reads(&ledger, 2)), (vec![(0, 1)], vec![(0, 2)]));
-    assert_eq!(counter.report(at(10)).periods.len(), 1, "reported three times");
+    assert_eq!(counter.report(at(10)).periods.len(), 1, "the ended period was already reported three times");
     counter.count_under(at_start, CountKind::ReadOk);
     ledger.record_report(&counter.report(at(11)));
-    assert_eq!(reads(&ledger, 1), [(0, 2)], "reported again after a change");
+    assert_eq!(reads(&ledger, 1), [(0, 2)], "the ended period is reported again after its count changed");
     let ended = ledger.activity_under(&calendar(1), 0, u64::MAX)[0];
     assert_eq!((ended.from, ended.to), (at(0), at(5)));
     // Each version after the sixteenth evicts one, whose counts are returned.
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn killed_balancer_is_known_until_its_last_report_and_its_restart_is_a_new_incarnation() {
+fn killed_balancer_is_known_until_last_report_across_restart() {
     let mut ledger = Ledger::new(3);
     let mut first = ActivityCounter::new(1, 77, calendar(1), at(0));
     let sent = reports(&mut first, 1..5, 1);
@@ -105,7 +105,7 @@
     assert_eq!(
         ledger.activity_under(&calendar(1), 3 * SECOND + 5_001, u64::MAX),
         [],
-        "nothing is known of later times"
+        "no activity is known after the last report"
     );
     assert!(!ledger.activity_under(&calendar(1), 3 * SECOND + 1, u64::MAX)[0].certain);
     assert!(ledger.activity_under(&calendar(1), 0, 3 * SECOND)[0].certain);
@@ -115,7 +115,7 @@
     assert_eq!(
         ledger.record_report(&sent[3]),
         ReportStatus::Newest,
-        "a late report of the first incarnation"
+        "a late report of the first incarnation is recorded"
     );
     assert_eq!(ledger.known_until(1).map(|it| (it.incarnation, it.until)), Some((5, 21 * SECOND)));
     assert_eq!(ledger.current_activity()[0].version, calendar(2));
@@ -132,14 +132,14 @@
     let numbers = |now, revisions, time| -> Vec<u16> {
         ledger.lagging_nodes(now * SECOND, revisions, time * SECOND).iter().map(|it| it.number).collect()
     };
-    assert_eq!(numbers(20, 3, 15), [3, 4], "a lag of four revisions; never reported");
-    assert_eq!(numbers(20, 3, 9), [2, 3, 4], "others have had a newer calendar for ten seconds");
-    assert_eq!(numbers(20, 4, 8), [1, 2, 3, 4], "silent for nine seconds");
+    assert_eq!(numbers(20, 3, 15), [3, 4], "3 lags by four revisions, 4 never reported");
+    assert_eq!(numbers(20, 3, 9), [2, 3, 4], "others have had a newer calendar than 2 for ten seconds");
+    assert_eq!(numbers(20, 4, 8), [1, 2, 3, 4], "1 has been silent for nine seconds");
     assert_eq!(ledger.lagging_nodes(20 * SECOND, 9, 15 * SECOND)[0].silent_for, None);
 }
 
 #[test]
-fn digest_depends_on_changes_and_verdicts_and_not_on_order() {
+fn digest_depends_on_changes_and_outcomes_but_not_on_order() {
     let digest = |changes: &[(&str, bool)]| {
         let mut counter = ActivityCounter::new(0, 1, calendar(1), at(0));
         changes
@@ -157,39 +157,39 @@
         digest(&[("weight 6", false), ("join 5", true)])
     );
     assert_eq!(digest(&[("join 5", true), ("weight 6", false)]).1, 1);
-    let one = digest(&[("join 5", true), ("weight 6", false)]).0;
-    assert_ne!(one, digest(&[("join 5", false), ("weight 6", true)]).0);
-    assert_ne!(one, digest(&[("join 5", true)]).0);
+    let original = digest(&[("join 5", true), ("weight 6", false)]).0;
+    assert_ne!(original, digest(&[("join 5", false), ("weight 6", true)]).0);
+    assert_ne!(original, digest(&[("join 5", true)]).0);
 }
 
 #[test]
-fn largest_report_fits_its_bound_and_malformed_reports_are_rejected() {
-    let most = u64::MAX;
-    let (span, version) = (
-        TimeInterval { earliest: most, latest: most },
+fn largest_report_fits_and_malformed_reports_are_rejected() {
+    let max = u64::MAX;
+    let (interval, version) = (
+        TimeInterval { earliest: max, latest: max },
         Version {
-            program: most,
-            configuration: most,
-            list_source: most,
-            list_revision: most,
-            calendar: most,
-            bookings: most,
-            epoch: most,
+            program: max,
+            configuration: max,
+            list_source: max,
+            list_revision: max,
+            calendar: max,
+            bookings: max,
+            epoch: max,
         },
     );
     let period = ActivityPeriod {
-        serial: most,
+        serial: max,
         version,
-        from: span,
-        to: span,
-        counts: [most; COUNT_KINDS],
-        digest: most,
+        from: interval,
+        to: interval,
+        counts: [max; COUNT_KINDS],
+        digest: max,
     };
     let report = ActivityReport {
         number: u16::MAX,
-        incarnation: most,
-        sequence: most,
-        at: span,
+        incarnation: max,
+        sequence: max,
+        at: interval,
         periods: vec![period; MAX_PERIODS_PER_REPORT],
     };
     let bytes = report.to_bytes();
@@ -209,23 +209,23 @@
 fn periods_are_bounded_in_memory_and_restored_from_disk() {
     let mut ledger = Ledger::new(2);
     let mut counter = ActivityCounter::new(1, 4, calendar(0), at(0));
-    let mut disk = std::collections::BTreeMap::new();
+    let mut stored = std::collections::BTreeMap::new();
     for second in 1..=100 {
         counter.count(CountKind::ReadOk);
         ledger.record_report(&counter.report(at(second)));
         counter.switch_version(calendar(second), at(second));
-        disk.extend(ledger.take_unsaved().into_iter().map(|it| (it.key(), it.to_bytes())));
+        stored.extend(ledger.take_unsaved().into_iter().map(|it| (it.key(), it.to_bytes())));
     }
     ledger.record_report(&counter.report(at(101)));
-    disk.extend(ledger.take_unsaved().into_iter().map(|it| (it.key(), it.to_bytes())));
-    assert_eq!((ledger.evicted_unsaved(), disk.len()), (0, 101));
+    stored.extend(ledger.take_unsaved().into_iter().map(|it| (it.key(), it.to_bytes())));
+    assert_eq!((ledger.evicted_unsaved(), stored.len()), (0, 101));
     let periods: usize = (0..=100).map(|it| reads(&ledger, it).len()).sum();
     assert_eq!(periods, MAX_PERIODS_PER_BALANCER);
     let mut restored = Ledger::new(2);
-    disk.values().for_each(|it| restored.restore(LedgerEntry::from_bytes(it).unwrap()));
+    stored.values().for_each(|it| restored.restore(LedgerEntry::from_bytes(it).unwrap()));
     assert_eq!(restored.known_until(1), ledger.known_until(1));
     assert_eq!(restored.current_activity()[0].version, calendar(100));
-    assert_eq!(restored.take_unsaved(), [], "entries from disk are saved already");
+    assert_eq!(restored.take_unsaved(), [], "restored entries are already saved");
     assert_eq!(restored.record_report(&counter.report(at(102))), ReportStatus::Newest);
     assert_eq!(LedgerEntry::from_bytes(&[255; 7]), None);
 }
--- a/crates/audit/tests/model.rs
+++ b/crates/audit/tests/model.rs
@@ -1,21 +1,22 @@
-//! A model of the leases of three balancers, checked on the real types in all orders of up to a dozen events.
+//! A model of the leases of up to three balancers, checked on the real types in all orders of about a dozen events.
 //!
-//! The log is an ordered list. Requests are lost, late, duplicated and reordered, entries are applied at any later time, a
-//! balancer may stall while its clock runs, and one restarts. Clocks differ in offset and, by one part in a thousand, in rate.
+//! The log is an ordered list. Requests are lost, late, duplicated and reordered. Entries are applied at any later
+//! time. A balancer may stall while its clock runs, and one restarts. Clocks differ in offset and, by one part in a
+//! thousand, in rate.
 
 use audit::Micros;
 use audit::lease::{Lease, LeaseGrant, LeaseGranter, LeaseHolders, LeaseRequest, Settings};
 use stateright::{Checker, HasDiscoveries, Model, Property};
 use std::collections::BTreeSet;
 
-/// A tick on a slow clock and on a fast one.
+/// The duration of a tick on the clock of each balancer: slow, fast, slow.
 const RATES: [Micros; 3] = [10_000, 10_010, 10_000];
 const LEADER_RATE: Micros = 10_010;
-/// Slightly more than two ticks: without a margin for clock rates, a lease still runs on a slow clock when it has ended on a
-/// fast one.
+/// Slightly more than two ticks: without a margin for clock rates, a lease still runs on a slow clock when it has
+/// ended on a fast one.
 const LEASE: Micros = 20_010;
 
-/// A deviation from the design.
+/// A fault that is injected into the model.
 #[derive(Clone, Copy, PartialEq, Debug)]
 enum Fault {
     None,
@@ -47,9 +48,9 @@
     granter: LeaseGranter,
     leader: LeaseHolders,
     log: Vec<Entry>,
-    /// All requests ever sent. Each may arrive at any later time, repeatedly or never.
+    /// All requests sent so far. Each may arrive at any later time, repeatedly or never.
     requests: BTreeSet<(u16, u64, u64)>,
-    /// How many requests arrived. One of them may arrive twice.
+    /// The number of requests that arrived. One of them may arrive twice.
     arrived: usize,
     restarted: bool,
 }
@@ -62,28 +63,28 @@
     Propose,
     Freeze,
     Apply(usize),
-    /// Apply a log entry before the entries in front of it.
+    /// A balancer applies a log entry before the preceding ones.
     ApplyOutOfOrder(usize, usize),
     Restart,
 }
 
-/// The bounds of a model. All at once are more than can be checked in half a minute.
+/// The limits of a model. A model with all limits at their largest cannot be checked within half a minute.
 #[derive(Clone, Copy, Debug)]
-struct Leases {
+struct LeaseModel {
     fault: Fault,
     /// The number of balancers.
     balancers: usize,
     /// The number of requests sent in total.
     requests: usize,
     ticks: u64,
-    /// The number of events in an order.
+    /// The maximum number of events in an order.
     depth: usize,
     restart: bool,
     freeze: bool,
 }
 
 const HOLDER_SEES_END_FIRST: &str = "a holder sees its lease end first";
-const FREEZE_IS_APPLIED: &str = "a freeze in force is applied by all that hold a lease";
+const FREEZE_IS_APPLIED: &str = "a freeze in force is applied by every lease holder";
 const HELD_UNDER_FREEZE: &str = "a lease is held under a freeze in force";
 const HELD_AFTER_RESTART: &str = "a restarted balancer holds a lease";
 
@@ -95,7 +96,7 @@
     900_000 + tick * LEADER_RATE
 }
 
-impl Leases {
+impl LeaseModel {
     fn settings(&self) -> Settings {
         let mut settings = Settings::new(LEASE, 10_000, self.balancers as u16);
         settings.request_interval = 10_000;
@@ -105,7 +106,7 @@
         settings
     }
 
-    fn start(&self, number: usize, incarnation: u64, tick: u64) -> Balancer {
+    fn new_balancer(&self, number: usize, incarnation: u64, tick: u64) -> Balancer {
         Balancer {
             incarnation,
             lease: Lease::new(number as u16, incarnation, self.settings(), clock(number, tick)),
@@ -115,7 +116,7 @@
         }
     }
 
-    /// A balancer applies the log entry at `index`.
+    /// Applies the log entry at `index` at a balancer.
     fn apply_entry(&self, fleet: &mut Fleet, number: usize, index: usize) {
         let Entry::Grants(grants, at) = fleet.log[index].clone() else { return };
         let now = clock(number, fleet.tick);
@@ -136,7 +137,8 @@
         }
     }
 
-    /// Whether every lease holder also holds its lease in the view of the leader and of all that have applied its grant.
+    /// Whether every lease holder also holds its lease in the view of the leader and of each balancer that has
+    /// applied its grant.
     fn no_lease_ended_for_others(&self, fleet: &Fleet) -> bool {
         (0..self.balancers).filter(|it| self.holds(fleet, *it)).all(|number| {
             let holder = &fleet.balancers[number];
@@ -154,8 +156,9 @@
         })
     }
 
-    /// Which lease holders have applied the freeze, once it is older than a lease and the clock rate error; `None` before.
-    fn freeze_binds(&self, fleet: &Fleet) -> Option<Vec<bool>> {
+    /// Whether each lease holder has applied the freeze. `None` until the freeze is older than a lease and the clock
+    /// rate error.
+    fn holders_with_freeze_applied(&self, fleet: &Fleet) -> Option<Vec<bool>> {
         let (index, agreed) = fleet.log.iter().enumerate().find_map(|(index, it)| match it {
             Entry::Freeze(agreed) => Some((index, *agreed)),
             Entry::Grants(..) => None,
@@ -165,22 +168,24 @@
         in_force.then(|| holding.map(|it| fleet.balancers[it].applied > index).collect())
     }
 
-    fn fleet_time_is_within(fleet: &Fleet) -> bool {
+    fn fleet_time_is_within_bounds(fleet: &Fleet) -> bool {
         fleet.balancers.iter().enumerate().all(|(number, it)| {
-            let Some(span) = it.lease.fleet_time(clock(number, fleet.tick)) else { return true };
-            (span.earliest..=span.latest).contains(&leader_clock(fleet.tick))
+            let Some(interval) = it.lease.fleet_time(clock(number, fleet.tick)) else { return true };
+            (interval.earliest..=interval.latest).contains(&leader_clock(fleet.tick))
         })
     }
 }
 
-impl Model for Leases {
+impl Model for LeaseModel {
     type State = Fleet;
     type Action = Step;
 
     fn init_states(&self) -> Vec<Fleet> {
         vec![Fleet {
             tick: 0,
-            balancers: (0..self.balancers).map(|number| self.start(number, number as u64, 0)).collect(),
+            balancers: (0..self.balancers)
+                .map(|number| self.new_balancer(number, number as u64, 0))
+                .collect(),
             granter: LeaseGranter::with_interval(self.balancers as u16, 10_000),
             leader: LeaseHolders::new(self.settings()),
             log: Vec::new(),
@@ -245,7 +250,7 @@
             }
             Step::ApplyOutOfOrder(number, index) => self.apply_entry(&mut fleet, number, index),
             Step::Restart => {
-                fleet.balancers[0] = self.start(0, 100, tick);
+                fleet.balancers[0] = self.new_balancer(0, 100, tick);
                 fleet.restarted = true;
             }
         }
@@ -256,11 +261,13 @@
         vec![
             Property::always(HOLDER_SEES_END_FIRST, |it: &Self, fleet| it.no_lease_ended_for_others(fleet)),
             Property::always(FREEZE_IS_APPLIED, |it: &Self, fleet| {
-                it.freeze_binds(fleet).is_none_or(|applied| applied.into_iter().all(|it| it))
+                it.holders_with_freeze_applied(fleet).is_none_or(|applied| applied.into_iter().all(|it| it))
+            }),
+            Property::always("fleet time is within its bounds", |_, fleet| {
+                Self::fleet_time_is_within_bounds(fleet)
             }),
-            Property::always("fleet time is within its bounds", |_, fleet| Self::fleet_time_is_within(fleet)),
             Property::sometimes(HELD_UNDER_FREEZE, |it: &Self, fleet| {
-                it.freeze_binds(fleet).is_some_and(|applied| !applied.is_empty())
+                it.holders_with_freeze_applied(fleet).is_some_and(|applied| !applied.is_empty())
             }),
             Property::sometimes(HELD_AFTER_RESTART, |it: &Self, fleet: &Fleet| {
                 fleet.restarted && it.holds(fleet, 0)
@@ -269,7 +276,7 @@
     }
 }
 
-fn check(model: Leases, until: HasDiscoveries) -> (usize, Vec<&'static str>) {
+fn check(model: LeaseModel, until: HasDiscoveries) -> (usize, Vec<&'static str>) {
     let checker =
         model.checker().threads(2).target_max_depth(model.depth).finish_when(until).spawn_bfs().join();
     let states = checker.unique_state_count();
@@ -280,7 +287,7 @@
 
 #[test]
 fn no_order_of_events_extends_a_lease_or_misses_a_freeze() {
-    let of = |balancers, requests, depth| Leases {
+    let model = |balancers, requests, depth| LeaseModel {
         fault: Fault::None,
         balancers,
         requests,
@@ -289,7 +296,7 @@
         restart: true,
         freeze: true,
     };
-    for model in [of(3, 2, 11), of(2, 2, 12), of(3, 1, 13)] {
+    for model in [model(3, 2, 11), model(2, 2, 12), model(3, 1, 13)] {
         let (states, found) = check(model, HasDiscoveries::AnyFailures);
         assert_eq!(found, [HELD_UNDER_FREEZE, HELD_AFTER_RESTART], "{model:?}");
         assert!(states > 10_000, "only {states} states were checked");
@@ -305,7 +312,7 @@
         (Fault::AppliedOutOfOrder, FREEZE_IS_APPLIED),
     ] {
         let model =
-            Leases { fault, balancers: 3, requests: 2, ticks: 4, depth: 11, restart: true, freeze: true };
+            LeaseModel { fault, balancers: 3, requests: 2, ticks: 4, depth: 11, restart: true, freeze: true };
         let (_, found) = check(model, HasDiscoveries::AnyOf(BTreeSet::from([expected])));
         assert!(found.contains(&expected), "{fault:?} was not found, but {found:?}");
     }
