--- a/crates/admission/src/connections.rs
+++ b/crates/admission/src/connections.rs
@@ -6,43 +6,43 @@
 use std::mem;
 use std::net::IpAddr;
 
-/// A client connection, identified by the owner; an id is never used again for another connection.
+/// Identifies a client connection. The owner chooses the id and never reuses it for another connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ConnectionId(pub u64);
 
-/// What a connection is doing.
+/// The state of a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum State {
-    /// Its command is awaited, and its address has too many such connections.
+    /// A command is awaited, and the client's address has too many silent connections.
     Suspect,
-    /// Its first command, or the rest of one, is awaited; or it ends with an error.
+    /// The first command, or the rest of a command, is awaited; or the connection ends with an error.
     AwaitingCommand,
-    /// Idle, and never used again after a pause.
-    IdleOnce,
-    /// The same, as a sample that is left open to show what such connections do.
+    /// Idle for the first time: the connection has never been reused.
+    FirstIdle,
+    /// Idle for the first time, and left open as a sample for the estimate of reuse.
     IdleSample,
-    /// Idle, and used again after a pause before.
+    /// Idle, and reused before.
     IdleReused,
-    /// A command was read and its answer is due.
+    /// A command was read and is not answered yet.
     Busy,
-    /// It was asked to close.
+    /// The connection was asked to close.
     Closing,
 }
 
 impl State {
-    /// All states in which a connection may be closed, with those that close already.
+    /// All states but [`State::Busy`]: the connection may be closed, or is closing already.
     pub(crate) const NOT_BUSY: [State; 6] = [
         State::Suspect,
         State::AwaitingCommand,
-        State::IdleOnce,
+        State::FirstIdle,
         State::IdleSample,
         State::IdleReused,
         State::Closing,
     ];
 
-    /// Whether everything that was asked has been answered.
+    /// Whether all commands have been answered and no further one has begun.
     pub(crate) fn is_idle(self) -> bool {
-        matches!(self, State::IdleOnce | State::IdleSample | State::IdleReused)
+        matches!(self, State::FirstIdle | State::IdleSample | State::IdleReused)
     }
 }
 
@@ -51,29 +51,30 @@
 pub(crate) struct Connection {
     /// The client's address.
     pub(crate) address: IpAddr,
-    /// What it is doing.
+    /// The current state.
     pub(crate) state: State,
-    /// Since when it has been doing that.
+    /// When the connection entered the current state.
     pub(crate) since: Micros,
-    /// Whether its address had too many silent connections when it was opened.
+    /// Whether the client's address was over its limits when the connection was opened.
     pub(crate) is_suspect: bool,
-    /// Whether it has sent a command.
+    /// Whether a command has been read from the connection.
     pub(crate) has_sent_command: bool,
-    /// Whether it was used again after a pause.
+    /// Whether a command has been read after an idle period.
     pub(crate) was_reused: bool,
-    /// Whether the idle period under way is counted in the estimate of reuse.
+    /// Whether the current idle period is counted in the estimate of reuse.
     pub(crate) idle_is_counted: bool,
 }
 
 type Queue = LinkedHashMap<ConnectionId, (), FxBuildHasher>;
 
-/// The open connections. Each queue is in the order of [`Connection::since`].
+/// The open connections, with a queue for each state but [`State::Busy`]. Each queue is in the order of
+/// [`Connection::since`].
 #[derive(Debug, Default)]
 pub(crate) struct Connections {
     by_id: FxHashMap<ConnectionId, Connection>,
     suspect: Queue,
     awaiting_command: Queue,
-    idle_once: Queue,
+    first_idle: Queue,
     idle_sample: Queue,
     idle_reused: Queue,
     closing: Queue,
@@ -104,26 +105,26 @@
         Some(connection)
     }
 
-    /// A connection, if it is open.
+    /// Returns a connection, if it is open.
     pub(crate) fn get(&self, id: ConnectionId) -> Option<&Connection> {
         self.by_id.get(&id)
     }
 
-    /// A connection, if it is open. Its state is changed by [`Connections::set_state`] only.
+    /// Returns a connection, if it is open. Its state must be changed by [`Connections::set_state`] only.
     pub(crate) fn get_mut(&mut self, id: ConnectionId) -> Option<&mut Connection> {
         self.by_id.get_mut(&id)
     }
 
-    /// Moves a connection to the end of a state's queue. One that is in that state already stays where it is, unless it
-    /// is busy.
+    /// Moves a connection to the end of a state's queue. A connection that is already in that state keeps its position.
+    /// If that state is [`State::Busy`], its time is updated.
     pub(crate) fn set_state(&mut self, now: Micros, id: ConnectionId, state: State) {
         let Some(connection) = self.by_id.get_mut(&id) else { return };
         if connection.state == state && state != State::Busy {
             return;
         }
-        let before = mem::replace(&mut connection.state, state);
+        let previous = mem::replace(&mut connection.state, state);
         connection.since = now;
-        if let Some(queue) = self.queue_mut(before) {
+        if let Some(queue) = self.queue_mut(previous) {
             queue.remove(&id);
         }
         if let Some(queue) = self.queue_mut(state) {
@@ -146,7 +147,8 @@
         self.queue(state)?.front().map(|(id, ())| *id)
     }
 
-    /// The same, with the time since when it has been in that state.
+    /// The connection that has been in a state other than [`State::Busy`] for longest, with the time when it entered
+    /// it.
     pub(crate) fn oldest_since(&self, state: State) -> Option<(Micros, ConnectionId)> {
         self.oldest(state).map(|id| (self.by_id[&id].since, id))
     }
@@ -155,7 +157,7 @@
         match state {
             State::Suspect => Some(&self.suspect),
             State::AwaitingCommand => Some(&self.awaiting_command),
-            State::IdleOnce => Some(&self.idle_once),
+            State::FirstIdle => Some(&self.first_idle),
             State::IdleSample => Some(&self.idle_sample),
             State::IdleReused => Some(&self.idle_reused),
             State::Closing => Some(&self.closing),
@@ -167,7 +169,7 @@
         match state {
             State::Suspect => Some(&mut self.suspect),
             State::AwaitingCommand => Some(&mut self.awaiting_command),
-            State::IdleOnce => Some(&mut self.idle_once),
+            State::FirstIdle => Some(&mut self.first_idle),
             State::IdleSample => Some(&mut self.idle_sample),
             State::IdleReused => Some(&mut self.idle_reused),
             State::Closing => Some(&mut self.closing),
--- a/crates/admission/src/reuse.rs
+++ b/crates/admission/src/reuse.rs
@@ -1,8 +1,8 @@
-//! The share of idle connections that are used again, estimated from those that were left open.
+//! Estimates the share of idle connections that are reused, from those that were left open.
 
 use crate::Micros;
 
-/// The time constant of the estimate. It is short because a whole population of clients can change its behaviour from one
+/// The time constant of the estimate. It is short because all clients together can change their behaviour from one
 /// second to the next.
 const TIME_CONSTANT_US: f64 = 2e6;
 
@@ -13,44 +13,44 @@
     Reused,
     /// The client closed the connection.
     ClosedByClient,
-    /// We ended it, which says nothing of the client.
-    EndedByUs,
+    /// The front closed the connection, or a command began that is not complete. This says nothing about reuse.
+    Inconclusive,
 }
 
 /// Estimates the share of first idle periods that end in a further command.
 ///
-/// Periods that we end ourselves are not counted. Neither are those that begin while connections are closed for want of
-/// reuse, except for samples that are left open: otherwise the estimate would see only what the closing leaves. Periods
-/// that still last count as not reused.
+/// Periods that the front ends are not counted. Periods that begin while the front closes idle connections early are
+/// not counted either, except for samples that are left open: otherwise the estimate would include only the
+/// connections that the closing leaves. Periods still in progress count as not reused.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct ReuseEstimate {
     reused: f64,
     unused: f64,
-    lasting: usize,
+    in_progress: usize,
     decayed_at: Micros,
 }
 
 impl ReuseEstimate {
     /// Records that a counted idle period begins.
     pub(crate) fn begin(&mut self) {
-        self.lasting += 1;
+        self.in_progress += 1;
     }
 
     /// Records that a counted idle period ends.
-    pub(crate) fn end(&mut self, now: Micros, how: IdleEnd) {
+    pub(crate) fn end(&mut self, now: Micros, end: IdleEnd) {
         let retained = self.retained(now);
         self.reused *= retained;
         self.unused *= retained;
         self.decayed_at = now;
-        self.lasting -= 1;
-        match how {
+        self.in_progress -= 1;
+        match end {
             IdleEnd::Reused => self.reused += 1.0,
             IdleEnd::ClosedByClient => self.unused += 1.0,
-            IdleEnd::EndedByUs => {}
+            IdleEnd::Inconclusive => {}
         }
     }
 
-    /// The fraction of earlier counts that is left by now.
+    /// The fraction of earlier counts that is left at `now`.
     fn retained(&self, now: Micros) -> f64 {
         (-(now.saturating_sub(self.decayed_at) as f64) / TIME_CONSTANT_US).exp()
     }
@@ -59,7 +59,7 @@
     pub(crate) fn share(&self, now: Micros) -> f64 {
         let retained = self.retained(now);
         let reused = self.reused * retained;
-        let unused = self.unused * retained + self.lasting as f64;
+        let unused = self.unused * retained + self.in_progress as f64;
         if reused + unused > 0.0 { reused / (reused + unused) } else { 0.0 }
     }
 }
--- a/crates/admission/src/slots.rs
+++ b/crates/admission/src/slots.rs
@@ -1,4 +1,4 @@
-//! The connection slots: which connection is closed for another, and how long an idle one is worth its slot.
+//! The connection slots: which connection is closed to free a slot, and how long an idle connection keeps its slot.
 
 use crate::Micros;
 use crate::addresses::AddressLimiter;
@@ -8,61 +8,67 @@
 use std::mem;
 use std::net::IpAddr;
 
-/// A connection whose command has been awaited for this long is closed before others. A usual client sends its first
-/// command as soon as it is connected.
+/// A connection whose command has been awaited for this long is closed before others. Most clients send their first
+/// command as soon as they are connected.
 const OVERDUE_US: Micros = 250_000;
-/// How long a command is awaited from its first byte on, and a connection's first command from its opening on. A usual
-/// client may take 2 s over the beginning of one; a bad one is owed an error 3 s after it has connected.
+/// Time limit for a command, from its first byte, and for a connection's first command, from the opening. A
+/// well-behaved client may take 2 s to send the start of a command. Any other client must be sent an error 3 s after
+/// it has connected.
 const COMMAND_TIMEOUT_US: Micros = 2_500_000;
-/// The same for a suspect connection: until it would be closed before others.
+/// Time limit for a command of a suspect connection. After this time any connection whose command is awaited is
+/// closed before others.
 const SUSPECT_TIMEOUT_US: Micros = OVERDUE_US;
-/// One slot in so many is reserved for connections that are idle for the first time, whatever the estimate of reuse: a
-/// client that reuses its connections needs a while to show it.
+/// The number of slots divided by this is reserved for connections that are idle for the first time, whatever the
+/// estimate of reuse, since a client that reuses its connections needs time to do so.
 const PROBATION_DIVISOR: usize = 8;
-/// Of these, one in so many is a sample: left open to show what an idle connection does that nobody closes.
+/// The number of probation slots divided by this is the number of samples. Samples are left open, to observe whether a
+/// connection that the front does not close is reused.
 const SAMPLE_DIVISOR: usize = 4;
-/// After this time a sample may be closed like the others. The platform lets idle connections be closed from here on.
+/// After this time a sample may be closed like other idle connections. The platform allows idle connections to be
+/// closed from this time on.
 const SAMPLE_SPAN_US: Micros = 2_000_000;
-/// How many idle connections are closed for each new connection with a command, while there are more than reuse pays
-/// for: more than one, so that an excess goes away; not all, so that a burst does not close the pool of a quiet client.
+/// Maximum number of idle connections closed for each new connection with a command, while more are idle than their
+/// reuse justifies. It is above one, so that an excess shrinks, and bounded, so that a burst does not close the pool
+/// of a quiet client.
 const CLOSED_PER_NEW: usize = 2;
-/// A reused connection stays idle for this multiple of the longest recent pause ...
+/// A reused connection may stay idle for this multiple of the longest recent pause, within [`MIN_REUSED_IDLE_US`] and
+/// [`MAX_REUSED_IDLE_US`].
 const PAUSE_FACTOR: Micros = 4;
-/// ... but at least this long: a pool that rests for some seconds is no excess ...
+/// Minimum time for which a reused connection may stay idle. A pool that is idle for some seconds is not an excess.
 const MIN_REUSED_IDLE_US: Micros = 10_000_000;
-/// ... and at most this long.
+/// Maximum time for which a reused connection may stay idle.
 const MAX_REUSED_IDLE_US: Micros = 120_000_000;
-/// By which part the longest recent pause shrinks with each reuse.
+/// The longest recent pause shrinks by one part in `PAUSE_DECAY_DIVISOR` with each reuse.
 const PAUSE_DECAY_DIVISOR: Micros = 64;
-/// A connection that was asked to close and is still open after this time does not hold up the next.
+/// After a connection was asked to close, the next one is asked after this time even if the first is still open.
 const CLOSE_TIMEOUT_US: Micros = 20_000;
 
-/// How long the first command of a new connection is awaited, and the rest of any that has begun.
+/// Time limit for the first command of a new connection, and for the rest of any command that has begun.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CommandTimeout(pub Micros);
 
-/// Counters of connections since the start.
+/// Counters of connections since the start of the process.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 pub struct ConnectionCounters {
-    /// Opened.
+    /// Connections opened.
     pub opened: u64,
-    /// Idle ones used again.
+    /// Idle periods that ended in a further command.
     pub reused: u64,
-    /// Asked to close because idle connections like them are not used again.
+    /// Connections asked to close because idle connections of their kind are rarely reused.
     pub unused: u64,
-    /// Asked to close for a new connection.
+    /// Connections asked to close for a new connection.
     pub evicted: u64,
-    /// Opened by an address beyond its limit of silent ones.
+    /// Connections opened by an address that was over its limits.
     pub suspects: u64,
-    /// Closed by us while a command was on its way, which its client had to send again.
+    /// Connections closed by the front while a command was in flight, which the client had to send again.
     pub close_races: u64,
 }
 
 /// The connection slots of one front.
 ///
-/// The owner reports what each connection does, and closes those that [`ConnectionSlots::poll_close`] returns. A connection
-/// that was asked to close keeps its slot until [`ConnectionSlots::closed`]. If a command is read from it meanwhile, the
-/// command is served and the connection stays open.
+/// The owner reports the events of each connection, and closes the connections that [`ConnectionSlots::poll_close`]
+/// returns. A connection that was asked to close keeps its slot until [`ConnectionSlots::closed`]. If a command is read
+/// from it before then, the command is served and the connection stays open.
 #[derive(Debug)]
 pub struct ConnectionSlots {
     max_connections: usize,
@@ -78,7 +84,7 @@
 }
 
 impl ConnectionSlots {
-    /// Creates slots for `max_connections` connections, at least one.
+    /// Creates slots for `max_connections` connections, or for one if it is 0.
     #[must_use]
     pub fn new(max_connections: usize) -> Self {
         let max_connections = max_connections.max(1);
@@ -95,8 +101,7 @@
         }
     }
 
-    /// Whether there is a free slot. If not, a connection is asked to close for it, unless one is closing already or all
-    /// are busy.
+    /// Whether a slot is free. If not, asks a connection to close, unless one is closing already or all are busy.
     pub fn has_free_slot(&mut self, now: Micros) -> bool {
         if self.connections.len() < self.max_connections {
             return true;
@@ -108,15 +113,16 @@
         false
     }
 
-    /// Asks one connection to close, for want of slots or descriptors. Returns false if all are busy or closing.
+    /// Asks one connection to close because slots or descriptors have run out. Returns false if all connections are
+    /// busy or closing.
     ///
-    /// Suspects are closed first, then those that have owed a command for long, then idle ones that were never used again,
-    /// then the others. This protects usual clients, whose next request may be on its way, from those that open many
-    /// connections and send nothing.
+    /// Suspect connections are closed first, then those whose command is overdue, then the oldest of those that await a
+    /// command or are idle and were never reused, then reused ones. This protects clients whose next request may be in
+    /// flight from clients that open many connections and send nothing.
     pub fn evict(&mut self, now: Micros) -> bool {
         let Some(id) = self.eviction_candidate(now) else { return false };
         self.counters.evicted += 1;
-        self.ask_to_close(now, id);
+        self.request_close(now, id);
         true
     }
 
@@ -130,9 +136,10 @@
         {
             return Some(overdue);
         }
-        // While others are closing already, nothing is gained by a new connection whose command may be on its way.
+        // While other connections are closing, do not close a new one, whose first command may be in flight.
         let awaiting = awaiting.filter(|_| self.connections.count(State::Closing) == 0);
-        // A command may be on its way on the younger one. Of idle ones, one that was never used again is closed first.
+        // Close the older of the two, since a command may be in flight on the younger one. Idle connections that were
+        // never reused are closed before reused ones.
         let oldest = match (awaiting, self.oldest_never_reused()) {
             (Some(awaiting), Some(idle)) => Some(if awaiting.0 < idle.0 { awaiting } else { idle }),
             (awaiting, idle) => awaiting.or(idle),
@@ -140,7 +147,7 @@
         oldest.map(|(_, id)| id).or_else(|| self.connections.oldest(State::IdleReused))
     }
 
-    /// Records a connection that was accepted, and returns how long its commands are awaited.
+    /// Records that a connection was accepted, and returns the time limit for its commands.
     pub fn accepted(&mut self, now: Micros, id: ConnectionId, address: IpAddr) -> CommandTimeout {
         self.counters.opened += 1;
         if self.addresses.record_open(now, address) {
@@ -153,9 +160,10 @@
         }
     }
 
-    /// Records that the first bytes of a command arrived, or that the connection ends with an error and is read for a while.
+    /// Records that the first bytes of a command arrived, or that the connection ends with an error and is still read
+    /// for a while.
     pub fn command_started(&mut self, now: Micros, id: ConnectionId) {
-        self.end_idle_period(now, id, IdleEnd::EndedByUs);
+        self.end_idle_period(now, id, IdleEnd::Inconclusive);
         let connection = self.connections.get(id);
         let is_suspect = connection.is_some_and(|it| it.is_suspect && !it.has_sent_command);
         let state = if is_suspect { State::Suspect } else { State::AwaitingCommand };
@@ -188,7 +196,7 @@
     pub fn answered(&mut self, now: Micros, id: ConnectionId) {
         let Some(connection) = self.connections.get_mut(id) else { return };
         if connection.state != State::Busy {
-            return; // idle already, or to be closed
+            return; // already idle, or closing
         }
         if connection.was_reused {
             return self.connections.set_state(now, id, State::IdleReused);
@@ -202,21 +210,21 @@
         if is_counted {
             self.reuse.begin();
         }
-        self.connections.set_state(now, id, if is_sample { State::IdleSample } else { State::IdleOnce });
+        self.connections.set_state(now, id, if is_sample { State::IdleSample } else { State::FirstIdle });
     }
 
-    /// Records that a connection was closed, by its client or by us. Its slot is free.
+    /// Records that a connection was closed, by its client or by the front, and frees its slot.
     pub fn closed(&mut self, now: Micros, id: ConnectionId) {
         let by_client = self.connections.get(id).is_some_and(|it| it.state != State::Closing);
-        let how = if by_client { IdleEnd::ClosedByClient } else { IdleEnd::EndedByUs };
-        self.end_idle_period(now, id, how);
+        let end = if by_client { IdleEnd::ClosedByClient } else { IdleEnd::Inconclusive };
+        self.end_idle_period(now, id, end);
         let Some(connection) = self.connections.remove(id) else { return };
         if !connection.has_sent_command {
             self.addresses.record_silent_close(now, connection.address);
         }
     }
 
-    /// Counts a command that arrived on a connection that we were closing and could not be read any more.
+    /// Counts a command that arrived on a connection while the front closed it, too late to be read.
     pub fn count_close_race(&mut self) {
         self.counters.close_races += 1;
     }
@@ -226,63 +234,65 @@
         self.to_close.pop_front()
     }
 
-    /// Whether a connection is still to be closed: a command may have been read since it was asked to.
+    /// Whether a connection that was asked to close must still be closed. It must not if a command has been read since.
     #[must_use]
     pub fn is_closing(&self, id: ConnectionId) -> bool {
         self.connections.get(id).is_some_and(|it| it.state == State::Closing)
     }
 
-    /// Whether every slot is taken by a connection that must not be closed.
+    /// Whether every slot is occupied by a busy connection.
     #[must_use]
     pub fn all_busy(&self) -> bool {
         let is_full = self.connections.len() >= self.max_connections;
         is_full && State::NOT_BUSY.into_iter().all(|state| self.connections.count(state) == 0)
     }
 
-    /// The number of connections that have a slot.
+    /// The number of open connections, each of which occupies a slot.
     #[must_use]
     pub fn open_connections(&self) -> usize {
         self.connections.len()
     }
 
-    /// The counters since the start.
+    /// The counters since the start of the process.
     #[must_use]
     pub fn counters(&self) -> ConnectionCounters {
         self.counters
     }
 
-    /// The share of recent connections that were used again after their first idle period.
+    /// The share of recent connections that were reused after their first idle period.
     #[must_use]
     pub fn reuse_share(&self, now: Micros) -> f64 {
         self.reuse.share(now)
     }
 
-    /// Closes idle connections that reuse does not pay for, because a new connection has sent its first command.
+    /// Closes idle connections that are not reused often enough to keep their slots. Called when a new connection has
+    /// sent its first command.
     ///
-    /// The first command triggers this, not the connecting: a client that connects again after each close without
-    /// a command has no effect.
+    /// The trigger is the first command and not the opening, so that a client that reconnects after each close without
+    /// sending a command has no effect.
     fn trim(&mut self, now: Micros) {
-        // Reuse pays while the share that is used again is above the square of the share of slots taken: where half are
-        // taken, one in four is enough. A linear rule closed clients that reuse beside many that do not.
-        let taken = self.connections.len() as f64 / self.max_connections as f64;
-        let is_beyond_probation = self.connections.count(State::IdleOnce) > self.probation_slots;
-        self.is_trimming = is_beyond_probation && self.reuse.share(now) < taken * taken;
+        // Idle connections keep their slots while the share of reused ones is at least the square of the share of
+        // occupied slots: with half of them occupied, one in four is enough. A linear rule closed the connections of
+        // reusing clients beside many clients that do not reuse theirs.
+        let occupied = self.connections.len() as f64 / self.max_connections as f64;
+        let is_beyond_probation = self.connections.count(State::FirstIdle) > self.probation_slots;
+        self.is_trimming = is_beyond_probation && self.reuse.share(now) < occupied * occupied;
         for _ in 0..CLOSED_PER_NEW {
             let Some(id) = self.trim_candidate(now) else { return };
             self.counters.unused += 1;
-            self.ask_to_close(now, id);
+            self.request_close(now, id);
         }
     }
 
-    /// An idle connection that is not worth its slot.
+    /// The next idle connection to close, if one has been idle for too long or is in excess.
     fn trim_candidate(&self, now: Micros) -> Option<ConnectionId> {
         let is_beyond_probation = |state: State| self.connections.count(state) > self.probation_slots;
         if self.is_trimming {
             let sample = self.connections.oldest_since(State::IdleSample);
             let expired = sample.filter(|(since, _)| now >= since + SAMPLE_SPAN_US).map(|(_, id)| id);
-            let once =
-                self.connections.oldest(State::IdleOnce).filter(|_| is_beyond_probation(State::IdleOnce));
-            if let Some(id) = expired.or(once) {
+            let first_idle =
+                self.connections.oldest(State::FirstIdle).filter(|_| is_beyond_probation(State::FirstIdle));
+            if let Some(id) = expired.or(first_idle) {
                 return Some(id);
             }
         }
@@ -293,29 +303,29 @@
         if now < reused_since + max_idle_us {
             return None;
         }
-        // One that was never used again is closed first if it has been idle for longer, sample or not.
+        // A connection that was never reused is closed first if it has been idle for longer, sample or not.
         let never_reused = self.oldest_never_reused().filter(|(since, _)| *since <= reused_since);
         Some(never_reused.map_or(reused, |(_, id)| id))
     }
 
-    /// Of the idle connections that were never used again, the one idle for longest, with the time since when.
+    /// The connection that has been idle for longest of those never reused, with the time when it became idle.
     fn oldest_never_reused(&self) -> Option<(Micros, ConnectionId)> {
-        let once = self.connections.oldest_since(State::IdleOnce);
+        let first_idle = self.connections.oldest_since(State::FirstIdle);
         let sample = self.connections.oldest_since(State::IdleSample);
-        once.into_iter().chain(sample).min()
+        first_idle.into_iter().chain(sample).min()
     }
 
-    fn ask_to_close(&mut self, now: Micros, id: ConnectionId) {
-        self.end_idle_period(now, id, IdleEnd::EndedByUs);
+    fn request_close(&mut self, now: Micros, id: ConnectionId) {
+        self.end_idle_period(now, id, IdleEnd::Inconclusive);
         self.connections.set_state(now, id, State::Closing);
         self.to_close.push_back(id);
     }
 
-    /// Ends the idle period of a connection in the estimate of reuse, if one is counted.
-    fn end_idle_period(&mut self, now: Micros, id: ConnectionId, how: IdleEnd) {
+    /// Ends the idle period of a connection in the estimate of reuse, if that period is counted.
+    fn end_idle_period(&mut self, now: Micros, id: ConnectionId, end: IdleEnd) {
         let connection = self.connections.get_mut(id);
         if connection.is_some_and(|it| mem::take(&mut it.idle_is_counted)) {
-            self.reuse.end(now, how);
+            self.reuse.end(now, end);
         }
     }
 }
