--- a/crates/admission/tests/slots.rs
+++ b/crates/admission/tests/slots.rs
@@ -1,4 +1,4 @@
-//! [`ConnectionSlots`] against scripted clients on a clock of their own, and against any sequence of events.
+//! [`ConnectionSlots`] with simulated clients on a virtual clock, and with random sequences of operations.
 
 use admission::{ConnectionId, ConnectionSlots, Micros};
 use proptest::prelude::*;
@@ -12,77 +12,83 @@
     IpAddr::from([10, 0, 0, n])
 }
 
-/// What a client does with a connection after an answer.
+/// What a client does with its connection.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Way {
-    /// Asks again after a pause, for ever; the first time after a tenth of a second at the latest.
-    Reuses { pause: Micros },
-    /// Never asks again, and ends the connection after a while.
-    AsksOnce { ends: Micros },
-    /// Connects and says nothing.
+enum ClientBehaviour {
+    /// Sends another command after a pause, without end. The first pause is limited by [`Simulation::max_first_pause`].
+    Reuse { pause: Micros },
+    /// Sends one command, and closes the connection after an idle time.
+    SendOnce { idle_time: Micros },
+    /// Sends no command.
     Silent,
 }
 
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
-enum Step {
-    Connects(Way),
-    Asks(u64),
-    IsAnswered(u64),
-    Ends(u64),
+enum Event {
+    Connect(ClientBehaviour),
+    SendCommand(u64),
+    Answer(u64),
+    Close(u64),
 }
 
-/// A front of `most` places, clients that hold at most `cap` of them for requests, and answers after 30 ms.
-struct Play {
+/// A front with connection slots that answers after 30 ms, and its clients.
+struct Simulation {
     slots: ConnectionSlots,
-    cap: usize,
+    /// Maximum number of open connections of clients that send commands.
+    max_sending: usize,
     now: Micros,
-    steps: BinaryHeap<std::cmp::Reverse<(Micros, u64, Step)>>,
-    open: BTreeMap<u64, Way>,
-    next: u64,
-    order: u64,
-    lost: usize,
-    asked: usize,
-    closed: Vec<(Micros, Way)>,
-    redial: bool,
-    reused: BTreeSet<u64>,
-    first_pause: Micros,
+    events: BinaryHeap<std::cmp::Reverse<(Micros, u64, Event)>>,
+    open: BTreeMap<u64, ClientBehaviour>,
+    last_id: u64,
+    /// Number of scheduled events, which orders those of equal time.
+    scheduled: u64,
+    /// Number of clients that could not connect.
+    refused: usize,
+    commands: usize,
+    /// Connections that the front closed.
+    closed: Vec<(Micros, ClientBehaviour)>,
+    /// Whether clients of closed connections connect again and send nothing.
+    reconnects_silent: bool,
+    /// Connections with at least one answer.
+    answered: BTreeSet<u64>,
+    max_first_pause: Micros,
 }
 
-impl Play {
-    fn new(most: usize, cap: usize) -> Self {
+impl Simulation {
+    fn new(max_connections: usize, max_sending: usize) -> Self {
         Self {
-            slots: ConnectionSlots::new(most),
-            cap,
+            slots: ConnectionSlots::new(max_connections),
+            max_sending,
             now: 0,
-            steps: BinaryHeap::new(),
+            events: BinaryHeap::new(),
             open: BTreeMap::new(),
-            next: 0,
-            order: 0,
-            lost: 0,
-            asked: 0,
+            last_id: 0,
+            scheduled: 0,
+            refused: 0,
+            commands: 0,
             closed: Vec::new(),
-            redial: false,
-            reused: BTreeSet::new(),
-            first_pause: 100 * MS,
+            reconnects_silent: false,
+            answered: BTreeSet::new(),
+            max_first_pause: 100 * MS,
         }
     }
 
-    fn at(&mut self, at: Micros, step: Step) {
-        self.order += 1;
-        self.steps.push(std::cmp::Reverse((at, self.order, step)));
+    fn schedule(&mut self, at: Micros, event: Event) {
+        self.scheduled += 1;
+        self.events.push(std::cmp::Reverse((at, self.scheduled, event)));
     }
 
-    /// `a_second` of them connect evenly from `from` to `until`.
-    fn arrivals(&mut self, a_second: u64, from: Micros, until: Micros, way: Way) {
-        (0..(until - from) * a_second / SECOND)
-            .for_each(|n| self.at(from + n * SECOND / a_second, Step::Connects(way)));
+    /// Schedules connects at an even rate of `per_second` between `from` and `until`.
+    fn connect_clients(&mut self, per_second: u64, from: Micros, until: Micros, behaviour: ClientBehaviour) {
+        (0..(until - from) * per_second / SECOND)
+            .for_each(|n| self.schedule(from + n * SECOND / per_second, Event::Connect(behaviour)));
     }
 
     fn run(&mut self, until: Micros) {
-        while self.steps.peek().is_some_and(|next| next.0.0 <= until) {
-            let std::cmp::Reverse((at, _, step)) = self.steps.pop().unwrap();
+        while self.events.peek().is_some_and(|next| next.0.0 <= until) {
+            let std::cmp::Reverse((at, _, event)) = self.events.pop().unwrap();
             self.now = at;
-            self.take(step);
+            self.handle_event(event);
             while let Some(id) = self.slots.poll_close() {
                 self.close(id);
             }
@@ -90,145 +96,163 @@
         self.now = until;
     }
 
-    fn take(&mut self, step: Step) {
-        match step {
-            Step::Connects(way) => {
-                let usual = self.open.values().filter(|way| **way != Way::Silent).count();
-                if way != Way::Silent && usual >= self.cap {
-                    self.lost += 1;
+    fn handle_event(&mut self, event: Event) {
+        match event {
+            Event::Connect(behaviour) => {
+                let is_sending = |behaviour: &ClientBehaviour| *behaviour != ClientBehaviour::Silent;
+                let sending = self.open.values().filter(|behaviour| is_sending(behaviour)).count();
+                if is_sending(&behaviour) && sending >= self.max_sending {
+                    self.refused += 1;
                     return;
                 }
                 if !self.slots.has_free_slot(self.now) {
-                    let room = self.slots.poll_close();
-                    self.lost += usize::from(room.is_none());
-                    let Some(id) = room else { return };
+                    let closing = self.slots.poll_close();
+                    self.refused += usize::from(closing.is_none());
+                    let Some(id) = closing else { return };
                     self.close(id);
                 }
-                self.next += 1;
-                self.open.insert(self.next, way);
-                let from = if way == Way::Silent { address(9) } else { address(1) };
-                let patience = self.slots.accepted(self.now, ConnectionId(self.next), from);
-                match way {
-                    Way::Silent => self.at(self.now + patience.0, Step::Ends(self.next)),
-                    _ => self.at(self.now, Step::Asks(self.next)),
+                self.last_id += 1;
+                self.open.insert(self.last_id, behaviour);
+                let from = if is_sending(&behaviour) { address(1) } else { address(9) };
+                let timeout = self.slots.accepted(self.now, ConnectionId(self.last_id), from);
+                match behaviour {
+                    ClientBehaviour::Silent => {
+                        self.schedule(self.now + timeout.0, Event::Close(self.last_id))
+                    }
+                    _ => self.schedule(self.now, Event::SendCommand(self.last_id)),
                 }
             }
-            Step::Asks(id) if self.open.contains_key(&id) => {
-                self.asked += 1;
+            Event::SendCommand(id) if self.open.contains_key(&id) => {
+                self.commands += 1;
                 self.slots.command_received(self.now, ConnectionId(id));
-                self.at(self.now + 30 * MS, Step::IsAnswered(id));
+                self.schedule(self.now + 30 * MS, Event::Answer(id));
             }
-            Step::IsAnswered(id) if self.open.contains_key(&id) => {
+            Event::Answer(id) if self.open.contains_key(&id) => {
                 self.slots.answered(self.now, ConnectionId(id));
-                let first = self.reused.insert(id);
+                let is_first = self.answered.insert(id);
                 match self.open[&id] {
-                    Way::Reuses { pause } if first => {
-                        self.at(self.now + pause.min(self.first_pause), Step::Asks(id))
+                    ClientBehaviour::Reuse { pause } if is_first => {
+                        self.schedule(self.now + pause.min(self.max_first_pause), Event::SendCommand(id))
+                    }
+                    ClientBehaviour::Reuse { pause } => {
+                        self.schedule(self.now + pause, Event::SendCommand(id))
                     }
-                    Way::Reuses { pause } => self.at(self.now + pause, Step::Asks(id)),
-                    Way::AsksOnce { ends } => self.at(self.now + ends, Step::Ends(id)),
-                    Way::Silent => {}
+                    ClientBehaviour::SendOnce { idle_time } => {
+                        self.schedule(self.now + idle_time, Event::Close(id))
+                    }
+                    ClientBehaviour::Silent => {}
                 }
             }
-            Step::Ends(id) if self.open.remove(&id).is_some() => {
+            Event::Close(id) if self.open.remove(&id).is_some() => {
                 self.slots.closed(self.now, ConnectionId(id));
             }
-            _ => {} // closed meanwhile
+            _ => {} // the connection was closed before the event
         }
     }
 
     fn close(&mut self, id: ConnectionId) {
         assert!(self.slots.is_closing(id));
         self.slots.closed(self.now, id);
-        let way = self.open.remove(&id.0).expect("an open connection");
-        self.closed.push((self.now, way));
-        match way {
-            // Its next request needs a new connection.
-            Way::Reuses { pause } => self.at(self.now + pause, Step::Connects(way)),
-            _ if self.redial => self.at(self.now, Step::Connects(Way::Silent)),
+        let behaviour = self.open.remove(&id.0).expect("the front closes an open connection");
+        self.closed.push((self.now, behaviour));
+        match behaviour {
+            // The client's next command needs a new connection.
+            ClientBehaviour::Reuse { pause } => self.schedule(self.now + pause, Event::Connect(behaviour)),
+            _ if self.reconnects_silent => self.schedule(self.now, Event::Connect(ClientBehaviour::Silent)),
             _ => {}
         }
     }
 
-    fn closed_of(&self, way: Way) -> usize {
-        self.closed.iter().filter(|(_, closed)| *closed == way).count()
+    /// The number of closed connections of clients with this behaviour.
+    fn closed_count(&self, behaviour: ClientBehaviour) -> usize {
+        self.closed.iter().filter(|(_, closed)| *closed == behaviour).count()
     }
 }
 
 #[test]
-fn clients_that_send_one_command_and_linger_do_not_use_up_the_slots() {
-    // The incident: 256 descriptors and up, a new connection for each request, idle until its client ends it.
-    for (most, cap) in [(145, 85), (225, 128), (625, 341)] {
-        let mut play = Play::new(most, cap);
-        play.arrivals(320, 0, 20 * SECOND, Way::AsksOnce { ends: 1_200 * MS });
-        play.run(20 * SECOND);
-        assert!(play.lost * 100 < play.asked, "{} lost of {} asked, {most} slots", play.lost, play.asked);
+fn clients_that_send_once_and_linger_do_not_exhaust_the_slots() {
+    // Reproduces an incident with 256 and more descriptors: each request opened a new connection, which stayed idle
+    // until its client closed it.
+    for (max_connections, max_sending) in [(145, 85), (225, 128), (625, 341)] {
+        let mut simulation = Simulation::new(max_connections, max_sending);
+        let send_once = ClientBehaviour::SendOnce { idle_time: 1_200 * MS };
+        simulation.connect_clients(320, 0, 20 * SECOND, send_once);
+        simulation.run(20 * SECOND);
+        let Simulation { refused, commands, .. } = simulation;
+        assert!(refused * 100 < commands, "{refused} refused, {commands} served, {max_connections} slots");
     }
 }
 
 #[test]
-fn clients_that_reuse_keep_their_connections_beside_others_that_do_not() {
-    let (reuses, once) = (Way::Reuses { pause: 200 * MS }, Way::AsksOnce { ends: 1_200 * MS });
-    let mut play = Play::new(225, 128);
-    play.first_pause = 200 * MS;
-    play.arrivals(24, 0, SECOND, reuses);
-    play.arrivals(200, SECOND / 2, 20 * SECOND, once);
-    play.run(20 * SECOND);
-    assert!(play.closed_of(reuses) <= 4, "of 24 reused ones, {} were closed", play.closed_of(reuses));
-    assert!(play.closed_of(once) > 2_000 && play.lost == 0, "{} lost", play.lost);
+fn reusing_clients_keep_connections_beside_ones_that_send_once() {
+    let reuse = ClientBehaviour::Reuse { pause: 200 * MS };
+    let send_once = ClientBehaviour::SendOnce { idle_time: 1_200 * MS };
+    let mut simulation = Simulation::new(225, 128);
+    simulation.max_first_pause = 200 * MS;
+    simulation.connect_clients(24, 0, SECOND, reuse);
+    simulation.connect_clients(200, SECOND / 2, 20 * SECOND, send_once);
+    simulation.run(20 * SECOND);
+    let (reused, refused) = (simulation.closed_count(reuse), simulation.refused);
+    assert!(reused <= 4, "{reused} connections of 24 reusing clients were closed");
+    assert!(simulation.closed_count(send_once) > 2_000 && refused == 0, "{refused} refused");
 }
 
 #[test]
-fn pool_that_rests_for_three_seconds_stays_open() {
-    let mut play = Play::new(225, 128);
-    let rests = Way::Reuses { pause: 3 * SECOND };
-    play.arrivals(24, 0, SECOND, rests);
-    play.arrivals(200, 2 * SECOND, 20 * SECOND, Way::AsksOnce { ends: 1_200 * MS });
-    play.run(20 * SECOND);
-    assert_eq!(play.closed_of(rests), 0);
+fn pool_that_is_idle_for_three_seconds_stays_open() {
+    let mut simulation = Simulation::new(225, 128);
+    let pool = ClientBehaviour::Reuse { pause: 3 * SECOND };
+    let send_once = ClientBehaviour::SendOnce { idle_time: 1_200 * MS };
+    simulation.connect_clients(24, 0, SECOND, pool);
+    simulation.connect_clients(200, 2 * SECOND, 20 * SECOND, send_once);
+    simulation.run(20 * SECOND);
+    assert_eq!(simulation.closed_count(pool), 0);
 }
 
 #[test]
-fn many_clients_with_slow_cycles_need_not_connect_for_each_request() {
-    // Two hundred that each ask once a second: a bound on idle ones alone would close each before it is used again.
-    let mut play = Play::new(625, 341);
-    play.first_pause = SECOND;
-    let slow = Way::Reuses { pause: SECOND };
-    play.arrivals(200, 0, SECOND, slow);
-    play.run(20 * SECOND);
-    let late = play.closed.iter().filter(|(at, _)| *at > 5 * SECOND).count();
-    assert!(play.closed.len() < 400 && late == 0, "{} closed, {late} of them late", play.closed.len());
+fn slow_reusing_clients_need_not_reconnect_for_each_request() {
+    // 200 clients each send one command a second. A limit on the number of idle connections alone would close each
+    // connection before it is reused.
+    let mut simulation = Simulation::new(625, 341);
+    simulation.max_first_pause = SECOND;
+    let slow = ClientBehaviour::Reuse { pause: SECOND };
+    simulation.connect_clients(200, 0, SECOND, slow);
+    simulation.run(20 * SECOND);
+    let closed = simulation.closed.len();
+    let closed_late = simulation.closed.iter().filter(|(at, _)| *at > 5 * SECOND).count();
+    assert!(closed < 400 && closed_late == 0, "{closed} closed, {closed_late} of them after 5 s");
 }
 
 #[test]
 fn silent_connect_after_a_close_causes_no_further_close() {
-    let mut play = Play::new(225, 128);
-    play.redial = true;
-    play.arrivals(200, 0, SECOND, Way::AsksOnce { ends: 60 * SECOND });
-    play.run(SECOND);
-    let closed = play.closed.len();
-    play.run(SECOND + SECOND / 2);
-    assert!(closed <= 200 && play.closed.len() == closed, "{closed}, then {}", play.closed.len());
+    let mut simulation = Simulation::new(225, 128);
+    simulation.reconnects_silent = true;
+    simulation.connect_clients(200, 0, SECOND, ClientBehaviour::SendOnce { idle_time: 60 * SECOND });
+    simulation.run(SECOND);
+    let closed = simulation.closed.len();
+    simulation.run(SECOND + SECOND / 2);
+    let closed_later = simulation.closed.len();
+    assert!(closed <= 200 && closed_later == closed, "{closed} closed, later {closed_later}");
 }
 
 #[test]
-fn silent_connections_are_closed_before_clients_that_send_commands() {
-    let usual = Way::Reuses { pause: 100 * MS };
-    let mut play = Play::new(145, 85);
-    play.arrivals(40, 0, SECOND, usual);
-    play.arrivals(300, 3 * SECOND, 4 * SECOND, Way::Silent); // three hundred at once, then forty a second
-    play.arrivals(40, 4 * SECOND, 20 * SECOND, Way::Silent);
-    play.run(20 * SECOND);
-    let silent = play.open.values().filter(|way| **way == Way::Silent).count();
-    assert_eq!((play.closed_of(usual), play.lost), (0, 0));
+fn silent_connections_are_closed_before_ones_that_send_commands() {
+    let sending = ClientBehaviour::Reuse { pause: 100 * MS };
+    let mut simulation = Simulation::new(145, 85);
+    simulation.connect_clients(40, 0, SECOND, sending);
+    // 300 silent clients within a second, then 40 a second.
+    simulation.connect_clients(300, 3 * SECOND, 4 * SECOND, ClientBehaviour::Silent);
+    simulation.connect_clients(40, 4 * SECOND, 20 * SECOND, ClientBehaviour::Silent);
+    simulation.run(20 * SECOND);
+    let silent = simulation.open.values().filter(|behaviour| **behaviour == ClientBehaviour::Silent).count();
+    assert_eq!((simulation.closed_count(sending), simulation.refused), (0, 0));
     assert!(
         silent <= 145 / 4 + 40 / 4 + 1,
-        "one address holds {silent} in silence: a quarter, and suspects briefly"
+        "one address holds {silent} silent connections: a quarter of the slots, and suspects for 250 ms"
     );
 }
 
 #[test]
-fn connection_whose_command_races_the_request_to_close_stays_open() {
+fn connection_stays_open_if_a_command_races_its_close() {
     let mut slots = ConnectionSlots::new(2);
     for id in [1, 2].map(ConnectionId) {
         slots.accepted(0, id, address(1));
@@ -236,109 +260,122 @@
         slots.answered(0, id);
     }
     assert!(!slots.has_free_slot(SECOND));
-    let asked = slots.poll_close().unwrap();
-    slots.command_received(SECOND, asked);
-    assert!(!slots.is_closing(asked), "its command was read: it has been taken");
+    let closing = slots.poll_close().unwrap();
+    slots.command_received(SECOND, closing);
+    assert!(!slots.is_closing(closing), "a connection with a command that was read stays open");
     assert!(!slots.has_free_slot(SECOND));
     let other = slots.poll_close().unwrap();
-    assert_ne!(asked, other);
+    assert_ne!(closing, other);
     slots.closed(SECOND, other);
     assert!(slots.has_free_slot(SECOND));
 }
 
 #[derive(Debug, Clone)]
-enum Act {
-    Enter(u8),
-    Asked(usize),
-    Answered(usize),
-    Awaits(usize),
-    Left(usize),
+enum Operation {
+    Accept(u8),
+    ReceiveCommand(usize),
+    Answer(usize),
+    StartCommand(usize),
+    Close(usize),
     Evict,
     Wait(u32),
 }
 
-fn acts() -> impl Strategy<Value = Vec<Act>> {
-    let act = prop_oneof![
-        4 => (0..4_u8).prop_map(Act::Enter),
-        6 => (0..64_usize).prop_map(Act::Asked),
-        6 => (0..64_usize).prop_map(Act::Answered),
-        1 => (0..64_usize).prop_map(Act::Awaits),
-        2 => (0..64_usize).prop_map(Act::Left),
-        1 => Just(Act::Evict),
-        3 => (1..3_000_000_u32).prop_map(Act::Wait),
+fn operations() -> impl Strategy<Value = Vec<Operation>> {
+    let operation = prop_oneof![
+        4 => (0..4_u8).prop_map(Operation::Accept),
+        6 => (0..64_usize).prop_map(Operation::ReceiveCommand),
+        6 => (0..64_usize).prop_map(Operation::Answer),
+        1 => (0..64_usize).prop_map(Operation::StartCommand),
+        2 => (0..64_usize).prop_map(Operation::Close),
+        1 => Just(Operation::Evict),
+        3 => (1..3_000_000_u32).prop_map(Operation::Wait),
     ];
-    proptest::collection::vec(act, 1..400)
+    proptest::collection::vec(operation, 1..400)
 }
 
-/// What the test knows of a connection.
+/// The expected state of a connection.
 #[derive(Clone, Copy, PartialEq, Debug)]
-struct Known {
+struct ExpectedConnection {
     idle_since: Option<Micros>,
     busy: bool,
-    asked: bool,
+    has_sent_command: bool,
     reused: bool,
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { rng_seed: proptest::test_runner::RngSeed::Fixed(7), ..ProptestConfig::default() })]
     #[test]
-    fn bounds_hold_and_reused_connections_are_closed_last_and_accepting_never_starves(most in 1..24_usize, acts in acts()) {
-        let (mut slots, mut now, mut next) = (ConnectionSlots::new(most), 0, 0);
-        let mut open: BTreeMap<u64, Known> = BTreeMap::new();
-        for act in acts {
-            let pick = |n: usize, open: &BTreeMap<u64, Known>| open.keys().nth(n % open.len().max(1)).copied();
-            match act {
-                Act::Wait(us) => now += Micros::from(us),
-                Act::Evict => {
-                    let any = open.values().any(|known| !known.busy);
-                    prop_assert_eq!(slots.evict(now), any, "one that is not busy can always be closed");
+    fn bounds_and_closing_order_hold_and_accepting_never_starves(
+        max_connections in 1..24_usize, operations in operations(),
+    ) {
+        let (mut slots, mut now, mut last_id) = (ConnectionSlots::new(max_connections), 0, 0);
+        let mut open: BTreeMap<u64, ExpectedConnection> = BTreeMap::new();
+        for operation in operations {
+            let pick = |n: usize, open: &BTreeMap<u64, ExpectedConnection>| {
+                open.keys().nth(n % open.len().max(1)).copied()
+            };
+            match operation {
+                Operation::Wait(us) => now += Micros::from(us),
+                Operation::Evict => {
+                    let any = open.values().any(|connection| !connection.busy);
+                    prop_assert_eq!(slots.evict(now), any, "a connection that is not busy can be closed");
                 }
-                Act::Enter(from) => {
+                Operation::Accept(from) => {
                     if slots.has_free_slot(now) {
-                        next += 1;
-                        slots.accepted(now, ConnectionId(next), address(from));
-                        let known = Known { idle_since: None, busy: false, asked: false, reused: false };
-                        open.insert(next, known);
+                        last_id += 1;
+                        slots.accepted(now, ConnectionId(last_id), address(from));
+                        let connection = ExpectedConnection {
+                            idle_since: None, busy: false, has_sent_command: false, reused: false,
+                        };
+                        open.insert(last_id, connection);
                     } else {
-                        prop_assert_eq!(open.len(), most);
-                        let all_busy = open.values().all(|known| known.busy);
+                        prop_assert_eq!(open.len(), max_connections);
+                        let all_busy = open.values().all(|connection| connection.busy);
                         prop_assert_eq!(slots.all_busy(), all_busy);
                     }
                 }
-                Act::Asked(n) => if let Some(id) = pick(n, &open) {
+                Operation::ReceiveCommand(n) => if let Some(id) = pick(n, &open) {
                     slots.command_received(now, ConnectionId(id));
-                    let known = open.get_mut(&id).unwrap();
-                    known.reused |= known.idle_since.is_some();
-                    (known.idle_since, known.busy, known.asked) = (None, true, true);
+                    let connection = open.get_mut(&id).unwrap();
+                    connection.reused |= connection.idle_since.is_some();
+                    connection.has_sent_command = true;
+                    (connection.idle_since, connection.busy) = (None, true);
                 },
-                Act::Answered(n) => if let Some(id) = pick(n, &open) {
+                Operation::Answer(n) => if let Some(id) = pick(n, &open) {
                     slots.answered(now, ConnectionId(id));
-                    let known = open.get_mut(&id).unwrap();
-                    if known.busy {
-                        (known.idle_since, known.busy) = (Some(now), false);
+                    let connection = open.get_mut(&id).unwrap();
+                    if connection.busy {
+                        (connection.idle_since, connection.busy) = (Some(now), false);
                     }
                 },
-                Act::Awaits(n) => if let Some(id) = pick(n, &open) {
+                Operation::StartCommand(n) => if let Some(id) = pick(n, &open) {
                     slots.command_started(now, ConnectionId(id));
-                    let known = open.get_mut(&id).unwrap();
-                    (known.idle_since, known.busy) = (None, false);
+                    let connection = open.get_mut(&id).unwrap();
+                    (connection.idle_since, connection.busy) = (None, false);
                 },
-                Act::Left(n) => if let Some(id) = pick(n, &open) {
+                Operation::Close(n) => if let Some(id) = pick(n, &open) {
                     slots.closed(now, ConnectionId(id));
                     open.remove(&id);
                 },
             }
             while let Some(ConnectionId(id)) = slots.poll_close() {
                 let Some(closing) = open.get(&id).copied() else { continue };
-                prop_assert!(!closing.busy, "nothing is closed that is owed an answer");
-                let longer = |known: &Known| {
-                    known.asked && !known.reused && known.idle_since.zip(closing.idle_since).is_some_and(|(a, b)| a < b)
+                prop_assert!(!closing.busy, "a connection with a command in progress is closed");
+                let is_idle_for_longer = |other: &ExpectedConnection| {
+                    other.idle_since.zip(closing.idle_since).is_some_and(|(other, closing)| other < closing)
+                };
+                let closes_before = |other: &ExpectedConnection| {
+                    other.has_sent_command && !other.reused && is_idle_for_longer(other)
                 };
-                prop_assert!(!closing.reused || !open.values().any(longer), "{:?} of {:?}", closing, open);
+                prop_assert!(
+                    !closing.reused || !open.values().any(closes_before),
+                    "{closing:?} was closed first of {open:?}"
+                );
                 slots.closed(now, ConnectionId(id));
                 open.remove(&id);
             }
-            prop_assert!(slots.open_connections() <= most);
+            prop_assert!(slots.open_connections() <= max_connections);
             prop_assert_eq!(slots.open_connections(), open.len());
         }
     }
