--- a/crates/audit/src/lease/peer_grants.rs
+++ b/crates/audit/src/lease/peer_grants.rs
@@ -72,7 +72,7 @@
         self.reports.insert(number, Report { received_at: now, granted_at });
     }
 
-    /// Records that the log contains grants with this stamp, whoever holds them.
+    /// Records that the log contains grants with this stamp, to any balancer.
     pub(super) fn record_logged_grant(&mut self, stamp: FleetMicros) {
         if stamp > self.newest_logged {
             self.newest_logged = stamp;
--- a/crates/audit/src/lease/settings.rs
+++ b/crates/audit/src/lease/settings.rs
@@ -9,8 +9,8 @@
 pub const REQUESTS_PER_LEASE: u64 = 4;
 
 /// Upper bound on [`Settings::orphan_quorum`]. Each balancer reports to a few randomly drawn peers only, so in a
-/// large fleet most peers are never heard within [`Settings::report_ttl`]. Four peers that hear nobody else are
-/// assumed to be cut off by a fault that is not theirs alone.
+/// large fleet no report arrives from most peers within [`Settings::report_ttl`]. Four peers that hear only each
+/// other are assumed to be cut off by a fault that is not theirs alone.
 pub const MAX_ORPHAN_QUORUM: u16 = 3;
 
 /// Number of requests that the quorum group may leave unanswered before it counts as lost. One would be too few: in the
--- a/crates/audit/tests/lease.rs
+++ b/crates/audit/tests/lease.rs
@@ -152,7 +152,7 @@
     assert_eq!(
         state,
         LeaseState::Fenced,
-        "two of eleven peers are too few; itself and unknown numbers do not count"
+        "two of eleven peers are too few; reports of itself and of unknown numbers do not count"
     );
     isolated.record_peer_grant(ends, 3, None);
     assert_eq!(isolated.state(ends).0, LeaseState::Orphaned);
