--- a/crates/reservation/src/admission.rs
+++ b/crates/reservation/src/admission.rs
@@ -1,4 +1,4 @@
-//! Admits requests by booking: token buckets over this balancer's slices, and its requests to the leader.
+//! Admits requests by booking: the token buckets of this balancer's slices, and its slice requests to the leader.
 
 use crate::book::ReservationBook;
 use crate::booking::{BookingId, Tenant};
@@ -14,7 +14,7 @@
 use rustc_hash::FxHashMap;
 use std::cmp::Reverse;
 
-/// The bounds of the present fleet time.
+/// The bounds of the current fleet time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TimeInterval {
     /// The earliest possible time.
@@ -46,11 +46,11 @@
         /// The priority of the request.
         priority: Priority,
     },
-    /// A booking applies, but its slice is exhausted. The request is treated as any other traffic.
+    /// A booking applies, but its slice is exhausted. The request is treated like any other traffic.
     Exhausted {
         /// The booking.
         booking: BookingId,
-        /// When to retry, in milliseconds.
+        /// Time after which to retry, in milliseconds.
         retry_after_ms: u64,
     },
     /// No booking in force applies.
@@ -65,7 +65,7 @@
     lease_end: Micros,
     measured_at: Micros,
     requested_at: Option<Micros>,
-    /// Whether demand or slices have changed, so that the next request is sent soon.
+    /// Whether demand or slices have changed. If so, the next request is sent after the shorter interval.
     is_urgent: bool,
 }
 
@@ -82,8 +82,8 @@
         }
     }
 
-    /// Adopts what the book says of the own slices. To be called after each applied entry, and at least every
-    /// [`MEASURE_US`].
+    /// Updates the token buckets from this balancer's slices in the book. The caller calls this after each applied
+    /// entry, and at least every [`MEASURE_US`].
     pub fn refresh(&mut self, now: Micros, time: TimeInterval, book: &ReservationBook) {
         let previous_lease_end = self.lease_end;
         let lease = book.state.lease_of(self.holder).filter(|lease| lease.requested_at <= now);
@@ -96,15 +96,15 @@
                 buckets.len() - 1
             });
             let bucket = &mut buckets[index];
-            bucket.fill(now, previous_lease_end);
-            // The leader can allocate what this balancer gave up only after the next request confirms it.
+            bucket.refill(now, previous_lease_end);
+            // The leader can allocate the parts that this balancer loses only after the next request confirms it.
             self.is_urgent |= bucket.exceeds(terms.parts);
             bucket.update(now, &terms, time.earliest, time.latest);
         }
         self.remove_stale_buckets();
     }
 
-    /// The terms of a booking in force or about to be; `None` for any other.
+    /// The terms of a booking that is in force or starts within [`MEASURE_US`]; `None` for any other.
     fn slice_terms(
         &self, fleet_time: Micros, book: &ReservationBook, id: BookingId, booking: &Booking,
     ) -> Option<SliceTerms> {
@@ -134,7 +134,7 @@
         let applies = |bucket: &&mut TokenBucket| bucket.classes.contains(class) && bucket.is_valid_at(now);
         for bucket in buckets.iter_mut().filter(applies) {
             let booking = bucket.booking;
-            if has_lease && bucket.take(now, kind) {
+            if has_lease && bucket.try_take(now, kind) {
                 return AdmissionDecision::Booked { booking, priority: Priority::Booked };
             }
             if !has_lease {
@@ -149,8 +149,8 @@
         decision
     }
 
-    /// The rate that bookings did not use here over the last [`MEASURE_US`], with the own share of what no
-    /// balancer holds. All traffic may use it until it is in demand.
+    /// The rate that bookings did not use on this balancer over the last [`MEASURE_US`], plus this balancer's share of
+    /// the parts that no balancer holds. All traffic may use this rate until a booking demands it.
     pub fn unused_rate(&self, now: Micros) -> Rate {
         let has_lease = now < self.lease_end;
         let buckets = self.buckets.values().flatten().filter(|bucket| bucket.is_valid_at(now));
@@ -167,7 +167,7 @@
         bucket.filter(|_| now < self.lease_end).map_or(Rate::default(), |bucket| bucket.rate)
     }
 
-    /// The request to send to the leader, if one is due. `applied` is the revision of the last
+    /// Returns the request to send to the leader, if one is due. `applied` is the revision of the book at the last
     /// [`Admission::refresh`].
     pub fn poll_request(&mut self, now: Micros, applied: Revision) -> Option<SliceRequest> {
         self.measure_if_due(now);
@@ -191,7 +191,7 @@
         }
     }
 
-    /// The demands, the largest first.
+    /// The demands, the largest first, at most [`MAX_DEMANDS`].
     fn demands(&self) -> Vec<Demand> {
         let in_demand = self.buckets.values().flatten().filter(|bucket| bucket.demand != Rate::default());
         let demands = in_demand.map(|bucket| Demand { booking: bucket.booking, rate: bucket.demand });
@@ -204,7 +204,7 @@
         demands
     }
 
-    /// The number of token buckets, for bounds and metrics.
+    /// The number of token buckets, for limits and metrics.
     pub fn bucket_count(&self) -> usize {
         self.buckets.values().map(Vec::len).sum()
     }
--- a/crates/reservation/src/allocator.rs
+++ b/crates/reservation/src/allocator.rs
@@ -1,7 +1,6 @@
-//! Allocates slices on the leader: collects the demands of all holders, and proposes who holds what.
+//! Allocates slices on the leader: collects the demands of all holders, and proposes the slices of each.
 //!
-//! A slice that grows takes only what is free, so parts are taken from one holder before they are given to
-//! another.
+//! A slice grows only by free parts, so parts are taken from one holder before they are given to another.
 
 mod targets;
 
@@ -19,8 +18,8 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use targets::{HolderDemand, slice_changes};
 
-/// How long a revision must have been applied until every lease renewed before it has expired on its holder's
-/// clock.
+/// Time after the application of a revision at which every lease renewed before it has expired on its
+/// holder's clock.
 const EXPIRY_US: Micros = LEASE_US + LEASE_US / RATE_ERROR + 1;
 
 /// The last request of a holder.
@@ -28,12 +27,12 @@
 struct ReceivedRequest {
     request: SliceRequest,
     received_at: Micros,
-    /// Whether its lease is not renewed yet.
+    /// Whether the lease has not been renewed for this request yet.
     is_new: bool,
 }
 
-/// Everything up to `revision` was applied by `until`. Revisions applied within a short time after `since`
-/// share an element.
+/// A revision and the time by which everything up to it was applied. Revisions applied within
+/// [`ALLOCATION_INTERVAL_US`] after `since` share an element.
 #[derive(Clone, Copy, Debug)]
 struct AppliedRevision {
     revision: Revision,
@@ -41,15 +40,15 @@
     until: Micros,
 }
 
-/// What the allocation of all bookings changes.
+/// The planned changes to the slices of all bookings.
 #[derive(Default)]
 struct PlannedAllocation {
     changes: Vec<SliceChange>,
-    /// Bookings that are used for the first time in their window.
+    /// Bookings in use for the first time in their current window.
     used: Vec<BookingId>,
 }
 
-/// The leader's allocation of slices. A new leader starts without any state but the book.
+/// The leader's allocation of slices. A new leader starts with no state other than the book.
 #[derive(Clone, Debug)]
 pub struct SliceAllocator {
     leader: Holder,
@@ -64,7 +63,7 @@
 }
 
 impl SliceAllocator {
-    /// Starts at `now` on the leader's own clock, with a book at `revision`.
+    /// Creates the allocator of a leader whose book is at `revision`. `now` is on the leader's own clock.
     pub fn new(leader: Holder, now: Micros, revision: Revision) -> Self {
         Self {
             leader,
@@ -78,7 +77,7 @@
         }
     }
 
-    /// Handles a holder's request; ignores one that is older than the last of the same incarnation.
+    /// Handles a holder's request. Ignores a request that is older than the last of the same incarnation.
     pub fn handle_request(&mut self, now: Micros, mut request: SliceRequest) {
         let holder = request.holder;
         if holder.node_id >= MAX_HOLDERS {
@@ -101,7 +100,7 @@
         }
     }
 
-    /// Records that the book has applied everything up to its revision. To be called after each entry.
+    /// Records that the book has applied everything up to its revision. The caller calls this after each entry.
     pub fn handle_applied(&mut self, now: Micros, book: &ReservationBook) {
         if book.state.last_allocation == self.allocation_id() {
             self.proposed_at = None;
@@ -120,7 +119,7 @@
         AllocationId { incarnation: self.leader.incarnation, sequence: self.sequence }
     }
 
-    /// The proposal to make, if one is due. `fleet_time` is the timestamp that it would get.
+    /// Returns the proposal to make, if one is due. `fleet_time` is the timestamp that the proposal would get.
     pub fn poll(&mut self, now: Micros, fleet_time: Micros, book: &ReservationBook) -> Option<Proposal> {
         let is_pending =
             self.proposed_at.is_some_and(|proposed_at| now < proposed_at.saturating_add(PROPOSAL_TIMEOUT_US));
@@ -138,7 +137,7 @@
         Some(Proposal::AllocateSlices(allocation))
     }
 
-    /// The next allocation; `None` if it would change nothing.
+    /// Returns the next allocation, or `None` if it would change nothing.
     fn plan(&mut self, fleet_time: Micros, book: &ReservationBook) -> Option<SliceAllocation> {
         let PlannedAllocation { changes, used } = self.plan_changes(fleet_time, book);
         let expired = if self.expired > book.state.expired { self.expired } else { 0 };
@@ -154,7 +153,7 @@
         Some(SliceAllocation { id: self.allocation_id(), expired, departed, renewals, changes, used })
     }
 
-    /// Determines the revision that was applied a lease ago.
+    /// Updates the revision up to which renewed leases have expired.
     fn update_expired(&mut self, now: Micros) {
         while let Some(first) = self.applied.front()
             && first.until.saturating_add(EXPIRY_US) <= now
@@ -232,7 +231,8 @@
     !window.used && window.released_at.is_none()
 }
 
-/// The revision up to which an expiry would change nothing in the book. No entry is proposed for it alone.
+/// The revision up to which an expiry would change nothing in the book. No entry is proposed for such an expiry
+/// alone.
 fn last_idle_revision(book: &ReservationBook) -> Revision {
     let leases = book.state.leases.values().map(|lease| lease.renewed_at);
     let unconfirmed = book.unconfirmed.iter().map(|slice| slice.changed_at);
@@ -241,7 +241,8 @@
     first.map_or(Revision::MAX, |first| first.saturating_sub(1))
 }
 
-/// A booking that has not been used since its current window started.
+/// Returns a proposal to release a booking that has not been used for [`NO_SHOW_US`] since its current window
+/// started.
 fn find_no_show(fleet_time: Micros, book: &ReservationBook) -> Option<Proposal> {
     book.state.bookings.iter().find_map(|(id, booking)| {
         let window = booking.window_at(fleet_time).filter(|window| is_unused(window))?;
--- a/crates/reservation/src/allocator/targets.rs
+++ b/crates/reservation/src/allocator/targets.rs
@@ -7,10 +7,12 @@
 use crate::state::Booking;
 use std::collections::BTreeMap;
 
-/// A slice within one in this many of its target is left as it is, to limit the number of entries.
-const TOLERANCE: u32 = 8;
-/// The same where the parts do not suffice for all, and one holder's excess is missing for another.
-const TOLERANCE_IF_SCARCE: u32 = 64;
+/// A slice that differs from its target by at most its size divided by this is not changed, to limit the number of
+/// entries.
+const TOLERANCE_DIVISOR: u32 = 8;
+/// Divisor of the tolerance while the parts do not suffice for all holders. The tolerance is smaller because the excess
+/// of one holder is missing for another.
+const SCARCE_TOLERANCE_DIVISOR: u32 = 64;
 
 /// A holder's demand for a booking.
 pub(super) struct HolderDemand {
@@ -21,20 +23,20 @@
 /// A holder with a lease.
 pub(super) struct LeaseHolder {
     pub(super) holder: Holder,
-    /// Whether this incarnation has sent a request lately. Otherwise its slice is taken back.
+    /// Whether this incarnation has sent a request within the last lease. If not, its slice is taken back.
     pub(super) has_requested: bool,
 }
 
-/// A holder's slice and what it should become.
+/// A holder's slice and its target.
 struct PlannedSlice {
     holder: Holder,
     slice: Slice,
     target: Parts,
-    /// By how much the target exceeds what is reserved for the holder.
+    /// The parts of the target beyond those reserved for the holder.
     growth: Parts,
 }
 
-/// The changes of a booking's slices. `holders` are those that demand or hold a slice.
+/// Computes the changes to a booking's slices. `holders` are those that demand or hold a slice.
 pub(super) fn slice_changes(
     fleet_time: Micros, booking: &Booking, demands: &[HolderDemand], holders: &[LeaseHolder],
 ) -> Vec<SliceChange> {
@@ -50,35 +52,35 @@
     }
     let free = booking.allocated.map(|allocated| u64::from(DYNAMIC_PARTS.saturating_sub(allocated)));
     let is_scarce = needed.reads > free.reads || needed.fetches > free.fetches;
-    let tolerance = if is_scarce { TOLERANCE_IF_SCARCE } else { TOLERANCE };
+    let tolerance_divisor = if is_scarce { SCARCE_TOLERANCE_DIVISOR } else { TOLERANCE_DIVISOR };
     let mut changes = Vec::new();
     for PlannedSlice { holder, slice, target, growth } in planned {
-        let given = share_of_free(growth, needed, free);
-        let reachable = slice.reserved().zip_with(given, |reserved, given| reserved + given);
-        let parts = target.zip_with(reachable, u32::min);
-        if differs(slice.current, parts, tolerance) {
+        let added = share_of_free(growth, needed, free);
+        let available = slice.reserved().zip_with(added, |reserved, added| reserved + added);
+        let parts = target.zip_with(available, u32::min);
+        if differs(slice.current, parts, tolerance_divisor) {
             changes.push(SliceChange { booking: booking.request.id, holder, parts });
         }
     }
     changes
 }
 
-/// What a holder gets of the free parts: its growth, or a proportional share if they do not suffice for all.
+/// The free parts that a holder gets: its growth, or a proportional share if they do not suffice for all holders.
 fn share_of_free(growth: Parts, needed: PerKind<u64>, free: PerKind<u64>) -> Parts {
     let available = needed.zip_with(free, u64::min);
     let scaled = growth.zip_with(available, |growth, available| u64::from(growth) * available);
     scaled.zip_with(needed, |scaled, needed| scaled.checked_div(needed).unwrap_or(0) as u32)
 }
 
-/// Whether the parts of either kind differ by more than the tolerance.
-fn differs(current: Parts, next: Parts, tolerance: u32) -> bool {
+/// Whether the parts of either kind differ by more than the tolerance, or the next parts are zero.
+fn differs(current: Parts, next: Parts, tolerance_divisor: u32) -> bool {
     let differs = |current: u32, next: u32| {
-        current != next && (next == 0 || current.abs_diff(next) > current / tolerance)
+        current != next && (next == 0 || current.abs_diff(next) > current / tolerance_divisor)
     };
     differs(current.reads, next.reads) || differs(current.fetches, next.fetches)
 }
 
-/// What each holder should have: its demand and a quarter more, or a proportional share if that is too much.
+/// The target of each holder: its demand plus a quarter, or a proportional share if the sum exceeds the dynamic parts.
 fn targets(fleet_time: Micros, booking: &Booking, demands: &[HolderDemand]) -> BTreeMap<u16, Parts> {
     let Some(current) = booking.rate_at(fleet_time) else { return BTreeMap::new() };
     let wanted: Vec<(u16, PerKind<u64>)> = demands
@@ -94,7 +96,7 @@
     wanted.into_iter().map(|(node_id, parts)| (node_id, parts.zip_with(sum, scale))).collect()
 }
 
-/// The parts of a booking of `rate` that a demand takes, with a reserve of a quarter.
+/// The parts of a booking of `rate` that a demand needs, with a reserve of a quarter.
 fn wanted_parts(demand: u64, rate: u64) -> u64 {
     if rate == 0 {
         return 0;
--- a/crates/reservation/src/book.rs
+++ b/crates/reservation/src/book.rs
@@ -1,4 +1,4 @@
-//! The book: the state that the log makes, the same on every balancer.
+//! The book: the state that results from the log, which is the same on every balancer.
 
 mod allocation;
 mod expiry;
@@ -21,16 +21,16 @@
 use crate::state::{Booking, RecordedOutcome, State, Window};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// How long an outcome is recorded after its last window, in microseconds. A later duplicate is past and gets
-/// no outcome.
+/// How long an outcome stays recorded after the end of the last window, in microseconds. The windows of a later
+/// duplicate have all ended, so it gets no outcome.
 const OUTCOME_RETENTION_US: Micros = 86_400 * SECOND;
 
-/// A change that is planned, to be checked before it is proposed.
+/// A planned change, which can be checked before it is proposed.
 #[derive(Clone, Debug)]
 pub enum PlannedChange {
-    /// One more freeze.
+    /// An additional freeze.
     Freeze(Freeze),
-    /// A capacity from a time on, such as after the planned removal of a node.
+    /// A capacity that takes effect at a later time, such as after the planned removal of a node.
     Capacity(Capacity),
 }
 
@@ -38,16 +38,17 @@
 #[derive(Clone, Debug, Default)]
 pub struct ReservationBook {
     pub(crate) state: State,
-    /// The sum of all granted rates, without reductions: nothing new is granted that a reduced booking waits
-    /// for.
+    /// The sum of all granted rates, before reductions, so that a new booking never gets capacity that a reduced
+    /// booking waits for.
     granted: RateTimeline,
-    /// Slices whose previous parts their holder may still use.
+    /// Slices whose holder may still use the previous parts.
     pub(crate) unconfirmed: BTreeSet<UnconfirmedSlice>,
     events: VecDeque<BookingEvent>,
 }
 
 impl ReservationBook {
-    /// Applies an entry of the log with its timestamp. Entries come in order, one proposal each.
+    /// Applies an entry of the log with its timestamp. Entries must be applied in order, one proposal each. A booking
+    /// request of a revision that is already applied gets its recorded outcome.
     pub fn apply(&mut self, revision: Revision, timestamp: Micros, proposal: &Proposal) -> Outcome {
         if revision <= self.state.revision {
             return match proposal {
@@ -62,7 +63,7 @@
             return Outcome::Invalid;
         }
         match proposal {
-            Proposal::Book(request) => self.book(request),
+            Proposal::Book(request) => self.apply_booking(request),
             Proposal::Cancel(id) => self.release(*id, |_| true),
             Proposal::SetCapacity(capacity) => self.set_capacity(capacity),
             Proposal::SetFreezes(freezes) => {
@@ -86,7 +87,8 @@
         Outcome::Accepted
     }
 
-    fn book(&mut self, request: &BookingRequest) -> Outcome {
+    /// Returns the recorded outcome of a booking request, or decides the request and records its outcome.
+    fn apply_booking(&mut self, request: &BookingRequest) -> Outcome {
         if let Some(outcome) = self.outcome(request.id) {
             return outcome.clone();
         }
@@ -101,24 +103,25 @@
         let Some(last) = windows.last().filter(|_| !self.is_full_for(request.tenant)) else {
             return Outcome::NotRecorded;
         };
-        let outcome = self.decide(request, &windows);
-        let mut end = last.to;
+        let outcome = self.decide_booking(request, &windows);
+        let mut last_end = last.to;
         if let Outcome::Granted { windows, .. } = &outcome {
-            end = windows.last().map_or(end, |last| end.max(last.to));
+            last_end = windows.last().map_or(last_end, |last| last_end.max(last.to));
             self.insert_booking(request, windows);
         }
-        self.record_outcome(request, &outcome, end);
+        self.record_outcome(request, &outcome, last_end);
         outcome
     }
 
-    fn record_outcome(&mut self, request: &BookingRequest, outcome: &Outcome, end: Micros) {
-        let until = end.saturating_add(OUTCOME_RETENTION_US);
+    fn record_outcome(&mut self, request: &BookingRequest, outcome: &Outcome, last_end: Micros) {
+        let until = last_end.saturating_add(OUTCOME_RETENTION_US);
         let recorded = RecordedOutcome { outcome: outcome.clone(), tenant: request.tenant, until };
         self.state.next_expiry = self.state.next_expiry.min(until);
         self.state.outcomes.insert(request.id, recorded);
     }
 
-    fn decide(&self, request: &BookingRequest, windows: &[Span]) -> Outcome {
+    /// Decides a booking request whose windows have not ended.
+    fn decide_booking(&self, request: &BookingRequest, windows: &[Span]) -> Outcome {
         let overlaps = |freeze: &&Freeze| windows.iter().any(|window| window.overlaps(freeze.span));
         let first_with = |policy: FreezePolicy| {
             let mut freezes = self.state.capacity.freezes.iter().filter(overlaps);
@@ -168,6 +171,7 @@
         self.state.bookings.insert(request.id, booking);
     }
 
+    /// Whether the book has reached a limit, overall or for `tenant`.
     fn is_full_for(&self, tenant: Tenant) -> bool {
         let State { bookings, outcomes, .. } = &self.state;
         let bookings_of_tenant = bookings.values().filter(|booking| booking.request.tenant == tenant).count();
@@ -196,7 +200,7 @@
         Outcome::Accepted
     }
 
-    /// Releases the current window of a booking if it started at `from` and was not used since.
+    /// Releases the current window of a booking if it started at `from` and has not been used since.
     fn release_unused(&mut self, id: BookingId, from: Micros) -> Outcome {
         let now = self.state.time;
         let window = self.state.bookings.get(&id).and_then(|booking| booking.window_at(now));
@@ -213,7 +217,7 @@
         self.events.push_back(event);
     }
 
-    /// The next event for the owner of a booking.
+    /// Returns the next event for the owner of a booking.
     pub fn poll_event(&mut self) -> Option<BookingEvent> {
         self.events.pop_front()
     }
@@ -239,7 +243,7 @@
         rates.fold(Rate::default(), |sum, current| sum.zip_with(current.rate, u64::saturating_add))
     }
 
-    /// The rate that all bookings together may have at a time.
+    /// The rate that is bookable at a time: the upper bound on the sum of all bookings.
     pub fn bookable_at(&self, time: Micros) -> Rate {
         self.state.capacity.bookable_at(time).rate
     }
--- a/crates/reservation/src/book/allocation.rs
+++ b/crates/reservation/src/book/allocation.rs
@@ -1,4 +1,4 @@
-//! Allocates slices so that the parts that all holders believe to have never sum up to more than a booking.
+//! Allocates slices so that the parts that all holders may still use never sum up to more than the booking.
 
 use super::ReservationBook;
 use crate::booking::BookingId;
@@ -11,6 +11,7 @@
 use crate::span::{Micros, Revision};
 
 impl ReservationBook {
+    /// Applies an allocation of the leader: ends and renews leases, and changes slices.
     pub(super) fn allocate(&mut self, allocation: &SliceAllocation) -> Outcome {
         let leases = allocation.renewals.len() + allocation.departed.len();
         if leases > 2 * usize::from(MAX_HOLDERS) || allocation.changes.len() > MAX_CHANGES {
@@ -44,8 +45,8 @@
         }
     }
 
-    /// Ends the leases renewed at or before `expired`: a leader has applied those revisions a lease ago. The
-    /// remaining holders have applied them too.
+    /// Ends the leases renewed at or before `expired`, which a leader applied a lease ago. The remaining holders
+    /// have applied these revisions too, so their slices are confirmed up to there.
     fn expire_leases(&mut self, expired: Revision) {
         if expired <= self.state.expired {
             return;
@@ -75,8 +76,8 @@
         }
     }
 
-    /// Renews a lease, or starts one. Returns `false` if another incarnation has the lease, or if the request
-    /// is an old one.
+    /// Renews or starts a lease. Returns `false` if another incarnation holds the lease, or if the request is older
+    /// than the last one.
     fn renew_lease(&mut self, renewal: &LeaseRenewal) -> bool {
         let LeaseRenewal { holder: Holder { node_id, incarnation }, requested_at, .. } = *renewal;
         if node_id >= MAX_HOLDERS {
@@ -91,7 +92,8 @@
         true
     }
 
-    /// The holder has applied everything up to `applied`: it no longer uses the previous parts of its slices.
+    /// Confirms the slices of a holder that were changed up to `applied`. The holder has applied these changes and no
+    /// longer uses the previous parts.
     fn confirm_up_to(&mut self, node_id: u16, applied: Revision) {
         let first = UnconfirmedSlice { node_id, changed_at: 0, booking: BookingId(0) };
         let last = UnconfirmedSlice { node_id, changed_at: applied, booking: BookingId(u64::MAX) };
@@ -101,6 +103,7 @@
         }
     }
 
+    /// Frees the previous parts of a slice.
     fn confirm(&mut self, confirmed: UnconfirmedSlice) {
         self.unconfirmed.remove(&confirmed);
         let Some(booking) = self.state.bookings.get_mut(&confirmed.booking) else { return };
@@ -110,12 +113,13 @@
         slice.previous = PerKind::uniform(0);
         let others = booking.allocated.zip_with(reserved, u32::saturating_sub);
         booking.allocated = others.zip_with(current, u32::saturating_add);
-        if current.is_none() {
+        if current.is_zero() {
             booking.slices.remove(&confirmed.node_id);
         }
     }
 
-    /// Changes a slice; returns `false` if its holder has no lease, or if the sum would exceed the booking.
+    /// Changes a slice. Returns `false` if the holder has no lease, the booking is unknown, or the sum of its slices
+    /// would exceed the dynamic parts.
     fn change_slice(&mut self, change: &SliceChange) -> bool {
         let changed_at = self.state.revision;
         let SliceChange { booking: id, holder: Holder { node_id, .. }, parts } = *change;
@@ -132,18 +136,18 @@
         }
         booking.allocated = sum;
         self.unconfirmed.remove(&UnconfirmedSlice { node_id, changed_at: old.changed_at, booking: id });
-        if new.reserved().is_none() {
+        if new.reserved().is_zero() {
             booking.slices.remove(&node_id);
             return true;
         }
         booking.slices.insert(node_id, new);
-        if !new.previous.is_none() {
+        if !new.previous.is_zero() {
             self.unconfirmed.insert(UnconfirmedSlice { node_id, changed_at, booking: id });
         }
         true
     }
 
-    /// When the lease of `holder` ends, on its own clock.
+    /// When the lease of `holder` ends, on the holder's own clock. `None` without a lease.
     pub fn lease_end(&self, holder: Holder) -> Option<Micros> {
         let lease = self.state.lease_of(holder)?;
         Some(lease.requested_at.saturating_add(LEASE_US - LEASE_US / RATE_ERROR))
--- a/crates/reservation/src/book/expiry.rs
+++ b/crates/reservation/src/book/expiry.rs
@@ -1,4 +1,4 @@
-//! Discards what is past, and frees what was released long enough ago.
+//! Discards ended windows, outcomes and reductions, and frees released windows.
 
 use super::ReservationBook;
 use crate::booking::BookingId;
@@ -29,8 +29,8 @@
         self.unconfirmed.retain(|slice| slice.booking != id);
     }
 
-    /// Discards what is past. Visits all bookings only if a window or a recorded outcome has ended since the
-    /// last time.
+    /// Discards windows, reductions, outcomes, capacities and freezes that have ended. Visits all bookings only if a
+    /// window or a recorded outcome has ended since the last call.
     pub(super) fn discard_past(&mut self) {
         let now = self.state.time;
         self.granted.discard_before(now);
--- a/crates/reservation/src/book/placement.rs
+++ b/crates/reservation/src/book/placement.rs
@@ -1,6 +1,6 @@
-//! The highest rate that fits in given windows, and the nearest later time for a rate that does not fit.
+//! Finds the highest rate that fits in given windows, and the nearest later time for a rate that does not fit.
 //!
-//! The search moves from one change of the free rate to the next.
+//! The search steps from one change of the free rate to the next.
 
 use super::ReservationBook;
 use crate::capacity_schedule::RateUntil;
@@ -8,10 +8,11 @@
 use crate::rate::{PerKind, Rate};
 use crate::span::{Micros, Span};
 
-/// The steps that are left of a search.
+/// The number of steps left in a search.
 struct SearchBudget(usize);
 
 impl SearchBudget {
+    /// Uses up one step; `None` if no step is left.
     fn spend(&mut self) -> Option<()> {
         self.0 = self.0.checked_sub(1)?;
         Some(())
@@ -19,7 +20,7 @@
 }
 
 impl ReservationBook {
-    /// The rate that is free at `time`.
+    /// The rate that is bookable and not granted at `time`.
     fn free_at(&self, time: Micros) -> RateUntil {
         let bookable = self.state.capacity.bookable_at(time);
         RateUntil {
@@ -42,8 +43,8 @@
         largest
     }
 
-    /// The least shift of all `windows` at which `rate` fits in each and none is frozen; `None` if there is
-    /// none within the bounds.
+    /// The smallest shift of all `windows` at which `rate` fits in each window and no freeze blocks one. `None` if the
+    /// search finds none before [`HORIZON_US`] and within [`MAX_SEARCH_STEPS`].
     pub(super) fn find_shift(&self, windows: &[Span], rate: Rate) -> Option<Micros> {
         let mut budget = SearchBudget(MAX_SEARCH_STEPS);
         let mut shift = 0;
@@ -58,6 +59,7 @@
         }
     }
 
+    /// The smallest shift of one window at which `rate` fits and no freeze blocks it.
     fn find_window_shift(&self, window: Span, rate: Rate, budget: &mut SearchBudget) -> Option<Micros> {
         let length = window.to - window.from;
         let horizon = self.state.time.saturating_add(HORIZON_US);
--- a/crates/reservation/src/book/reduction.rs
+++ b/crates/reservation/src/book/reduction.rs
@@ -1,8 +1,7 @@
-//! Reduces bookings when the capacity falls: the one granted last is reduced first and restored last.
+//! Reduces bookings when the capacity falls. The booking granted last is reduced first and restored last.
 //!
-//! Bookings are visited in the order of their grants. Each takes what is left of the bookable rate, up to
-//! what it was granted. Windows are divided where capacities change, so that a fall of an hour reduces an
-//! hour.
+//! Bookings are visited in the order of their grants. Each takes the remaining bookable rate, up to its granted
+//! rate. Windows are divided where capacities change, so that a fall of one hour reduces one hour only.
 
 use super::{PlannedChange, ReservationBook};
 use crate::booking::BookingId;
@@ -16,11 +15,11 @@
 use std::collections::BTreeMap;
 
 impl ReservationBook {
-    /// The bookings that `change` would affect if it took effect now: those that it would reduce, or those
+    /// The bookings that `change` would affect if it took effect now: those that a capacity would reduce, or those
     /// that a freeze would reject or move.
     pub fn affected_by(&self, change: &PlannedChange) -> Vec<BookingId> {
         match change {
-            PlannedChange::Freeze(freeze) => self.frozen_by(freeze),
+            PlannedChange::Freeze(freeze) => self.affected_by_freeze(freeze),
             PlannedChange::Capacity(capacity) => {
                 let mut schedule = self.state.capacity.clone();
                 if !capacity.is_valid() || !schedule.insert(self.state.time, capacity) {
@@ -33,7 +32,7 @@
         }
     }
 
-    fn frozen_by(&self, freeze: &Freeze) -> Vec<BookingId> {
+    fn affected_by_freeze(&self, freeze: &Freeze) -> Vec<BookingId> {
         if freeze.policy == FreezePolicy::Allow {
             return Vec::new();
         }
@@ -45,7 +44,7 @@
         bookings.filter(|(_, booking)| overlaps(booking)).map(|(id, _)| *id).collect()
     }
 
-    /// Whether a booking would have a lower rate than now at any time.
+    /// Whether `reductions` would give a booking a lower rate than its current one at any time.
     fn is_reduced_further(&self, id: BookingId, reductions: &[Reduction]) -> bool {
         let Some(booking) = self.state.bookings.get(&id) else { return false };
         let current_ends = |span: Span| {
@@ -60,7 +59,7 @@
         })
     }
 
-    /// Computes the reductions of all bookings again and reports what has changed.
+    /// Recomputes the reductions of all bookings and pushes an event for each change.
     pub(super) fn update_reductions(&mut self) {
         let mut reductions = self.reductions_under(&self.state.capacity);
         let mut events = Vec::new();
@@ -74,6 +73,7 @@
         }
     }
 
+    /// The reductions of all bookings under a capacity schedule.
     fn reductions_under(&self, schedule: &CapacitySchedule) -> BTreeMap<BookingId, Vec<Reduction>> {
         let mut all = BTreeMap::new();
         if self.fits_all(schedule) {
@@ -91,7 +91,7 @@
         all
     }
 
-    /// Gives a booking what the earlier ones have left, and adds it to `taken`.
+    /// Gives a booking the rate that earlier bookings have left, adds it to `taken`, and returns the reductions.
     fn reduce(
         &self, booking: &Booking, schedule: &CapacitySchedule, taken: &mut RateTimeline,
     ) -> Vec<Reduction> {
@@ -101,7 +101,7 @@
             let mut from = window.span.from.max(self.state.time);
             while from < window.span.to {
                 let span = Span { from, to: window.span.to.min(schedule.next_capacity(from)) };
-                let rate = granted.zip_with(least_left(schedule, taken, span), u64::min);
+                let rate = granted.zip_with(lowest_free_rate(schedule, taken, span), u64::min);
                 taken.add(span, rate);
                 if rate != granted {
                     reductions.push(Reduction { span, rate });
@@ -112,7 +112,7 @@
         reductions
     }
 
-    /// Whether all granted rates fit. It saves the visit of all bookings.
+    /// Whether all granted rates fit, in which case no booking has to be visited.
     fn fits_all(&self, schedule: &CapacitySchedule) -> bool {
         self.granted.points().all(|(point, granted)| {
             let end = self.granted.next_point(point);
@@ -130,7 +130,7 @@
 }
 
 /// The lowest rate in `span` that is bookable and not taken.
-fn least_left(schedule: &CapacitySchedule, taken: &RateTimeline, span: Span) -> Rate {
+fn lowest_free_rate(schedule: &CapacitySchedule, taken: &RateTimeline, span: Span) -> Rate {
     let mut least = PerKind::uniform(u64::MAX);
     let mut time = span.from;
     while time < span.to {
@@ -145,7 +145,7 @@
 fn push_reduction_events(
     booking: BookingId, before: &[Reduction], after: &[Reduction], events: &mut Vec<BookingEvent>,
 ) {
-    // The start of a reduction moves on with time, so it does not tell a new one.
+    // The start of a reduction advances with time, so a different start does not make it a new one.
     let is_known = |reduction: &Reduction| {
         before.iter().any(|known| known.span.to == reduction.span.to && known.rate == reduction.rate)
     };
--- a/crates/reservation/src/book/snapshot.rs
+++ b/crates/reservation/src/book/snapshot.rs
@@ -8,7 +8,7 @@
 use crate::state_validation::{RestoreError, ensure, validate};
 
 impl ReservationBook {
-    /// Encodes the state. Events are not part of it.
+    /// Encodes the state, without the events.
     pub fn snapshot(&self) -> Vec<u8> {
         postcard::to_stdvec(&self.state).expect("integers and collections can be encoded into memory")
     }
@@ -16,7 +16,7 @@
     /// Decodes and validates a snapshot.
     ///
     /// # Errors
-    /// If the bytes are not a snapshot, or hold an inconsistent state.
+    /// Returns an error if the bytes are too many or malformed, or if the state is inconsistent.
     pub fn restore(bytes: &[u8]) -> Result<Self, RestoreError> {
         if bytes.len() > MAX_SNAPSHOT_BYTES {
             return Err(RestoreError::TooLarge);
@@ -36,7 +36,7 @@
         Ok(book)
     }
 
-    /// Derives what follows from a booking.
+    /// Derives the granted rates, the allocated parts and the unconfirmed slices of a booking.
     fn restore_booking(&mut self, booking: &mut Booking) -> Result<(), RestoreError> {
         let id = booking.request.id;
         for window in &booking.windows {
@@ -45,7 +45,7 @@
         booking.allocated = PerKind::uniform(0);
         for (&node_id, slice) in &booking.slices {
             booking.allocated = booking.allocated.zip_with(slice.reserved(), u32::saturating_add);
-            if !slice.previous.is_none() {
+            if !slice.previous.is_zero() {
                 let changed_at = slice.changed_at;
                 self.unconfirmed.insert(UnconfirmedSlice { node_id, changed_at, booking: id });
             }
@@ -53,7 +53,7 @@
         let allocated = booking.allocated;
         ensure(
             allocated.reads <= DYNAMIC_PARTS && allocated.fetches <= DYNAMIC_PARTS,
-            "slices above their booking",
+            "the slices of a booking exceed its dynamic parts",
         )
     }
 }
--- a/crates/reservation/src/booking.rs
+++ b/crates/reservation/src/booking.rs
@@ -29,13 +29,13 @@
 pub struct BookingRequest {
     /// The booking.
     pub id: BookingId,
-    /// The tenant that it is for.
+    /// The tenant that the booking is for.
     pub tenant: Tenant,
-    /// The classes of requests that it is for.
+    /// The classes of requests that the booking admits.
     pub classes: RequestClasses,
     /// The rate in each window.
     pub rate: Rate,
-    /// The windows, in order, disjoint, and expanded by the caller.
+    /// The windows, in order and disjoint. The caller expands recurring windows.
     pub windows: Vec<Span>,
 }
 
--- a/crates/reservation/src/capacity.rs
+++ b/crates/reservation/src/capacity.rs
@@ -1,21 +1,21 @@
-//! The capacity of the fleet, and freezes of it.
+//! The capacity of the fleet, and freezes.
 
 use crate::rate::Rate;
 use crate::span::{Micros, Span};
 use serde::{Deserialize, Serialize};
 
-/// Hours of a week.
+/// Number of hours in a week.
 pub(crate) const HOURS_PER_WEEK: usize = 168;
 
-/// The capacity of the fleet from a time on, up to the next such entry.
+/// The capacity of the fleet from a given time until the next capacity takes effect.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Capacity {
-    /// When it takes effect. A time in the past counts as the time of the commit.
+    /// When the capacity takes effect. A time in the past is replaced by the time of the commit.
     pub from: Micros,
     /// The total rate, configured or measured.
     pub total: Rate,
-    /// The rate of unbooked traffic by hour of the week: 168 values or none. Hour 0 is that of the Unix
-    /// epoch, Thursday 0:00 UTC; the owner converts its own week.
+    /// The rate of unbooked traffic by hour of the week: 168 values or none. Hour 0 is the hour of the Unix epoch,
+    /// Thursday 0:00 UTC; the owner converts from its own week.
     pub baseline: Vec<Rate>,
 }
 
@@ -42,8 +42,8 @@
 pub struct Freeze {
     /// The owner's identifier of the freeze.
     pub id: u32,
-    /// When it is in force.
+    /// When the freeze is in force.
     pub span: Span,
-    /// What it does to bookings.
+    /// The policy for bookings that overlap the freeze.
     pub policy: FreezePolicy,
 }
--- a/crates/reservation/src/capacity_schedule.rs
+++ b/crates/reservation/src/capacity_schedule.rs
@@ -1,5 +1,5 @@
-//! The rate that may be booked over time: capacity without the baseline traffic and a reserve for failures,
-//! and freezes.
+//! The rate that may be booked over time: the capacity less the baseline traffic and a reserve for failures, and
+//! the freezes.
 
 use crate::capacity::{Capacity, Freeze, FreezePolicy, HOURS_PER_WEEK};
 use crate::limits::{MAX_CAPACITIES, SECOND};
@@ -9,16 +9,17 @@
 use std::collections::BTreeMap;
 
 const HOUR: Micros = 3_600 * SECOND;
-/// The part of the fleet that may fail without a reduction of bookings: one in this many.
+/// The capacity divided by this may fail without a reduction of bookings.
 const FAILURE_RESERVE: u64 = 4;
 
-/// A rate that holds up to a time.
+/// A rate and the time until which it is constant.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RateUntil {
     pub(crate) rate: Rate,
     pub(crate) until: Micros,
 }
 
+/// Capacities by the time from which each is in force, and the freezes.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub(crate) struct CapacitySchedule {
     pub(crate) capacities: BTreeMap<Micros, Capacity>,
@@ -46,12 +47,12 @@
         }
     }
 
-    /// When the capacity after `time` takes effect.
+    /// When the first capacity after `time` takes effect.
     pub(crate) fn next_capacity(&self, time: Micros) -> Micros {
         self.capacities.range(time.saturating_add(1)..).next().map_or(Micros::MAX, |(from, _)| *from)
     }
 
-    /// Adds a capacity; returns `false` if there are too many.
+    /// Adds a capacity. Returns `false` if there are [`MAX_CAPACITIES`] already.
     pub(crate) fn insert(&mut self, now: Micros, capacity: &Capacity) -> bool {
         let from = capacity.from.max(now);
         if self.capacities.len() >= MAX_CAPACITIES && !self.capacities.contains_key(&from) {
@@ -71,7 +72,7 @@
         self.freezes.retain(|freeze| freeze.span.to > now);
     }
 
-    /// The last freeze to end of those that allow no booking in `span`.
+    /// The freeze that ends last of those that overlap `span` and do not allow bookings.
     pub(crate) fn blocking_freeze(&self, span: Span) -> Option<&Freeze> {
         self.freezes
             .iter()
--- a/crates/reservation/src/lib.rs
+++ b/crates/reservation/src/lib.rs
@@ -2,18 +2,19 @@
 //!
 //! [`ReservationBook`] is the state that every balancer builds from the replicated log: bookings, capacity,
 //! freezes and slices. The same entries give the same outcomes everywhere, and a booking gets one outcome.
-//! [`SliceAllocator`] runs on the leader: it collects the demand of all balancers and proposes who holds
-//! what. [`Admission`] runs on each balancer: it has a token bucket for each of its slices, and requests
+//! [`SliceAllocator`] runs on the leader: it collects the demand of all balancers and proposes the slices of
+//! each. [`Admission`] runs on each balancer: it has a token bucket for each of its slices, and requests
 //! slices from the leader.
 //!
 //! A slice is a *part* of a booking, not a rate. The parts of all holders never sum up to more than the
 //! booking, so neither do the rates. A part is valid for its holder until its own lease ends, counted from
-//! its request. For the book it stays reserved until the holder has confirmed that it applied a smaller one,
-//! or until a lease has passed since the leader applied that. Neither reads the clock of another machine.
+//! its request. In the book it stays reserved until the holder has confirmed that it applied a smaller part,
+//! or until a lease has passed since the leader applied the smaller part. Neither condition reads the clock of
+//! another machine.
 //!
-//! The crate does no I/O, reads no clock and draws no randomness. It leaves to its owner the log, the
-//! datagrams that carry a [`SliceRequest`] to the leader, the calendar (windows and freezes come expanded)
-//! and the meaning of a [`Priority`].
+//! The crate does no I/O, reads no clock and draws no randomness. Its owner provides the log, the datagrams
+//! that carry a [`SliceRequest`] to the leader, the calendar (windows and freezes are already expanded) and the
+//! meaning of a [`Priority`].
 #![forbid(unsafe_code)]
 #![warn(unreachable_pub)]
 
--- a/crates/reservation/src/outcome.rs
+++ b/crates/reservation/src/outcome.rs
@@ -8,9 +8,9 @@
 /// Why a booking was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RejectReason {
-    /// It does not fit the capacity.
+    /// The booking does not fit into the capacity.
     Capacity,
-    /// This freeze rejects it, or there is no time to move it to.
+    /// The freeze with this id rejects the booking, or no later time was found to move the booking to.
     Freeze(u32),
 }
 
@@ -19,9 +19,9 @@
 pub enum Outcome {
     /// The booking is granted.
     Granted {
-        /// The granted windows, without the parts that are past.
+        /// The granted windows, without the parts that have already ended.
         windows: Vec<Span>,
-        /// The freeze whose policy moved them.
+        /// The id of the freeze that moved the windows, if any.
         moved_by: Option<u32>,
     },
     /// The booking is rejected.
@@ -34,16 +34,17 @@
         /// bounds.
         next: Option<Span>,
     },
-    /// No outcome is recorded: the book is full (for this tenant), all windows are past, or the revision was
-    /// applied before.
+    /// No outcome is recorded: the book is full (for this tenant), all windows have ended, or the revision is
+    /// already applied.
     NotRecorded,
     /// The proposal is accepted.
     Accepted,
-    /// The proposal is invalid, names something unknown, or does not hold (a no-show of a booking in use).
+    /// The proposal is invalid, refers to something unknown, or does not apply (a no-show of a booking in use).
     Invalid,
     /// The allocation is accepted.
     Allocated {
-        /// Changes that were not accepted, because the sum would have exceeded the booking.
+        /// Number of slice changes that were skipped, because the holder has no lease, the booking is unknown, or the
+        /// sum would have exceeded the booking.
         skipped: u32,
     },
 }
@@ -51,7 +52,7 @@
 /// An event of a booking, for its owner.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum BookingEvent {
-    /// The rate is lower than granted.
+    /// The rate is reduced below the granted rate.
     Reduced {
         /// The booking.
         booking: BookingId,
@@ -62,7 +63,7 @@
         /// The end of the reduction, in fleet time.
         until: Micros,
     },
-    /// The rate is as granted again.
+    /// The rate is restored to the granted rate.
     Restored {
         /// The booking.
         booking: BookingId,
--- a/crates/reservation/src/proposal.rs
+++ b/crates/reservation/src/proposal.rs
@@ -1,4 +1,4 @@
-//! The entries of the log.
+//! Proposals: the log entries that change the book.
 
 use crate::booking::{BookingId, BookingRequest};
 use crate::capacity::{Capacity, Freeze};
@@ -7,22 +7,22 @@
 use crate::span::Micros;
 use serde::{Deserialize, Serialize};
 
-/// An entry of the log.
+/// A log entry that changes the book.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Proposal {
-    /// A team requests a booking.
+    /// Requests a booking for a team.
     Book(BookingRequest),
-    /// A team releases the rest of a booking.
+    /// Releases the remaining windows of a team's booking.
     Cancel(BookingId),
-    /// The capacity changes.
+    /// Changes the capacity.
     SetCapacity(Capacity),
     /// Replaces all freezes.
     SetFreezes(Vec<Freeze>),
-    /// The number of balancers; later bookings divide their static parts among that many.
+    /// Sets the number of balancers, among which later bookings divide their static parts.
     SetFleetSize(u16),
-    /// The leader allocates slices.
+    /// Allocates slices; proposed by the leader.
     AllocateSlices(SliceAllocation),
-    /// A booking has not been used in its current window.
+    /// Releases the current window of a booking that has not been used in it.
     NoShow {
         /// The booking.
         booking: BookingId,
--- a/crates/reservation/src/rate.rs
+++ b/crates/reservation/src/rate.rs
@@ -3,7 +3,7 @@
 use crate::limits::{MAX_RATE, TOTAL_PARTS};
 use serde::{Deserialize, Serialize};
 
-/// What a request uses.
+/// The kind of a request, which determines the resource that it uses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RequestKind {
     /// A read from the cache nodes.
@@ -21,9 +21,9 @@
     pub fetches: T,
 }
 
-/// Thousandths of a request a second.
+/// A rate in thousandths of a request a second.
 pub type Rate = PerKind<u64>;
-/// Parts of a booking, of [`TOTAL_PARTS`].
+/// A number of parts of a booking, out of [`TOTAL_PARTS`].
 pub type Parts = PerKind<u32>;
 
 impl<T: Copy> PerKind<T> {
@@ -40,7 +40,7 @@
         }
     }
 
-    /// The value for `kind`, to be changed.
+    /// A mutable reference to the value for `kind`.
     pub fn get_mut(&mut self, kind: RequestKind) -> &mut T {
         match kind {
             RequestKind::Read => &mut self.reads,
@@ -65,7 +65,7 @@
         self.reads <= limit.reads && self.fetches <= limit.fetches
     }
 
-    /// These parts of the rate, rounded down so that sums of parts never exceed it.
+    /// The rate of `parts`, rounded down so that the sum over several holders never exceeds this rate.
     pub fn part(self, parts: Parts) -> Rate {
         self.zip_with(parts, |rate, parts| rate.min(MAX_RATE) * u64::from(parts) / u64::from(TOTAL_PARTS))
     }
@@ -76,7 +76,7 @@
 }
 
 impl Parts {
-    pub(crate) fn is_none(self) -> bool {
+    pub(crate) fn is_zero(self) -> bool {
         self == Parts::default()
     }
 }
--- a/crates/reservation/src/rate_timeline.rs
+++ b/crates/reservation/src/rate_timeline.rs
@@ -50,13 +50,13 @@
 
     /// Removes a point at which the sum does not change.
     fn remove_if_redundant(&mut self, point: Micros) {
-        let before = self.points.range(..point).next_back().map_or(Rate::default(), |(_, rate)| *rate);
-        if self.points.get(&point) == Some(&before) {
+        let previous = self.points.range(..point).next_back().map_or(Rate::default(), |(_, rate)| *rate);
+        if self.points.get(&point) == Some(&previous) {
             self.points.remove(&point);
         }
     }
 
-    /// Discards what lies before `time`.
+    /// Discards all points before `time`, and ignores later updates before it.
     pub(crate) fn discard_before(&mut self, time: Micros) {
         let sum = self.rate_at(time);
         if self.points.range(..time).next().is_some() {
@@ -68,7 +68,7 @@
         self.start = self.start.max(time);
     }
 
-    /// All points with the sum from each of them on.
+    /// All points at which the sum changes, with the sum from each point on.
     pub(crate) fn points(&self) -> impl Iterator<Item = (Micros, Rate)> + '_ {
         self.points.iter().map(|(point, rate)| (*point, *rate))
     }
--- a/crates/reservation/src/slice.rs
+++ b/crates/reservation/src/slice.rs
@@ -10,7 +10,7 @@
 pub struct Holder {
     /// The balancer's index in the fleet file.
     pub node_id: u16,
-    /// Its incarnation, drawn at its start.
+    /// The balancer's incarnation, drawn at its start.
     pub incarnation: u64,
 }
 
@@ -19,9 +19,9 @@
 pub struct LeaseRenewal {
     /// The holder.
     pub holder: Holder,
-    /// When it sent the request, on its own clock.
+    /// When the holder sent the request, on its own clock.
     pub requested_at: Micros,
-    /// The revision that it had applied then.
+    /// The revision that the holder had applied when it sent the request.
     pub applied: Revision,
 }
 
@@ -32,7 +32,7 @@
     pub booking: BookingId,
     /// The holder.
     pub holder: Holder,
-    /// Its parts, without the static ones.
+    /// The new parts, without the static ones.
     pub parts: Parts,
 }
 
@@ -41,7 +41,7 @@
 pub struct AllocationId {
     /// The leader's incarnation.
     pub incarnation: u64,
-    /// The number of the allocation within it.
+    /// The number of the allocation within the leader's incarnation.
     pub sequence: u64,
 }
 
@@ -50,20 +50,20 @@
 pub struct SliceAllocation {
     /// Identifies the allocation.
     pub id: AllocationId,
-    /// The leader had applied everything up to this revision a lease and the error of clock rates ago.
+    /// The revision up to which the leader had applied everything a lease and the largest clock rate error ago.
     pub expired: Revision,
-    /// Holders that have announced their end.
+    /// Holders that have announced that they admit no more requests.
     pub departed: Vec<Holder>,
     /// Renewed leases.
     pub renewals: Vec<LeaseRenewal>,
-    /// Changed slices; each is accepted only if the sum of the booking allows it.
+    /// Changed slices. Each change is skipped if the sum of the slices would exceed the booking.
     pub changes: Vec<SliceChange>,
     /// Bookings that are in use in their current window.
     pub used: Vec<BookingId>,
 }
 
-/// The lease of a balancer. Another incarnation waits until it has ended; otherwise both would use the same
-/// parts.
+/// The lease of a balancer. Another incarnation of the balancer gets one only after this has ended, since both would
+/// use the same parts.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub(crate) struct HolderLease {
     pub(crate) incarnation: u64,
@@ -71,17 +71,17 @@
     pub(crate) renewed_at: Revision,
 }
 
-/// The parts that a holder has, and those that it may still believe to have.
+/// The parts of a holder, and the previous parts that it may still use.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
 pub(crate) struct Slice {
     pub(crate) current: Parts,
-    /// What it had before the change, until it confirms that it has applied the change.
+    /// The parts before the change, until the holder confirms that it has applied the change.
     pub(crate) previous: Parts,
     pub(crate) changed_at: Revision,
 }
 
 impl Slice {
-    /// The most parts that the holder may use.
+    /// The maximum number of parts that the holder may use.
     pub(crate) fn reserved(self) -> Parts {
         self.current.zip_with(self.previous, u32::max)
     }
--- a/crates/reservation/src/slice_request.rs
+++ b/crates/reservation/src/slice_request.rs
@@ -6,7 +6,7 @@
 use crate::span::{Micros, Revision};
 use serde::{Deserialize, Serialize};
 
-/// The rate that a holder could use of a booking.
+/// A holder's demand for a booking.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Demand {
     /// The booking.
@@ -20,10 +20,10 @@
 pub struct SliceRequest {
     /// The holder.
     pub holder: Holder,
-    /// When it sent the request, on its own clock.
+    /// When the holder sent the request, on its own clock.
     pub requested_at: Micros,
-    /// The revision that it has applied.
+    /// The revision that the holder had applied.
     pub applied: Revision,
-    /// Its demands; it has none for other bookings.
+    /// The holder's demands. It has no demand for bookings that are not listed.
     pub demands: Vec<Demand>,
 }
--- a/crates/reservation/src/span.rs
+++ b/crates/reservation/src/span.rs
@@ -2,8 +2,8 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Microseconds: a span, or a point in fleet time (Unix) or on a balancer's own clock, as the name beside it
-/// says.
+/// Microseconds: a duration, or a point in fleet time (Unix time) or on a balancer's own clock. Each use documents
+/// which.
 pub type Micros = u64;
 /// An index of the replicated log.
 pub type Revision = u64;
@@ -11,9 +11,9 @@
 /// A half-open interval of fleet time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Span {
-    /// The first microsecond.
+    /// The start, inclusive.
     pub from: Micros,
-    /// The first microsecond after it.
+    /// The end, exclusive.
     pub to: Micros,
 }
 
@@ -23,12 +23,12 @@
         self.from <= time && time < self.to
     }
 
-    /// Whether the spans have a microsecond in common.
+    /// Whether the spans have at least a microsecond in common.
     pub fn overlaps(self, other: Span) -> bool {
         self.from < other.to && other.from < self.to
     }
 
-    /// The same span, later by `shift`.
+    /// Returns the span shifted to a later time by `shift`.
     pub fn shifted(self, shift: Micros) -> Span {
         Span { from: self.from.saturating_add(shift), to: self.to.saturating_add(shift) }
     }
--- a/crates/reservation/src/state.rs
+++ b/crates/reservation/src/state.rs
@@ -1,4 +1,4 @@
-//! The replicated state of the book: what a snapshot holds.
+//! The replicated state of the book, which is the content of a snapshot.
 
 use crate::booking::{BookingId, BookingRequest, Tenant};
 use crate::capacity_schedule::CapacitySchedule;
@@ -15,8 +15,7 @@
     pub(crate) span: Span,
     /// Whether the booking was used in the window.
     pub(crate) used: bool,
-    /// The revision at which the window was released. Its rate is free only once a lease has passed since
-    /// then.
+    /// The revision at which the window was released. Its rate is free only after a lease has passed since then.
     pub(crate) released_at: Option<Revision>,
 }
 
@@ -39,8 +38,8 @@
 pub(crate) struct Booking {
     pub(crate) request: BookingRequest,
     pub(crate) granted_at: Revision,
-    /// The number of balancers that share the static parts. Fixed, because two different numbers would sum up
-    /// to more than all parts.
+    /// The number of balancers that share the static parts. It is fixed, because shares of two different numbers could
+    /// sum up to more than all static parts.
     pub(crate) static_shares: u16,
     pub(crate) windows: Vec<Window>,
     pub(crate) reductions: Vec<Reduction>,
@@ -101,7 +100,7 @@
     /// Leases renewed at or before this revision have expired.
     pub(crate) expired: Revision,
     pub(crate) last_allocation: AllocationId,
-    /// When to look next for what has ended.
+    /// When the next window or recorded outcome ends.
     pub(crate) next_expiry: Micros,
 }
 
--- a/crates/reservation/src/state_validation.rs
+++ b/crates/reservation/src/state_validation.rs
@@ -14,16 +14,16 @@
     #[error("the snapshot is larger than {MAX_SNAPSHOT_BYTES} bytes")]
     TooLarge,
     /// The snapshot cannot be decoded.
-    #[error("the snapshot is not in the form of a book")]
+    #[error("the snapshot cannot be decoded as a reservation book")]
     Malformed,
     /// The snapshot holds a state that no log can produce.
-    #[error("the snapshot holds what no log can have agreed on: {0}")]
+    #[error("the snapshot holds a state that no log can produce: {0}")]
     Inconsistent(&'static str),
 }
 
-/// Returns an error unless `holds`.
-pub(crate) fn ensure(holds: bool, what: &'static str) -> Result<(), RestoreError> {
-    if holds { Ok(()) } else { Err(RestoreError::Inconsistent(what)) }
+/// Returns [`RestoreError::Inconsistent`] with `subject` if `condition` is false.
+pub(crate) fn ensure(condition: bool, subject: &'static str) -> Result<(), RestoreError> {
+    if condition { Ok(()) } else { Err(RestoreError::Inconsistent(subject)) }
 }
 
 /// Checks that the log can produce this state.
@@ -32,9 +32,12 @@
     let (capacities, freezes) = (&schedule.capacities, &schedule.freezes);
     ensure(
         state.bookings.len() <= MAX_BOOKINGS && state.outcomes.len() <= MAX_OUTCOMES,
-        "too many bookings",
+        "too many bookings or outcomes",
+    )?;
+    ensure(
+        capacities.len() <= MAX_CAPACITIES && freezes.len() <= MAX_FREEZES,
+        "too many capacities or freezes",
     )?;
-    ensure(capacities.len() <= MAX_CAPACITIES && freezes.len() <= MAX_FREEZES, "too much capacity")?;
     let has_valid_capacities =
         capacities.iter().all(|(from, capacity)| *from == capacity.from && capacity.is_valid());
     ensure(has_valid_capacities, "capacity")?;
@@ -49,18 +52,21 @@
 }
 
 fn validate_booking(state: &State, id: BookingId, booking: &Booking) -> Result<(), RestoreError> {
-    ensure(id == booking.request.id && booking.request.is_valid(), "a booking")?;
-    ensure((1..=MAX_HOLDERS).contains(&booking.static_shares), "seats of a booking")?;
+    ensure(id == booking.request.id && booking.request.is_valid(), "the id or the request of a booking")?;
+    ensure((1..=MAX_HOLDERS).contains(&booking.static_shares), "the number of static shares of a booking")?;
     let windows = &booking.windows;
     let is_ordered = windows.windows(2).all(|pair| pair[0].span.to <= pair[1].span.from);
     let has_empty = windows.iter().any(|window| window.span.from >= window.span.to);
     let has_valid_count = !windows.is_empty() && windows.len() <= MAX_WINDOWS;
     ensure(has_valid_count && is_ordered && !has_empty, "windows")?;
     let lengths = windows.iter().map(|window| window.span.to - window.span.from);
-    ensure(lengths.fold(0, u64::saturating_add) <= MAX_WINDOW_US, "long windows")?;
+    ensure(lengths.fold(0, u64::saturating_add) <= MAX_WINDOW_US, "the total length of a booking's windows")?;
     let has_valid_reductions = booking.reductions.iter().all(|reduction| {
         reduction.span.from < reduction.span.to && reduction.rate.fits(booking.request.rate)
     });
-    ensure(has_valid_reductions, "shrunk parts")?;
-    ensure(booking.slices.keys().all(|node_id| state.leases.contains_key(node_id)), "slices of nobody")
+    ensure(has_valid_reductions, "the reductions of a booking")?;
+    ensure(
+        booking.slices.keys().all(|node_id| state.leases.contains_key(node_id)),
+        "a slice whose holder has no lease",
+    )
 }
--- a/crates/reservation/src/token_bucket.rs
+++ b/crates/reservation/src/token_bucket.rs
@@ -1,24 +1,24 @@
-//! The token bucket of one slice, with the measurement of its use and demand.
+//! The token bucket of one slice, and the measurement of its use and demand.
 
 use crate::booking::{BookingId, RequestClasses};
 use crate::limits::{BURST_US, DYNAMIC_PARTS, MAX_RATE, RATE_ERROR, TOTAL_PARTS};
 use crate::rate::{Parts, PerKind, Rate, RequestKind};
 use crate::span::{Micros, Span};
 
-/// Tokens of one request: thousandths of a request a second, times microseconds.
+/// Tokens that one request takes. The unit is a thousandth of a request a second times a microsecond.
 const TOKENS_PER_REQUEST: u64 = 1_000_000_000;
-/// Shortest wait that is suggested, in milliseconds: a turn of the fleet's thread.
+/// Minimum time after which a retry is suggested, in milliseconds: one iteration of the fleet's thread.
 const MIN_RETRY_AFTER_MS: u64 = 5;
-/// Longest wait that is suggested, in milliseconds: how long a new allocation takes.
+/// Maximum time after which a retry is suggested, in milliseconds: the duration of a new allocation.
 pub(crate) const MAX_RETRY_AFTER_MS: u64 = 500;
-/// Demand below this rate is left to the static parts.
+/// Minimum rate that counts as demand, in thousandths of a request a second. The static parts serve a lower rate.
 const MIN_DEMAND: u64 = 500;
 
 // Tokens must not overflow.
 const _: () = assert!(MAX_RATE as u128 * BURST_US as u128 + (MAX_RATE as u128) < u64::MAX as u128 / 2);
 const _: () = assert!(TOTAL_PARTS > DYNAMIC_PARTS);
 
-/// What the book says of a slice.
+/// The terms of a slice according to the book.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct SliceTerms {
     /// The rate of the whole booking.
@@ -27,31 +27,32 @@
     pub(crate) span: Span,
     /// The holder's parts.
     pub(crate) parts: Parts,
-    /// The holder's share of the parts that nobody holds.
+    /// The holder's share of the parts that no balancer holds.
     pub(crate) unallocated: Parts,
 }
 
+/// The token bucket of one slice on its holder.
 #[derive(Clone, Debug)]
 pub(crate) struct TokenBucket {
     pub(crate) booking: BookingId,
     pub(crate) classes: RequestClasses,
-    /// When the slice is in force, on the own clock.
+    /// When the slice is in force, on this balancer's own clock.
     valid: Span,
     pub(crate) rate: Rate,
-    /// The rate of the own share of what nobody holds.
+    /// The rate of this balancer's share of the parts that no balancer holds.
     pub(crate) unallocated: Rate,
     parts: Parts,
     tokens: PerKind<u64>,
-    filled_at: Micros,
+    refilled_at: Micros,
     /// Requests that arrived since the last measurement.
     arrived: PerKind<u64>,
     /// Requests that were admitted since the last measurement.
     admitted: PerKind<u64>,
-    /// The measured rate of arrivals, which falls by no more than half at a time.
+    /// The measured rate of arrivals, which falls by at most half with each measurement.
     pub(crate) demand: Rate,
     /// The rate that was not used at the last measurement.
     pub(crate) unused: Rate,
-    /// Whether the book still has the booking; reset by each refresh.
+    /// Whether the last refresh found the booking in the book. Each refresh resets it.
     pub(crate) is_refreshed: bool,
 }
 
@@ -65,7 +66,7 @@
             unallocated: Rate::default(),
             parts: Parts::default(),
             tokens: PerKind::default(),
-            filled_at: now,
+            refilled_at: now,
             arrived: PerKind::default(),
             admitted: PerKind::default(),
             demand: Rate::default(),
@@ -79,41 +80,41 @@
         self.valid.contains(now)
     }
 
-    /// Whether `parts` are fewer than the present ones, of either kind.
+    /// Whether the current parts exceed `parts`, of either kind.
     pub(crate) fn exceeds(&self, parts: Parts) -> bool {
         parts.reads < self.parts.reads || parts.fetches < self.parts.fetches
     }
 
-    /// Adopts the terms of the book. `earliest` and `latest` bound the present fleet time.
+    /// Adopts the terms of the book. `earliest` and `latest` bound the current fleet time.
     pub(crate) fn update(&mut self, now: Micros, terms: &SliceTerms, earliest: Micros, latest: Micros) {
         self.parts = terms.parts;
         self.rate = terms.rate.part(terms.parts);
         self.unallocated = terms.rate.part(terms.unallocated);
-        // Both ends are estimated so that the slice is never used outside of its span, whatever the error of
-        // the clocks' rates.
+        // Both ends allow for the largest error of the clock rates, so that the slice is never used outside of its
+        // span.
         let until_start = terms.span.from.saturating_sub(earliest);
         let from = now.saturating_add(until_start).saturating_add(until_start.div_ceil(RATE_ERROR));
         let until_end = terms.span.to.saturating_sub(latest);
         let to = now.saturating_add(until_end - until_end / RATE_ERROR);
         self.valid = Span { from, to };
         self.is_refreshed = true;
-        self.fill(now, now);
+        self.refill(now, now);
     }
 
-    /// Adds the tokens since the last time. None are added outside of the span in force or after `lease_end`,
-    /// because the same parts may be another holder's then.
-    pub(crate) fn fill(&mut self, now: Micros, lease_end: Micros) {
-        let since = self.filled_at.max(self.valid.from);
+    /// Adds the tokens for the time since the last call. Adds none for times outside of the valid span or after
+    /// `lease_end`, when another holder may have the same parts.
+    pub(crate) fn refill(&mut self, now: Micros, lease_end: Micros) {
+        let since = self.refilled_at.max(self.valid.from);
         let elapsed = now.min(self.valid.to).min(lease_end).saturating_sub(since).min(BURST_US);
-        self.filled_at = now.max(self.filled_at);
+        self.refilled_at = now.max(self.refilled_at);
         let capacity = |rate: u64| if rate == 0 { 0 } else { (rate * BURST_US).max(TOKENS_PER_REQUEST) };
-        let filled = self.tokens.zip_with(self.rate, |tokens, rate| tokens + rate * elapsed);
-        self.tokens = filled.zip_with(self.rate.map(capacity), u64::min);
+        let refilled = self.tokens.zip_with(self.rate, |tokens, rate| tokens + rate * elapsed);
+        self.tokens = refilled.zip_with(self.rate.map(capacity), u64::min);
     }
 
     /// Counts a request that arrived, and takes the tokens for it if there are enough.
-    pub(crate) fn take(&mut self, now: Micros, kind: RequestKind) -> bool {
-        self.fill(now, now);
+    pub(crate) fn try_take(&mut self, now: Micros, kind: RequestKind) -> bool {
+        self.refill(now, now);
         self.count_arrival(kind);
         let tokens = self.tokens.get_mut(kind);
         if *tokens < TOKENS_PER_REQUEST {
@@ -129,7 +130,7 @@
         *self.arrived.get_mut(kind) += 1;
     }
 
-    /// When the tokens suffice for another request.
+    /// The time in milliseconds until the tokens suffice for another request, within the limits for suggested retries.
     pub(crate) fn retry_after_ms(&self, kind: RequestKind) -> u64 {
         let rate = self.rate.get(kind);
         if rate == 0 {
@@ -140,12 +141,12 @@
         wait_us.div_ceil(1_000).clamp(MIN_RETRY_AFTER_MS, MAX_RETRY_AFTER_MS)
     }
 
-    /// Ends a measurement that took `elapsed` microseconds.
+    /// Completes a measurement of `elapsed` microseconds and starts the next one.
     pub(crate) fn measure(&mut self, elapsed: Micros) {
         let per_second = |count: u64| count.saturating_mul(TOKENS_PER_REQUEST) / elapsed.max(1);
         let arrived = self.arrived.map(per_second);
         let admitted = self.admitted.map(per_second);
-        let smoothed = self.demand.zip_with(arrived, |before, now| now.max(before / 2));
+        let smoothed = self.demand.zip_with(arrived, |previous, arrived| arrived.max(previous / 2));
         self.demand = smoothed.map(|rate| if rate < MIN_DEMAND { 0 } else { rate });
         self.unused = self.rate.zip_with(admitted, u64::saturating_sub);
         self.arrived = PerKind::default();
