--- a/crates/reservation/benches/cost.rs
+++ b/crates/reservation/benches/cost.rs
@@ -1,4 +1,4 @@
-//! What a look costs with 1,000 bookings.
+//! The cost of admission, lookups and a rejected booking in a book of 1,000 bookings.
 
 use std::hint::black_box;
 
@@ -10,7 +10,7 @@
 };
 
 const HOUR: Micros = 3_600_000_000;
-const ME: Holder = Holder { node_id: 0, incarnation: 1 };
+const THIS_HOLDER: Holder = Holder { node_id: 0, incarnation: 1 };
 
 fn book() -> ReservationBook {
     let mut book = ReservationBook::default();
@@ -24,24 +24,28 @@
         let tenant = Tenant(id as u32 / 4);
         let rate = PerKind::uniform(2_000_000);
         let request = BookingRequest { id: BookingId(id), tenant, classes: RequestClasses(2), rate, windows };
-        let answer = book.apply(3 + id, 0, &Proposal::Book(request));
-        assert!(matches!(answer, Outcome::Granted { .. }));
+        let outcome = book.apply(3 + id, 0, &Proposal::Book(request));
+        assert!(matches!(outcome, Outcome::Granted { .. }), "booking {id}: {outcome:?}");
     }
     let renewals = (0..300)
-        .map(|number| LeaseRenewal { holder: Holder { node_id: number, ..ME }, requested_at: 0, applied: 0 })
+        .map(|node_id| LeaseRenewal {
+            holder: Holder { node_id, ..THIS_HOLDER },
+            requested_at: 0,
+            applied: 0,
+        })
         .collect();
     book.apply(
         2_000,
         HOUR,
         &Proposal::AllocateSlices(SliceAllocation { renewals, ..SliceAllocation::default() }),
     );
-    for number in 0..300 {
+    for node_id in 0..300 {
         let parts = PerKind::uniform(DYNAMIC_PARTS / 300);
-        let cut =
-            |id| SliceChange { booking: BookingId(id), holder: Holder { node_id: number, ..ME }, parts };
-        let changes = (0..1_000).map(cut).collect();
+        let slice_of =
+            |id| SliceChange { booking: BookingId(id), holder: Holder { node_id, ..THIS_HOLDER }, parts };
+        let changes = (0..1_000).map(slice_of).collect();
         book.apply(
-            2_001 + u64::from(number),
+            2_001 + u64::from(node_id),
             HOUR,
             &Proposal::AllocateSlices(SliceAllocation { changes, ..SliceAllocation::default() }),
         );
@@ -53,7 +57,7 @@
     let mut book = book();
     println!("snapshot of 1,000 bookings with 300 slices each: {} bytes", book.snapshot().len());
     let time = TimeInterval { earliest: HOUR, latest: HOUR + 5_000 };
-    let mut admission = Admission::new(ME);
+    let mut admission = Admission::new(THIS_HOLDER);
     admission.refresh(1, time, &book);
     let (mut now, mut tenant) = (1, 0);
     criterion.bench_function("admit, 1,000 bookings", |b| {
@@ -69,7 +73,7 @@
             black_box(book.rate_at(BookingId(u64::from(tenant)), HOUR * 30))
         });
     });
-    criterion.bench_function("promised_at, 40,000 steps", |b| {
+    criterion.bench_function("granted_at, 40,000 steps", |b| {
         b.iter(|| {
             tenant = (tenant + 7) % 400;
             black_box(book.granted_at(HOUR * u64::from(tenant)))
@@ -77,7 +81,7 @@
     });
     criterion.bench_function("refresh, 1,000 bookings", |b| b.iter(|| admission.refresh(1, time, &book)));
     let mut revision = 10_000;
-    criterion.bench_function("a booking of eight hours refused, with its next place", |b| {
+    criterion.bench_function("rejected booking of eight hours, with its next window", |b| {
         b.iter(|| {
             revision += 1;
             let windows = vec![Span { from: 30 * HOUR, to: 38 * HOUR }];
--- a/crates/reservation/tests/golden.rs
+++ b/crates/reservation/tests/golden.rs
@@ -1,4 +1,4 @@
-//! The book and its proposals as bytes, in the forms that are stored and sent.
+//! The encodings of snapshots, proposals and outcomes, as stored and sent.
 
 use expect_test::expect_file;
 use reservation::*;
@@ -15,7 +15,7 @@
     (0..text.len()).step_by(2).map(|at| u8::from_str_radix(&text[at..at + 2], 16).unwrap()).collect()
 }
 
-fn two(reads: u64, fetches: u64) -> Rate {
+fn rate(reads: u64, fetches: u64) -> Rate {
     PerKind { reads, fetches }
 }
 
@@ -25,15 +25,16 @@
         id: BookingId(id),
         tenant: Tenant(7),
         classes: RequestClasses(5),
-        rate: two(reads, reads / 10),
+        rate: rate(reads, reads / 10),
         windows,
     })
 }
 
-/// Proposals of every form, some of them refused.
+/// Proposals of most kinds, some of which are rejected.
 fn proposals() -> Vec<Proposal> {
     let holder = |node_id| Holder { node_id, incarnation: 1_000 + u64::from(node_id) };
-    let capacity = |from, reads| Capacity { from, total: two(reads, reads / 4), baseline: vec![two(10, 1)] };
+    let capacity =
+        |from, reads| Capacity { from, total: rate(reads, reads / 4), baseline: vec![rate(10, 1)] };
     vec![
         Proposal::SetCapacity(capacity(0, 4_000)),
         Proposal::SetCapacity(capacity(10 * HOUR, 2_000)),
@@ -62,32 +63,33 @@
     ]
 }
 
-fn agreed() -> (ReservationBook, String) {
+/// Applies all proposals, and returns the book and the encoded outcomes, one a line.
+fn apply_all() -> (ReservationBook, String) {
     let mut book = ReservationBook::default();
     let mut text = String::new();
     for (revision, proposal) in (1..).zip(proposals()) {
-        let answer = book.apply(revision, revision * 1_000, &proposal);
-        writeln!(text, "{}", hex(&postcard::to_stdvec(&answer).unwrap())).unwrap();
+        let outcome = book.apply(revision, revision * 1_000, &proposal);
+        writeln!(text, "{}", hex(&postcard::to_stdvec(&outcome).unwrap())).unwrap();
     }
     (book, text)
 }
 
 #[test]
-fn a_snapshot_keeps_its_form_and_is_read() {
-    let (book, _) = agreed();
+fn snapshot_keeps_its_encoding_and_is_restored() {
+    let (book, _) = apply_all();
     expect_file!["golden/snapshot.txt"].assert_eq(&format!("{}\n", hex(&book.snapshot())));
-    let old = unhex(include_str!("golden/snapshot.txt"));
-    assert_eq!(ReservationBook::restore(&old).unwrap().snapshot(), old);
+    let stored = unhex(include_str!("golden/snapshot.txt"));
+    assert_eq!(ReservationBook::restore(&stored).unwrap().snapshot(), stored);
 }
 
 #[test]
-fn proposals_and_answers_keep_their_bytes() {
+fn proposals_and_outcomes_keep_their_encoding() {
     let mut text = String::new();
     for proposal in proposals() {
         writeln!(text, "{}", hex(&postcard::to_stdvec(&proposal).unwrap())).unwrap();
     }
     expect_file!["golden/proposals.txt"].assert_eq(&text);
-    expect_file!["golden/answers.txt"].assert_eq(&agreed().1);
+    expect_file!["golden/answers.txt"].assert_eq(&apply_all().1);
     for (line, proposal) in include_str!("golden/proposals.txt").lines().zip(proposals()) {
         assert_eq!(postcard::from_bytes::<Proposal>(&unhex(line)).unwrap(), proposal);
     }
