--- a/crates/admission/src/reuse.rs
+++ b/crates/admission/src/reuse.rs
@@ -6,7 +6,7 @@
 /// second to the next.
 const TIME_CONSTANT_US: f64 = 2e6;
 
-/// How a first idle period ended.
+/// The end of a first idle period.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum IdleEnd {
     /// A command arrived.
--- a/crates/admission/tests/slots.rs
+++ b/crates/admission/tests/slots.rs
@@ -12,7 +12,7 @@
     IpAddr::from([10, 0, 0, n])
 }
 
-/// What a client does with its connection.
+/// The behaviour of a client on its connection.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum ClientBehaviour {
     /// Sends another command after a pause, without end. The first pause is limited by [`Simulation::max_first_pause`].
--- a/crates/audit/src/activity.rs
+++ b/crates/audit/src/activity.rs
@@ -64,7 +64,7 @@
 pub struct ActivityPeriod {
     /// Number of the period within the incarnation. It grows by one with each period, so a gap shows a lost period.
     pub serial: u64,
-    /// The version acted on.
+    /// The version that the balancer acted on.
     pub version: Version,
     /// When the period began.
     pub from: TimeInterval,
--- a/crates/audit/src/ledger/query.rs
+++ b/crates/audit/src/ledger/query.rs
@@ -15,7 +15,7 @@
     /// The balancer's incarnation.
     #[serde(rename = "life")]
     pub incarnation: u64,
-    /// The version acted on.
+    /// The version that the balancer acted on.
     pub version: Version,
     /// When the balancer began to act on that version.
     pub since: TimeInterval,
--- a/crates/reservation/src/capacity.rs
+++ b/crates/reservation/src/capacity.rs
@@ -25,7 +25,7 @@
     }
 }
 
-/// What a freeze does to a booking that overlaps it.
+/// The effect of a freeze on a booking that overlaps it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum FreezePolicy {
     /// The booking is granted.
--- a/crates/reservation/src/outcome.rs
+++ b/crates/reservation/src/outcome.rs
@@ -5,7 +5,7 @@
 use crate::span::{Micros, Span};
 use serde::{Deserialize, Serialize};
 
-/// Why a booking was rejected.
+/// The reason for which a booking was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RejectReason {
     /// The booking does not fit into the capacity.
--- a/crates/reservation/src/state_validation.rs
+++ b/crates/reservation/src/state_validation.rs
@@ -7,7 +7,7 @@
 };
 use crate::state::{Booking, State};
 
-/// Why a snapshot cannot be restored.
+/// The reason for which a snapshot cannot be restored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RestoreError {
     /// The snapshot is larger than [`MAX_SNAPSHOT_BYTES`].
