--- a/crates/testfleet/examples/idle.rs
+++ b/crates/testfleet/examples/idle.rs
@@ -1,10 +1,11 @@
-//! Measures the cost of a fleet of idle balancers: `idle PROGRAM BALANCERS...`.
+//! Measures memory, processor time and datagrams of fleets of idle balancers: `idle PROGRAM BALANCERS...`, where each
+//! `BALANCERS` is the size of a fleet.
 
 use std::time::{Duration, Instant};
 use testfleet::fleet::Fleet;
 use testfleet::proc_stats::resource_usage;
 
-/// How long each fleet is measured.
+/// The duration of the measurement of each fleet.
 const WATCHED: Duration = Duration::from_secs(10);
 
 fn main() -> std::io::Result<()> {
@@ -30,8 +31,8 @@
         let others = (0..balancers).flat_map(|a| (0..balancers).map(move |b| (a, b)));
         let datagrams: u64 = others.map(|(a, b)| fleet.udp_relay().counts(a, b).sent).sum();
         println!(
-            "{balancers} balancers: ready in {ready:?}; {} MB resident, {:.1} % of a core; the relays and stand-ins \
-             {} MB; {datagrams} datagrams relayed",
+            "{balancers} balancers: ready in {ready:?}; {} MB resident, {:.1} % of a core; relays and stand-ins: \
+             {} MB resident; {datagrams} datagrams relayed",
             after.0 / 1024,
             share(after.1.saturating_sub(before.1)),
             ours_after.resident_kb.max(ours.resident_kb) / 1024
--- a/crates/testfleet/examples/soak.rs
+++ b/crates/testfleet/examples/soak.rs
@@ -1,5 +1,8 @@
-//! Runs seeded soak runs one after the other: `soak PROGRAM FIRST_SEED RUNS [crowd|batches]`. With `crowd`, each run has a busy
-//! crowd at a balancer that is sent SIGTERM; with `batches`, one that pipelines beside a series of signals. Prints a line per seed and exits with 1 if a rule was broken.
+//! Executes seeded soak runs one after the other: `soak PROGRAM FIRST_SEED RUNS [crowd|batches]`.
+//!
+//! With `crowd`, each run has a busy crowd at a balancer that is sent SIGTERM. With `batches`, each run has a crowd
+//! that sends batches to a balancer that is sent a series of signals. Prints a report per seed, and exits with 1 if a
+//! run violated a rule or failed to execute.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -19,7 +22,7 @@
         }
     };
     let (Ok(first), Ok(runs)) = (first.parse::<u64>(), runs.parse::<u64>()) else {
-        eprintln!("FIRST_SEED and RUNS are whole numbers");
+        eprintln!("FIRST_SEED and RUNS must be whole numbers from 0, got {first:?} and {runs:?}");
         return ExitCode::FAILURE;
     };
     let mut broken = 0;
--- a/crates/testfleet/src/builder.rs
+++ b/crates/testfleet/src/builder.rs
@@ -1,4 +1,4 @@
-//! Builds and starts a [`Fleet`]: relays, stand-ins, configuration files and processes.
+//! The builder of a [`Fleet`], which starts relays, stand-ins and processes and writes their configuration files.
 
 use crate::SPREAD_MULTIPLIER;
 use crate::cache_node::{Attempt, CacheNode};
@@ -18,7 +18,7 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// The shape of a fleet, with defaults for everything but the program.
+/// A builder of a fleet. Everything but the program has a default.
 #[derive(Debug, Clone)]
 pub struct FleetBuilder {
     program: PathBuf,
@@ -38,7 +38,7 @@
 }
 
 impl Fleet {
-    /// Returns a builder for a fleet of processes of this program.
+    /// Returns a builder of a fleet whose balancers are processes of this program.
     pub fn builder(program: impl Into<PathBuf>) -> FleetBuilder {
         FleetBuilder::new(program.into())
     }
@@ -73,17 +73,18 @@
     pub fn cache_nodes(self, cache_nodes: usize) -> Self {
         Self { cache_nodes, ..self }
     }
-    /// Sets under how many endpoint ids each cache node is listed; the default is 1.
+    /// Sets the number of endpoint ids under which each cache node is listed; the default is 1.
     #[must_use]
     pub fn ids(self, ids: usize) -> Self {
         Self { ids, ..self }
     }
-    /// Sets the number of zones, at least one. Balancers and cache nodes are assigned to them round-robin.
+    /// Sets the number of zones; the default and minimum is 1. Balancers and cache nodes are assigned to zones
+    /// round-robin.
     #[must_use]
     pub fn zones(self, zones: usize) -> Self {
         Self { zones: zones.max(1), ..self }
     }
-    /// Sets the seed of all random draws.
+    /// Sets the seed of all random draws; the default is 1.
     #[must_use]
     pub fn seed(self, seed: u64) -> Self {
         Self { seed, ..self }
@@ -93,7 +94,7 @@
     pub fn folder(self, folder: impl Into<PathBuf>) -> Self {
         Self { folder: folder.into(), ..self }
     }
-    /// Sets how many balancers, from the first on, are voters of the quorum group; the default is 3.
+    /// Sets the number of voters of the quorum group, which are the first balancers; the default is 3.
     #[must_use]
     pub fn council(self, voters: usize) -> Self {
         Self { voters, ..self }
@@ -103,12 +104,12 @@
     pub fn lease(self, lease: &str) -> Self {
         Self { lease: lease.to_owned(), ..self }
     }
-    /// Sets whether the balancers get a fleet file.
+    /// Sets whether the balancers are started with a fleet file; the default is `false`.
     #[must_use]
     pub fn with_fleet(self, with_fleet: bool) -> Self {
         Self { with_fleet, ..self }
     }
-    /// Sets whether the balancers gossip about endpoints. Only used without a fleet file.
+    /// Sets whether the balancers gossip about endpoints; the default is `false`. Has no effect with a fleet file.
     #[must_use]
     pub fn with_peers(self, with_peers: bool) -> Self {
         Self { with_peers, ..self }
@@ -124,7 +125,7 @@
     pub fn overrides(self, overrides: Value) -> Self {
         Self { overrides, ..self }
     }
-    /// Sets the clock offset of one balancer.
+    /// Sets the clock offset of a balancer, in milliseconds; the default is 0.
     #[must_use]
     pub fn clock_offset_ms(mut self, balancer: usize, offset: i64) -> Self {
         self.offsets.insert(balancer, offset);
@@ -240,7 +241,7 @@
         if self.with_fleet {
             launch.args.extend(config::fleet_arguments(&folder.join("fleet.toml"), &home.join("disk")));
         }
-        // The target is set once the balancer has logged the address it listens on.
+        // The target is set when the balancer has logged its listening address.
         let from_clients = TcpLink::start(handle, any_port(), None, seed)?;
         let process = Process::start(handle, launch, &home, &config)?;
         let (client_addr, admin_addr) = (any_port(), any_port());
--- a/crates/testfleet/src/cache_node.rs
+++ b/crates/testfleet/src/cache_node.rs
@@ -1,4 +1,4 @@
-//! A stand-in cache node that speaks RESP2 and records the sender and time of every command.
+//! A stand-in cache node that speaks RESP2 and records the sender and the time of every command.
 
 use crate::event_log::EventLog;
 use crate::relay::{Caller, Callers};
@@ -16,7 +16,7 @@
 use tokio::runtime::Handle;
 use tokio::sync::watch;
 
-/// The maximum number of keys of a node; it is emptied when this is reached, to bound memory.
+/// The maximum number of keys of a node. A node that reaches it removes all its keys, which bounds its memory.
 pub const MAX_KEYS: usize = 1_000_000;
 
 /// How a cache node responds to connections and commands.
@@ -25,22 +25,22 @@
     /// Answers normally.
     #[default]
     Serves,
-    /// Rejects new commands with `-BUSY`.
+    /// Rejects every command with `-BUSY`.
     Drains,
     /// Answers every command with `-ERR`.
     Fails,
-    /// Answers every key with a hit.
+    /// Answers every command with a hit.
     HoldsAll,
-    /// Does not answer.
+    /// Does not answer until its behaviour changes.
     Hangs,
     /// Closes connections on accept.
     Refuses,
 }
 
-/// How an attempt ended, as the receiver saw it.
+/// How an attempt ended at its receiver.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Ending {
-    /// The attempt was answered.
+    /// The receiver answered the attempt.
     Answered,
     /// The connection ended before the answer.
     Closed,
@@ -57,17 +57,17 @@
     pub key: String,
     /// The request class.
     pub class: String,
-    /// The remaining time that the request states.
+    /// The remaining time stated in the request.
     pub time: Option<Duration>,
-    /// The balancer that sent it; `None` if the connection did not come through a relay.
+    /// The number of the balancer that sent it; `None` if the connection was not relayed.
     pub balancer: Option<usize>,
     /// The number of the connection at this receiver.
     pub connection: u64,
-    /// When the relay read it from the balancer.
+    /// When the relay read the attempt from the balancer.
     pub sent: Instant,
-    /// When the receiver read it.
+    /// When the receiver read the attempt.
     pub at: Instant,
-    /// When and how it ended; `None` while it is in flight.
+    /// When and how the attempt ended; `None` while it is in flight.
     pub ended: Option<(Instant, Ending)>,
 }
 
@@ -82,6 +82,7 @@
     options.split(',').find_map(|option| option.strip_prefix("c=")).unwrap_or_default().to_owned()
 }
 
+/// The state shared by the handles and connections of a node.
 #[derive(Debug)]
 struct Shared {
     name: String,
@@ -93,7 +94,7 @@
     attempts: EventLog<Attempt>,
 }
 
-/// A stand-in cache node. A key is a miss the first time and a hit afterwards.
+/// A handle to a stand-in cache node. The first command for a key is a miss, later ones are hits.
 #[derive(Debug, Clone)]
 pub struct CacheNode {
     addr: SocketAddr,
@@ -101,7 +102,7 @@
 }
 
 impl CacheNode {
-    /// Starts a node of this name that records attempts in `attempts`.
+    /// Starts a node that is called `name` in discovery and records attempts in `attempts`.
     ///
     /// # Errors
     /// Returns the system's error if no port can be bound.
@@ -170,7 +171,7 @@
         }
     }
 
-    /// Serves commands in order. The end of the connection ends the attempt in flight on it.
+    /// Serves the commands of a connection in order. The end of the connection ends its attempt in flight.
     async fn serve(self: Arc<Self>, mut stream: TcpStream, number: u64, caller: Option<Caller>) {
         let mut buffer = BytesMut::new();
         loop {
@@ -196,6 +197,7 @@
         }
     }
 
+    /// Returns the record of an attempt; `None` if the command has too few arguments, such as `PING`.
     fn attempt(&self, command: &Command, connection: u64, caller: Option<&Caller>) -> Option<Attempt> {
         let word = |at: usize| command.0.get(at).map(|word| String::from_utf8_lossy(word).into_owned());
         let (key, id, options) = (word(1)?, word(2)?, word(3)?);
@@ -235,6 +237,7 @@
         stream.write_all(&out).await.is_ok()
     }
 
+    /// Returns a miss for an absent key, which is then inserted, and a hit for a present key.
     fn value(&self, key: &str) -> BytesMut {
         let mut keys = self.keys();
         if keys.len() >= MAX_KEYS {
--- a/crates/testfleet/src/clients.rs
+++ b/crates/testfleet/src/clients.rs
@@ -1,4 +1,4 @@
-//! An open-loop load generator: clients send at a fixed rate and record the outcome of each request.
+//! An open-loop load generator, which sends requests at a fixed rate and records the outcome of each request.
 
 use crate::SPREAD_MULTIPLIER;
 use crate::event_log::EventLog;
@@ -14,9 +14,9 @@
 use tokio::runtime::Handle;
 use tokio::time::{sleep_until, timeout};
 
-/// How long after its deadline a request's answer is still awaited.
+/// How long clients wait for the answer of a request after its deadline.
 const ANSWER_GRACE: Duration = Duration::from_secs(5);
-/// The maximum length of an answer, in bytes.
+/// The maximum length of a value in an answer, in bytes.
 const MAX_ANSWER_BYTES: usize = 1024 * 1024;
 /// The maximum number of idle connections to one balancer.
 const MAX_IDLE_CONNECTIONS: usize = 256;
@@ -30,22 +30,22 @@
     pub write: bool,
 }
 
-/// The load to generate.
+/// The load to generate. Balancer, class, tenant and key of each request are drawn uniformly.
 #[derive(Debug, Clone)]
 pub struct Load {
     /// Requests per second, over all balancers.
     pub per_second: f64,
     /// The total number of requests.
     pub requests: usize,
-    /// The balancers to send to, chosen uniformly.
+    /// The numbers of the balancers to send to.
     pub balancers: Vec<usize>,
-    /// The request classes, chosen uniformly.
+    /// The request classes.
     pub classes: Vec<Class>,
-    /// The tenants, chosen uniformly.
+    /// The tenants.
     pub tenants: Vec<String>,
-    /// The number of distinct keys, chosen uniformly.
+    /// The number of distinct keys.
     pub keys: u64,
-    /// The deadline of each request, relative to when it is written.
+    /// The deadline of each request, relative to the time at which it is written.
     pub deadline: Duration,
     /// The seed of all random draws.
     pub seed: u64,
@@ -56,31 +56,31 @@
 pub enum Outcome {
     /// Answered with a value or a receipt.
     Served,
-    /// Rejected, to be retried later.
+    /// Rejected with `-BUSY`. The client may retry later.
     Rejected,
-    /// The connection was closed without an answer, with this error. The client may retry if the close raced the
+    /// The connection was closed before an answer, with this error. The client may retry if the close raced the
     /// request.
     Closed(String),
-    /// The request was never written completely.
+    /// The client did not write the request completely.
     NotSent,
     /// The client disconnected before the answer.
     ClientDisconnected,
-    /// The balancer has no endpoint list yet.
+    /// Answered with `-LOADING`: the balancer has no endpoint list yet.
     NotReady,
     /// Answered with this error.
     Failed(String),
-    /// No answer: connecting failed, the connection ended or the wait timed out, with the reason.
+    /// No answer, with the reason: connecting failed, the connection ended, or the wait for the answer timed out.
     Lost(String),
 }
 
 /// The position of a request in its pipeline. Answers follow the order of the commands on a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PipelinePosition {
-    /// No earlier answer was outstanding.
+    /// No earlier request of the connection was outstanding.
     First,
     /// An earlier request of the connection has no answer yet, so this one cannot have one.
     Blocked,
-    /// The last earlier request of the connection was answered at this time.
+    /// The earlier requests of the connection were all answered at this time.
     UnblockedAt(Instant),
 }
 
@@ -95,15 +95,15 @@
     pub balancer: usize,
     /// When the request was started.
     pub at: Instant,
-    /// When the last byte was written; `None` if it was not.
+    /// When the last byte of the request was written; `None` if the request was not written completely.
     pub written_at: Option<Instant>,
     /// The deadline, relative to `written_at`.
     pub deadline: Duration,
     /// The outcomes with their times: exactly one, unless a rule was broken.
     pub answers: Vec<(Instant, Outcome)>,
-    /// The position in the pipeline of its connection.
+    /// The position of the request in the pipeline of its connection.
     pub pipeline_position: PipelinePosition,
-    /// When the client disconnected, if it did so before an answer.
+    /// When the client disconnected before an answer; `None` if it did not.
     pub disconnected_at: Option<Instant>,
 }
 
@@ -124,10 +124,11 @@
     }
 }
 
-/// A connection without outstanding requests, and the log index of its last call.
+/// A connection without outstanding requests, and the log index of the last call on it.
 #[derive(Debug)]
 struct Idle(BufReader<TcpStream>, usize);
 
+/// The state shared by the handles and requests of the load generator.
 #[derive(Debug)]
 struct Shared {
     client_addrs: Vec<SocketAddr>,
@@ -140,7 +141,7 @@
 #[derive(Debug, Clone)]
 pub struct Clients(Arc<Shared>, Handle);
 
-/// Returns the key with this number; keys with consecutive numbers are spread over the key space.
+/// Returns the key with a number. Consecutive numbers result in keys that are spread over the key space.
 pub(crate) fn spread_key(number: u64) -> String {
     format!("{:016x}", number.wrapping_add(1).wrapping_mul(SPREAD_MULTIPLIER))
 }
@@ -156,7 +157,7 @@
 }
 
 impl Clients {
-    /// Creates clients that reach each balancer at one of these addresses.
+    /// Creates clients that connect to balancer `n` at the address with index `n`.
     #[must_use]
     pub fn new(handle: &Handle, client_addrs: Vec<SocketAddr>) -> Self {
         let idle = Mutex::new(client_addrs.iter().map(|_| Vec::new()).collect());
@@ -184,14 +185,21 @@
     /// Waits until this many requests have been started.
     ///
     /// # Panics
-    /// This and the next method panic after [`crate::PATIENCE`].
+    /// Panics after [`crate::PATIENCE`].
     pub fn await_sent(&self, requests: usize) {
-        self.0.calls.wait("requests sent", |calls| (calls.len() >= requests).then_some(()));
+        self.0
+            .calls
+            .wait(&format!("{requests} requests are sent"), |calls| (calls.len() >= requests).then_some(()));
     }
-    /// Waits until this many requests have been started and each has an outcome.
+    /// Waits until this many requests have been started and every started request has an outcome.
+    ///
+    /// # Panics
+    /// Panics after [`crate::PATIENCE`].
     pub fn await_answered(&self, requests: usize) {
         let all = |calls: &[Call]| calls.len() >= requests && calls.iter().all(|it| !it.answers.is_empty());
-        self.0.calls.wait("requests answered", |calls| all(calls).then_some(()));
+        self.0.calls.wait(&format!("{requests} requests are sent and all are answered"), |calls| {
+            all(calls).then_some(())
+        });
         self.0.check_idle_connections();
     }
 }
@@ -213,7 +221,8 @@
         self.idle.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes an open idle connection. An unexpected answer on it is recorded with the previous call.
+    /// Removes and returns an open idle connection. An unexpected answer on an idle connection is recorded with the
+    /// last call on it.
     fn connection(&self, balancer: usize) -> Option<BufReader<TcpStream>> {
         loop {
             let Idle(reader, index) = self.idle()[balancer].pop()?;
@@ -223,7 +232,7 @@
         }
     }
 
-    /// Returns whether the connection has unexpected input or has ended.
+    /// Returns whether an idle connection has unexpected input, which is recorded with its last call, or has ended.
     fn has_unexpected_input(&self, reader: &BufReader<TcpStream>, index: usize) -> bool {
         let more = match reader.buffer().len() {
             0 => reader.get_ref().try_read(&mut [0; 64]),
@@ -236,7 +245,7 @@
         !matches!(&more, Err(error) if error.kind() == io::ErrorKind::WouldBlock)
     }
 
-    /// Records unexpected answers on idle connections, and drops connections that ended.
+    /// Records unexpected answers on idle connections, and removes these connections and those that have ended.
     fn check_idle_connections(&self) {
         for idle in self.idle().iter_mut() {
             idle.retain(|Idle(reader, index)| !self.has_unexpected_input(reader, *index));
@@ -276,7 +285,7 @@
         Ok((reader, answer))
     }
 
-    /// Keeps a connection for later requests, unless there are enough.
+    /// Keeps a connection for later requests, unless [`MAX_IDLE_CONNECTIONS`] are kept.
     fn return_idle(&self, balancer: usize, connection: Idle) {
         let idle = &mut self.idle()[balancer];
         if idle.len() < MAX_IDLE_CONNECTIONS {
--- a/crates/testfleet/src/config.rs
+++ b/crates/testfleet/src/config.rs
@@ -1,10 +1,11 @@
-//! The files that a balancer is started with: its configuration and the fleet file.
+//! The configuration file and the fleet file with which balancers are started.
 
 use serde_json::{Value, json};
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// Request classes of the settings: `read` is idempotent, `keyed` has an idempotency key, `once` is not idempotent.
+/// The request classes of the settings with their effects: `read` is idempotent, `keyed` has an idempotency key, `once`
+/// is not idempotent.
 pub const CLASSES: [(&str, &str); 3] = [("read", "retryable"), ("keyed", "dedup"), ("once", "fragile")];
 /// The tenants of the settings.
 pub const TENANTS: [&str; 2] = ["acme", "zeta"];
@@ -14,19 +15,19 @@
 /// The values that differ between the configurations of balancers.
 #[derive(Debug, Clone)]
 pub struct Balancer {
-    /// The number of the balancer.
+    /// The number of the balancer, from 0.
     pub number: usize,
     /// The number of balancers.
     pub balancers: usize,
-    /// The address of its discovery agent.
+    /// The address of the balancer's discovery agent.
     pub discovery: SocketAddr,
     /// The names of all zones.
     pub zones: Vec<String>,
-    /// The index of its zone.
+    /// The index of the balancer's zone in `zones`.
     pub zone: usize,
     /// The seed of the balancer's random draws.
     pub seed: u64,
-    /// The relay addresses of all balancers, if they gossip about endpoints.
+    /// The relay addresses of all balancers; `None` if they do not gossip about endpoints.
     pub peers: Option<Vec<SocketAddr>>,
 }
 
@@ -59,7 +60,8 @@
     config
 }
 
-/// Merges values over a configuration, object by object. A null override changes nothing.
+/// Merges overrides into a configuration. Objects are merged recursively, other values are replaced, and a null
+/// override changes nothing.
 pub fn merge_values(config: &mut Value, overrides: &Value) {
     match (config, overrides) {
         (_, Value::Null) => {}
@@ -75,15 +77,15 @@
 /// A balancer in the fleet file.
 #[derive(Debug, Clone)]
 pub struct FleetMember {
-    /// The address at which the others reach it.
+    /// The address at which the other balancers reach the balancer.
     pub address: SocketAddr,
-    /// The name of its zone.
+    /// The name of the balancer's zone.
     pub zone: String,
-    /// Whether it is a voter of the quorum group.
+    /// Whether the balancer is a voter of the quorum group.
     pub voter: bool,
 }
 
-/// Returns the text of the fleet file. Balancers are numbered by position.
+/// Returns the text of the fleet file. Balancers are numbered by their position.
 #[must_use]
 pub fn fleet_file(name: &str, lease: &str, balancers: &[FleetMember]) -> String {
     let mut text = format!("[fleet]\nname = \"{name}\"\nlease = \"{lease}\"\n");
@@ -97,7 +99,7 @@
     text
 }
 
-/// Returns the command line arguments with which a balancer joins a fleet.
+/// Returns the command line arguments that make a balancer join a fleet.
 #[must_use]
 pub fn fleet_arguments(file: &Path, disk: &Path) -> Vec<String> {
     let path = |path: &Path| path.to_string_lossy().into_owned();
--- a/crates/testfleet/src/discovery/list.rs
+++ b/crates/testfleet/src/discovery/list.rs
@@ -10,7 +10,7 @@
     Ready,
     /// Completes requests in flight and accepts no new ones.
     Draining,
-    /// Removed from the list.
+    /// Is removed from the list.
     Gone,
 }
 
@@ -27,23 +27,24 @@
 /// A cache node or the origin, as listed to one balancer.
 #[derive(Debug, Clone)]
 pub struct Member {
-    /// The name in discovery.
+    /// The name of the member in discovery.
     pub name: String,
-    /// The address at which that balancer reaches it.
+    /// The address of the member as listed to that balancer, usually of a relay.
     pub addr: SocketAddr,
-    /// The zone.
+    /// The zone of the member.
     pub zone: String,
-    /// The kind: `m`, or `origin`.
+    /// The kind of the endpoint: `m` for a cache node, `origin` for the origin.
     pub kind: String,
     /// The lifecycle phase.
     pub phase: Phase,
     /// The listed weight.
     pub weight: f64,
-    /// The number of endpoint ids under which it is listed. They change together.
+    /// The number of endpoint ids under which the member is listed. All of them change together.
     pub ids: usize,
 }
 
 impl Member {
+    /// Returns the entry of each endpoint id of the member.
     fn entries(&self) -> impl Iterator<Item = Value> {
         (0..self.ids).map(|number| {
             let id = if self.ids == 1 { self.name.clone() } else { format!("{}-{number}", self.name) };
@@ -53,7 +54,7 @@
     }
 }
 
-/// Returns a complete list, or a change of it, in the form of the discovery protocol.
+/// Encodes a complete list, or a change of the list, as JSON of the discovery protocol.
 pub(super) fn encode_list(revision: usize, complete: bool, members: &[Member]) -> Value {
     let members: Vec<_> = members.iter().flat_map(Member::entries).collect();
     json!({"revision": revision, "complete": complete, "members": members})
@@ -64,9 +65,9 @@
 pub struct ListEncoding {
     /// Whether the JSON is written over several lines.
     pub indented: bool,
-    /// Whether each change is written as the complete list.
+    /// Whether a watch writes the complete list for each change, instead of the changed members.
     pub whole: bool,
-    /// The number of bytes per write; `None` for one write.
+    /// The maximum number of bytes per write; `None` writes an event at once.
     pub piece: Option<usize>,
 }
 
--- a/crates/testfleet/src/discovery/mod.rs
+++ b/crates/testfleet/src/discovery/mod.rs
@@ -1,5 +1,5 @@
-//! A stand-in discovery agent per balancer, so that each balancer's view can be changed, delayed or silenced on its
-//! own.
+//! The stand-in discovery agent. Each balancer has its own agent, so that its view of the endpoints can be changed,
+//! delayed or silenced independently of the other balancers.
 
 mod list;
 mod state;
@@ -25,7 +25,7 @@
 /// The maximum length of a request line, in bytes.
 const MAX_LINE_BYTES: u64 = 4 * 1024;
 
-/// A member's phase that was written to a balancer, in a list or a watch event.
+/// The phase of a member that was written to a balancer, in a list or a watch event.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EndpointNotification {
     /// The number of the balancer.
@@ -52,12 +52,12 @@
     changed: watch::Sender<()>,
     requested_paths: EventLog<String>,
     notifications: EventLog<EndpointNotification>,
-    /// The bytes of lists and changes written so far, without HTTP heads.
+    /// The number of bytes of lists and changes written so far, without HTTP heads.
     list_bytes: AtomicU64,
 }
 
 impl DiscoveryAgent {
-    /// Starts the agent of a balancer with an initial list, and records in `notifications` what it writes.
+    /// Starts the agent of a balancer with an initial list, and records the phases that it writes in `notifications`.
     ///
     /// # Errors
     /// Returns the system's error if no port can be bound.
@@ -81,7 +81,7 @@
         Ok(addr)
     }
 
-    /// Listens on an additional address, so that discovery can be moved there.
+    /// Listens on an additional address, to which the balancer can then be moved.
     ///
     /// # Errors
     /// Returns the system's error if no port can be bound.
@@ -98,12 +98,12 @@
     pub fn requested_paths(&self) -> &EventLog<String> {
         &self.shared.requested_paths
     }
-    /// Returns the bytes of lists and changes written so far.
+    /// Returns the number of bytes of lists and changes written so far, without HTTP heads.
     #[must_use]
     pub fn list_bytes(&self) -> u64 {
         self.shared.list_bytes.load(Ordering::Relaxed)
     }
-    /// Returns the complete published list, for a balancer that starts with a known list.
+    /// Returns the complete published list, for the configuration of a balancer that starts with a known list.
     #[must_use]
     pub fn list(&self) -> Value {
         self.shared.state().list()
@@ -116,7 +116,7 @@
     pub fn set_phase(&self, name: &str, phase: Phase) {
         self.set_phases(&[name], phase);
     }
-    /// Changes the phase of several members in one list.
+    /// Changes the phase of several members at once: a balancer receives all changes in the same list or watch event.
     pub fn set_phases(&self, names: &[&str], phase: Phase) {
         let mut state = self.shared.state();
         for name in names {
@@ -125,12 +125,12 @@
         drop(state);
         self.shared.changed.send_replace(());
     }
-    /// Changes a member in any way.
+    /// Applies an update to a member and publishes it as a change.
     pub fn update(&self, name: &str, update: impl FnOnce(&mut Member)) {
         self.shared.state().update(name, update);
         self.shared.changed.send_replace(());
     }
-    /// Stops publishing further changes until [`Self::resume_updates`].
+    /// Stops publishing changes until [`Self::resume_updates`] is called.
     pub fn pause_updates(&self) {
         let mut state = self.shared.state();
         let from = state.changes.len();
@@ -141,14 +141,14 @@
         self.shared.state().paused_from = None;
         self.shared.changed.send_replace(());
     }
-    /// Resets the open watches.
+    /// Resets the connections of the open watches.
     pub fn reset_watches(&self) {
         let mut state = self.shared.state();
         state.reset_below = state.watches;
         drop(state);
         self.shared.changed.send_replace(());
     }
-    /// Silences the open watches without closing them. Later watches are not affected.
+    /// Stops writing to the open watches without closing them. Watches that are opened later are not affected.
     pub fn silence_watches(&self) {
         let mut state = self.shared.state();
         state.silent_below = state.watches;
@@ -171,12 +171,13 @@
         loop {
             if let Ok((stream, _)) = listener.accept().await {
                 let shared = Arc::clone(&self);
-                // An error only means that the connection ended.
+                // An error reports only that the connection ended.
                 tokio::spawn(async move { drop(shared.answer(stream).await) });
             }
         }
     }
 
+    /// Answers a request for the list, or serves a watch.
     async fn answer(&self, stream: TcpStream) -> io::Result<()> {
         let mut reader = BufReader::new(stream);
         let mut line = String::new();
@@ -199,6 +200,7 @@
         self.watch(stream, path, from.saturating_sub(1)).await
     }
 
+    /// Serves a watch from the change with index `next` on, until it is reset or the balancer disconnects.
     async fn watch(&self, mut stream: TcpStream, path: String, mut next: usize) -> io::Result<()> {
         let number = {
             let mut state = self.state();
--- a/crates/testfleet/src/discovery/state.rs
+++ b/crates/testfleet/src/discovery/state.rs
@@ -1,36 +1,37 @@
-//! The published list of an agent and its watches, without I/O.
+//! The state of a discovery agent: its list with all changes, and its watches. Without I/O.
 
 use super::list::{ListEncoding, Member, Phase, encode_list};
 use serde_json::Value;
 
-/// What a watch writes next.
+/// The next event of a watch.
 #[derive(Debug)]
 pub(super) struct WatchEvent {
-    /// Whether the watch is silenced and writes nothing.
+    /// Whether the watch is silenced, so that nothing is written.
     pub(super) silent: bool,
-    /// The changes that the watch has not written yet.
+    /// The published changes that the watch has not written yet.
     pub(super) unsent: Vec<Member>,
     /// The line to write; empty for a keep-alive.
     pub(super) line: String,
     /// The number of published changes.
     pub(super) published: usize,
-    /// The number of bytes per write; `None` for one write.
+    /// The maximum number of bytes per write; `None` writes the event at once.
     pub(super) piece: Option<usize>,
 }
 
-/// The list of an agent with its changes, and which watches are silenced or reset.
+/// The list of an agent with its changes, and the numbers of the silenced and the reset watches.
 #[derive(Debug)]
 pub(super) struct State {
-    /// The initial list, which is revision 1.
+    /// The members of the initial list, which is revision 1.
     pub(super) initial: Vec<Member>,
-    /// The changes of the list; the first one makes revision 2.
+    /// The changed members, in order. Each change increments the revision; the first makes revision 2.
     pub(super) changes: Vec<Member>,
     /// The index of the first unpublished change while updates are paused.
     pub(super) paused_from: Option<usize>,
-    /// Watches with a lower number are silent.
+    /// Watches with a number below this are silenced.
     pub(super) silent_below: u64,
-    /// Watches with a lower number are reset.
+    /// Watches with a number below this are reset.
     pub(super) reset_below: u64,
+    /// The number of watches opened so far. Watches are numbered from 0.
     pub(super) watches: u64,
     pub(super) encoding: ListEncoding,
 }
@@ -48,7 +49,8 @@
         }
     }
 
-    /// Returns what a watch writes next, from this change on; `None` if the watch was reset.
+    /// Returns the next event of a watch, with the published changes from the index `from` on; `None` if the watch was
+    /// reset.
     pub(super) fn next_event(&self, watch: u64, from: usize) -> Option<WatchEvent> {
         if watch < self.reset_below {
             return None;
@@ -65,6 +67,7 @@
         })
     }
 
+    /// Appends a change of a member: its latest state with `update` applied.
     pub(super) fn update(&mut self, name: &str, update: impl FnOnce(&mut Member)) {
         let now = self.members_after(self.changes.len());
         if let Some(mut member) = now.into_iter().find(|member| member.name == name) {
@@ -76,21 +79,22 @@
     pub(super) fn published_changes(&self) -> usize {
         self.paused_from.unwrap_or(self.changes.len())
     }
-    /// Returns the members after this many changes.
+    /// Returns the members after the first `changes` changes.
     fn members_after(&self, changes: usize) -> Vec<Member> {
         let changes = &self.changes[..changes];
         let last = |member: &Member| changes.iter().rfind(|change| change.name == member.name).cloned();
         self.initial.iter().map(|member| last(member).unwrap_or_else(|| member.clone())).collect()
     }
-    /// Returns the published members.
+    /// Returns the published members, including those that are gone.
     pub(super) fn published_members(&self) -> Vec<Member> {
         self.members_after(self.published_changes())
     }
+    /// Returns the complete published list, without members that are gone.
     pub(super) fn list(&self) -> Value {
         let listed = self.published_members().into_iter().filter(|it| it.phase != Phase::Gone);
         encode_list(self.published_changes() + 1, true, &listed.collect::<Vec<_>>())
     }
-    /// Returns the next line of a watch with these unsent changes.
+    /// Returns the line that a watch writes for these unsent changes; an empty line is a keep-alive.
     fn watch_line(&self, unsent: &[Member]) -> String {
         match unsent {
             [] => String::new(),
--- a/crates/testfleet/src/event_log.rs
+++ b/crates/testfleet/src/event_log.rs
@@ -4,8 +4,8 @@
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
 use std::time::Instant;
 
-/// The maximum number of entries, to bound memory: an hour at 200 requests per second. Further entries are only
-/// counted.
+/// The maximum number of entries of a log, which bounds its memory: one hour at 200 requests per second. Entries beyond
+/// it are dropped and counted.
 pub const MAX_ENTRIES: usize = 720_000;
 
 #[derive(Debug)]
@@ -14,7 +14,7 @@
     dropped: usize,
 }
 
-/// A log shared by its writers and readers.
+/// A handle to a log that is shared by its writers and readers.
 #[derive(Debug)]
 pub struct EventLog<T>(Arc<(Mutex<Entries<T>>, Condvar)>);
 
@@ -32,11 +32,11 @@
 
 impl<T> EventLog<T> {
     fn entries(&self) -> MutexGuard<'_, Entries<T>> {
-        // Readers do not mutate entries, so a panic in one leaves them consistent.
+        // Readers do not mutate entries, so they are consistent even if a reader panicked.
         self.0.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Appends an entry and returns its index, for [`EventLog::update`].
+    /// Appends an entry and returns its index for [`EventLog::update`]. If the log is full, the entry is dropped.
     pub fn push(&self, entry: T) -> usize {
         let mut entries = self.entries();
         let index = entries.kept.len();
@@ -50,7 +50,7 @@
         index
     }
 
-    /// Updates the entry at an index; does nothing if it was dropped.
+    /// Updates the entry at an index. Does nothing if the entry was dropped.
     pub fn update(&self, index: usize, update: impl FnOnce(&mut T)) {
         let mut entries = self.entries();
         if let Some(entry) = entries.kept.get_mut(index) {
@@ -65,7 +65,7 @@
         read(&self.entries().kept)
     }
 
-    /// Returns the number of entries.
+    /// Returns the number of kept entries.
     #[must_use]
     pub fn count(&self) -> usize {
         self.entries().kept.len()
@@ -77,7 +77,7 @@
         self.entries().dropped
     }
 
-    /// Waits until `look` returns a value; returns `None` after [`PATIENCE`].
+    /// Waits until `look` returns a value for the entries so far. Returns `None` after [`PATIENCE`].
     pub fn find<R>(&self, mut look: impl FnMut(&[T]) -> Option<R>) -> Option<R> {
         let until = Instant::now() + PATIENCE;
         let mut entries = self.entries();
@@ -90,12 +90,12 @@
         }
     }
 
-    /// Waits until `look` returns a value.
+    /// Waits until `look` returns a value for the entries so far.
     ///
     /// # Panics
-    /// Panics after [`PATIENCE`], naming what was awaited.
+    /// Panics after [`PATIENCE`]. The message names the awaited event as `what`.
     pub fn wait<R>(&self, what: &str, look: impl FnMut(&[T]) -> Option<R>) -> R {
-        self.find(look).unwrap_or_else(|| panic!("not within {PATIENCE:?}: {what}"))
+        self.find(look).unwrap_or_else(|| panic!("timed out after {PATIENCE:?} waiting for: {what}"))
     }
 }
 
--- a/crates/testfleet/src/fleet.rs
+++ b/crates/testfleet/src/fleet.rs
@@ -29,18 +29,19 @@
     pub to_cache_nodes: Vec<TcpLink>,
     /// The link to the origin.
     pub to_origin: TcpLink,
-    /// The address for clients, not relayed.
+    /// The address on which the balancer itself accepts clients, without a relay.
     pub client_addr: SocketAddr,
-    /// The address of the admin endpoint.
+    /// The address of the admin endpoint, without a relay.
     pub admin_addr: SocketAddr,
-    /// The configuration it was last started or reloaded with.
+    /// The configuration with which the balancer is started, restarted and reloaded.
     pub config: Value,
 }
 
-/// A running fleet. Its processes, sockets and files are removed on drop.
+/// A running fleet. On drop, its processes are killed, its sockets closed and its files removed; the files are kept if
+/// the thread is panicking.
 #[derive(Debug)]
 pub struct Fleet {
-    // Fields are in drop order: processes first, the runtime after all of its users, the folder last.
+    // Fields are in drop order: the processes first, the runtime after everything that uses it, the folder last.
     pub(crate) balancers: Vec<Balancer>,
     pub(crate) clients: Clients,
     pub(crate) cache_nodes: Vec<CacheNode>,
@@ -112,7 +113,7 @@
         &self.notifications
     }
 
-    /// Returns a load on all balancers, of these classes, with a rate and a total.
+    /// Returns a load on all balancers with these request classes, this rate and this total number of requests.
     #[must_use]
     pub fn load(&self, classes: &[&str], per_second: f64, requests: usize) -> Load {
         let class = |name: &&str| Class { name: (*name).to_owned(), write: *name != "read" };
@@ -132,12 +133,14 @@
     pub fn set_phase(&self, node: usize, phase: Phase) {
         self.balancers.iter().for_each(|it| it.agent.set_phase(self.cache_nodes[node].name(), phase));
     }
-    /// Changes the phase of a range of cache nodes at all discovery agents, in one list.
+    /// Changes the phase of a range of cache nodes at all discovery agents: a balancer receives all changes in the same
+    /// list or watch event.
     pub fn set_phases(&self, cache_nodes: std::ops::Range<usize>, phase: Phase) {
         let names: Vec<&str> = self.cache_nodes[cache_nodes].iter().map(CacheNode::name).collect();
         self.balancers.iter().for_each(|it| it.agent.set_phases(&names, phase));
     }
-    /// Waits until this phase of a cache node was written to a balancer, and returns when.
+    /// Waits until a phase of a cache node has been written to a balancer, and returns the time at which it was
+    /// written.
     ///
     /// # Panics
     /// Panics after [`crate::PATIENCE`].
@@ -146,7 +149,9 @@
             it.balancer == balancer && it.endpoint == self.cache_nodes[node].name() && it.phase == phase
         };
         self.notifications
-            .wait("a balancer is notified", |entries| entries.iter().find(|it| matches(it)).map(|it| it.at))
+            .wait(&format!("n{balancer} is notified that cache node {node} is {phase:?}"), |entries| {
+                entries.iter().find(|it| matches(it)).map(|it| it.at)
+            })
     }
 
     fn record_interruption(&mut self, balancer: usize, killed: bool, from: Instant) {
@@ -158,8 +163,8 @@
             it.until.get_or_insert_with(Instant::now);
         }
     }
-    /// Kills the process if it still runs and records that its successor starts now. What was written before went to
-    /// the old process.
+    /// Kills the process if it is running and records that its successor starts now. Data written before this time went
+    /// to the old process.
     fn mark_restarted(&mut self, balancer: usize) {
         let _ = self.balancers[balancer].process.kill();
         let open = self.interruptions.iter_mut().rfind(|it| it.balancer == balancer && it.killed);
@@ -170,19 +175,24 @@
     /// Kills a balancer with SIGKILL.
     ///
     /// # Errors
-    /// This and the following methods return the system's error.
+    /// Returns the system's error if the process cannot be killed or reaped.
     pub fn kill(&mut self, number: usize) -> io::Result<()> {
         self.record_interruption(number, true, Instant::now());
         self.balancers[number].process.kill()
     }
-    /// Restarts a balancer, killing it first if it runs, and waits until it is ready.
-    #[allow(clippy::missing_errors_doc)]
+    /// Kills a balancer if it is running, restarts it and waits until it is ready.
+    ///
+    /// # Errors
+    /// Returns the system's error if the folder cannot be written or the program cannot be started.
     pub fn restart(&mut self, number: usize, disk: Disk) -> io::Result<()> {
         let config = self.balancers[number].config.clone();
         self.restart_with(number, disk, &config)
     }
-    /// Like [`Self::restart`], with a known list in the configuration, such as an old [`DiscoveryAgent::list`].
-    #[allow(clippy::missing_errors_doc)]
+    /// Kills a balancer if it is running, restarts it with a known list in its configuration, such as an old
+    /// [`DiscoveryAgent::list`], and waits until it is ready.
+    ///
+    /// # Errors
+    /// Returns the system's error if the folder cannot be written or the program cannot be started.
     pub fn restart_knowing(&mut self, number: usize, disk: Disk, list: Value) -> io::Result<()> {
         let mut config = self.balancers[number].config.clone();
         config["known"] = list;
@@ -201,8 +211,11 @@
         self.mark_resumed(number, true);
         Ok(())
     }
-    /// Restarts killed balancers. Starts all of them before it waits for any: they may need each other to become ready.
-    #[allow(clippy::missing_errors_doc)]
+    /// Restarts killed balancers and waits until all are ready. All are started before the first wait, because they may
+    /// need each other to become ready.
+    ///
+    /// # Errors
+    /// Returns the system's error if a folder cannot be written or the program cannot be started.
     pub fn restart_all(&mut self, numbers: &[usize], disk: Disk) -> io::Result<()> {
         for number in numbers {
             let config = self.balancers[*number].config.clone();
@@ -217,13 +230,17 @@
         Ok(())
     }
     /// Stops a balancer with SIGSTOP.
-    #[allow(clippy::missing_errors_doc)]
+    ///
+    /// # Errors
+    /// Returns an error if the process was reaped or the signal cannot be sent.
     pub fn pause(&mut self, number: usize) -> io::Result<()> {
         self.record_interruption(number, false, Instant::now());
         self.balancers[number].process.pause()
     }
     /// Continues a stopped balancer with SIGCONT.
-    #[allow(clippy::missing_errors_doc)]
+    ///
+    /// # Errors
+    /// Returns an error if the process was reaped or the signal cannot be sent.
     pub fn resume(&mut self, number: usize) -> io::Result<()> {
         self.balancers[number].process.resume()?;
         self.mark_resumed(number, false);
@@ -238,7 +255,8 @@
         it.client_addr = address;
         it.from_clients.set_target(address);
         if self.in_fleet {
-            // Registered before any balancer is awaited: none is ready without a lease, and a lease needs the others.
+            // Registered before waiting for any balancer to be ready: a balancer needs a lease to be ready, and the
+            // other balancers to get a lease.
             self.udp_relay.register(number, it.process.find_address("fleet: listening on "));
         }
     }
@@ -253,12 +271,17 @@
             self.udp_relay.register(number, *real);
         }
     }
-    /// Waits until a balancer has logged that it joined. This and the following methods panic after
-    /// [`crate::PATIENCE`].
+    /// Waits until a balancer has logged that it joined the fleet.
+    ///
+    /// # Panics
+    /// Panics after [`crate::PATIENCE`].
     pub fn await_joined(&self, number: usize) {
         self.balancers[number].process.find_line_with("fleet: joined");
     }
-    /// Waits until a balancer has caught up to this revision or a later one.
+    /// Waits until a balancer has logged that it caught up to this or a later revision.
+    ///
+    /// # Panics
+    /// Panics after [`crate::PATIENCE`].
     pub fn await_caught_up(&self, number: usize, revision: u64) {
         self.balancers[number].process.find_line(|line| {
             let caught_up =
@@ -266,16 +289,25 @@
             caught_up.is_some_and(|caught_up: u64| caught_up >= revision)
         });
     }
-    /// Waits for the next log line that says that a balancer holds its lease.
+    /// Waits for the next log line that reports that a balancer holds its lease.
+    ///
+    /// # Panics
+    /// Panics after [`crate::PATIENCE`].
     pub fn await_lease(&self, number: usize) {
         self.balancers[number].process.next_line_with("fleet: lease held");
     }
-    /// Waits for the next log line that says that a balancer is fenced, and returns the reason.
+    /// Waits for the next log line that reports that a balancer is fenced, and returns the reason.
+    ///
+    /// # Panics
+    /// Panics after [`crate::PATIENCE`].
     #[must_use]
     pub fn await_fenced(&self, number: usize) -> String {
         reason_after(self.balancers[number].process.next_line_with("fleet: fenced: "), "fleet: fenced: ")
     }
-    /// Waits for the next log line that says that a balancer is orphaned, and returns the reason.
+    /// Waits for the next log line that reports that a balancer is orphaned, and returns the reason.
+    ///
+    /// # Panics
+    /// Panics after [`crate::PATIENCE`].
     #[must_use]
     pub fn await_orphaned(&self, number: usize) -> String {
         reason_after(self.balancers[number].process.next_line_with("fleet: orphaned: "), "fleet: orphaned: ")
@@ -306,7 +338,11 @@
 impl Drop for Fleet {
     fn drop(&mut self) {
         if std::thread::panicking() {
-            eprintln!("the fleet's seed: {:#x}; its files: {}", self.seed, self.folder.path().display());
+            eprintln!(
+                "seed of the fleet: {:#x}; files of the fleet: {}",
+                self.seed,
+                self.folder.path().display()
+            );
         }
     }
 }
--- a/crates/testfleet/src/folder.rs
+++ b/crates/testfleet/src/folder.rs
@@ -1,11 +1,11 @@
-//! Temporary folders of tests, and recursive copies.
+//! Temporary folders for tests, and recursive copies of folders.
 
 use std::fs;
 use std::io;
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicU32, Ordering};
 
-/// A folder that is removed on drop, unless the thread is panicking, so that a failed test can be inspected.
+/// A temporary folder that is removed on drop. If the thread is panicking, it is kept to inspect the failed test.
 #[derive(Debug)]
 pub struct Folder(PathBuf);
 
@@ -13,7 +13,7 @@
     /// Creates a new folder below `parent`.
     ///
     /// # Errors
-    /// Returns the system's error if it cannot be created.
+    /// Returns the system's error if the folder cannot be created.
     pub fn below(parent: &Path) -> io::Result<Self> {
         static COUNT: AtomicU32 = AtomicU32::new(0);
         let number = COUNT.fetch_add(1, Ordering::Relaxed);
@@ -37,10 +37,10 @@
     }
 }
 
-/// Creates an empty folder, removing what was there.
+/// Creates an empty folder, removing an existing folder of that path with its contents.
 ///
 /// # Errors
-/// Returns the system's error if the old folder cannot be removed or the new one not created.
+/// Returns the system's error if the old folder cannot be removed or the new folder cannot be created.
 pub fn create_empty(folder: &Path) -> io::Result<()> {
     match fs::remove_dir_all(folder) {
         Err(error) if error.kind() != io::ErrorKind::NotFound => return Err(error),
@@ -49,10 +49,10 @@
     fs::create_dir_all(folder)
 }
 
-/// Replaces a folder by a recursive copy of another.
+/// Replaces the folder `to` by a recursive copy of the folder `from`.
 ///
 /// # Errors
-/// Returns the system's error if something cannot be read or written.
+/// Returns the system's error if a file or folder cannot be read or written.
 pub fn replace_with_copy(from: &Path, to: &Path) -> io::Result<()> {
     create_empty(to)?;
     for entry in fs::read_dir(from)? {
--- a/crates/testfleet/src/lib.rs
+++ b/crates/testfleet/src/lib.rs
@@ -3,12 +3,12 @@
 //!
 //! [`fleet::Fleet`] assembles the parts: processes of the program, cache nodes, origin, discovery agents and clients,
 //! all connected through relays that lose, delay, duplicate, reorder, buffer or refuse traffic. The stand-ins record
-//! what they see, and [`referee::check_evidence`] checks the records against the rules. All sockets are on one
-//! single-threaded runtime, so that hundreds of processes need no thread each.
+//! what they see, and [`referee::check_evidence`] checks the records against the rules. One single-threaded runtime
+//! serves all sockets, so that a fleet of hundreds of processes does not need a thread per process.
 //!
-//! The crate is for tests and the lab and is not part of the shipped program. It leaves to its caller where the program
-//! is, which faults happen when, and what to do about violations. Waiting never sleeps for a fixed time: it waits for a
-//! record, at most for [`PATIENCE`].
+//! The crate is for tests and the lab and is not part of the shipped program. Its caller provides the path of the
+//! program, schedules the faults and handles the violations. Waits have no fixed duration: they end when a matching
+//! record appears, and fail after [`PATIENCE`].
 #![forbid(unsafe_code)]
 #![warn(unreachable_pub, missing_docs)]
 
@@ -28,7 +28,7 @@
 pub mod runtime;
 pub mod soak;
 
-/// The maximum duration of any wait. It only bounds tests that would otherwise hang.
+/// The maximum duration of any wait. It bounds tests that would otherwise hang.
 pub const PATIENCE: std::time::Duration = std::time::Duration::from_secs(20);
 
 /// 2^64 divided by the golden ratio: multiplying consecutive numbers by it spreads them over all 64 bits.
--- a/crates/testfleet/src/origin.rs
+++ b/crates/testfleet/src/origin.rs
@@ -1,4 +1,4 @@
-//! A stand-in origin that speaks HTTP/1.1 and records every execution.
+//! A stand-in origin that speaks HTTP/1.1 and records every executed request.
 
 use crate::cache_node::{Attempt, Ending, parse_class, parse_remaining_time};
 use crate::event_log::EventLog;
@@ -31,7 +31,7 @@
     Runs,
     /// Declines requests without executing them.
     Declines,
-    /// Executes requests and answers with an error.
+    /// Executes requests and answers them with an error.
     Fails,
 }
 
@@ -42,6 +42,7 @@
     shared: Arc<Shared>,
 }
 
+/// The state shared by the handles and connections of the origin.
 #[derive(Debug)]
 struct Shared {
     behaviour: watch::Sender<OriginBehaviour>,
@@ -51,7 +52,7 @@
     runs: EventLog<Attempt>,
 }
 
-/// Records how an execution ended when dropped, which also covers a connection that ends early.
+/// An execution in progress. Its end is recorded on drop, also if the connection ends early.
 struct Run<'a> {
     shared: &'a Shared,
     index: usize,
@@ -65,7 +66,7 @@
 }
 
 impl Origin {
-    /// Starts the origin, which records executions in `runs`.
+    /// Starts an origin that records executions in `runs`.
     ///
     /// # Errors
     /// Returns the system's error if no port can be bound.
@@ -109,7 +110,7 @@
                     let (shared, caller) = (Arc::clone(&shared), caller.clone());
                     async move { Ok::<_, Infallible>(shared.answer(request, number, caller).await) }
                 });
-                // An early end of the connection is not an error here: the execution is recorded as closed.
+                // An early end of the connection needs no handling: its execution is recorded as closed.
                 let _ = hyper::server::conn::http1::Builder::new()
                     .serve_connection(TokioIo::new(stream), serve)
                     .await;
@@ -134,7 +135,7 @@
             return answer;
         }
         if request.into_body().collect().await.is_err() {
-            return answer; // it did not come whole, and does not run
+            return answer; // an incomplete request is not executed
         }
         let at = Instant::now();
         let (sent, balancer) = (caller.as_ref().map_or(at, Caller::last_write), caller.map(|it| it.balancer));
--- a/crates/testfleet/src/proc_stats.rs
+++ b/crates/testfleet/src/proc_stats.rs
@@ -1,10 +1,10 @@
-//! Figures of running processes, read from `/proc`.
+//! Sockets, descriptors and resource usage of running processes, read from `/proc`.
 
 use std::fs;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Returns the bound UDP addresses of a process, read from `/proc`.
+/// Returns the addresses to which a process has bound UDP sockets; empty if the process has ended.
 #[must_use]
 pub fn udp_addresses(process: u32) -> Vec<SocketAddr> {
     let folder = PathBuf::from(format!("/proc/{process}"));
@@ -22,13 +22,13 @@
     table.lines().filter_map(ours).collect()
 }
 
-/// Returns the number of open file descriptors of a process.
+/// Returns the number of open file descriptors of a process; 0 if the process has ended.
 #[must_use]
 pub fn open_descriptors(process: u32) -> usize {
     fs::read_dir(format!("/proc/{process}/fd")).map_or(0, Iterator::count)
 }
 
-/// The resources that a process uses.
+/// The resource usage of a process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct ResourceUsage {
     /// Resident memory, in KB.
@@ -37,7 +37,7 @@
     pub processor_us: u64,
 }
 
-/// Returns the resources that a process uses; `None` if it has ended.
+/// Returns the resource usage of a process; `None` if the process has ended.
 #[must_use]
 pub fn resource_usage(process: u32) -> Option<ResourceUsage> {
     let status = fs::read_to_string(format!("/proc/{process}/status")).ok()?;
--- a/crates/testfleet/src/process.rs
+++ b/crates/testfleet/src/process.rs
@@ -1,4 +1,4 @@
-//! A balancer process: start, signals, log lines, and restart with the same, an older or an empty disk. Killed on drop.
+//! A balancer process: its start, signals and log lines, and restarts with a kept, restored or empty disk.
 
 use crate::event_log::EventLog;
 use crate::folder;
@@ -15,35 +15,35 @@
 use tokio::net::unix::pipe;
 use tokio::runtime::Handle;
 
-/// The number of last log lines that a failed wait prints.
+/// The number of last log lines printed when a wait fails.
 const LINES_SHOWN: usize = 20;
 
-/// The log level of processes unless `RUST_LOG` is set.
+/// The log level of processes if `RUST_LOG` is not set.
 const DEFAULT_LOG_LEVEL: &str = "info";
 
-/// How a process is started.
+/// The program, arguments and environment with which a process is started.
 #[derive(Debug, Clone, Default)]
 pub struct Launch {
-    /// The program.
+    /// The path of the program.
     pub program: PathBuf,
     /// The arguments after `serve --config FILE`.
     pub args: Vec<String>,
     /// Additional environment variables.
     pub variables: Vec<(String, String)>,
-    /// The clock offset, passed as `SPINDLEBEAM_CLOCK_OFFSET_MS`.
+    /// The offset of the process's clock, passed as `SPINDLEBEAM_CLOCK_OFFSET_MS`.
     pub clock_offset_ms: i64,
 }
 
 /// The disk of a restarted process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Disk {
-    /// The files of the previous process.
+    /// The files of the previous process are kept.
     Kept,
-    /// An empty folder.
+    /// The disk is emptied.
     Empty,
 }
 
-/// A process and the logs of its predecessors.
+/// A process and the logs of its predecessors. The process is killed on drop.
 #[derive(Debug)]
 pub struct Process {
     handle: Handle,
@@ -59,10 +59,10 @@
 }
 
 impl Process {
-    /// Starts the program with a configuration, in its own folder.
+    /// Starts the program with a configuration; `folder` holds the files of the process.
     ///
     /// # Errors
-    /// Returns the system's error if the folder cannot be written or the program not started.
+    /// Returns the system's error if the folder cannot be written or the program cannot be started.
     pub fn start(handle: &Handle, launch: Launch, folder: &Path, config: &Value) -> io::Result<Self> {
         fs::create_dir_all(folder.join("disk"))?;
         fs::write(folder.join("config.json"), config.to_string())?;
@@ -72,11 +72,11 @@
         Ok(Self { handle, launch, folder, child, reaped: None, lines, former_lines, ended, read_position })
     }
 
-    /// Returns the launch options; a change takes effect at the next restart.
+    /// Returns the launch options. Changes take effect at the next restart.
     pub fn launch(&mut self) -> &mut Launch {
         &mut self.launch
     }
-    /// Returns the folder that serves as the disk.
+    /// Returns the folder that serves as the disk of the process.
     #[must_use]
     pub fn disk(&self) -> PathBuf {
         self.folder.join("disk")
@@ -99,7 +99,7 @@
         logs.flat_map(|log| log.all()).filter(|line| line.contains(part)).collect()
     }
 
-    /// Waits for the next log line that matches, and moves the read position behind it.
+    /// Waits for the next log line that matches, and moves the read position to the line after it.
     ///
     /// # Panics
     /// Panics with the last log lines after [`crate::PATIENCE`].
@@ -113,33 +113,47 @@
         found.unwrap_or_else(|| {
             let last =
                 self.lines.with_entries(|lines| lines[lines.len().saturating_sub(LINES_SHOWN)..].join("\n"));
-            panic!("process {}: no such line within {:?}; the last:\n{last}", self.id(), crate::PATIENCE)
+            panic!(
+                "process {}: no matching log line within {:?}; the last log lines:\n{last}",
+                self.id(),
+                crate::PATIENCE
+            )
         })
     }
-    /// Waits for the next log line that contains `part`.
+    /// Waits for the next log line that contains `part`, and moves the read position to the line after it.
+    ///
+    /// # Panics
+    /// Panics with the last log lines after [`crate::PATIENCE`].
     pub fn next_line_with(&self, part: &str) -> String {
         self.next_line(|line| line.contains(part))
     }
     /// Waits for the next log line that contains `part`, and returns the address at its end.
     ///
     /// # Panics
-    /// Panics if the line does not end with an address.
+    /// Panics after [`crate::PATIENCE`], or if the line does not end with an address.
     pub fn next_address(&self, part: &str) -> SocketAddr {
         parse_address(&self.next_line_with(part))
     }
-    /// Waits until any log line matches, already read or not. Does not move the read position.
+    /// Waits until any log line matches, also one before the read position, and does not move the read position.
     ///
     /// # Panics
     /// Panics after [`crate::PATIENCE`].
     pub fn find_line(&self, matches: impl Fn(&str) -> bool) -> String {
-        let what = format!("a line of process {}", self.id());
+        let what = format!("a matching log line of process {}", self.id());
         self.lines.wait(&what, |lines| lines.iter().find(|line| matches(line)).cloned())
     }
-    /// Waits until any log line contains `part`. Does not move the read position.
+    /// Waits until any log line contains `part`, also one before the read position, and does not move the read
+    /// position.
+    ///
+    /// # Panics
+    /// Panics after [`crate::PATIENCE`].
     pub fn find_line_with(&self, part: &str) -> String {
         self.find_line(|line| line.contains(part))
     }
     /// Waits until any log line contains `part`, and returns the address at its end.
+    ///
+    /// # Panics
+    /// Panics after [`crate::PATIENCE`], or if the line does not end with an address.
     pub fn find_address(&self, part: &str) -> SocketAddr {
         parse_address(&self.find_line_with(part))
     }
@@ -147,35 +161,45 @@
     fn signal(&self, signal: Signal) -> io::Result<()> {
         // The id of a reaped process may belong to another process by now.
         if self.reaped.is_some() {
-            return Err(io::ErrorKind::NotFound.into());
+            let ended =
+                format!("cannot send {signal:?} to process {}: it has ended and was reaped", self.id());
+            return Err(io::Error::new(io::ErrorKind::NotFound, ended));
         }
         Ok(kill_process(Pid::from_child(&self.child), signal)?)
     }
     /// Sends SIGTERM.
     ///
     /// # Errors
-    /// This and the following methods return an error if the process was reaped.
+    /// Returns an error if the process was reaped or the signal cannot be sent.
     pub fn terminate(&self) -> io::Result<()> {
         self.signal(Signal::TERM)
     }
     /// Sends SIGSTOP.
-    #[allow(clippy::missing_errors_doc)]
+    ///
+    /// # Errors
+    /// Returns an error if the process was reaped or the signal cannot be sent.
     pub fn pause(&self) -> io::Result<()> {
         self.signal(Signal::STOP)
     }
     /// Sends SIGCONT.
-    #[allow(clippy::missing_errors_doc)]
+    ///
+    /// # Errors
+    /// Returns an error if the process was reaped or the signal cannot be sent.
     pub fn resume(&self) -> io::Result<()> {
         self.signal(Signal::CONT)
     }
     /// Writes a new configuration file and sends SIGHUP.
-    #[allow(clippy::missing_errors_doc)]
+    ///
+    /// # Errors
+    /// Returns an error if the file cannot be written, the process was reaped or the signal cannot be sent.
     pub fn reload(&self, config: &Value) -> io::Result<()> {
         fs::write(self.folder.join("config.json"), config.to_string())?;
         self.signal(Signal::HUP)
     }
-    /// Sends SIGKILL and reaps the process.
-    #[allow(clippy::missing_errors_doc)]
+    /// Sends SIGKILL and reaps the process. Does nothing if it was reaped before.
+    ///
+    /// # Errors
+    /// Returns the system's error if the process cannot be killed or reaped.
     pub fn kill(&mut self) -> io::Result<()> {
         if self.reaped.is_none() {
             self.child.kill()?;
@@ -183,12 +207,12 @@
         }
         Ok(())
     }
-    /// Returns whether the process has ended.
+    /// Returns whether the process was reaped or has closed its log.
     #[must_use]
     pub fn has_ended(&self) -> bool {
         self.reaped.is_some() || self.ended.count() > 0
     }
-    /// Waits for the end of the process.
+    /// Waits for the end of the process and reaps it.
     ///
     /// # Errors
     /// Returns the system's error if the exit status is not available.
@@ -199,16 +223,16 @@
         if let Some(status) = self.reaped {
             return Ok(status);
         }
-        self.ended.wait("the end of a process", |ended| ended.first().copied());
+        self.ended.wait(&format!("the end of process {}", self.id()), |ended| ended.first().copied());
         let status = self.child.wait()?;
         self.reaped = Some(status);
         Ok(status)
     }
 
-    /// Starts the program again with a configuration, killing the old process if it still runs.
+    /// Kills the process if it is running, and starts the program again with a configuration.
     ///
     /// # Errors
-    /// Returns the system's error if the folder cannot be written or the program not started.
+    /// Returns the system's error if the folder cannot be written or the program cannot be started.
     pub fn restart(&mut self, disk: Disk, config: &Value) -> io::Result<()> {
         self.kill()?;
         if disk == Disk::Empty {
@@ -221,20 +245,23 @@
         (self.reaped, self.read_position) = (None, AtomicUsize::new(0));
         Ok(())
     }
-    /// Saves a copy of the disk under a name.
+    /// Saves a copy of the disk under a name, replacing an earlier copy of that name.
     ///
     /// # Errors
     /// Returns the system's error if the disk cannot be copied.
     pub fn save_disk_copy(&self, name: &str) -> io::Result<()> {
         folder::replace_with_copy(&self.disk(), &self.folder.join(format!("copy-{name}")))
     }
-    /// Replaces the disk of a process that is not running by a saved copy.
+    /// Replaces the disk of a killed or reaped process by a saved copy.
     ///
     /// # Errors
-    /// Returns an error if the process is running or there is no such copy.
+    /// Returns an error if the process was not killed or reaped before, or there is no copy of that name.
     pub fn restore_disk_copy(&self, name: &str) -> io::Result<()> {
         if self.reaped.is_none() {
-            return Err(io::Error::other("its process is running"));
+            return Err(io::Error::other(format!(
+                "cannot restore the disk copy {name:?}: process {} is running",
+                self.id()
+            )));
         }
         folder::replace_with_copy(&self.folder.join(format!("copy-{name}")), &self.disk())
     }
@@ -248,13 +275,14 @@
 
 fn parse_address(line: &str) -> SocketAddr {
     let address = line.rsplit(' ').next().and_then(|word| word.parse().ok());
-    address.unwrap_or_else(|| panic!("no address in {line:?}"))
+    address.unwrap_or_else(|| panic!("log line does not end with an address: {line:?}"))
 }
 
-/// A started process with the logs that its output fills.
+/// A started process with the logs of its output and of its end.
 struct Spawned {
     child: Child,
     lines: EventLog<String>,
+    /// Has an entry once the process has closed its log.
     ended: EventLog<()>,
 }
 
--- a/crates/testfleet/src/referee/mod.rs
+++ b/crates/testfleet/src/referee/mod.rs
@@ -33,7 +33,7 @@
     verdict
 }
 
-/// Returns whether an attempt was answered, for counts in reports.
+/// Returns whether the receiver answered an attempt.
 #[must_use]
 pub fn answered(it: &Attempt) -> bool {
     matches!(it.ended, Some((_, Ending::Answered)))
--- a/crates/testfleet/src/referee/rules.rs
+++ b/crates/testfleet/src/referee/rules.rs
@@ -1,4 +1,4 @@
-//! The rules, each as a function that adds its violations to the verdict.
+//! The rules. Each rule is a function that adds its violations to the verdict.
 
 use super::evidence::Evidence;
 use super::verdict::{Verdict, Violation};
@@ -9,21 +9,21 @@
 use rustc_hash::FxHashMap;
 use std::time::{Duration, Instant};
 
-/// How long after a balancer was notified that an endpoint drains or is gone it may still send new requests there.
+/// How long a balancer may send new requests to an endpoint after it was notified that the endpoint drains or is gone.
 pub const NOTIFICATION_SLACK: Duration = Duration::from_millis(250);
-/// How long after its deadline a request may be answered.
+/// How long after its deadline a request may still be answered.
 pub const ANSWER_SLACK: Duration = Duration::from_millis(50);
-/// How long after the last byte of a request a close may be seen to count as racing it.
+/// How long after the last byte of a request the client may see a close that still counts as racing the request.
 pub const CLOSE_RACE_WINDOW: Duration = Duration::from_millis(100);
-/// The tolerance for records of two processes on a busy machine.
+/// The tolerance for times that were recorded by two processes on a busy machine.
 pub const MARGIN: Duration = Duration::from_millis(50);
 
-/// How long after its client disconnected an attempt may start.
+/// How long after the client disconnected an attempt may still be sent.
 pub const DISCONNECT_SLACK: Duration = Duration::from_millis(100);
-/// How much more remaining time than is left an attempt may state.
+/// By how much the remaining time stated in an attempt may exceed the time that is left until the deadline.
 pub const REMAINING_TIME_SLACK: Duration = Duration::from_millis(150);
 
-/// Counts outcomes, and finds requests without exactly one timely outcome.
+/// Counts outcomes. Finds requests that do not have exactly one outcome, were lost or were answered late.
 pub(super) fn check_answers(evidence: &Evidence, verdict: &mut Verdict) {
     for call in &evidence.calls {
         match &call.answers[..] {
@@ -50,7 +50,7 @@
     }
 }
 
-/// Finds attempts for disconnected clients and for requests that raced a close.
+/// Finds attempts that were sent after their client had disconnected, and attempts of requests that raced a close.
 pub(super) fn check_closed_connections(evidence: &Evidence, verdict: &mut Verdict) {
     let calls: FxHashMap<&str, &Call> = evidence.calls.iter().map(|it| (it.id.as_str(), it)).collect();
     for it in evidence.attempts.iter().chain(&evidence.runs) {
@@ -71,7 +71,7 @@
     }
 }
 
-/// Finds attempts that state more remaining time than their request has.
+/// Finds attempts that state more remaining time than is left until the deadline of their request.
 pub(super) fn check_remaining_time(evidence: &Evidence, verdict: &mut Verdict) {
     let calls: FxHashMap<&str, &Call> = evidence.calls.iter().map(|it| (it.id.as_str(), it)).collect();
     for it in evidence.attempts.iter().chain(&evidence.runs) {
@@ -83,7 +83,7 @@
         };
         let left = (written_at + call.deadline).saturating_duration_since(it.sent);
         let more = time.saturating_sub(left).saturating_sub(stalled_within(evidence, written_at, it.sent));
-        // What a balancer wrote before it was stopped is relayed unchanged.
+        // Interruptions are not subtracted: the relay forwards unchanged what a balancer wrote before it was stopped.
         if more > REMAINING_TIME_SLACK + MARGIN {
             verdict.violations.push(Violation::DeadlineOverstated(it.id.clone(), more));
         }
@@ -102,14 +102,15 @@
     stops.filter_map(|it| it.until).fold(time, Instant::max)
 }
 
-/// Checks that a request was answered in time. Time in which the balancer was stopped at the deadline does not count.
+/// Checks that a request was answered in time. If the balancer was stopped at the deadline, the time until it was
+/// continued does not count.
 fn check_deadline(evidence: &Evidence, call: &Call) -> Option<Violation> {
     let (answered, _) = call.answers.first()?;
     let mut until = call.written_at? + call.deadline;
     match call.pipeline_position {
         PipelinePosition::First => {}
         PipelinePosition::UnblockedAt(unblocked) => until = until.max(unblocked),
-        PipelinePosition::Blocked => return None, // the delay is attributed to the request ahead of it
+        PipelinePosition::Blocked => return None, // the delay is attributed to the request before it
     }
     for stop in evidence.interruptions.iter().filter(|it| it.balancer == call.balancer) {
         if stop.from <= until + ANSWER_SLACK {
@@ -121,14 +122,14 @@
     (late_by > ANSWER_SLACK + MARGIN).then(|| Violation::AnsweredLate(call.id.clone(), late_by))
 }
 
-/// Returns whether the balancer was dead at some time within a period.
+/// Returns whether the balancer was killed and not yet restarted at some time within a period.
 fn was_dead_within(evidence: &Evidence, balancer: usize, from: Instant, until: Instant) -> bool {
     let dead = evidence.interruptions.iter().filter(|it| it.killed && it.balancer == balancer);
     dead.into_iter().any(|it| it.from <= until && it.until.is_none_or(|end| from <= end))
 }
 
-/// Returns whether the connection was closed before the last byte was written, or so soon after it that the close raced
-/// the request. Time in which the event loop was stalled, and could not see the close, does not count.
+/// Returns whether the connection was closed before the last byte was written, or less than [`CLOSE_RACE_WINDOW`] after
+/// it. The client cannot see a close while the event loop is stalled, so this time does not count.
 fn raced_close(evidence: &Evidence, call: &Call) -> bool {
     let Some((closed, Outcome::Closed(_))) = call.answers.first() else { return false };
     let Some(written_at) = call.written_at else { return true };
@@ -136,15 +137,15 @@
     seen_after.saturating_sub(stalled_within(evidence, written_at, *closed)) < CLOSE_RACE_WINDOW
 }
 
-/// Returns whether the balancer was killed between the start and the end of a request. The system then closes the
-/// connection at any point of the request.
+/// Returns whether the balancer was killed between the start and the end of a request. In this case the system may
+/// close the connection at any point of the request.
 fn killed_during(evidence: &Evidence, call: &Call) -> bool {
     let Some((ended, _)) = call.answers.first() else { return false };
     let mut kills = evidence.interruptions.iter().filter(|it| it.killed && it.balancer == call.balancer);
     kills.any(|it| (call.at..=*ended).contains(&it.from))
 }
 
-/// Finds requests of classes that are not idempotent that were executed more than once.
+/// Finds non-idempotent requests that were executed more than once.
 pub(super) fn check_non_idempotent(evidence: &Evidence, verdict: &mut Verdict) {
     let mut runs: FxHashMap<&str, usize> = FxHashMap::default();
     for run in evidence.runs.iter().filter(|run| evidence.non_idempotent.contains(&run.class)) {
@@ -157,7 +158,7 @@
     verdict.violations.append(&mut violations);
 }
 
-/// Finds requests with two attempts in flight at once.
+/// Finds requests that had two attempts in flight at the same time.
 pub(super) fn check_concurrent_attempts(evidence: &Evidence, verdict: &mut Verdict) {
     let mut all: Vec<&Attempt> = evidence.attempts.iter().chain(&evidence.runs).collect();
     all.sort_by(|a, b| (&a.id, a.at).cmp(&(&b.id, b.at)));
@@ -169,7 +170,7 @@
     }
 }
 
-/// Finds requests sent to endpoints that the balancer knew to be draining or gone.
+/// Finds attempts at endpoints of which the balancer had been notified that they drain or are gone.
 pub(super) fn check_draining_endpoints(evidence: &Evidence, verdict: &mut Verdict) {
     let mut notifications: FxHashMap<(usize, &str), Vec<&EndpointNotification>> = FxHashMap::default();
     for it in &evidence.notifications {
@@ -188,13 +189,13 @@
     }
 }
 
-/// Returns for how long, at `at`, the balancer knew that the endpoint drains or is gone; `None` if it did not, or was
-/// notified otherwise since.
+/// Returns how long before `at` the balancer was notified that the endpoint drains or is gone; `None` if it was not, or
+/// was notified later that the endpoint is ready.
 fn draining_known_for(
     evidence: &Evidence, notifications: &[&EndpointNotification], balancer: usize, at: Instant,
 ) -> Option<Duration> {
     let interruptions = || evidence.interruptions.iter().filter(|it| it.balancer == balancer);
-    // A process does not know what its predecessor was notified of, even if that was written while it was being killed.
+    // A process does not know the notifications of its predecessor, even those written while that was being killed.
     let started = interruptions()
         .filter(|it| it.killed && it.from <= at)
         .map(|it| it.restarted.unwrap_or(it.from))
--- a/crates/testfleet/src/referee/verdict.rs
+++ b/crates/testfleet/src/referee/verdict.rs
@@ -1,4 +1,4 @@
-//! The result of checking a run: counters and violations.
+//! The result of checking a run: counters and the violations found.
 
 use std::fmt;
 use std::time::Duration;
@@ -6,32 +6,32 @@
 /// The maximum number of violations that a verdict prints.
 const MAX_VIOLATIONS_SHOWN: usize = 20;
 
-/// A violation of a rule. The first field is the request id, unless stated otherwise.
+/// A violation of a rule. The first field of a variant is the request id, unless stated otherwise.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Violation {
-    /// A request has no outcome.
+    /// A request had no outcome.
     Unanswered(String),
-    /// A request has more than one outcome.
+    /// A request had more than one outcome.
     AnsweredTwice(String),
     /// A request was answered this long after its deadline.
     AnsweredLate(String, Duration),
     /// An attempt was sent this long after the client had disconnected.
     SentAfterDisconnect(String, Duration),
-    /// An attempt stated this much more remaining time than was left.
+    /// An attempt stated this much more remaining time than was left until the deadline.
     DeadlineOverstated(String, Duration),
     /// A request was forwarded although the close of its connection raced it.
     ForwardedAfterClose(String),
-    /// A client that stopped within a request was kept waiting by this balancer for this long.
+    /// A client stopped within a request, and this balancer did not close its connection for this long.
     PartialRequestNotClosed(usize, Duration),
-    /// This balancer was still running at SIGKILL after SIGTERM.
+    /// This balancer was sent SIGTERM and was still running when it was due to be sent SIGKILL.
     StillRunning(usize),
-    /// This balancer exceeded its memory (KB) or descriptor limit.
+    /// This balancer exceeded its memory limit or its socket limit: its memory in KB, and its number of descriptors.
     OverLimit(usize, u64, usize),
     /// A request was lost at a balancer that was not killed, with the error.
     Lost(String, String),
     /// A request without an idempotency key was executed this many times.
     NonIdempotentRetried(String, usize),
-    /// A second attempt was sent while the first was in flight, to these two endpoints.
+    /// A second attempt was sent while the first was in flight; the attempts were sent to these two endpoints.
     ConcurrentAttempts(String, [String; 2]),
     /// A balancer sent a new request to an endpoint after it was notified that the endpoint drains or is gone.
     SentToDrainingEndpoint {
@@ -41,7 +41,7 @@
         balancer: usize,
         /// The name of the endpoint.
         endpoint: String,
-        /// How long after the notification.
+        /// How long after the notification the request was sent.
         after: Duration,
     },
     /// The records are incomplete by this many entries.
@@ -84,7 +84,7 @@
     pub rejected: usize,
     /// Requests that failed.
     pub failed: usize,
-    /// Requests that were lost with a killed balancer.
+    /// Requests that were lost because their balancer was killed.
     pub lost_with_killed: usize,
     /// Requests that were not sent completely, or whose clients disconnected.
     pub not_sent: usize,
@@ -113,7 +113,7 @@
 }
 
 impl Verdict {
-    /// Fails the test if a rule was broken.
+    /// Asserts that no rule was violated.
     ///
     /// # Panics
     /// Panics with the verdict, including the seed, if there is a violation.
--- a/crates/testfleet/src/relay/callers.rs
+++ b/crates/testfleet/src/relay/callers.rs
@@ -14,19 +14,20 @@
 }
 
 impl Caller {
-    /// Returns when the relay last read from it, no matter how long the relay buffered that.
+    /// Returns when the relay last read data from the balancer. Buffering in the relay does not change this time.
     #[must_use]
     pub fn last_write(&self) -> Instant {
         *self.wrote.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// The balancers by the local address of their relayed connection, so that a stand-in can identify its peer.
+/// The registry of relayed connections. A stand-in looks up the balancer behind a connection by the connection's remote
+/// address, which is the relay's local address.
 #[derive(Debug, Clone, Default)]
 pub struct Callers(Arc<Mutex<FxHashMap<SocketAddr, Caller>>>);
 
 impl Callers {
-    /// Returns the balancer behind an address.
+    /// Returns the balancer behind the connection with this remote address; `None` if it is not a relayed connection.
     #[must_use]
     pub fn find(&self, addr: SocketAddr) -> Option<Caller> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner).get(&addr).cloned()
@@ -37,7 +38,7 @@
     }
 }
 
-/// Removes the address of a connection from the registry when dropped.
+/// Removes a connection from the registry when dropped.
 pub(super) struct CallerRegistration(Callers, SocketAddr);
 
 impl Drop for CallerRegistration {
--- a/crates/testfleet/src/relay/faults.rs
+++ b/crates/testfleet/src/relay/faults.rs
@@ -1,23 +1,24 @@
-//! The faults of one direction of a link and their effect on each datagram. Deterministic: seeded, without clock or
-//! I/O.
+//! The faults of one direction of a link and their effect on datagrams. Deterministic: all random draws come from a
+//! seed, and there is no clock and no I/O.
 
 use bytes::Bytes;
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// The maximum number of datagrams buffered while a direction is stalled; the oldest are dropped beyond it.
+/// The maximum number of datagrams buffered while a direction is stalled. Beyond it, the oldest datagram is dropped.
 pub const MAX_STALLED_DATAGRAMS: usize = 4_096;
 
-/// The faults of a direction. Streams use only `delay`, `jitter`, `stalled` and `cut`, since TCP hides the others.
+/// The faults of one direction of a link. Streams use only `delay`, `jitter`, `stalled` and `cut`, since TCP hides the
+/// others.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct Faults {
     /// The probability that a datagram is lost.
     pub lost: f64,
-    /// The probability that it is duplicated.
+    /// The probability that a datagram is duplicated.
     pub doubled: f64,
-    /// The probability that it is reordered behind the next one.
+    /// The probability that a datagram is sent after the next one.
     pub reordered: f64,
-    /// The fixed delay.
+    /// The fixed delay of all data.
     pub delay: Duration,
     /// The maximum of the random delay added to `delay`.
     pub jitter: Duration,
@@ -74,7 +75,8 @@
         self.faults
     }
 
-    /// Changes the faults, and returns the buffered datagrams that this releases, each with its delay.
+    /// Changes the faults. Returns the buffered datagrams that the change releases, each with the delay to send it
+    /// after.
     pub fn set_faults(&mut self, faults: Faults) -> Vec<(Duration, Bytes)> {
         self.faults = faults;
         if faults.stalled {
@@ -91,15 +93,17 @@
         out
     }
 
-    /// Receives a datagram, and returns the datagrams to send, each with its delay.
+    /// Receives a datagram. Returns the datagrams to send, each with the delay to send it after.
     pub fn forward(&mut self, datagram: Bytes) -> Vec<(Duration, Bytes)> {
         self.counts.received += 1;
         self.apply_faults(datagram, false)
     }
 
+    /// Applies the faults to a datagram. A datagram that was buffered in a stall is not lost to the loss probability,
+    /// which was applied to it on arrival.
     fn apply_faults(&mut self, datagram: Bytes, again: bool) -> Vec<(Duration, Bytes)> {
         let faults = self.faults;
-        // Drawn for every datagram, so that the same seed makes the same draws under every fault.
+        // All three are drawn for every datagram, so that the draws of a seed do not depend on the faults.
         let [lost, doubled, reordered] =
             [faults.lost, faults.doubled, faults.reordered].map(|chance| self.rng.f64() < chance);
         if faults.cut || (lost && !again) {
--- a/crates/testfleet/src/relay/mod.rs
+++ b/crates/testfleet/src/relay/mod.rs
@@ -1,4 +1,4 @@
-//! Relays between all parts of a fleet, which inject network faults.
+//! The relays between all parts of a fleet, which inject network faults.
 
 pub mod callers;
 pub mod faults;
--- a/crates/testfleet/src/relay/tcp.rs
+++ b/crates/testfleet/src/relay/tcp.rs
@@ -1,4 +1,4 @@
-//! A TCP relay to one address that can buffer, delay, reset or refuse connections.
+//! A TCP relay to one target address that can buffer or delay data, and reset or refuse connections.
 
 use super::callers::{Caller, Callers};
 use super::faults::Faults;
@@ -16,11 +16,12 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::sleep_until;
 
-/// The maximum number of queued chunks of one direction of a stream; beyond it, reading pauses.
+/// The maximum number of queued chunks of one direction of a connection. Reading pauses while the queue is full.
 const MAX_QUEUED_CHUNKS: usize = 64;
-/// The maximum size of a chunk, in bytes.
+/// The buffer space reserved for reading a chunk, in bytes.
 const CHUNK_BYTES: usize = 16 * 1024;
 
+/// The target and the faults of a link.
 #[derive(Debug, Clone, Copy)]
 struct State {
     target: SocketAddr,
@@ -30,6 +31,7 @@
     back: Faults,
 }
 
+/// The number of connections of a link, and the bytes relayed to the target and back.
 #[derive(Debug, Default)]
 struct Counts {
     connections: AtomicU64,
@@ -37,7 +39,7 @@
     back: AtomicU64,
 }
 
-/// A relayed link. Its connections end when it is dropped.
+/// A handle to a relayed link. Dropping it stops the relay and closes its connections.
 #[derive(Debug)]
 pub struct TcpLink {
     addr: SocketAddr,
@@ -54,14 +56,15 @@
 }
 
 impl TcpLink {
-    /// Starts a relay to an address. With `callers`, each connection is registered for that balancer.
+    /// Starts a relay to a target address. With `callers`, each connection is registered for the balancer with that
+    /// number.
     ///
     /// # Errors
     /// Returns the system's error if no port can be bound.
     pub fn start(
         handle: &Handle, target: SocketAddr, callers: Option<(Callers, usize)>, seed: u64,
     ) -> io::Result<Self> {
-        // This socket is bound but never listens, so that the port stays reserved while connections are refused.
+        // This socket is bound but does not listen: it reserves the port while connections are refused.
         let guard = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None)?;
         guard.set_reuse_address(true)?;
         guard.bind(&any_port().into())?;
@@ -95,16 +98,16 @@
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
-    /// Changes the target of new connections.
+    /// Changes the target of new connections. Open connections keep their target.
     pub fn set_target(&self, target: SocketAddr) {
         self.state.send_modify(|state| state.target = target);
     }
-    /// Changes the faults of both directions. Bytes are buffered while a direction is stalled or cut. If the client
-    /// disconnects meanwhile, they are discarded.
+    /// Changes the faults of both directions. Data is buffered while a direction is stalled or cut, and discarded if
+    /// its sender disconnects in the meantime.
     pub fn set_faults(&self, to: Faults, back: Faults) {
         self.state.send_modify(|state| (state.to, state.back) = (to, back));
     }
-    /// Partitions the link: nothing passes, and new connections get no further than the relay.
+    /// Partitions the link: no data passes, and new connections are accepted by the relay but do not reach the target.
     pub fn cut(&self) {
         let faults = Faults { cut: true, ..Faults::default() };
         self.set_faults(faults, faults);
@@ -122,19 +125,19 @@
         self.state.send_modify(|state| state.refused = false);
         self.set_faults(Faults::default(), Faults::default());
     }
-    /// Returns the number of connections so far.
+    /// Returns the number of connections accepted so far.
     #[must_use]
     pub fn connections(&self) -> u64 {
         self.counts.connections.load(Ordering::Relaxed)
     }
-    /// Returns the bytes relayed to the target, and back.
+    /// Returns the number of bytes relayed to the target and the number relayed back.
     #[must_use]
     pub fn bytes(&self) -> (u64, u64) {
         (self.counts.to.load(Ordering::Relaxed), self.counts.back.load(Ordering::Relaxed))
     }
 }
 
-/// Accepts until connections are to be refused; returns `false` if the link was dropped.
+/// Accepts connections until they are to be refused. Returns `false` if the link was dropped.
 async fn accept_on(listener: TcpListener, link: Link, mut rng: fastrand::Rng) -> bool {
     let mut state = link.state.clone();
     loop {
@@ -148,17 +151,18 @@
     }
 }
 
+/// Relays a connection until it ends, is reset, or the link is dropped.
 async fn connection(near: TcpStream, link: Link, rng: fastrand::Rng) {
     let mut state = link.state.clone();
     let resets = state.borrow().resets;
     tokio::select! {
-        // The connection ends without a reset only if both sides have shut it down.
+        // The relay closes the connection without a reset only if both sides have shut it down.
         _ = relay_connection(near, link, rng) => {}
         _ = state.wait_for(|state| state.resets != resets) => {}
     }
 }
 
-/// The write half of a stream that resets the connection on drop; the plain half would shut it down cleanly.
+/// The write half of a stream. Dropping it resets the connection, where [`OwnedWriteHalf`] would shut it down cleanly.
 struct Writer(Option<OwnedWriteHalf>);
 
 impl Writer {
@@ -183,7 +187,8 @@
 async fn relay_connection(near: TcpStream, link: Link, mut rng: fastrand::Rng) -> io::Result<()> {
     near.set_zero_linger()?;
     let mut state = link.state.clone();
-    // Data written while the link is cut stays unread in the socket buffer: its write time is when it became readable.
+    // Data written while the link is cut stays unread in the socket buffer. Its write time is the time at which the
+    // socket became readable.
     let mut came = None;
     let target = loop {
         tokio::select! {
@@ -198,7 +203,7 @@
         }
     };
     let socket = TcpSocket::new_v4()?;
-    socket.bind(any_port())?; // before connecting, so that the target can identify the balancer at once
+    socket.bind(any_port())?; // before connecting, so that the connection is registered when the target accepts it
     let wrote = Arc::new(Mutex::new(Instant::now()));
     let _registration = match &link.callers {
         Some((callers, balancer)) => {
@@ -214,13 +219,13 @@
     let there = to.copy(near_read, far_write, Some((&wrote, came)));
     let (there, back) = tokio::try_join!(there, back.copy(far_read, near_write, None))?;
     for stream in [there.0.as_ref(), back.0.as_ref()] {
-        // Both sides have shut down: unread data must still be delivered.
+        // Both sides have shut down: closing must still deliver unsent data.
         socket2::SockRef::from(stream).set_linger(None)?;
     }
     Ok(())
 }
 
-/// One direction of a connection.
+/// One direction of a relayed connection.
 struct StreamDirection<'a> {
     link: &'a Link,
     pick: fn(&State) -> Faults,
@@ -266,6 +271,7 @@
     }
 }
 
+/// Writes queued chunks when they are due, and holds them while the direction is stalled or cut.
 async fn write(
     mut writer: Writer, mut chunks: mpsc::Receiver<(Instant, Bytes)>, mut ended: watch::Receiver<bool>,
     mut state: watch::Receiver<State>, pick: fn(&State) -> Faults, count: &AtomicU64,
@@ -278,7 +284,7 @@
         if held(&state.borrow_and_update()) {
             tokio::select! {
                 free = state.wait_for(|state| !held(state)) => { free.map_err(|_| io::ErrorKind::BrokenPipe)?; }
-                // The sender has disconnected: its data must not arrive later as if it were new.
+                // The sender has disconnected: its data must not arrive after the fault ends.
                 _ = ended.wait_for(|ended| *ended) => return Err(io::ErrorKind::ConnectionReset.into()),
             }
         }
--- a/crates/testfleet/src/relay/udp.rs
+++ b/crates/testfleet/src/relay/udp.rs
@@ -1,8 +1,8 @@
-//! The UDP relay between balancers: one socket per balancer, which the others know as that balancer's address.
+//! The UDP relay between balancers. It has one socket per balancer, whose address the other balancers know as that
+//! balancer's address.
 //!
 //! A datagram that reaches the socket of *b* from the real address of *a* is forwarded to the real address of *b* from
-//! the
-//! socket of *a*: both ends see relay addresses only.
+//! the socket of *a*, so that both balancers see only relay addresses.
 
 use super::faults::{Counts, Direction, Faults};
 use crate::SPREAD_MULTIPLIER;
@@ -19,9 +19,10 @@
 
 /// The maximum size of a datagram, in bytes.
 const MAX_DATAGRAM_BYTES: usize = 65_535;
-/// The maximum number of delayed datagrams over all links; more are dropped.
+/// The maximum number of delayed datagrams over all links. Datagrams beyond it are dropped.
 const MAX_DELAYED_DATAGRAMS: usize = 100_000;
 
+/// The addresses of the balancers and the links between them.
 #[derive(Debug)]
 struct Table {
     seed: u64,
@@ -45,7 +46,7 @@
     delayed_datagrams: AtomicUsize,
 }
 
-/// A handle to the relay, whose tasks end with the runtime.
+/// A handle to the relay. The tasks of the relay end with the runtime.
 #[derive(Debug, Clone)]
 pub struct UdpRelay(Arc<Shared>, Handle);
 
@@ -78,14 +79,14 @@
         self.0.table.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Returns the address by which the others know a balancer.
+    /// Returns the address by which the other balancers know a balancer.
     ///
     /// # Errors
     /// Returns the system's error if the address is not available.
     pub fn address(&self, number: usize) -> io::Result<SocketAddr> {
         self.0.sockets[number].local_addr()
     }
-    /// Sets the real address of a balancer, after each start.
+    /// Sets the real address of a balancer. Must be called after each start of the balancer.
     pub fn register(&self, number: usize, real: SocketAddr) {
         let mut table = self.table();
         if let Some(old) = table.real_addresses[number].replace(real) {
@@ -98,7 +99,7 @@
         let released = self.table().link(from, to).set_faults(faults);
         self.send(from, to, released);
     }
-    /// Updates the faults of all directions from one set of balancers to another.
+    /// Updates the faults of all directions from one set of balancers to another set.
     pub fn update_faults(&self, from: &[usize], to: &[usize], change: impl Fn(&mut Faults)) {
         for (from, to) in from.iter().flat_map(|a| to.iter().map(move |b| (*a, *b))).filter(|(a, b)| a != b) {
             let mut faults = self.table().link(from, to).faults();
@@ -111,7 +112,7 @@
         self.update_faults(one, other, |faults| faults.cut = true);
         self.update_faults(other, one, |faults| faults.cut = true);
     }
-    /// Removes all faults and sends what was stalled.
+    /// Removes all faults and sends the datagrams that were buffered in a stall.
     pub fn heal(&self) {
         let links: Vec<_> = self.table().links.keys().copied().collect();
         links.into_iter().for_each(|(from, to)| self.set_faults(from, to, Faults::default()));
@@ -121,7 +122,7 @@
     pub fn counts(&self, from: usize, to: usize) -> Counts {
         self.table().link(from, to).counts()
     }
-    /// Returns the number of datagrams from unregistered addresses.
+    /// Returns the number of datagrams received from unregistered addresses, which are dropped.
     #[must_use]
     pub fn unregistered_senders(&self) -> u64 {
         self.table().unregistered_senders
@@ -130,7 +131,7 @@
     async fn serve(self, to: usize) {
         let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
         loop {
-            // An error reports that an earlier datagram was refused, which a network would not report.
+            // An error reports that an earlier datagram was refused. A network would not report it.
             let Ok((n, sender)) = self.0.sockets[to].recv_from(&mut buffer).await else { continue };
             let (from, out) = {
                 let mut table = self.table();
--- a/crates/testfleet/src/runtime.rs
+++ b/crates/testfleet/src/runtime.rs
@@ -10,15 +10,16 @@
 use tokio::runtime::{Builder, Handle};
 use tokio::sync::oneshot;
 
-/// The accept backlog: more than all balancers open at once.
+/// The accept backlog of a listener: more connections than all balancers open at once.
 const BACKLOG: u32 = 1024;
 
-/// The interval of the stall monitor.
+/// The timer interval of the stall monitor.
 const MONITOR_INTERVAL: Duration = Duration::from_millis(5);
-/// The delay of the monitor's timer from which on it counts as a stall.
+/// The minimum delay of the stall monitor's timer that counts as a stall.
 const STALL_THRESHOLD: Duration = Duration::from_millis(10);
 
-/// A period in which the event loop was stalled. What the stand-ins did in it is recorded with the time of its end.
+/// A period in which the event loop was stalled. Events at the stand-ins during a stall are recorded
+/// with the time of its end.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Stall {
     /// The start of the stall.
@@ -27,7 +28,7 @@
     pub until: Instant,
 }
 
-/// The runtime. Its tasks end when it is dropped.
+/// The runtime of the stand-ins and relays. Its tasks end when it is dropped.
 #[derive(Debug)]
 pub struct Runtime {
     handle: Handle,
@@ -97,7 +98,7 @@
     (Ipv4Addr::LOCALHOST, 0).into()
 }
 
-/// Listens on an address, with `SO_REUSEADDR` so that it can be bound again.
+/// Listens on an address, with `SO_REUSEADDR` so that the address can be bound again after the listener is closed.
 ///
 /// # Errors
 /// Returns the system's error if the address is in use.
--- a/crates/testfleet/src/soak/clients.rs
+++ b/crates/testfleet/src/soak/clients.rs
@@ -1,4 +1,5 @@
-//! The clients of a soak run. Each reuses its connection while it stays open, and sometimes misbehaves.
+//! The clients of a soak run. Each client reuses its connection while it stays open, and draws how it sends each
+//! request: normally, pipelined, slowly, incompletely, or with an early disconnect.
 
 use crate::clients::{
     Call, Class, Outcome, PipelinePosition, Request, encode_request, read_outcome, spread_key,
@@ -13,27 +14,28 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout};
 
-/// How long after its deadline a request's answer is still awaited.
+/// How long clients wait for the answer of a request after its deadline.
 const GRACE: Duration = Duration::from_secs(4);
 /// The number of distinct keys.
 const KEYS: u64 = 400;
-/// The pause between two requests of a client, in milliseconds.
+/// The pause before a request with [`Pacing::Paused`], and before an early disconnect, in milliseconds.
 const PAUSE_MS: std::ops::Range<u64> = 10..60;
-/// The pause before a client without request pauses reconnects, in milliseconds. A used port is free again only after a
-/// minute: reconnecting as fast as connections are refused would exhaust the ephemeral ports within a run or two.
+/// The pause before clients reconnect that send requests without pauses or stay idle, in milliseconds. A closed
+/// connection occupies its ephemeral port for a minute: reconnecting as fast as connections are refused would exhaust
+/// the ports within one or two runs.
 const REDIAL_MS: std::ops::Range<u64> = 100..500;
 /// The number of requests in a pipeline.
 const PIPELINED: usize = 5;
-/// The number of requests in a batch that is written one request at a time.
+/// The possible numbers of requests in a batch that is written one request at a time.
 const BATCH: std::ops::Range<usize> = 1..7;
-/// The possible pauses between two requests of such a batch, in microseconds.
+/// The possible pauses between two requests of a batch that is written one request at a time, in microseconds.
 const BATCH_GAPS_US: [u64; 4] = [0, 200, 2_000, 10_000];
 /// The pause between the two halves of a slowly written request.
 const SLOW_WRITE_PAUSE: Duration = Duration::from_millis(30);
-/// How long a client that stops within a request may wait for an error or the end of its connection.
+/// The time within which a balancer must close the connection of a client that stops within a request.
 const PARTIAL_REQUEST_LIMIT: Duration = Duration::from_millis(3_000);
 
-/// What a client does with a request.
+/// How a client sends a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum RequestBehaviour {
     /// Writes the request and reads the answer.
@@ -42,9 +44,9 @@
     Pipelined,
     /// Writes the request in two halves.
     SlowWrite,
-    /// Writes half of the request and waits.
+    /// Writes the first half of the request and waits for the balancer to close the connection.
     PartialWrite,
-    /// Writes the request and disconnects before the answer.
+    /// Writes the request and disconnects without reading the answer.
     Disconnect,
 }
 
@@ -58,10 +60,11 @@
     }
 }
 
-/// Where a balancer listens, and until when clients connect to it.
+/// The address of a balancer for clients.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct BalancerAddress {
     pub(super) addr: SocketAddr,
+    /// When clients stop connecting; `None` unless the balancer was sent SIGTERM.
     pub(super) connect_until: Option<Instant>,
 }
 
@@ -75,24 +78,26 @@
 /// How fast a client sends requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Pacing {
-    /// With a pause before each request.
+    /// Pauses before each request.
     Paused,
-    /// Without pauses, except before reconnecting.
+    /// Pauses only before reconnecting.
     Continuous,
-    /// The same, in batches that are written one request at a time.
+    /// Pauses only before reconnecting, and sends batches that are written one request at a time.
     Batches,
 }
 
 /// How requests are written to a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum WriteMode {
+    /// All requests in one write.
     AtOnce,
+    /// In two halves with a pause between them.
     InHalves,
-    /// One request at a time, with this pause between two.
+    /// One request at a time, with this pause between two requests.
     OneByOne(Duration),
 }
 
-/// A request that was recorded: its bytes and its log index.
+/// A recorded request: its encoded bytes and its index in the log of calls.
 struct Recorded {
     bytes: Vec<u8>,
     index: usize,
@@ -103,17 +108,17 @@
 pub(super) struct SoakClients {
     pub(super) client_addrs: Mutex<Vec<BalancerAddress>>,
     pub(super) calls: EventLog<Call>,
-    /// Partial requests that were kept waiting for too long: the balancer, and how long.
+    /// Partial requests whose connection was not closed in time: the balancer, and how long the client waited.
     pub(super) kept_waiting: EventLog<(usize, Duration)>,
     pub(super) ids: AtomicU64,
-    /// Batches of which a part was answered before the connection ended.
+    /// The number of batches whose connection ended after some, but not all, of their answers.
     pub(super) cut_batches: AtomicU64,
     pub(super) classes: Vec<SoakClass>,
     pub(super) until: Instant,
 }
 
 impl SoakClients {
-    /// Returns the address of a balancer; `None` while it is shutting down.
+    /// Returns the address of a balancer; `None` once clients must stop connecting to it.
     fn balancer_addr(&self, balancer: usize) -> Option<SocketAddr> {
         let address = self.client_addrs.lock().unwrap_or_else(PoisonError::into_inner)[balancer];
         address.connect_until.is_none_or(|until| Instant::now() < until).then_some(address.addr)
@@ -144,7 +149,7 @@
         self.calls.update(index, |call| call.answers.push((Instant::now(), answer)));
     }
 
-    /// Writes recorded requests, and records when each was written.
+    /// Writes recorded requests and records when each was written completely.
     async fn write(
         &self, open: &mut BufReader<TcpStream>, requests: &[Recorded], mode: WriteMode,
     ) -> io::Result<()> {
@@ -195,7 +200,7 @@
             match answer {
                 Ok(answer) => self.record_outcome(request.index, answer),
                 Err(error) => {
-                    // After the first request without an answer, none of the others has one.
+                    // Answers follow the order of requests: the later requests have no answer either.
                     let closed = || Outcome::Closed(error.to_string());
                     begun[number..].iter().for_each(|request| self.record_outcome(request.index, closed()));
                     self.cut_batches.fetch_add(u64::from(number > 0), Ordering::Relaxed);
@@ -206,6 +211,7 @@
         true
     }
 
+    /// Writes the first half of a request, and records a balancer that does not close the connection in time.
     async fn send_partial(&self, mut open: BufReader<TcpStream>, request: &Request) {
         let Recorded { bytes, index } = self.record_request(request);
         self.record_outcome(index, Outcome::NotSent);
@@ -221,6 +227,7 @@
         }
     }
 
+    /// Writes a request and disconnects after a pause, without reading the answer.
     async fn send_and_disconnect(&self, mut open: BufReader<TcpStream>, request: &Request, after: Duration) {
         let Recorded { bytes, index } = self.record_request(request);
         let _ = open.get_mut().write_all(&bytes).await;
@@ -277,7 +284,7 @@
         }
     }
 
-    /// Keeps an idle connection open, reconnecting when it ends.
+    /// Keeps an idle connection to a balancer open until the end of the run, and reconnects when it is closed.
     pub(super) async fn run_idle(self: Arc<Self>, balancer: usize, seed: u64) {
         let mut rng = fastrand::Rng::with_seed(seed);
         while Instant::now() < self.until {
--- a/crates/testfleet/src/soak/mod.rs
+++ b/crates/testfleet/src/soak/mod.rs
@@ -1,7 +1,7 @@
-//! Soak runs of real processes under faults: a seed determines a run of some seconds, whose records are checked.
+//! Soak runs: real processes run for some seconds under faults drawn from a seed, and the records are checked.
 //!
-//! [`Plan::draw`] draws what happens, [`run`] executes it on a [`Fleet`] and returns a [`Report`], whose line
-//! names seed, plan and verdict. The same seed draws the same plan; the timing of the processes may differ.
+//! [`Plan::draw`] draws the plan of a run. [`run`] executes it on a [`Fleet`] and returns a [`Report`], which prints
+//! the seed, the plan and the verdict. The same seed draws the same plan; the timing of the processes may differ.
 
 mod clients;
 mod plan;
@@ -28,11 +28,11 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How long a balancer is stopped.
+/// The time between SIGSTOP and SIGCONT of a paused balancer.
 const PAUSE_DURATION: Duration = Duration::from_millis(150);
-/// How long a fault of a cache node or a link lasts.
+/// The duration of a fault of a cache node, of a link or of discovery.
 const FAULT_DURATION: Duration = Duration::from_millis(1_200);
-/// How long after SIGTERM clients still connect.
+/// How long clients continue to connect after SIGTERM.
 const DIAL_AFTER_TERMINATE: Duration = Duration::from_millis(400);
 /// The interval between two steps of a series.
 const SERIES_INTERVAL: Duration = Duration::from_millis(150);
@@ -42,7 +42,7 @@
 const MEMORY_KB: u64 = 192 * 1024;
 /// The maximum number of violating requests whose records are in a report.
 const MAX_RECORDS: usize = 8;
-/// How long clients may wait for their last answers after the run.
+/// How long the run waits for the last answers after the longest deadline has passed.
 const FINAL_ANSWERS_GRACE: Duration = Duration::from_secs(1);
 
 /// A scheduled step of a run.
@@ -53,27 +53,29 @@
     Terminate(usize),
     AdminCommand(usize, &'static str),
     Resume(usize),
-    /// SIGKILL after SIGTERM, and a restart.
+    /// Sends SIGKILL after SIGTERM, and restarts the balancer.
+    /// A process that is still running at this time is a violation.
     KillAndRestart(usize),
     Serve(usize),
     Heal(usize, usize),
     ResumeUpdates(usize),
-    /// All discovery agents publish changes again.
+    /// Resumes the updates of all discovery agents.
     EndDiscoveryOutage,
 }
 
+/// A run that is being executed.
 struct Run {
     plan: Plan,
     fleet: Fleet,
     clients: Arc<SoakClients>,
     steps: VecDeque<(Instant, Step)>,
-    /// Whether each balancer was sent SIGTERM and not restarted yet.
+    /// Whether each balancer was sent SIGTERM and has not been restarted since.
     ending: Vec<bool>,
     violations: Vec<Violation>,
     begun: Instant,
 }
 
-/// Executes a plan with a program; the files are below `folder`.
+/// Executes a plan with processes of `program`, whose files are in a new folder below `folder`.
 ///
 /// # Errors
 /// Returns the system's error if a process or socket cannot be created.
@@ -109,7 +111,7 @@
     Ok(run.report())
 }
 
-/// Spawns the clients of each balancer and the crowd.
+/// Spawns the clients of each balancer, and the crowd at the first balancer.
 fn spawn_clients(fleet: &Fleet, clients: &Arc<SoakClients>, plan: &Plan) {
     for balancer in 0..plan.balancers {
         for number in 0..plan.callers {
@@ -127,7 +129,7 @@
     }
 }
 
-/// Spawns clients of the first balancer.
+/// Spawns the crowd: additional clients of the first balancer.
 fn spawn_crowd(fleet: &Fleet, clients: &Arc<SoakClients>, seed: u64, many: usize, pacing: Pacing) {
     for number in 0..many as u64 {
         fleet.runtime().spawn(Arc::clone(clients).run(0, seed ^ number << 48, pacing));
@@ -244,7 +246,8 @@
         }
     }
 
-    /// Sends SIGTERM. The first one is followed by SIGKILL at the earliest time that the protocol allows.
+    /// Sends SIGTERM to a balancer. The first SIGTERM also schedules SIGKILL for the earliest time that the protocol
+    /// allows.
     fn terminate(&mut self, it: usize) -> io::Result<()> {
         let terminated = Instant::now();
         if std::mem::replace(&mut self.ending[it], true) {
@@ -304,7 +307,7 @@
     }
 }
 
-/// A process that keeps a core busy during the run.
+/// A process that keeps one core busy until it is dropped.
 struct BusyProcess(Child);
 
 impl BusyProcess {
@@ -326,7 +329,10 @@
     }
 }
 
-/// Sends an admin command. An error, also one because the process is ending, is returned.
+/// Sends an admin command to a balancer.
+///
+/// # Errors
+/// Returns the system's error, also if the connection fails because the process is ending.
 fn post_admin_command(fleet: &Fleet, it: usize, path: &str) -> io::Result<()> {
     let mut stream = TcpStream::connect(fleet.balancer(it).admin_addr)?;
     stream.set_read_timeout(Some(ADMIN_TIMEOUT))?;
--- a/crates/testfleet/src/soak/plan.rs
+++ b/crates/testfleet/src/soak/plan.rs
@@ -1,4 +1,5 @@
-//! The plan of a soak run: shape, clients and events, all drawn from one seed. No clock, no I/O.
+//! The plan of a soak run: the shape of the fleet, its clients and the events, all drawn from one seed, without a clock
+//! or I/O.
 
 use crate::discovery::{ListEncoding, Phase};
 use serde_json::{Value, json};
@@ -7,22 +8,22 @@
 
 /// How long clients send requests.
 pub const RUN: Duration = Duration::from_secs(6);
-/// The number of cache nodes; each is listed under as many ids as the number of endpoints needs.
+/// The number of cache nodes. Each is listed under several ids, so that a run has the drawn number of endpoints.
 const CACHE_NODES: usize = 12;
-/// The possible numbers of listed endpoints: from a small fleet to sixteen times a usual one.
+/// The possible numbers of listed endpoints, up to sixteen times the size of a usual fleet.
 const ENDPOINTS: [usize; 5] = [12, 48, 204, 804, 3_204];
 /// The possible deadlines of requests, in milliseconds.
 const DEADLINES_MS: [u64; 6] = [80, 180, 400, 900, 3_000, 8_000];
-/// The possible socket limits of a process; the lower one leaves 40 connection slots.
+/// The possible socket limits of a process. The lower limit leaves 40 connection slots.
 const SOCKETS: [u64; 2] = [100, 512];
-/// The number of clients of a crowd, more than there are connection slots.
+/// The number of clients of a crowd: more than the 40 connection slots of the lower socket limit.
 const CROWD: usize = 120;
 /// The number of events of a run.
 const EVENTS: std::ops::Range<usize> = 3..9;
-/// When events happen, in milliseconds from the start.
+/// The times of events, in milliseconds from the start of the run.
 const EVENTS_AT_MS: std::ops::Range<u64> = 500..5_000;
 
-/// Additional clients at one balancer.
+/// Additional clients at the first balancer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Crowd {
     /// No additional clients.
@@ -31,11 +32,11 @@
     Idle(usize),
     /// Clients that send requests without pauses.
     Busy(usize),
-    /// Clients that send batches without pauses, one request at a time.
+    /// Clients that send batches without pauses; each batch is written one request at a time.
     Batches(usize),
 }
 
-/// Signals and admin commands that follow one another at one balancer.
+/// A sequence of signals and admin commands to one balancer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Series {
     /// SIGHUP twice.
@@ -46,13 +47,13 @@
     Terminate,
     /// SIGTERM twice.
     TerminateTwice,
-    /// A drain, its end, another drain, then SIGTERM.
+    /// Drain, undrain, drain again, then SIGTERM.
     DrainUndrainDrainTerminate,
-    /// A drain and its end.
+    /// Drain, then undrain.
     DrainUndrain,
 }
 
-/// All series.
+/// All series, indexed by the drawn number.
 const SERIES: [Series; 6] = [
     Series::ReloadTwice,
     Series::ReloadTerminate,
@@ -65,17 +66,17 @@
 /// An event of a run. Balancers and cache nodes are given by number.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Event {
-    /// Signals and admin commands at a balancer, which is restarted if it ends.
+    /// Sends a series of signals and admin commands to a balancer, which is restarted after SIGTERM.
     Series(usize, Series),
-    /// SIGSTOP, and SIGCONT 0.15 s later, at a balancer.
+    /// Sends a balancer SIGSTOP, and SIGCONT 0.15 s later.
     Pause(usize),
-    /// SIGKILL and a restart of a balancer.
+    /// Sends a balancer SIGKILL and restarts it.
     Kill(usize),
-    /// The endpoints of a cache node are listed with this phase.
+    /// The endpoints of a cache node change to this phase.
     ChangePhase(usize, Phase),
-    /// A cache node hangs for a while.
+    /// A cache node does not answer for a while.
     Hang(usize),
-    /// A cache node fails every command for a while.
+    /// A cache node answers every command with an error for a while.
     Fail(usize),
     /// A cache node closes connections on accept for a while.
     Refuse(usize),
@@ -85,22 +86,22 @@
     Cut(usize, usize),
     /// The connections of a balancer to a cache node are reset.
     Reset(usize, usize),
-    /// The open discovery watches of a balancer are silenced.
+    /// The open discovery watches of a balancer receive nothing more, but stay open.
     SilenceWatches(usize),
     /// The discovery agent of a balancer publishes no changes for a while.
     PauseUpdates(usize),
     /// The open discovery watches of a balancer are reset.
     ResetWatches(usize),
-    /// Discovery moves: SIGHUP with a new address in the configuration.
+    /// A balancer is sent SIGHUP with a new address of its discovery agent in the configuration.
     MoveDiscovery(usize),
-    /// All discovery agents fall silent for a while.
+    /// All discovery agents silence their open watches and publish no changes for a while.
     DiscoveryOutage,
 }
 
 /// The plan of a run.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Plan {
-    /// The seed it was drawn from.
+    /// The seed from which the plan was drawn.
     pub seed: u64,
     /// The number of balancers.
     pub balancers: usize,
@@ -108,26 +109,26 @@
     pub cache_nodes: usize,
     /// The number of endpoint ids of each cache node.
     pub ids: usize,
-    /// The deadline of requests by class, in milliseconds.
+    /// The deadline of the requests of each class, in milliseconds.
     pub deadlines_ms: [u64; 3],
     /// The socket limit of each process.
     pub sockets: u64,
     /// Whether balancers watch the endpoint list; otherwise they poll it.
     pub pushed: bool,
-    /// In what form lists come.
+    /// How discovery agents write lists.
     pub encoding: ListEncoding,
     /// The number of clients at each balancer.
     pub callers: usize,
-    /// Additional clients at the first balancer.
+    /// The additional clients at the first balancer.
     pub crowd: Crowd,
     /// The number of busy processes on the same machine.
     pub busy_processes: usize,
-    /// The events with their times from the start.
+    /// The events with their times from the start of the run, in order of time.
     pub events: Vec<(Duration, Event)>,
 }
 
 impl Plan {
-    /// Draws the plan of a seed.
+    /// Draws a plan from a seed.
     #[must_use]
     pub fn draw(seed: u64) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed);
@@ -161,7 +162,8 @@
         }
     }
 
-    /// Draws the plan of a seed, with a busy crowd at the first balancer and SIGTERM to it in the middle of the run.
+    /// Draws a plan from a seed, and adds a busy crowd at the first balancer and a SIGTERM to that balancer 2 s after
+    /// the start.
     #[must_use]
     pub fn draw_with_crowd(seed: u64) -> Self {
         const TERMINATED: Duration = Duration::from_millis(2_000);
@@ -171,8 +173,8 @@
         plan
     }
 
-    /// Draws the plan of a seed, with a crowd that sends batches at the first balancer, and in the middle of the run a series of
-    /// signals there and an outage of discovery.
+    /// Draws a plan from a seed, and adds a crowd that sends batches to the first balancer, a series of signals to that
+    /// balancer 2 s after the start, and in half of the plans an outage of discovery.
     #[must_use]
     pub fn draw_with_batches(seed: u64) -> Self {
         const SERIES_AT: Duration = Duration::from_millis(2_000);
@@ -188,7 +190,7 @@
         plan
     }
 
-    /// Returns the overrides of each balancer's configuration.
+    /// Returns the values that the plan overrides in the configuration of each balancer.
     #[must_use]
     pub fn overrides(&self) -> Value {
         let classes = crate::config::CLASSES.iter().zip(self.deadlines_ms);
@@ -201,7 +203,8 @@
                "settings": {"profiles": classes.map(class).collect::<Vec<_>>(), "discovery": discovery}})
     }
 
-    /// Returns how long after SIGTERM SIGKILL follows: the earliest time that the protocol allows.
+    /// Returns the time between SIGTERM and SIGKILL: the shortest time that the protocol allows, which is the longest
+    /// deadline, at most 3 s, plus 0.7 s.
     #[must_use]
     pub fn killed_after(&self) -> Duration {
         const LONGEST_COUNTED_MS: u64 = 3_000;
@@ -211,6 +214,7 @@
     }
 }
 
+/// Draws an event. Which numbers are drawn, and in which order, determines the plan of every seed.
 fn event(rng: &mut fastrand::Rng, balancers: usize) -> Event {
     let (balancer, endpoint) = (rng.usize(..balancers), rng.usize(..CACHE_NODES));
     match rng.u8(..18) {
--- a/crates/testfleet/src/soak/report.rs
+++ b/crates/testfleet/src/soak/report.rs
@@ -1,4 +1,4 @@
-//! The report of a soak run, with the records that explain its violations.
+//! The report of a soak run, including the records of the requests that violate a rule.
 
 use super::plan::Plan;
 use crate::clients::Call;
@@ -8,9 +8,9 @@
 use std::fmt;
 use std::time::Instant;
 
-/// The maximum number of log lines per violating request.
+/// The maximum number of log lines reported for a violating request.
 const MAX_LOG_LINES: usize = 40;
-/// The maximum number of concurrent requests reported with a violating one.
+/// The maximum number of concurrent requests reported for a violating request.
 const MAX_CONCURRENT_CALLS: usize = 24;
 
 /// The report of a run.
@@ -18,11 +18,11 @@
 pub struct Report {
     /// The executed plan.
     pub plan: Plan,
-    /// Batches of which a part was answered before the connection ended.
+    /// The number of batches whose connection ended after some, but not all, of their answers.
     pub cut_batches: u64,
     /// The verdict of the referee.
     pub verdict: Verdict,
-    /// The records of violating requests and the last lines of each log; empty without violations.
+    /// The records of violating requests and the last log lines of each balancer; empty if there is no violation.
     pub records: Vec<String>,
 }
 
@@ -53,9 +53,8 @@
         lines.fold(record, |text, line| format!("{text}\n    {line}"))
     }
 
-    /// Returns the log lines of a request. At `debug`, the line that accepts it names the client's id and the internal
-    /// number
-    /// that the other lines use.
+    /// Returns the log lines of a request. At level `debug`, the line that accepts the request names both the id that
+    /// the client sent and the internal number that the other lines use.
     fn log_lines_of(&self, call: &Call) -> Vec<String> {
         let process = &self.fleet.balancer(call.balancer).process;
         let mut lines = process.lines_with(&call.id);
@@ -67,8 +66,8 @@
         lines
     }
 
-    /// Returns requests at the same balancer that overlapped in time. They show whether one connection or the whole
-    /// process stalled.
+    /// Returns requests at the same balancer that overlapped in time with a request. They show whether only its
+    /// connection or the whole process stalled.
     fn concurrent_calls(&self, call: &Call) -> Vec<Call> {
         let ended = |call: &Call| call.answers.first().map(|(at, _)| *at);
         let concurrent = |other: &&Call| {
@@ -82,7 +81,8 @@
         })
     }
 
-    /// Returns the records of one request in a line.
+    /// Returns a line with the records of a request: its outcomes and attempts, the interruptions of its balancer, and
+    /// the event-loop stalls during the request.
     fn record_of(&self, call: &Call) -> String {
         let since = |at: Instant| at.saturating_duration_since(self.begun).as_secs_f64();
         let mut text = format!(
