--- a/crates/testfleet/examples/soak.rs
+++ b/crates/testfleet/examples/soak.rs
@@ -9,8 +9,8 @@
 use testfleet::soak::{Plan, run};
 
 fn main() -> ExitCode {
-    let words: Vec<String> = std::env::args().skip(1).collect();
-    let (program, first, runs, draw): (_, _, _, fn(u64) -> Plan) = match &words[..] {
+    let args: Vec<String> = std::env::args().skip(1).collect();
+    let (program, first, runs, draw_plan): (_, _, _, fn(u64) -> Plan) = match &args[..] {
         [program, first, runs] => (program, first, runs, Plan::draw),
         [program, first, runs, crowd] if crowd == "crowd" => (program, first, runs, Plan::draw_with_crowd),
         [program, first, runs, batches] if batches == "batches" => {
@@ -25,19 +25,19 @@
         eprintln!("FIRST_SEED and RUNS must be whole numbers from 0, got {first:?} and {runs:?}");
         return ExitCode::FAILURE;
     };
-    let mut broken = 0;
+    let mut failed_runs = 0;
     for seed in first..first + runs {
-        match run(&PathBuf::from(program), &std::env::temp_dir(), draw(seed)) {
+        match run(&PathBuf::from(program), &std::env::temp_dir(), draw_plan(seed)) {
             Ok(report) => {
-                broken += u64::from(!report.verdict.violations.is_empty());
+                failed_runs += u64::from(!report.verdict.violations.is_empty());
                 println!("{report}");
             }
             Err(error) => {
-                broken += 1;
+                failed_runs += 1;
                 println!("seed {seed}: {error}");
             }
         }
     }
-    println!("{} of {runs} runs kept all rules", runs - broken);
-    ExitCode::from(u8::from(broken > 0))
+    println!("{} of {runs} runs kept all rules", runs - failed_runs);
+    ExitCode::from(u8::from(failed_runs > 0))
 }
--- a/crates/testfleet/src/builder.rs
+++ b/crates/testfleet/src/builder.rs
@@ -10,7 +10,7 @@
 use crate::folder::Folder;
 use crate::origin::{ORIGIN_NAME, Origin};
 use crate::process::{Launch, Process};
-use crate::relay::{Callers, TcpLink, UdpRelay};
+use crate::relay::{ConnectionRegistry, TcpLink, UdpRelay};
 use crate::runtime::{Runtime, any_port};
 use rustc_hash::FxHashMap;
 use serde_json::Value;
@@ -25,7 +25,7 @@
     folder: PathBuf,
     balancers: usize,
     cache_nodes: usize,
-    ids: usize,
+    ids_per_cache_node: usize,
     zones: usize,
     seed: u64,
     voters: usize,
@@ -33,7 +33,7 @@
     with_fleet: bool,
     with_peers: bool,
     args: Vec<String>,
-    offsets: FxHashMap<usize, i64>,
+    clock_offsets_ms: FxHashMap<usize, i64>,
     overrides: Value,
 }
 
@@ -51,7 +51,7 @@
             folder: std::env::temp_dir(),
             balancers: 3,
             cache_nodes: 4,
-            ids: 1,
+            ids_per_cache_node: 1,
             zones: 1,
             seed: 1,
             voters: 3,
@@ -59,7 +59,7 @@
             with_fleet: false,
             with_peers: false,
             args: Vec::new(),
-            offsets: FxHashMap::default(),
+            clock_offsets_ms: FxHashMap::default(),
             overrides: Value::Null,
         }
     }
@@ -76,7 +76,7 @@
     /// Sets the number of endpoint ids under which each cache node is listed; the default is 1.
     #[must_use]
     pub fn ids(self, ids: usize) -> Self {
-        Self { ids, ..self }
+        Self { ids_per_cache_node: ids, ..self }
     }
     /// Sets the number of zones; the default and minimum is 1. Balancers and cache nodes are assigned to zones
     /// round-robin.
@@ -127,8 +127,8 @@
     }
     /// Sets the clock offset of a balancer, in milliseconds; the default is 0.
     #[must_use]
-    pub fn clock_offset_ms(mut self, balancer: usize, offset: i64) -> Self {
-        self.offsets.insert(balancer, offset);
+    pub fn clock_offset_ms(mut self, balancer: usize, offset_ms: i64) -> Self {
+        self.clock_offsets_ms.insert(balancer, offset_ms);
         self
     }
 
@@ -147,12 +147,15 @@
         let folder = Folder::below(&self.folder)?;
         let runtime = Runtime::start()?;
         let handle = runtime.handle();
-        let (attempts, notifications, callers) =
-            (EventLog::<Attempt>::default(), EventLog::<EndpointNotification>::default(), Callers::default());
+        let (attempts, notifications, registry) = (
+            EventLog::<Attempt>::default(),
+            EventLog::<EndpointNotification>::default(),
+            ConnectionRegistry::default(),
+        );
         let start_node =
-            |number| CacheNode::start(handle, &format!("s-{number}"), callers.clone(), attempts.clone());
+            |number| CacheNode::start(handle, &format!("s-{number}"), registry.clone(), attempts.clone());
         let cache_nodes: Vec<CacheNode> = (0..self.cache_nodes).map(start_node).collect::<io::Result<_>>()?;
-        let origin = Origin::start(handle, callers.clone(), EventLog::default())?;
+        let origin = Origin::start(handle, registry.clone(), EventLog::default())?;
         let udp_relay = UdpRelay::start(handle, self.balancers, self.seed)?;
         let addresses: Vec<_> =
             (0..self.balancers).map(|it| udp_relay.address(it)).collect::<io::Result<_>>()?;
@@ -160,7 +163,7 @@
         let stand_ins = StandIns {
             cache_nodes: &cache_nodes,
             origin: &origin,
-            callers: &callers,
+            registry: &registry,
             notifications: &notifications,
         };
         let balancers: Vec<Balancer> = (0..self.balancers)
@@ -205,7 +208,7 @@
     ) -> io::Result<Balancer> {
         let handle = runtime.handle();
         let seed = self.seed.wrapping_add(number as u64).wrapping_mul(SPREAD_MULTIPLIER);
-        let link = |target| TcpLink::start(handle, target, Some((stand_ins.callers.clone(), number)), seed);
+        let link = |target| TcpLink::start(handle, target, Some((stand_ins.registry.clone(), number)), seed);
         let to_cache_nodes: Vec<_> =
             stand_ins.cache_nodes.iter().map(|it| link(it.addr())).collect::<io::Result<_>>()?;
         let to_origin = link(stand_ins.origin.addr())?;
@@ -216,7 +219,7 @@
             kind: kind.to_owned(),
             phase: Phase::Ready,
             weight: 1.0,
-            ids: if kind == ORIGIN_NAME { 1 } else { self.ids },
+            ids: if kind == ORIGIN_NAME { 1 } else { self.ids_per_cache_node },
         };
         let cache_nodes = stand_ins.cache_nodes.iter().zip(&to_cache_nodes).enumerate();
         let mut members: Vec<_> = cache_nodes
@@ -224,7 +227,7 @@
             .collect();
         members.push(member(ORIGIN_NAME, to_origin.addr(), self.zone(0), ORIGIN_NAME));
         let agent = DiscoveryAgent::start(handle, number, members, stand_ins.notifications.clone())?;
-        let mut config = config::balancer_config(&config::Balancer {
+        let mut config = config::balancer_config(&config::BalancerParameters {
             number,
             balancers: self.balancers,
             discovery: agent.addr(),
@@ -234,16 +237,18 @@
             peers: (self.with_peers && !self.with_fleet).then(|| addresses.to_vec()),
         });
         config::merge_values(&mut config, &self.overrides);
-        let home = folder.join(format!("n{number}"));
+        let process_folder = folder.join(format!("n{number}"));
         let mut launch =
             Launch { program: self.program.clone(), args: self.args.clone(), ..Launch::default() };
-        launch.clock_offset_ms = self.offsets.get(&number).copied().unwrap_or_default();
+        launch.clock_offset_ms = self.clock_offsets_ms.get(&number).copied().unwrap_or_default();
         if self.with_fleet {
-            launch.args.extend(config::fleet_arguments(&folder.join("fleet.toml"), &home.join("disk")));
+            launch
+                .args
+                .extend(config::fleet_arguments(&folder.join("fleet.toml"), &process_folder.join("disk")));
         }
         // The target is set when the balancer has logged its listening address.
         let from_clients = TcpLink::start(handle, any_port(), None, seed)?;
-        let process = Process::start(handle, launch, &home, &config)?;
+        let process = Process::start(handle, launch, &process_folder, &config)?;
         let (client_addr, admin_addr) = (any_port(), any_port());
         Ok(Balancer {
             process,
@@ -262,6 +267,6 @@
 struct StandIns<'a> {
     cache_nodes: &'a [CacheNode],
     origin: &'a Origin,
-    callers: &'a Callers,
+    registry: &'a ConnectionRegistry,
     notifications: &'a EventLog<EndpointNotification>,
 }
--- a/crates/testfleet/src/cache_node.rs
+++ b/crates/testfleet/src/cache_node.rs
@@ -1,7 +1,7 @@
 //! A stand-in cache node that speaks RESP2 and records the sender and the time of every command.
 
 use crate::event_log::EventLog;
-use crate::relay::{Caller, Callers};
+use crate::relay::{ConnectionRegistry, RelayedConnection};
 use crate::runtime::{any_port, listen};
 use bytes::BytesMut;
 use proto::resp::{Command, decode_command, encode_bulk};
@@ -58,7 +58,7 @@
     /// The request class.
     pub class: String,
     /// The remaining time stated in the request.
-    pub time: Option<Duration>,
+    pub remaining_time: Option<Duration>,
     /// The number of the balancer that sent it; `None` if the connection was not relayed.
     pub balancer: Option<usize>,
     /// The number of the connection at this receiver.
@@ -90,7 +90,7 @@
     latency: watch::Sender<Duration>,
     keys: Mutex<FxHashSet<String>>,
     connections: AtomicU64,
-    callers: Callers,
+    registry: ConnectionRegistry,
     attempts: EventLog<Attempt>,
 }
 
@@ -107,7 +107,7 @@
     /// # Errors
     /// Returns the system's error if no port can be bound.
     pub fn start(
-        handle: &Handle, name: &str, callers: Callers, attempts: EventLog<Attempt>,
+        handle: &Handle, name: &str, registry: ConnectionRegistry, attempts: EventLog<Attempt>,
     ) -> io::Result<Self> {
         let listener = listen(handle, any_port())?;
         let addr = listener.local_addr()?;
@@ -120,7 +120,7 @@
             latency,
             keys,
             connections,
-            callers,
+            registry,
             attempts,
         });
         handle.spawn(Arc::clone(&shared).accept(listener));
@@ -161,18 +161,18 @@
 
     async fn accept(self: Arc<Self>, listener: TcpListener) {
         loop {
-            let Ok((stream, from)) = listener.accept().await else { continue };
+            let Ok((stream, remote_addr)) = listener.accept().await else { continue };
             if *self.behaviour.borrow() == CacheNodeBehaviour::Refuses {
                 continue;
             }
             let number = self.connections.fetch_add(1, Ordering::Relaxed);
-            let caller = self.callers.find(from);
-            tokio::spawn(Arc::clone(&self).serve(stream, number, caller));
+            let relayed = self.registry.find(remote_addr);
+            tokio::spawn(Arc::clone(&self).serve(stream, number, relayed));
         }
     }
 
     /// Serves the commands of a connection in order. The end of the connection ends its attempt in flight.
-    async fn serve(self: Arc<Self>, mut stream: TcpStream, number: u64, caller: Option<Caller>) {
+    async fn serve(self: Arc<Self>, mut stream: TcpStream, number: u64, relayed: Option<RelayedConnection>) {
         let mut buffer = BytesMut::new();
         loop {
             let Ok(command) = decode_command(&mut buffer) else { return };
@@ -182,12 +182,12 @@
                     _ => return,
                 }
             };
-            let Some(entry) = self.attempt(&command, number, caller.as_ref()) else {
+            let Some(attempt) = self.new_attempt(&command, number, relayed.as_ref()) else {
                 let _ = stream.write_all(b"+PONG\r\n").await;
                 continue;
             };
-            let key = entry.key.clone();
-            let index = self.attempts.push(entry);
+            let key = attempt.key.clone();
+            let index = self.attempts.push(attempt);
             let answered = self.answer(&mut stream, &mut buffer, &key).await;
             let ending = if answered { Ending::Answered } else { Ending::Closed };
             self.attempts.update(index, |it| it.ended = Some((Instant::now(), ending)));
@@ -198,14 +198,28 @@
     }
 
     /// Returns the record of an attempt; `None` if the command has too few arguments, such as `PING`.
-    fn attempt(&self, command: &Command, connection: u64, caller: Option<&Caller>) -> Option<Attempt> {
-        let word = |at: usize| command.0.get(at).map(|word| String::from_utf8_lossy(word).into_owned());
-        let (key, id, options) = (word(1)?, word(2)?, word(3)?);
-        let (class, time) = (parse_class(&options), parse_remaining_time(&options));
+    fn new_attempt(
+        &self, command: &Command, connection: u64, relayed: Option<&RelayedConnection>,
+    ) -> Option<Attempt> {
+        let argument =
+            |index: usize| command.0.get(index).map(|bytes| String::from_utf8_lossy(bytes).into_owned());
+        let (key, id, options) = (argument(1)?, argument(2)?, argument(3)?);
+        let (class, remaining_time) = (parse_class(&options), parse_remaining_time(&options));
         let at = Instant::now();
-        let sent = caller.map_or(at, Caller::last_write);
-        let (endpoint, balancer) = (self.name.clone(), caller.map(|it| it.balancer));
-        Some(Attempt { endpoint, id, key, class, time, balancer, connection, sent, at, ended: None })
+        let sent = relayed.map_or(at, RelayedConnection::last_write);
+        let (endpoint, balancer) = (self.name.clone(), relayed.map(|it| it.balancer));
+        Some(Attempt {
+            endpoint,
+            id,
+            key,
+            class,
+            remaining_time,
+            balancer,
+            connection,
+            sent,
+            at,
+            ended: None,
+        })
     }
 
     /// Answers a command; returns `false` if the connection ended first.
@@ -228,17 +242,17 @@
             }
         }
         let behaviour = *self.behaviour.borrow();
-        let out = match behaviour {
+        let reply = match behaviour {
             CacheNodeBehaviour::Fails => BytesMut::from(&b"-ERR out of order\r\n"[..]),
             CacheNodeBehaviour::Drains => BytesMut::from(&b"-BUSY\r\n"[..]),
             CacheNodeBehaviour::HoldsAll => encode_hit(key),
-            _ => self.value(key),
+            _ => self.look_up(key),
         };
-        stream.write_all(&out).await.is_ok()
+        stream.write_all(&reply).await.is_ok()
     }
 
     /// Returns a miss for an absent key, which is then inserted, and a hit for a present key.
-    fn value(&self, key: &str) -> BytesMut {
+    fn look_up(&self, key: &str) -> BytesMut {
         let mut keys = self.keys();
         if keys.len() >= MAX_KEYS {
             keys.clear();
@@ -251,8 +265,8 @@
 }
 
 fn encode_hit(key: &str) -> BytesMut {
-    let mut out = BytesMut::from(&b"*3\r\n"[..]);
-    encode_bulk(&mut out, format!("value of {key}").as_bytes());
-    out.extend_from_slice(b"$3\r\nhit\r\n$-1\r\n");
-    out
+    let mut reply = BytesMut::from(&b"*3\r\n"[..]);
+    encode_bulk(&mut reply, format!("value of {key}").as_bytes());
+    reply.extend_from_slice(b"$3\r\nhit\r\n$-1\r\n");
+    reply
 }
--- a/crates/testfleet/src/clients.rs
+++ b/crates/testfleet/src/clients.rs
@@ -126,15 +126,15 @@
 
 /// A connection without outstanding requests, and the log index of the last call on it.
 #[derive(Debug)]
-struct Idle(BufReader<TcpStream>, usize);
+struct IdleConnection(BufReader<TcpStream>, usize);
 
 /// The state shared by the handles and requests of the load generator.
 #[derive(Debug)]
 struct Shared {
-    client_addrs: Vec<SocketAddr>,
-    idle: Mutex<Vec<Vec<Idle>>>,
+    balancer_addrs: Vec<SocketAddr>,
+    idle_connections: Mutex<Vec<Vec<IdleConnection>>>,
     calls: EventLog<Call>,
-    ids: AtomicU64,
+    next_id: AtomicU64,
 }
 
 /// A handle to the load generator.
@@ -159,9 +159,14 @@
 impl Clients {
     /// Creates clients that connect to balancer `n` at the address with index `n`.
     #[must_use]
-    pub fn new(handle: &Handle, client_addrs: Vec<SocketAddr>) -> Self {
-        let idle = Mutex::new(client_addrs.iter().map(|_| Vec::new()).collect());
-        let shared = Shared { client_addrs, idle, calls: EventLog::default(), ids: AtomicU64::new(1) };
+    pub fn new(handle: &Handle, balancer_addrs: Vec<SocketAddr>) -> Self {
+        let idle_connections = Mutex::new(balancer_addrs.iter().map(|_| Vec::new()).collect());
+        let shared = Shared {
+            balancer_addrs,
+            idle_connections,
+            calls: EventLog::default(),
+            next_id: AtomicU64::new(1),
+        };
         Self(Arc::new(shared), handle.clone())
     }
     /// Returns the log of all requests.
@@ -178,7 +183,7 @@
             for number in 0..load.requests {
                 sleep_until((start + Duration::from_secs_f64(number as f64 / load.per_second)).into()).await;
                 let request = draw_request(&load, &mut rng);
-                tokio::spawn(Arc::clone(&shared).call(request));
+                tokio::spawn(Arc::clone(&shared).send_request(request));
             }
         });
     }
@@ -217,15 +222,15 @@
 }
 
 impl Shared {
-    fn idle(&self) -> MutexGuard<'_, Vec<Vec<Idle>>> {
-        self.idle.lock().unwrap_or_else(PoisonError::into_inner)
+    fn idle_connections(&self) -> MutexGuard<'_, Vec<Vec<IdleConnection>>> {
+        self.idle_connections.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Removes and returns an open idle connection. An unexpected answer on an idle connection is recorded with the
     /// last call on it.
-    fn connection(&self, balancer: usize) -> Option<BufReader<TcpStream>> {
+    fn pop_idle_connection(&self, balancer: usize) -> Option<BufReader<TcpStream>> {
         loop {
-            let Idle(reader, index) = self.idle()[balancer].pop()?;
+            let IdleConnection(reader, index) = self.idle_connections()[balancer].pop()?;
             if !self.has_unexpected_input(&reader, index) {
                 return Some(reader);
             }
@@ -234,28 +239,28 @@
 
     /// Returns whether an idle connection has unexpected input, which is recorded with its last call, or has ended.
     fn has_unexpected_input(&self, reader: &BufReader<TcpStream>, index: usize) -> bool {
-        let more = match reader.buffer().len() {
+        let unexpected = match reader.buffer().len() {
             0 => reader.get_ref().try_read(&mut [0; 64]),
             n => Ok(n),
         };
-        if matches!(more, Ok(n) if n > 0) {
+        if matches!(unexpected, Ok(n) if n > 0) {
             self.calls
                 .update(index, |call| call.answers.push((Instant::now(), Outcome::Failed("twice".into()))));
         }
-        !matches!(&more, Err(error) if error.kind() == io::ErrorKind::WouldBlock)
+        !matches!(&unexpected, Err(error) if error.kind() == io::ErrorKind::WouldBlock)
     }
 
     /// Records unexpected answers on idle connections, and removes these connections and those that have ended.
     fn check_idle_connections(&self) {
-        for idle in self.idle().iter_mut() {
-            idle.retain(|Idle(reader, index)| !self.has_unexpected_input(reader, *index));
+        for idle in self.idle_connections().iter_mut() {
+            idle.retain(|IdleConnection(reader, index)| !self.has_unexpected_input(reader, *index));
         }
     }
 
     /// Sends a request and records its outcome.
-    async fn call(self: Arc<Self>, request: Request) {
-        let id = format!("{:016x}", self.ids.fetch_add(1, Ordering::Relaxed));
-        let idle = self.connection(request.balancer);
+    async fn send_request(self: Arc<Self>, request: Request) {
+        let id = format!("{:016x}", self.next_id.fetch_add(1, Ordering::Relaxed));
+        let idle = self.pop_idle_connection(request.balancer);
         let index = self.calls.push(Call::start(id.clone(), &request));
         let exchange = self.exchange(idle, &request, &id, index);
         let outcome = timeout(request.deadline + ANSWER_GRACE, exchange).await;
@@ -266,7 +271,7 @@
         };
         self.calls.update(index, |call| call.answers.push((Instant::now(), answer)));
         if let Some(connection) = connection {
-            self.return_idle(request.balancer, Idle(connection, index));
+            self.return_idle(request.balancer, IdleConnection(connection, index));
         }
     }
 
@@ -276,7 +281,7 @@
     ) -> io::Result<(BufReader<TcpStream>, Outcome)> {
         let mut reader = match idle {
             Some(reader) => reader,
-            None => BufReader::new(TcpStream::connect(self.client_addrs[request.balancer]).await?),
+            None => BufReader::new(TcpStream::connect(self.balancer_addrs[request.balancer]).await?),
         };
         reader.get_ref().set_nodelay(true)?;
         reader.get_mut().write_all(&encode_request(request, id)).await?;
@@ -286,8 +291,8 @@
     }
 
     /// Keeps a connection for later requests, unless [`MAX_IDLE_CONNECTIONS`] are kept.
-    fn return_idle(&self, balancer: usize, connection: Idle) {
-        let idle = &mut self.idle()[balancer];
+    fn return_idle(&self, balancer: usize, connection: IdleConnection) {
+        let idle = &mut self.idle_connections()[balancer];
         if idle.len() < MAX_IDLE_CONNECTIONS {
             idle.push(connection);
         }
@@ -296,17 +301,17 @@
 
 /// Encodes a request as a RESP command.
 pub(crate) fn encode_request(request: &Request, id: &str) -> BytesMut {
-    let ms = request.deadline.as_millis();
-    let mut options = format!("c={},t={},d={ms}", request.class, request.tenant);
-    let mut out = BytesMut::new();
+    let deadline_ms = request.deadline.as_millis();
+    let mut options = format!("c={},t={},d={deadline_ms}", request.class, request.tenant);
+    let mut encoded = BytesMut::new();
     let key = request.key.as_bytes();
     if request.write {
         options.push_str(&format!(",k={id}"));
-        encode_command(&mut out, &[b"CACHE.SET", key, id.as_bytes(), options.as_bytes(), b"a value"]);
+        encode_command(&mut encoded, &[b"CACHE.SET", key, id.as_bytes(), options.as_bytes(), b"a value"]);
     } else {
-        encode_command(&mut out, &[b"CACHE.GET", key, id.as_bytes(), options.as_bytes()]);
+        encode_command(&mut encoded, &[b"CACHE.GET", key, id.as_bytes(), options.as_bytes()]);
     }
-    out
+    encoded
 }
 
 /// Reads the answer of a request.
@@ -323,8 +328,8 @@
             Outcome::Served
         }
         Some(("+", _)) => Outcome::Served,
-        Some(("-", words)) if words.starts_with("BUSY") => Outcome::Rejected,
-        Some(("-", words)) if words.starts_with("LOADING") => Outcome::NotReady,
-        Some((_, words)) => Outcome::Failed(words.to_owned()),
+        Some(("-", text)) if text.starts_with("BUSY") => Outcome::Rejected,
+        Some(("-", text)) if text.starts_with("LOADING") => Outcome::NotReady,
+        Some((_, text)) => Outcome::Failed(text.to_owned()),
     })
 }
--- a/crates/testfleet/src/config.rs
+++ b/crates/testfleet/src/config.rs
@@ -14,7 +14,7 @@
 
 /// The values that differ between the configurations of balancers.
 #[derive(Debug, Clone)]
-pub struct Balancer {
+pub struct BalancerParameters {
     /// The number of the balancer, from 0.
     pub number: usize,
     /// The number of balancers.
@@ -33,7 +33,7 @@
 
 /// Returns the configuration file of a balancer.
 #[must_use]
-pub fn balancer_config(it: &Balancer) -> Value {
+pub fn balancer_config(balancer: &BalancerParameters) -> Value {
     let class = |(name, effect): (&str, &str)| {
         json!({"name": name, "effect": effect, "keyScope": "all", "memorySpanUs": 4_000_000, "worth": 1.0,
                "lateWorth": 0.0, "onTimeUs": 1_000_000, "deadlineUs": DEADLINE_MS * 1_000})
@@ -41,19 +41,19 @@
     let tenants: Vec<_> =
         TENANTS.iter().map(|name| json!({"name": name, "quotaPerS": 10_000.0, "share": 1.0})).collect();
     let mut config = json!({
-        "name": format!("n{}", it.number), "listen": "127.0.0.1:0", "operator": "127.0.0.1:0",
-        "discovery": it.discovery.to_string(), "seed": format!("{:016x}", it.seed),
+        "name": format!("n{}", balancer.number), "listen": "127.0.0.1:0", "operator": "127.0.0.1:0",
+        "discovery": balancer.discovery.to_string(), "seed": format!("{:016x}", balancer.seed),
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
         "settings": {
-            "me": it.number, "siblings": it.balancers, "dcs": it.zones, "locality": it.zone,
+            "me": balancer.number, "siblings": balancer.balancers, "dcs": balancer.zones, "locality": balancer.zone,
             "hostTypes": ["m", "origin"], "specifics": {"mode": "aside", "originKind": 1},
             "permissions": {"maxAttempts": 5, "cancel": true, "retryAfter": true, "maxRetryAfterUs": 1_000_000,
                             "secondCopies": false, "dialTimeoutUs": 500_000, "connIdleUs": 60_000_000,
-                            "peers": it.peers.is_some()},
+                            "peers": balancer.peers.is_some()},
             "profiles": CLASSES.map(class), "tenants": tenants, "discovery": "push", "weights": "nominal"
         }
     });
-    if let Some(peers) = &it.peers {
+    if let Some(peers) = &balancer.peers {
         config["peer_listen"] = "127.0.0.1:0".into();
         config["peers"] = peers.iter().map(ToString::to_string).collect();
     }
@@ -89,8 +89,8 @@
 #[must_use]
 pub fn fleet_file(name: &str, lease: &str, balancers: &[FleetMember]) -> String {
     let mut text = format!("[fleet]\nname = \"{name}\"\nlease = \"{lease}\"\n");
-    for (number, it) in balancers.iter().enumerate() {
-        let FleetMember { address, zone, voter } = it;
+    for (number, member) in balancers.iter().enumerate() {
+        let FleetMember { address, zone, voter } = member;
         text.push_str(&format!(
             "\n[[balancer]]\nnumber = {number}\nname = \"n{number}\"\naddress = \"{address}\"\nzone = \"{zone}\"\n\
              council = {voter}\n"
--- a/crates/testfleet/src/discovery/mod.rs
+++ b/crates/testfleet/src/discovery/mod.rs
@@ -70,11 +70,11 @@
         let list_bytes = AtomicU64::new(0);
         let shared =
             Arc::new(Shared { balancer, state, changed, requested_paths, notifications, list_bytes });
-        let addr = Self::listen_for(handle, &shared)?;
+        let addr = Self::spawn_listener(handle, &shared)?;
         Ok(Self { addr, shared })
     }
 
-    fn listen_for(handle: &Handle, shared: &Arc<Shared>) -> io::Result<SocketAddr> {
+    fn spawn_listener(handle: &Handle, shared: &Arc<Shared>) -> io::Result<SocketAddr> {
         let listener = listen(handle, any_port())?;
         let addr = listener.local_addr()?;
         handle.spawn(Arc::clone(shared).accept(listener));
@@ -86,7 +86,7 @@
     /// # Errors
     /// Returns the system's error if no port can be bound.
     pub fn add_listener(&self, handle: &Handle) -> io::Result<SocketAddr> {
-        Self::listen_for(handle, &self.shared)
+        Self::spawn_listener(handle, &self.shared)
     }
     /// Returns the listening address.
     #[must_use]
@@ -202,7 +202,7 @@
 
     /// Serves a watch from the change with index `next` on, until it is reset or the balancer disconnects.
     async fn watch(&self, mut stream: TcpStream, path: String, mut next: usize) -> io::Result<()> {
-        let number = {
+        let watch = {
             let mut state = self.state();
             state.watches += 1;
             state.watches - 1
@@ -211,7 +211,7 @@
         stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await?;
         self.requested_paths.push(path);
         loop {
-            let Some(event) = self.state().next_event(number, next) else { return stream.set_zero_linger() };
+            let Some(event) = self.state().next_event(watch, next) else { return stream.set_zero_linger() };
             if !event.silent {
                 self.list_bytes.fetch_add(event.line.len() as u64, Ordering::Relaxed);
                 let chunk = format!("{:x}\r\n{}\n\r\n", event.line.len() + 1, event.line);
@@ -221,9 +221,9 @@
                 self.record_notifications(&event.unsent);
                 next = next.max(event.published);
             }
-            let mut end = [0];
+            let mut input = [0];
             tokio::select! {
-                n = stream.read(&mut end) => if !n.is_ok_and(|n| n > 0) { return Ok(()) },
+                n = stream.read(&mut input) => if !n.is_ok_and(|n| n > 0) { return Ok(()) },
                 _ = timeout(KEEP_ALIVE_INTERVAL, changed.changed()) => {}
             }
         }
--- a/crates/testfleet/src/discovery/state.rs
+++ b/crates/testfleet/src/discovery/state.rs
@@ -69,8 +69,8 @@
 
     /// Appends a change of a member: its latest state with `update` applied.
     pub(super) fn update(&mut self, name: &str, update: impl FnOnce(&mut Member)) {
-        let now = self.members_after(self.changes.len());
-        if let Some(mut member) = now.into_iter().find(|member| member.name == name) {
+        let members = self.members_after(self.changes.len());
+        if let Some(mut member) = members.into_iter().find(|member| member.name == name) {
             update(&mut member);
             self.changes.push(member);
         }
@@ -82,8 +82,8 @@
     /// Returns the members after the first `changes` changes.
     fn members_after(&self, changes: usize) -> Vec<Member> {
         let changes = &self.changes[..changes];
-        let last = |member: &Member| changes.iter().rfind(|change| change.name == member.name).cloned();
-        self.initial.iter().map(|member| last(member).unwrap_or_else(|| member.clone())).collect()
+        let latest = |member: &Member| changes.iter().rfind(|change| change.name == member.name).cloned();
+        self.initial.iter().map(|member| latest(member).unwrap_or_else(|| member.clone())).collect()
     }
     /// Returns the published members, including those that are gone.
     pub(super) fn published_members(&self) -> Vec<Member> {
--- a/crates/testfleet/src/fleet.rs
+++ b/crates/testfleet/src/fleet.rs
@@ -158,8 +158,9 @@
         self.interruptions.push(Interruption { balancer, killed, from, until: None, restarted: None });
     }
     fn mark_resumed(&mut self, balancer: usize, killed: bool) {
-        let open = self.interruptions.iter_mut().rfind(|it| it.balancer == balancer && it.killed == killed);
-        if let Some(it) = open {
+        let interruption =
+            self.interruptions.iter_mut().rfind(|it| it.balancer == balancer && it.killed == killed);
+        if let Some(it) = interruption {
             it.until.get_or_insert_with(Instant::now);
         }
     }
@@ -167,8 +168,8 @@
     /// to the old process.
     fn mark_restarted(&mut self, balancer: usize) {
         let _ = self.balancers[balancer].process.kill();
-        let open = self.interruptions.iter_mut().rfind(|it| it.balancer == balancer && it.killed);
-        if let Some(it) = open {
+        let interruption = self.interruptions.iter_mut().rfind(|it| it.balancer == balancer && it.killed);
+        if let Some(it) = interruption {
             it.restarted.get_or_insert_with(Instant::now);
         }
     }
@@ -199,9 +200,9 @@
         self.restart_with(number, disk, &config)
     }
     fn restart_with(&mut self, number: usize, disk: Disk, config: &Value) -> io::Result<()> {
-        let dead =
+        let already_killed =
             self.interruptions.iter().any(|it| it.balancer == number && it.killed && it.until.is_none());
-        if !dead {
+        if !already_killed {
             self.record_interruption(number, true, Instant::now());
         }
         self.mark_restarted(number);
@@ -316,7 +317,8 @@
     /// Checks the records so far against the rules.
     #[must_use]
     pub fn verdict(&self) -> Verdict {
-        let records = [self.attempts.dropped(), self.notifications.dropped(), self.clients.calls().dropped()];
+        let dropped_entries =
+            [self.attempts.dropped(), self.notifications.dropped(), self.clients.calls().dropped()];
         check_evidence(&Evidence {
             seed: self.seed,
             calls: self.clients.calls().all(),
@@ -326,13 +328,13 @@
             interruptions: self.interruptions.clone(),
             stalls: self.runtime.stalls().all(),
             non_idempotent: vec!["once".into()],
-            dropped: records.iter().sum::<usize>() + self.origin.runs().dropped(),
+            dropped: dropped_entries.iter().sum::<usize>() + self.origin.runs().dropped(),
         })
     }
 }
 
-fn reason_after(line: String, behind: &str) -> String {
-    line.split_once(behind).map_or_else(String::new, |(_, why)| why.to_owned())
+fn reason_after(line: String, prefix: &str) -> String {
+    line.split_once(prefix).map_or_else(String::new, |(_, reason)| reason.to_owned())
 }
 
 impl Drop for Fleet {
--- a/crates/testfleet/src/origin.rs
+++ b/crates/testfleet/src/origin.rs
@@ -2,7 +2,7 @@
 
 use crate::cache_node::{Attempt, Ending, parse_class, parse_remaining_time};
 use crate::event_log::EventLog;
-use crate::relay::{Caller, Callers};
+use crate::relay::{ConnectionRegistry, RelayedConnection};
 use crate::runtime::{any_port, listen};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
@@ -28,7 +28,7 @@
 pub enum OriginBehaviour {
     /// Executes requests.
     #[default]
-    Runs,
+    Executes,
     /// Declines requests without executing them.
     Declines,
     /// Executes requests and answers them with an error.
@@ -48,20 +48,22 @@
     behaviour: watch::Sender<OriginBehaviour>,
     latency: watch::Sender<Duration>,
     connections: AtomicU64,
-    callers: Callers,
+    registry: ConnectionRegistry,
     runs: EventLog<Attempt>,
 }
 
 /// An execution in progress. Its end is recorded on drop, also if the connection ends early.
-struct Run<'a> {
+struct Execution<'a> {
     shared: &'a Shared,
     index: usize,
     ending: Ending,
 }
 
-impl Drop for Run<'_> {
+impl Drop for Execution<'_> {
     fn drop(&mut self) {
-        self.shared.runs.update(self.index, |run| run.ended = Some((Instant::now(), self.ending)));
+        self.shared
+            .runs
+            .update(self.index, |execution| execution.ended = Some((Instant::now(), self.ending)));
     }
 }
 
@@ -70,12 +72,12 @@
     ///
     /// # Errors
     /// Returns the system's error if no port can be bound.
-    pub fn start(handle: &Handle, callers: Callers, runs: EventLog<Attempt>) -> io::Result<Self> {
+    pub fn start(handle: &Handle, registry: ConnectionRegistry, runs: EventLog<Attempt>) -> io::Result<Self> {
         let listener = listen(handle, any_port())?;
         let addr = listener.local_addr()?;
         let (behaviour, latency) =
-            (watch::Sender::new(OriginBehaviour::Runs), watch::Sender::new(Duration::ZERO));
-        let shared = Arc::new(Shared { behaviour, latency, connections: AtomicU64::new(0), callers, runs });
+            (watch::Sender::new(OriginBehaviour::Executes), watch::Sender::new(Duration::ZERO));
+        let shared = Arc::new(Shared { behaviour, latency, connections: AtomicU64::new(0), registry, runs });
         handle.spawn(Arc::clone(&shared).accept(listener));
         Ok(Self { addr, shared })
     }
@@ -102,13 +104,13 @@
 impl Shared {
     async fn accept(self: Arc<Self>, listener: TcpListener) {
         loop {
-            let Ok((stream, from)) = listener.accept().await else { continue };
+            let Ok((stream, remote_addr)) = listener.accept().await else { continue };
             let number = self.connections.fetch_add(1, Ordering::Relaxed);
-            let (shared, caller) = (Arc::clone(&self), self.callers.find(from));
+            let (shared, relayed) = (Arc::clone(&self), self.registry.find(remote_addr));
             tokio::spawn(async move {
                 let serve = service_fn(|request| {
-                    let (shared, caller) = (Arc::clone(&shared), caller.clone());
-                    async move { Ok::<_, Infallible>(shared.answer(request, number, caller).await) }
+                    let (shared, relayed) = (Arc::clone(&shared), relayed.clone());
+                    async move { Ok::<_, Infallible>(shared.answer(request, number, relayed).await) }
                 });
                 // An early end of the connection needs no handling: its execution is recorded as closed.
                 let _ = hyper::server::conn::http1::Builder::new()
@@ -119,13 +121,13 @@
     }
 
     async fn answer(
-        &self, request: Request<Incoming>, connection: u64, caller: Option<Caller>,
+        &self, request: Request<Incoming>, connection: u64, relayed: Option<RelayedConnection>,
     ) -> Response<Full<Bytes>> {
         let header = |name: &str| {
             request.headers().get(name).and_then(|value| value.to_str().ok()).unwrap_or_default().to_owned()
         };
-        let (id, extra) = (header("Req-Id"), header("Req-Extra"));
-        let (class, time) = (parse_class(&extra), parse_remaining_time(&extra));
+        let (id, options) = (header("Req-Id"), header("Req-Extra"));
+        let (class, remaining_time) = (parse_class(&options), parse_remaining_time(&options));
         let key = request.uri().path().trim_start_matches('/').to_owned();
         let behaviour = *self.behaviour.borrow();
         let mut answer = Response::new(Full::new(Bytes::from(format!("value of {key}"))));
@@ -138,26 +140,27 @@
             return answer; // an incomplete request is not executed
         }
         let at = Instant::now();
-        let (sent, balancer) = (caller.as_ref().map_or(at, Caller::last_write), caller.map(|it| it.balancer));
+        let (sent, balancer) =
+            (relayed.as_ref().map_or(at, RelayedConnection::last_write), relayed.map(|it| it.balancer));
         let endpoint = ORIGIN_NAME.to_owned();
         let index = self.runs.push(Attempt {
             endpoint,
             id,
             key,
             class,
-            time,
+            remaining_time,
             balancer,
             connection,
             sent,
             at,
             ended: None,
         });
-        let mut run = Run { shared: self, index, ending: Ending::Closed };
+        let mut execution = Execution { shared: self, index, ending: Ending::Closed };
         let latency = *self.latency.borrow();
         if !latency.is_zero() {
             tokio::time::sleep(latency).await;
         }
-        run.ending = Ending::Answered;
+        execution.ending = Ending::Answered;
         if behaviour == OriginBehaviour::Fails {
             *answer.status_mut() = StatusCode::INTERNAL_SERVER_ERROR;
         }
--- a/crates/testfleet/src/proc_stats.rs
+++ b/crates/testfleet/src/proc_stats.rs
@@ -8,18 +8,18 @@
 #[must_use]
 pub fn udp_addresses(process: u32) -> Vec<SocketAddr> {
     let folder = PathBuf::from(format!("/proc/{process}"));
-    let open = fs::read_dir(folder.join("fd")).into_iter().flatten().flatten();
-    let links = open.filter_map(|entry| fs::read_link(entry.path()).ok());
-    let sockets: Vec<String> = links.map(|link| link.to_string_lossy().into_owned()).collect();
+    let descriptors = fs::read_dir(folder.join("fd")).into_iter().flatten().flatten();
+    let link_targets = descriptors.filter_map(|entry| fs::read_link(entry.path()).ok());
+    let sockets: Vec<String> = link_targets.map(|link| link.to_string_lossy().into_owned()).collect();
     let table = fs::read_to_string(folder.join("net/udp")).unwrap_or_default();
-    let ours = |line: &str| {
-        let words: Vec<&str> = line.split_whitespace().collect();
-        let (addr, inode) = (words.get(1)?.split_once(':')?, words.get(9)?);
+    let parse_own_socket = |line: &str| {
+        let fields: Vec<&str> = line.split_whitespace().collect();
+        let (addr, inode) = (fields.get(1)?.split_once(':')?, fields.get(9)?);
         let ip = u32::from_str_radix(addr.0, 16).ok()?.to_ne_bytes();
         let port = u16::from_str_radix(addr.1, 16).ok()?;
         sockets.contains(&format!("socket:[{inode}]")).then(|| SocketAddr::from((ip, port)))
     };
-    table.lines().filter_map(ours).collect()
+    table.lines().filter_map(parse_own_socket).collect()
 }
 
 /// Returns the number of open file descriptors of a process; 0 if the process has ended.
@@ -43,7 +43,7 @@
     let status = fs::read_to_string(format!("/proc/{process}/status")).ok()?;
     let resident = status.lines().find_map(|line| line.strip_prefix("VmRSS:"))?;
     let times = fs::read_to_string(format!("/proc/{process}/schedstat")).ok()?;
-    let busy: u64 = times.split(' ').next()?.parse().ok()?;
+    let processor_ns: u64 = times.split(' ').next()?.parse().ok()?;
     let resident_kb = resident.trim().trim_end_matches(" kB").parse().ok()?;
-    Some(ResourceUsage { resident_kb, processor_us: busy / 1_000 })
+    Some(ResourceUsage { resident_kb, processor_us: processor_ns / 1_000 })
 }
--- a/crates/testfleet/src/process.rs
+++ b/crates/testfleet/src/process.rs
@@ -106,9 +106,10 @@
     pub fn next_line(&self, matches: impl Fn(&str) -> bool) -> String {
         let found = self.lines.find(|lines| {
             let from = self.read_position.load(Ordering::Relaxed);
-            let at = lines.iter().skip(from).position(|line| matches(line));
-            self.read_position.store(at.map_or(lines.len(), |at| from + at + 1), Ordering::Relaxed);
-            at.map(|at| lines[from + at].clone())
+            let offset = lines.iter().skip(from).position(|line| matches(line));
+            self.read_position
+                .store(offset.map_or(lines.len(), |offset| from + offset + 1), Ordering::Relaxed);
+            offset.map(|offset| lines[from + offset].clone())
         });
         found.unwrap_or_else(|| {
             let last =
@@ -302,11 +303,11 @@
         .spawn()?;
     let pipe = child.stderr.take().ok_or(io::ErrorKind::BrokenPipe)?;
     let _entered = handle.enter();
-    let mut text = BufReader::new(pipe::Receiver::from_owned_fd(OwnedFd::from(pipe))?).lines();
+    let mut output = BufReader::new(pipe::Receiver::from_owned_fd(OwnedFd::from(pipe))?).lines();
     let (lines, ended) = (EventLog::default(), EventLog::default());
     let (line_log, end_log) = (lines.clone(), ended.clone());
     handle.spawn(async move {
-        while let Ok(Some(line)) = text.next_line().await {
+        while let Ok(Some(line)) = output.next_line().await {
             line_log.push(line);
         }
         end_log.push(());
--- a/crates/testfleet/src/referee/mod.rs
+++ b/crates/testfleet/src/referee/mod.rs
@@ -35,6 +35,6 @@
 
 /// Returns whether the receiver answered an attempt.
 #[must_use]
-pub fn answered(it: &Attempt) -> bool {
-    matches!(it.ended, Some((_, Ending::Answered)))
+pub fn is_answered(attempt: &Attempt) -> bool {
+    matches!(attempt.ended, Some((_, Ending::Answered)))
 }
--- a/crates/testfleet/src/referee/rules.rs
+++ b/crates/testfleet/src/referee/rules.rs
@@ -36,12 +36,12 @@
                 Outcome::Closed(_) if killed_during(evidence, call) => verdict.lost_with_killed += 1,
                 Outcome::Closed(_) if raced_close(evidence, call) => verdict.raced_close += 1,
                 Outcome::Lost(_) | Outcome::Closed(_)
-                    if was_dead_within(evidence, call.balancer, call.at, *at) =>
+                    if was_killed_within(evidence, call.balancer, call.at, *at) =>
                 {
                     verdict.lost_with_killed += 1;
                 }
-                Outcome::Lost(how) | Outcome::Closed(how) => {
-                    verdict.violations.push(Violation::Lost(call.id.clone(), how.clone()))
+                Outcome::Lost(error) | Outcome::Closed(error) => {
+                    verdict.violations.push(Violation::Lost(call.id.clone(), error.clone()))
                 }
             },
             _ => verdict.violations.push(Violation::AnsweredTwice(call.id.clone())),
@@ -59,14 +59,14 @@
             verdict.violations.push(Violation::ForwardedAfterClose(it.id.clone()));
         }
         let Some(disconnected_at) = call.disconnected_at else { continue };
-        let from = after_stops(evidence, call.balancer, disconnected_at + DISCONNECT_SLACK);
-        let after = it.sent.saturating_duration_since(from).saturating_sub(stalled_within(
+        let from = end_of_interruptions(evidence, call.balancer, disconnected_at + DISCONNECT_SLACK);
+        let sent_after = it.sent.saturating_duration_since(from).saturating_sub(stalled_within(
             evidence,
             disconnected_at,
             it.sent,
         ));
-        if after > MARGIN {
-            verdict.violations.push(Violation::SentAfterDisconnect(it.id.clone(), after));
+        if sent_after > MARGIN {
+            verdict.violations.push(Violation::SentAfterDisconnect(it.id.clone(), sent_after));
         }
     }
 }
@@ -76,16 +76,17 @@
     let calls: FxHashMap<&str, &Call> = evidence.calls.iter().map(|it| (it.id.as_str(), it)).collect();
     for it in evidence.attempts.iter().chain(&evidence.runs) {
         let call = calls.get(it.id.as_str());
-        let Some((call, (written_at, time))) =
-            call.and_then(|call| Some((call, call.written_at.zip(it.time)?)))
+        let Some((call, (written_at, stated))) =
+            call.and_then(|call| Some((call, call.written_at.zip(it.remaining_time)?)))
         else {
             continue;
         };
-        let left = (written_at + call.deadline).saturating_duration_since(it.sent);
-        let more = time.saturating_sub(left).saturating_sub(stalled_within(evidence, written_at, it.sent));
+        let remaining = (written_at + call.deadline).saturating_duration_since(it.sent);
+        let overstated_by =
+            stated.saturating_sub(remaining).saturating_sub(stalled_within(evidence, written_at, it.sent));
         // Interruptions are not subtracted: the relay forwards unchanged what a balancer wrote before it was stopped.
-        if more > REMAINING_TIME_SLACK + MARGIN {
-            verdict.violations.push(Violation::DeadlineOverstated(it.id.clone(), more));
+        if overstated_by > REMAINING_TIME_SLACK + MARGIN {
+            verdict.violations.push(Violation::DeadlineOverstated(it.id.clone(), overstated_by));
         }
     }
 }
@@ -97,7 +98,7 @@
 }
 
 /// Returns `time`, or the end of the interruption of the balancer that contains it.
-fn after_stops(evidence: &Evidence, balancer: usize, time: Instant) -> Instant {
+fn end_of_interruptions(evidence: &Evidence, balancer: usize, time: Instant) -> Instant {
     let stops = evidence.interruptions.iter().filter(|it| it.balancer == balancer && it.from <= time);
     stops.filter_map(|it| it.until).fold(time, Instant::max)
 }
@@ -123,9 +124,9 @@
 }
 
 /// Returns whether the balancer was killed and not yet restarted at some time within a period.
-fn was_dead_within(evidence: &Evidence, balancer: usize, from: Instant, until: Instant) -> bool {
-    let dead = evidence.interruptions.iter().filter(|it| it.killed && it.balancer == balancer);
-    dead.into_iter().any(|it| it.from <= until && it.until.is_none_or(|end| from <= end))
+fn was_killed_within(evidence: &Evidence, balancer: usize, from: Instant, until: Instant) -> bool {
+    let kills = evidence.interruptions.iter().filter(|it| it.killed && it.balancer == balancer);
+    kills.into_iter().any(|it| it.from <= until && it.until.is_none_or(|end| from <= end))
 }
 
 /// Returns whether the connection was closed before the last byte was written, or less than [`CLOSE_RACE_WINDOW`] after
@@ -179,7 +180,7 @@
     for it in evidence.attempts.iter().chain(&evidence.runs) {
         let Some(balancer) = it.balancer else { continue };
         let Some(notifications) = notifications.get(&(balancer, it.endpoint.as_str())) else { continue };
-        if let Some(after) = draining_known_for(evidence, notifications, balancer, it.sent)
+        if let Some(after) = time_since_drain_notification(evidence, notifications, balancer, it.sent)
             && after.saturating_sub(stalled_within(evidence, it.sent - after, it.sent))
                 > NOTIFICATION_SLACK + MARGIN
         {
@@ -191,7 +192,7 @@
 
 /// Returns how long before `at` the balancer was notified that the endpoint drains or is gone; `None` if it was not, or
 /// was notified later that the endpoint is ready.
-fn draining_known_for(
+fn time_since_drain_notification(
     evidence: &Evidence, notifications: &[&EndpointNotification], balancer: usize, at: Instant,
 ) -> Option<Duration> {
     let interruptions = || evidence.interruptions.iter().filter(|it| it.balancer == balancer);
--- a/crates/testfleet/src/relay/callers.rs
+++ b/crates/testfleet/src/relay/callers.rs
@@ -7,41 +7,41 @@
 
 /// The balancer behind a relayed connection, and when it last wrote.
 #[derive(Debug, Clone)]
-pub struct Caller {
+pub struct RelayedConnection {
     /// The number of the balancer.
     pub balancer: usize,
-    pub(super) wrote: Arc<Mutex<Instant>>,
+    pub(super) last_write: Arc<Mutex<Instant>>,
 }
 
-impl Caller {
+impl RelayedConnection {
     /// Returns when the relay last read data from the balancer. Buffering in the relay does not change this time.
     #[must_use]
     pub fn last_write(&self) -> Instant {
-        *self.wrote.lock().unwrap_or_else(PoisonError::into_inner)
+        *self.last_write.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
 /// The registry of relayed connections. A stand-in looks up the balancer behind a connection by the connection's remote
 /// address, which is the relay's local address.
 #[derive(Debug, Clone, Default)]
-pub struct Callers(Arc<Mutex<FxHashMap<SocketAddr, Caller>>>);
+pub struct ConnectionRegistry(Arc<Mutex<FxHashMap<SocketAddr, RelayedConnection>>>);
 
-impl Callers {
+impl ConnectionRegistry {
     /// Returns the balancer behind the connection with this remote address; `None` if it is not a relayed connection.
     #[must_use]
-    pub fn find(&self, addr: SocketAddr) -> Option<Caller> {
-        self.0.lock().unwrap_or_else(PoisonError::into_inner).get(&addr).cloned()
+    pub fn find(&self, remote_addr: SocketAddr) -> Option<RelayedConnection> {
+        self.0.lock().unwrap_or_else(PoisonError::into_inner).get(&remote_addr).cloned()
     }
-    pub(super) fn register(&self, addr: SocketAddr, caller: Caller) -> CallerRegistration {
-        self.0.lock().unwrap_or_else(PoisonError::into_inner).insert(addr, caller);
-        CallerRegistration(self.clone(), addr)
+    pub(super) fn register(&self, remote_addr: SocketAddr, connection: RelayedConnection) -> Registration {
+        self.0.lock().unwrap_or_else(PoisonError::into_inner).insert(remote_addr, connection);
+        Registration(self.clone(), remote_addr)
     }
 }
 
 /// Removes a connection from the registry when dropped.
-pub(super) struct CallerRegistration(Callers, SocketAddr);
+pub(super) struct Registration(ConnectionRegistry, SocketAddr);
 
-impl Drop for CallerRegistration {
+impl Drop for Registration {
     fn drop(&mut self) {
         self.0.0.lock().unwrap_or_else(PoisonError::into_inner).remove(&self.1);
     }
--- a/crates/testfleet/src/relay/faults.rs
+++ b/crates/testfleet/src/relay/faults.rs
@@ -86,9 +86,9 @@
         let mut out: Vec<_> =
             stalled_datagrams.into_iter().flat_map(|datagram| self.apply_faults(datagram, true)).collect();
         if faults.reordered == 0.0
-            && let Some(late) = self.delayed_by_one.take()
+            && let Some(delayed) = self.delayed_by_one.take()
         {
-            out.push((Duration::ZERO, self.count_sent(late)));
+            out.push((Duration::ZERO, self.count_sent(delayed)));
         }
         out
     }
@@ -101,12 +101,12 @@
 
     /// Applies the faults to a datagram. A datagram that was buffered in a stall is not lost to the loss probability,
     /// which was applied to it on arrival.
-    fn apply_faults(&mut self, datagram: Bytes, again: bool) -> Vec<(Duration, Bytes)> {
+    fn apply_faults(&mut self, datagram: Bytes, was_stalled: bool) -> Vec<(Duration, Bytes)> {
         let faults = self.faults;
         // All three are drawn for every datagram, so that the draws of a seed do not depend on the faults.
         let [lost, doubled, reordered] =
-            [faults.lost, faults.doubled, faults.reordered].map(|chance| self.rng.f64() < chance);
-        if faults.cut || (lost && !again) {
+            [faults.lost, faults.doubled, faults.reordered].map(|probability| self.rng.f64() < probability);
+        if faults.cut || (lost && !was_stalled) {
             self.counts.lost += 1;
             return Vec::new();
         }
@@ -122,10 +122,10 @@
             self.delayed_by_one = Some(datagram);
             return Vec::new();
         }
-        let mut all = vec![datagram.clone()];
-        all.extend(doubled.then_some(datagram));
-        all.extend(self.delayed_by_one.take());
-        all.into_iter()
+        let mut sent = vec![datagram.clone()];
+        sent.extend(doubled.then_some(datagram));
+        sent.extend(self.delayed_by_one.take());
+        sent.into_iter()
             .map(|it| (faults.delay + faults.jitter.mul_f64(self.rng.f64()), self.count_sent(it)))
             .collect()
     }
--- a/crates/testfleet/src/relay/mod.rs
+++ b/crates/testfleet/src/relay/mod.rs
@@ -5,7 +5,7 @@
 pub mod tcp;
 pub mod udp;
 
-pub use callers::{Caller, Callers};
+pub use callers::{ConnectionRegistry, RelayedConnection};
 pub use faults::Faults;
 pub use tcp::TcpLink;
 pub use udp::UdpRelay;
--- a/crates/testfleet/src/relay/tcp.rs
+++ b/crates/testfleet/src/relay/tcp.rs
@@ -1,6 +1,6 @@
 //! A TCP relay to one target address that can buffer or delay data, and reset or refuse connections.
 
-use super::callers::{Caller, Callers};
+use super::callers::{ConnectionRegistry, RelayedConnection};
 use super::faults::Faults;
 use crate::runtime::{any_port, listen};
 use bytes::{Bytes, BytesMut};
@@ -27,16 +27,16 @@
     target: SocketAddr,
     refused: bool,
     resets: u64,
-    to: Faults,
-    back: Faults,
+    to_target: Faults,
+    to_client: Faults,
 }
 
 /// The number of connections of a link, and the bytes relayed to the target and back.
 #[derive(Debug, Default)]
 struct Counts {
     connections: AtomicU64,
-    to: AtomicU64,
-    back: AtomicU64,
+    to_target: AtomicU64,
+    to_client: AtomicU64,
 }
 
 /// A handle to a relayed link. Dropping it stops the relay and closes its connections.
@@ -52,29 +52,30 @@
 struct Link {
     state: watch::Receiver<State>,
     counts: Arc<Counts>,
-    callers: Option<(Callers, usize)>,
+    registry: Option<(ConnectionRegistry, usize)>,
 }
 
 impl TcpLink {
-    /// Starts a relay to a target address. With `callers`, each connection is registered for the balancer with that
+    /// Starts a relay to a target address. With `registry`, each connection is registered for the balancer with that
     /// number.
     ///
     /// # Errors
     /// Returns the system's error if no port can be bound.
     pub fn start(
-        handle: &Handle, target: SocketAddr, callers: Option<(Callers, usize)>, seed: u64,
+        handle: &Handle, target: SocketAddr, registry: Option<(ConnectionRegistry, usize)>, seed: u64,
     ) -> io::Result<Self> {
         // This socket is bound but does not listen: it reserves the port while connections are refused.
-        let guard = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None)?;
-        guard.set_reuse_address(true)?;
-        guard.bind(&any_port().into())?;
-        let addr = guard.local_addr()?.as_socket().ok_or(io::ErrorKind::AddrNotAvailable)?;
+        let port_reservation = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None)?;
+        port_reservation.set_reuse_address(true)?;
+        port_reservation.bind(&any_port().into())?;
+        let addr = port_reservation.local_addr()?.as_socket().ok_or(io::ErrorKind::AddrNotAvailable)?;
         let listener = listen(handle, addr)?;
-        let (to, back) = (Faults::default(), Faults::default());
-        let (state, follows) = watch::channel(State { target, refused: false, resets: 0, to, back });
+        let (to_target, to_client) = (Faults::default(), Faults::default());
+        let (state, state_receiver) =
+            watch::channel(State { target, refused: false, resets: 0, to_target, to_client });
         let counts = Arc::new(Counts::default());
-        let link = Link { state: follows, counts: Arc::clone(&counts), callers };
-        let again = handle.clone();
+        let link = Link { state: state_receiver, counts: Arc::clone(&counts), registry };
+        let listener_handle = handle.clone();
         handle.spawn(async move {
             let mut listener = listener;
             let rng = fastrand::Rng::with_seed(seed);
@@ -83,12 +84,12 @@
                 if state.wait_for(|state| !state.refused).await.is_err() {
                     break;
                 }
-                match listen(&again, addr) {
-                    Ok(listens) => listener = listens,
+                match listen(&listener_handle, addr) {
+                    Ok(new_listener) => listener = new_listener,
                     Err(_) => break,
                 }
             }
-            drop(guard);
+            drop(port_reservation);
         });
         Ok(Self { addr, state, counts })
     }
@@ -104,8 +105,8 @@
     }
     /// Changes the faults of both directions. Data is buffered while a direction is stalled or cut, and discarded if
     /// its sender disconnects in the meantime.
-    pub fn set_faults(&self, to: Faults, back: Faults) {
-        self.state.send_modify(|state| (state.to, state.back) = (to, back));
+    pub fn set_faults(&self, to_target: Faults, to_client: Faults) {
+        self.state.send_modify(|state| (state.to_target, state.to_client) = (to_target, to_client));
     }
     /// Partitions the link: no data passes, and new connections are accepted by the relay but do not reach the target.
     pub fn cut(&self) {
@@ -133,7 +134,7 @@
     /// Returns the number of bytes relayed to the target and the number relayed back.
     #[must_use]
     pub fn bytes(&self) -> (u64, u64) {
-        (self.counts.to.load(Ordering::Relaxed), self.counts.back.load(Ordering::Relaxed))
+        (self.counts.to_target.load(Ordering::Relaxed), self.counts.to_client.load(Ordering::Relaxed))
     }
 }
 
@@ -142,22 +143,22 @@
     let mut state = link.state.clone();
     loop {
         tokio::select! {
-            ended = state.wait_for(|state| state.refused) => return ended.is_ok(),
+            refused = state.wait_for(|state| state.refused) => return refused.is_ok(),
             Ok((stream, _)) = listener.accept() => {
                 link.counts.connections.fetch_add(1, Ordering::Relaxed);
-                tokio::spawn(connection(stream, link.clone(), rng.fork()));
+                tokio::spawn(serve_connection(stream, link.clone(), rng.fork()));
             }
         }
     }
 }
 
 /// Relays a connection until it ends, is reset, or the link is dropped.
-async fn connection(near: TcpStream, link: Link, rng: fastrand::Rng) {
+async fn serve_connection(client: TcpStream, link: Link, rng: fastrand::Rng) {
     let mut state = link.state.clone();
     let resets = state.borrow().resets;
     tokio::select! {
         // The relay closes the connection without a reset only if both sides have shut it down.
-        _ = relay_connection(near, link, rng) => {}
+        _ = relay_connection(client, link, rng) => {}
         _ = state.wait_for(|state| state.resets != resets) => {}
     }
 }
@@ -184,41 +185,53 @@
     Ok((reader, Writer(Some(writer))))
 }
 
-async fn relay_connection(near: TcpStream, link: Link, mut rng: fastrand::Rng) -> io::Result<()> {
-    near.set_zero_linger()?;
+async fn relay_connection(client: TcpStream, link: Link, mut rng: fastrand::Rng) -> io::Result<()> {
+    client.set_zero_linger()?;
     let mut state = link.state.clone();
     // Data written while the link is cut stays unread in the socket buffer. Its write time is the time at which the
     // socket became readable.
-    let mut came = None;
+    let mut readable_at = None;
     let target = loop {
         tokio::select! {
             biased;
-            ready = state.wait_for(|state| !state.to.cut && !state.back.cut) => {
+            ready = state.wait_for(|state| !state.to_target.cut && !state.to_client.cut) => {
                 break ready.map_err(|_| io::ErrorKind::BrokenPipe)?.target;
             }
-            readable = near.readable(), if came.is_none() => {
+            readable = client.readable(), if readable_at.is_none() => {
                 readable?;
-                came = Some(Instant::now());
+                readable_at = Some(Instant::now());
             }
         }
     };
     let socket = TcpSocket::new_v4()?;
     socket.bind(any_port())?; // before connecting, so that the connection is registered when the target accepts it
-    let wrote = Arc::new(Mutex::new(Instant::now()));
-    let _registration = match &link.callers {
-        Some((callers, balancer)) => {
-            let caller = Caller { balancer: *balancer, wrote: Arc::clone(&wrote) };
-            Some(callers.register(socket.local_addr()?, caller))
+    let last_write = Arc::new(Mutex::new(Instant::now()));
+    let _registration = match &link.registry {
+        Some((registry, balancer)) => {
+            let connection = RelayedConnection { balancer: *balancer, last_write: Arc::clone(&last_write) };
+            Some(registry.register(socket.local_addr()?, connection))
         }
         None => None,
     };
-    let far = socket.connect(target).await?;
-    let ((near_read, near_write), (far_read, far_write)) = (split(near)?, split(far)?);
-    let to = StreamDirection { link: &link, pick: |state| state.to, count: &link.counts.to, rng: rng.fork() };
-    let back = StreamDirection { link: &link, pick: |state| state.back, count: &link.counts.back, rng };
-    let there = to.copy(near_read, far_write, Some((&wrote, came)));
-    let (there, back) = tokio::try_join!(there, back.copy(far_read, near_write, None))?;
-    for stream in [there.0.as_ref(), back.0.as_ref()] {
+    let target_stream = socket.connect(target).await?;
+    let ((client_reader, client_writer), (target_reader, target_writer)) =
+        (split(client)?, split(target_stream)?);
+    let to_target = StreamDirection {
+        link: &link,
+        select_faults: |state| state.to_target,
+        count: &link.counts.to_target,
+        rng: rng.fork(),
+    };
+    let to_client = StreamDirection {
+        link: &link,
+        select_faults: |state| state.to_client,
+        count: &link.counts.to_client,
+        rng,
+    };
+    let from_client = to_target.relay(client_reader, target_writer, Some((&last_write, readable_at)));
+    let (from_client, to_client) =
+        tokio::try_join!(from_client, to_client.relay(target_reader, client_writer, None))?;
+    for stream in [from_client.0.as_ref(), to_client.0.as_ref()] {
         // Both sides have shut down: closing must still deliver unsent data.
         socket2::SockRef::from(stream).set_linger(None)?;
     }
@@ -228,43 +241,44 @@
 /// One direction of a relayed connection.
 struct StreamDirection<'a> {
     link: &'a Link,
-    pick: fn(&State) -> Faults,
+    select_faults: fn(&State) -> Faults,
     count: &'a AtomicU64,
     rng: fastrand::Rng,
 }
 
 impl StreamDirection<'_> {
-    async fn copy(
-        self, reader: OwnedReadHalf, writer: Writer, wrote: Option<(&Mutex<Instant>, Option<Instant>)>,
+    async fn relay(
+        self, reader: OwnedReadHalf, writer: Writer, last_write: Option<(&Mutex<Instant>, Option<Instant>)>,
     ) -> io::Result<(OwnedReadHalf, Writer)> {
-        let (chunks, taken) = mpsc::channel(MAX_QUEUED_CHUNKS);
-        let (over, ended) = watch::channel(false);
-        let (state, pick, count) = (self.link.state.clone(), self.pick, self.count);
-        let reads = self.read(reader, chunks, over, wrote);
-        tokio::try_join!(reads, write(writer, taken, ended, state, pick, count))
+        let (chunks, queued) = mpsc::channel(MAX_QUEUED_CHUNKS);
+        let (end_sender, end_receiver) = watch::channel(false);
+        let (state, select_faults, count) = (self.link.state.clone(), self.select_faults, self.count);
+        let reading = self.read_chunks(reader, chunks, end_sender, last_write);
+        tokio::try_join!(reading, write_chunks(writer, queued, end_receiver, state, select_faults, count))
     }
 
-    async fn read(
+    async fn read_chunks(
         mut self, mut reader: OwnedReadHalf, chunks: mpsc::Sender<(Instant, Bytes)>,
-        over: watch::Sender<bool>, mut wrote: Option<(&Mutex<Instant>, Option<Instant>)>,
+        end_sender: watch::Sender<bool>, mut last_write: Option<(&Mutex<Instant>, Option<Instant>)>,
     ) -> io::Result<OwnedReadHalf> {
         let mut buffer = BytesMut::new();
-        let mut last = Instant::now();
+        let mut last_due = Instant::now();
         loop {
             buffer.reserve(CHUNK_BYTES);
             let n = reader.read_buf(&mut buffer).await.unwrap_or_default();
             if n == 0 {
-                over.send_replace(true);
+                end_sender.send_replace(true);
                 drop(chunks);
                 return Ok(reader);
             }
             let now = Instant::now();
-            if let Some((wrote, came)) = &mut wrote {
-                *wrote.lock().unwrap_or_else(PoisonError::into_inner) = came.take().unwrap_or(now);
+            if let Some((last_write, readable_at)) = &mut last_write {
+                *last_write.lock().unwrap_or_else(PoisonError::into_inner) =
+                    readable_at.take().unwrap_or(now);
             }
-            let faults = (self.pick)(&self.link.state.borrow());
-            last = last.max(now + faults.delay + faults.jitter.mul_f64(self.rng.f64()));
-            if chunks.send((last, buffer.split().freeze())).await.is_err() {
+            let faults = (self.select_faults)(&self.link.state.borrow());
+            last_due = last_due.max(now + faults.delay + faults.jitter.mul_f64(self.rng.f64()));
+            if chunks.send((last_due, buffer.split().freeze())).await.is_err() {
                 return Err(io::ErrorKind::BrokenPipe.into());
             }
         }
@@ -272,20 +286,21 @@
 }
 
 /// Writes queued chunks when they are due, and holds them while the direction is stalled or cut.
-async fn write(
-    mut writer: Writer, mut chunks: mpsc::Receiver<(Instant, Bytes)>, mut ended: watch::Receiver<bool>,
-    mut state: watch::Receiver<State>, pick: fn(&State) -> Faults, count: &AtomicU64,
+async fn write_chunks(
+    mut writer: Writer, mut chunks: mpsc::Receiver<(Instant, Bytes)>,
+    mut end_receiver: watch::Receiver<bool>, mut state: watch::Receiver<State>,
+    select_faults: fn(&State) -> Faults, count: &AtomicU64,
 ) -> io::Result<Writer> {
     while let Some((due, chunk)) = chunks.recv().await {
         if due > Instant::now() {
             sleep_until(due.into()).await;
         }
-        let held = |state: &State| pick(state).stalled || pick(state).cut;
-        if held(&state.borrow_and_update()) {
+        let is_held = |state: &State| select_faults(state).stalled || select_faults(state).cut;
+        if is_held(&state.borrow_and_update()) {
             tokio::select! {
-                free = state.wait_for(|state| !held(state)) => { free.map_err(|_| io::ErrorKind::BrokenPipe)?; }
+                released = state.wait_for(|state| !is_held(state)) => { released.map_err(|_| io::ErrorKind::BrokenPipe)?; }
                 // The sender has disconnected: its data must not arrive after the fault ends.
-                _ = ended.wait_for(|ended| *ended) => return Err(io::ErrorKind::ConnectionReset.into()),
+                _ = end_receiver.wait_for(|ended| *ended) => return Err(io::ErrorKind::ConnectionReset.into()),
             }
         }
         writer.io()?.write_all(&chunk).await?;
--- a/crates/testfleet/src/relay/udp.rs
+++ b/crates/testfleet/src/relay/udp.rs
@@ -87,17 +87,17 @@
         self.0.sockets[number].local_addr()
     }
     /// Sets the real address of a balancer. Must be called after each start of the balancer.
-    pub fn register(&self, number: usize, real: SocketAddr) {
+    pub fn register(&self, number: usize, real_address: SocketAddr) {
         let mut table = self.table();
-        if let Some(old) = table.real_addresses[number].replace(real) {
+        if let Some(old) = table.real_addresses[number].replace(real_address) {
             table.numbers.remove(&old);
         }
-        table.numbers.insert(real, number);
+        table.numbers.insert(real_address, number);
     }
     /// Sets the faults of one direction.
     pub fn set_faults(&self, from: usize, to: usize, faults: Faults) {
-        let released = self.table().link(from, to).set_faults(faults);
-        self.send(from, to, released);
+        let datagrams = self.table().link(from, to).set_faults(faults);
+        self.send(from, to, datagrams);
     }
     /// Updates the faults of all directions from one set of balancers to another set.
     pub fn update_faults(&self, from: &[usize], to: &[usize], change: impl Fn(&mut Faults)) {
@@ -132,21 +132,21 @@
         let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
         loop {
             // An error reports that an earlier datagram was refused. A network would not report it.
-            let Ok((n, sender)) = self.0.sockets[to].recv_from(&mut buffer).await else { continue };
-            let (from, out) = {
+            let Ok((length, sender)) = self.0.sockets[to].recv_from(&mut buffer).await else { continue };
+            let (from, datagrams) = {
                 let mut table = self.table();
                 let Some(from) = table.numbers.get(&sender).copied() else {
                     table.unregistered_senders += 1;
                     continue;
                 };
-                (from, table.link(from, to).forward(Bytes::copy_from_slice(&buffer[..n])))
+                (from, table.link(from, to).forward(Bytes::copy_from_slice(&buffer[..length])))
             };
-            self.send(from, to, out);
+            self.send(from, to, datagrams);
         }
     }
 
-    fn send(&self, from: usize, to: usize, out: Vec<(Duration, Bytes)>) {
-        for (delay, datagram) in out {
+    fn send(&self, from: usize, to: usize, datagrams: Vec<(Duration, Bytes)>) {
+        for (delay, datagram) in datagrams {
             if delay.is_zero() {
                 self.deliver(from, to, &datagram);
             } else if self.0.delayed_datagrams.fetch_add(1, Ordering::Relaxed) < MAX_DELAYED_DATAGRAMS {
@@ -163,10 +163,10 @@
     }
 
     fn deliver(&self, from: usize, to: usize, datagram: &[u8]) {
-        let real = self.table().real_addresses[to];
-        if let Some(real) = real {
+        let real_address = self.table().real_addresses[to];
+        if let Some(real_address) = real_address {
             // A datagram that cannot be sent is lost, as on a network.
-            let _ = self.0.sockets[from].try_send_to(datagram, real);
+            let _ = self.0.sockets[from].try_send_to(datagram, real_address);
         }
     }
 }
--- a/crates/testfleet/src/soak/clients.rs
+++ b/crates/testfleet/src/soak/clients.rs
@@ -15,19 +15,19 @@
 use tokio::time::{sleep, timeout};
 
 /// How long clients wait for the answer of a request after its deadline.
-const GRACE: Duration = Duration::from_secs(4);
+const ANSWER_GRACE: Duration = Duration::from_secs(4);
 /// The number of distinct keys.
-const KEYS: u64 = 400;
+const KEY_COUNT: u64 = 400;
 /// The pause before a request with [`Pacing::Paused`], and before an early disconnect, in milliseconds.
-const PAUSE_MS: std::ops::Range<u64> = 10..60;
+const REQUEST_PAUSE_MS: std::ops::Range<u64> = 10..60;
 /// The pause before clients reconnect that send requests without pauses or stay idle, in milliseconds. A closed
 /// connection occupies its ephemeral port for a minute: reconnecting as fast as connections are refused would exhaust
 /// the ports within one or two runs.
-const REDIAL_MS: std::ops::Range<u64> = 100..500;
+const RECONNECT_PAUSE_MS: std::ops::Range<u64> = 100..500;
 /// The number of requests in a pipeline.
-const PIPELINED: usize = 5;
+const PIPELINE_LENGTH: usize = 5;
 /// The possible numbers of requests in a batch that is written one request at a time.
-const BATCH: std::ops::Range<usize> = 1..7;
+const BATCH_LENGTHS: std::ops::Range<usize> = 1..7;
 /// The possible pauses between two requests of a batch that is written one request at a time, in microseconds.
 const BATCH_GAPS_US: [u64; 4] = [0, 200, 2_000, 10_000];
 /// The pause between the two halves of a slowly written request.
@@ -98,7 +98,7 @@
 }
 
 /// A recorded request: its encoded bytes and its index in the log of calls.
-struct Recorded {
+struct RecordedRequest {
     bytes: Vec<u8>,
     index: usize,
 }
@@ -106,21 +106,22 @@
 /// The state shared by all clients.
 #[derive(Debug)]
 pub(super) struct SoakClients {
-    pub(super) client_addrs: Mutex<Vec<BalancerAddress>>,
+    pub(super) balancer_addrs: Mutex<Vec<BalancerAddress>>,
     pub(super) calls: EventLog<Call>,
     /// Partial requests whose connection was not closed in time: the balancer, and how long the client waited.
-    pub(super) kept_waiting: EventLog<(usize, Duration)>,
-    pub(super) ids: AtomicU64,
+    pub(super) unclosed_partial_requests: EventLog<(usize, Duration)>,
+    pub(super) next_id: AtomicU64,
     /// The number of batches whose connection ended after some, but not all, of their answers.
-    pub(super) cut_batches: AtomicU64,
+    pub(super) interrupted_batches: AtomicU64,
     pub(super) classes: Vec<SoakClass>,
-    pub(super) until: Instant,
+    /// When clients stop sending requests.
+    pub(super) run_end: Instant,
 }
 
 impl SoakClients {
     /// Returns the address of a balancer; `None` once clients must stop connecting to it.
     fn balancer_addr(&self, balancer: usize) -> Option<SocketAddr> {
-        let address = self.client_addrs.lock().unwrap_or_else(PoisonError::into_inner)[balancer];
+        let address = self.balancer_addrs.lock().unwrap_or_else(PoisonError::into_inner)[balancer];
         address.connect_until.is_none_or(|until| Instant::now() < until).then_some(address.addr)
     }
 
@@ -133,16 +134,16 @@
 
     fn draw_request(&self, rng: &mut fastrand::Rng, balancer: usize) -> Request {
         let SoakClass { class, deadline } = self.classes[rng.usize(..self.classes.len())].clone();
-        let key = spread_key(rng.u64(..KEYS));
+        let key = spread_key(rng.u64(..KEY_COUNT));
         Request { balancer, class: class.name, write: class.write, tenant: "acme".into(), key, deadline }
     }
 
     /// Records a request that is about to be written.
-    fn record_request(&self, request: &Request) -> Recorded {
-        let id = format!("{:016x}", self.ids.fetch_add(1, Ordering::Relaxed));
+    fn record_request(&self, request: &Request) -> RecordedRequest {
+        let id = format!("{:016x}", self.next_id.fetch_add(1, Ordering::Relaxed));
         let bytes = encode_request(request, &id).to_vec();
         let index = self.calls.push(Call::start(id, request));
-        Recorded { bytes, index }
+        RecordedRequest { bytes, index }
     }
 
     fn record_outcome(&self, index: usize, answer: Outcome) {
@@ -151,12 +152,12 @@
 
     /// Writes recorded requests and records when each was written completely.
     async fn write(
-        &self, open: &mut BufReader<TcpStream>, requests: &[Recorded], mode: WriteMode,
+        &self, reader: &mut BufReader<TcpStream>, requests: &[RecordedRequest], mode: WriteMode,
     ) -> io::Result<()> {
-        let stream = open.get_mut();
+        let stream = reader.get_mut();
         if let WriteMode::OneByOne(gap) = mode {
-            for (number, request) in requests.iter().enumerate() {
-                if number > 0 && !gap.is_zero() {
+            for (position, request) in requests.iter().enumerate() {
+                if position > 0 && !gap.is_zero() {
                     sleep(gap).await;
                 }
                 stream.write_all(&request.bytes).await?;
@@ -175,25 +176,28 @@
         Ok(())
     }
 
-    fn record_written(&self, request: &Recorded) {
+    fn record_written(&self, request: &RecordedRequest) {
         self.calls.update(request.index, |call| call.written_at = Some(Instant::now()));
     }
 
     /// Writes requests and reads their answers; returns whether the connection is still usable.
-    async fn exchange(&self, open: &mut BufReader<TcpStream>, requests: &[Request], mode: WriteMode) -> bool {
-        let begun: Vec<Recorded> = requests.iter().map(|request| self.record_request(request)).collect();
-        for request in begun.iter().skip(1) {
+    async fn exchange(
+        &self, reader: &mut BufReader<TcpStream>, requests: &[Request], mode: WriteMode,
+    ) -> bool {
+        let recorded: Vec<RecordedRequest> =
+            requests.iter().map(|request| self.record_request(request)).collect();
+        for request in recorded.iter().skip(1) {
             self.calls.update(request.index, |call| call.pipeline_position = PipelinePosition::Blocked);
         }
-        let written = self.write(open, &begun, mode).await;
-        for (number, request) in begun.iter().enumerate() {
-            if number > 0 {
+        let written = self.write(reader, &recorded, mode).await;
+        for (position, request) in recorded.iter().enumerate() {
+            if position > 0 {
                 self.calls.update(request.index, |call| {
                     call.pipeline_position = PipelinePosition::UnblockedAt(Instant::now())
                 });
             }
             let answered = match &written {
-                Ok(()) => timeout(requests[number].deadline + GRACE, read_outcome(open)).await,
+                Ok(()) => timeout(requests[position].deadline + ANSWER_GRACE, read_outcome(reader)).await,
                 Err(error) => Ok(Err(io::Error::from(error.kind()))),
             };
             let answer = answered.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()));
@@ -202,8 +206,10 @@
                 Err(error) => {
                     // Answers follow the order of requests: the later requests have no answer either.
                     let closed = || Outcome::Closed(error.to_string());
-                    begun[number..].iter().for_each(|request| self.record_outcome(request.index, closed()));
-                    self.cut_batches.fetch_add(u64::from(number > 0), Ordering::Relaxed);
+                    recorded[position..]
+                        .iter()
+                        .for_each(|request| self.record_outcome(request.index, closed()));
+                    self.interrupted_batches.fetch_add(u64::from(position > 0), Ordering::Relaxed);
                     return false;
                 }
             }
@@ -212,72 +218,75 @@
     }
 
     /// Writes the first half of a request, and records a balancer that does not close the connection in time.
-    async fn send_partial(&self, mut open: BufReader<TcpStream>, request: &Request) {
-        let Recorded { bytes, index } = self.record_request(request);
+    async fn send_partial(&self, mut reader: BufReader<TcpStream>, request: &Request) {
+        let RecordedRequest { bytes, index } = self.record_request(request);
         self.record_outcome(index, Outcome::NotSent);
-        if open.get_mut().write_all(&bytes[..bytes.len() / 2]).await.is_err() {
+        if reader.get_mut().write_all(&bytes[..bytes.len() / 2]).await.is_err() {
             return;
         }
-        let stopped = Instant::now();
-        let mut rest = Vec::new();
-        let ended = timeout(PARTIAL_REQUEST_LIMIT + GRACE, open.read_to_end(&mut rest)).await;
-        let kept = stopped.elapsed();
-        if ended.is_err() || kept > PARTIAL_REQUEST_LIMIT {
-            self.kept_waiting.push((request.balancer, kept));
+        let stopped_at = Instant::now();
+        let mut discarded = Vec::new();
+        let ended = timeout(PARTIAL_REQUEST_LIMIT + ANSWER_GRACE, reader.read_to_end(&mut discarded)).await;
+        let waited = stopped_at.elapsed();
+        if ended.is_err() || waited > PARTIAL_REQUEST_LIMIT {
+            self.unclosed_partial_requests.push((request.balancer, waited));
         }
     }
 
     /// Writes a request and disconnects after a pause, without reading the answer.
-    async fn send_and_disconnect(&self, mut open: BufReader<TcpStream>, request: &Request, after: Duration) {
-        let Recorded { bytes, index } = self.record_request(request);
-        let _ = open.get_mut().write_all(&bytes).await;
-        sleep(after).await;
-        drop(open);
+    async fn send_and_disconnect(
+        &self, mut reader: BufReader<TcpStream>, request: &Request, pause: Duration,
+    ) {
+        let RecordedRequest { bytes, index } = self.record_request(request);
+        let _ = reader.get_mut().write_all(&bytes).await;
+        sleep(pause).await;
+        drop(reader);
         self.calls.update(index, |call| call.disconnected_at = Some(Instant::now()));
         self.record_outcome(index, Outcome::ClientDisconnected);
     }
 
     /// Runs one client of a balancer until the end of the run.
-    pub(super) async fn run(self: Arc<Self>, balancer: usize, seed: u64, pacing: Pacing) {
+    pub(super) async fn run_client(self: Arc<Self>, balancer: usize, seed: u64, pacing: Pacing) {
         let mut rng = fastrand::Rng::with_seed(seed);
         let mut connection = None;
-        while Instant::now() < self.until {
-            let pause = Duration::from_millis(rng.u64(PAUSE_MS));
+        while Instant::now() < self.run_end {
+            let pause = Duration::from_millis(rng.u64(REQUEST_PAUSE_MS));
             match (pacing, &connection) {
                 (Pacing::Continuous | Pacing::Batches, Some(_)) => {}
                 (Pacing::Continuous | Pacing::Batches, None) => {
-                    sleep(Duration::from_millis(rng.u64(REDIAL_MS))).await
+                    sleep(Duration::from_millis(rng.u64(RECONNECT_PAUSE_MS))).await
                 }
                 (Pacing::Paused, _) => sleep(pause).await,
             }
             if connection.is_none() {
                 connection = self.connect(balancer).await;
             }
-            let Some(mut open) = connection.take() else { continue };
+            let Some(mut reader) = connection.take() else { continue };
             if pacing == Pacing::Batches {
                 let requests: Vec<Request> =
-                    (0..rng.usize(BATCH)).map(|_| self.draw_request(&mut rng, balancer)).collect();
+                    (0..rng.usize(BATCH_LENGTHS)).map(|_| self.draw_request(&mut rng, balancer)).collect();
                 let gap = Duration::from_micros(BATCH_GAPS_US[rng.usize(..BATCH_GAPS_US.len())]);
-                if self.exchange(&mut open, &requests, WriteMode::OneByOne(gap)).await {
-                    connection = Some(open);
+                if self.exchange(&mut reader, &requests, WriteMode::OneByOne(gap)).await {
+                    connection = Some(reader);
                 }
                 continue;
             }
             let request = self.draw_request(&mut rng, balancer);
             match draw_behaviour(&mut rng) {
-                RequestBehaviour::PartialWrite => self.send_partial(open, &request).await,
-                RequestBehaviour::Disconnect => self.send_and_disconnect(open, &request, pause).await,
+                RequestBehaviour::PartialWrite => self.send_partial(reader, &request).await,
+                RequestBehaviour::Disconnect => self.send_and_disconnect(reader, &request, pause).await,
                 behaviour => {
-                    let more = if behaviour == RequestBehaviour::Pipelined { PIPELINED - 1 } else { 0 };
+                    let additional =
+                        if behaviour == RequestBehaviour::Pipelined { PIPELINE_LENGTH - 1 } else { 0 };
                     let mut requests = vec![request];
-                    requests.extend((0..more).map(|_| self.draw_request(&mut rng, balancer)));
+                    requests.extend((0..additional).map(|_| self.draw_request(&mut rng, balancer)));
                     let mode = if behaviour == RequestBehaviour::SlowWrite {
                         WriteMode::InHalves
                     } else {
                         WriteMode::AtOnce
                     };
-                    if self.exchange(&mut open, &requests, mode).await {
-                        connection = Some(open);
+                    if self.exchange(&mut reader, &requests, mode).await {
+                        connection = Some(reader);
                     }
                 }
             }
@@ -285,14 +294,14 @@
     }
 
     /// Keeps an idle connection to a balancer open until the end of the run, and reconnects when it is closed.
-    pub(super) async fn run_idle(self: Arc<Self>, balancer: usize, seed: u64) {
+    pub(super) async fn run_idle_client(self: Arc<Self>, balancer: usize, seed: u64) {
         let mut rng = fastrand::Rng::with_seed(seed);
-        while Instant::now() < self.until {
-            if let Some(mut open) = self.connect(balancer).await {
-                let left = self.until.saturating_duration_since(Instant::now());
-                let _ = timeout(left, open.read(&mut [0; 64])).await;
+        while Instant::now() < self.run_end {
+            if let Some(mut reader) = self.connect(balancer).await {
+                let remaining = self.run_end.saturating_duration_since(Instant::now());
+                let _ = timeout(remaining, reader.read(&mut [0; 64])).await;
             }
-            sleep(Duration::from_millis(rng.u64(REDIAL_MS))).await;
+            sleep(Duration::from_millis(rng.u64(RECONNECT_PAUSE_MS))).await;
         }
     }
 }
--- a/crates/testfleet/src/soak/mod.rs
+++ b/crates/testfleet/src/soak/mod.rs
@@ -15,7 +15,7 @@
 use crate::proc_stats::{open_descriptors, resource_usage};
 use crate::referee::Violation;
 use clients::{BalancerAddress, Pacing, SoakClass, SoakClients};
-pub use plan::{Crowd, Event, Plan, RUN, Series};
+pub use plan::{Crowd, Event, Plan, RUN_DURATION, Series};
 use report::Records;
 pub use report::Report;
 use std::collections::VecDeque;
@@ -33,15 +33,15 @@
 /// The duration of a fault of a cache node, of a link or of discovery.
 const FAULT_DURATION: Duration = Duration::from_millis(1_200);
 /// How long clients continue to connect after SIGTERM.
-const DIAL_AFTER_TERMINATE: Duration = Duration::from_millis(400);
+const CONNECT_AFTER_TERMINATE: Duration = Duration::from_millis(400);
 /// The interval between two steps of a series.
 const SERIES_INTERVAL: Duration = Duration::from_millis(150);
 /// The timeout of an admin command.
 const ADMIN_TIMEOUT: Duration = Duration::from_secs(5);
 /// The memory limit of a process, in KB, as configured.
-const MEMORY_KB: u64 = 192 * 1024;
+const MEMORY_LIMIT_KB: u64 = 192 * 1024;
 /// The maximum number of violating requests whose records are in a report.
-const MAX_RECORDS: usize = 8;
+const MAX_REPORTED_REQUESTS: usize = 8;
 /// How long the run waits for the last answers after the longest deadline has passed.
 const FINAL_ANSWERS_GRACE: Duration = Duration::from_secs(1);
 
@@ -56,8 +56,8 @@
     /// Sends SIGKILL after SIGTERM, and restarts the balancer.
     /// A process that is still running at this time is a violation.
     KillAndRestart(usize),
-    Serve(usize),
-    Heal(usize, usize),
+    RestoreCacheNode(usize),
+    HealLink(usize, usize),
     ResumeUpdates(usize),
     /// Resumes the updates of all discovery agents.
     EndDiscoveryOutage,
@@ -70,9 +70,9 @@
     clients: Arc<SoakClients>,
     steps: VecDeque<(Instant, Step)>,
     /// Whether each balancer was sent SIGTERM and has not been restarted since.
-    ending: Vec<bool>,
+    terminating: Vec<bool>,
     violations: Vec<Violation>,
-    begun: Instant,
+    started: Instant,
 }
 
 /// Executes a plan with processes of `program`, whose files are in a new folder below `folder`.
@@ -81,31 +81,35 @@
 /// Returns the system's error if a process or socket cannot be created.
 pub fn run(program: &Path, folder: &Path, plan: Plan) -> io::Result<Report> {
     let fleet = Fleet::builder(program).folder(folder).seed(plan.seed).balancers(plan.balancers);
-    let fleet = fleet.cache_nodes(plan.cache_nodes).ids(plan.ids).overrides(plan.overrides()).start()?;
-    (0..plan.balancers).for_each(|it| fleet.balancer(it).agent.set_encoding(plan.encoding));
+    let fleet = fleet
+        .cache_nodes(plan.cache_nodes)
+        .ids(plan.ids_per_cache_node)
+        .overrides(plan.overrides())
+        .start()?;
+    (0..plan.balancers).for_each(|balancer| fleet.balancer(balancer).agent.set_encoding(plan.encoding));
     let busy: Vec<BusyProcess> =
         (0..plan.busy_processes).map(|_| BusyProcess::start()).collect::<Result<_, _>>()?;
-    let begun = Instant::now();
-    let client_addrs = (0..plan.balancers)
-        .map(|it| BalancerAddress { addr: fleet.balancer(it).client_addr, connect_until: None });
-    let times = plan.deadlines_ms.map(Duration::from_millis);
-    let classes = CLASSES.iter().zip(times).map(|((name, _), deadline)| SoakClass {
+    let started = Instant::now();
+    let balancer_addrs = (0..plan.balancers)
+        .map(|balancer| BalancerAddress { addr: fleet.balancer(balancer).client_addr, connect_until: None });
+    let deadlines = plan.deadlines_ms.map(Duration::from_millis);
+    let classes = CLASSES.iter().zip(deadlines).map(|((name, _), deadline)| SoakClass {
         class: Class { name: (*name).to_owned(), write: *name != "read" },
         deadline,
     });
     let clients = Arc::new(SoakClients {
-        client_addrs: Mutex::new(client_addrs.collect()),
+        balancer_addrs: Mutex::new(balancer_addrs.collect()),
         calls: fleet.clients().calls().clone(),
-        kept_waiting: EventLog::default(),
-        ids: AtomicU64::new(1),
-        cut_batches: AtomicU64::new(0),
+        unclosed_partial_requests: EventLog::default(),
+        next_id: AtomicU64::new(1),
+        interrupted_batches: AtomicU64::new(0),
         classes: classes.collect(),
-        until: begun + RUN,
+        run_end: started + RUN_DURATION,
     });
     spawn_clients(&fleet, &clients, &plan);
-    let steps = plan.events.iter().map(|(at, event)| (begun + *at, Step::Event(*event))).collect();
-    let ending = vec![false; plan.balancers];
-    let mut run = Run { plan, fleet, clients, steps, ending, violations: Vec::new(), begun };
+    let steps = plan.events.iter().map(|(at, event)| (started + *at, Step::Event(*event))).collect();
+    let terminating = vec![false; plan.balancers];
+    let mut run = Run { plan, fleet, clients, steps, terminating, violations: Vec::new(), started };
     run.execute()?;
     drop(busy);
     Ok(run.report())
@@ -114,66 +118,70 @@
 /// Spawns the clients of each balancer, and the crowd at the first balancer.
 fn spawn_clients(fleet: &Fleet, clients: &Arc<SoakClients>, plan: &Plan) {
     for balancer in 0..plan.balancers {
-        for number in 0..plan.callers {
+        for number in 0..plan.clients_per_balancer {
             let seed = plan.seed ^ ((balancer * 64 + number) as u64) << 32;
-            fleet.runtime().spawn(Arc::clone(clients).run(balancer, seed, Pacing::Paused));
+            fleet.runtime().spawn(Arc::clone(clients).run_client(balancer, seed, Pacing::Paused));
         }
     }
     match plan.crowd {
         Crowd::None => {}
-        Crowd::Idle(many) => (0..many as u64).for_each(|number| {
-            fleet.runtime().spawn(Arc::clone(clients).run_idle(0, plan.seed ^ number << 48));
+        Crowd::Idle(count) => (0..count as u64).for_each(|number| {
+            fleet.runtime().spawn(Arc::clone(clients).run_idle_client(0, plan.seed ^ number << 48));
         }),
-        Crowd::Busy(many) => spawn_crowd(fleet, clients, plan.seed, many, Pacing::Continuous),
-        Crowd::Batches(many) => spawn_crowd(fleet, clients, plan.seed, many, Pacing::Batches),
+        Crowd::Busy(count) => spawn_crowd(fleet, clients, plan.seed, count, Pacing::Continuous),
+        Crowd::Batches(count) => spawn_crowd(fleet, clients, plan.seed, count, Pacing::Batches),
     }
 }
 
 /// Spawns the crowd: additional clients of the first balancer.
-fn spawn_crowd(fleet: &Fleet, clients: &Arc<SoakClients>, seed: u64, many: usize, pacing: Pacing) {
-    for number in 0..many as u64 {
-        fleet.runtime().spawn(Arc::clone(clients).run(0, seed ^ number << 48, pacing));
+fn spawn_crowd(fleet: &Fleet, clients: &Arc<SoakClients>, seed: u64, count: usize, pacing: Pacing) {
+    for number in 0..count as u64 {
+        fleet.runtime().spawn(Arc::clone(clients).run_client(0, seed ^ number << 48, pacing));
     }
 }
 
 impl Run {
     fn execute(&mut self) -> io::Result<()> {
-        let longest = self.plan.deadlines_ms.into_iter().max().unwrap_or_default();
-        let over = self.begun + RUN + Duration::from_millis(longest) + FINAL_ANSWERS_GRACE;
+        let longest_deadline_ms = self.plan.deadlines_ms.into_iter().max().unwrap_or_default();
+        let end =
+            self.started + RUN_DURATION + Duration::from_millis(longest_deadline_ms) + FINAL_ANSWERS_GRACE;
         while let Some((at, step)) = self.steps.pop_front() {
             wait_until(at);
             self.run_step(step)?;
         }
         (0..self.plan.balancers).for_each(|balancer| self.check_limits(balancer));
-        wait_until(over);
+        wait_until(end);
         Ok(())
     }
 
     fn schedule(&mut self, after: Duration, step: Step) {
         let at = Instant::now() + after;
-        let place = self.steps.partition_point(|(other, _)| *other <= at);
-        self.steps.insert(place, (at, step));
+        let index = self.steps.partition_point(|(other, _)| *other <= at);
+        self.steps.insert(index, (at, step));
     }
 
     fn run_step(&mut self, step: Step) -> io::Result<()> {
         match step {
             Step::Event(event) => return self.apply_event(event),
-            Step::Reload(it) if !self.ending[it] => {
-                let config = self.fleet.balancer(it).config.clone();
-                self.fleet.balancer(it).process.reload(&config)?;
+            Step::Reload(balancer) if !self.terminating[balancer] => {
+                let config = self.fleet.balancer(balancer).config.clone();
+                self.fleet.balancer(balancer).process.reload(&config)?;
+            }
+            Step::Terminate(balancer) => self.terminate(balancer)?,
+            Step::AdminCommand(balancer, path) if !self.terminating[balancer] => {
+                post_admin_command(&self.fleet, balancer, path)?
             }
-            Step::Terminate(it) => self.terminate(it)?,
-            Step::AdminCommand(it, path) if !self.ending[it] => post_admin_command(&self.fleet, it, path)?,
             Step::Reload(_) | Step::AdminCommand(..) => {}
-            Step::Resume(it) => self.fleet.resume(it)?,
-            Step::KillAndRestart(it) => self.kill_and_restart(it)?,
-            Step::Serve(endpoint) => {
-                self.fleet.cache_node(endpoint).set_behaviour(CacheNodeBehaviour::Serves)
+            Step::Resume(balancer) => self.fleet.resume(balancer)?,
+            Step::KillAndRestart(balancer) => self.kill_and_restart(balancer)?,
+            Step::RestoreCacheNode(node) => {
+                self.fleet.cache_node(node).set_behaviour(CacheNodeBehaviour::Serves)
             }
-            Step::Heal(it, endpoint) => self.fleet.balancer(it).to_cache_nodes[endpoint].heal(),
-            Step::ResumeUpdates(it) => self.fleet.balancer(it).agent.resume_updates(),
+            Step::HealLink(balancer, node) => self.fleet.balancer(balancer).to_cache_nodes[node].heal(),
+            Step::ResumeUpdates(balancer) => self.fleet.balancer(balancer).agent.resume_updates(),
             Step::EndDiscoveryOutage => {
-                (0..self.plan.balancers).for_each(|it| self.fleet.balancer(it).agent.resume_updates());
+                (0..self.plan.balancers)
+                    .for_each(|balancer| self.fleet.balancer(balancer).agent.resume_updates());
             }
         }
         Ok(())
@@ -181,64 +189,65 @@
 
     fn apply_event(&mut self, event: Event) -> io::Result<()> {
         match event {
-            Event::Series(it, series) => self.schedule_series(it, series),
-            Event::Pause(it) if !self.ending[it] => {
-                self.fleet.pause(it)?;
-                self.schedule(PAUSE_DURATION, Step::Resume(it));
+            Event::Series(balancer, series) => self.schedule_series(balancer, series),
+            Event::Pause(balancer) if !self.terminating[balancer] => {
+                self.fleet.pause(balancer)?;
+                self.schedule(PAUSE_DURATION, Step::Resume(balancer));
             }
-            Event::Kill(it) if !self.ending[it] => {
-                self.fleet.kill(it)?;
-                self.restart(it)?;
+            Event::Kill(balancer) if !self.terminating[balancer] => {
+                self.fleet.kill(balancer)?;
+                self.restart(balancer)?;
             }
-            Event::MoveDiscovery(it) if !self.ending[it] => self.move_discovery(it)?,
+            Event::MoveDiscovery(balancer) if !self.terminating[balancer] => self.move_discovery(balancer)?,
             Event::Pause(_) | Event::Kill(_) | Event::MoveDiscovery(_) => {}
-            Event::ResetWatches(it) => self.fleet.balancer(it).agent.reset_watches(),
-            Event::ChangePhase(endpoint, phase) => self.fleet.set_phase(endpoint, phase),
-            Event::Hang(endpoint) => self.inject_fault(endpoint, CacheNodeBehaviour::Hangs),
-            Event::Fail(endpoint) => self.inject_fault(endpoint, CacheNodeBehaviour::Fails),
-            Event::Refuse(endpoint) => self.inject_fault(endpoint, CacheNodeBehaviour::Refuses),
-            Event::ClearKeys(endpoint) => self.fleet.cache_node(endpoint).clear_keys(),
-            Event::Cut(it, endpoint) => {
-                self.fleet.balancer(it).to_cache_nodes[endpoint].cut();
-                self.schedule(FAULT_DURATION, Step::Heal(it, endpoint));
+            Event::ResetWatches(balancer) => self.fleet.balancer(balancer).agent.reset_watches(),
+            Event::ChangePhase(node, phase) => self.fleet.set_phase(node, phase),
+            Event::Hang(node) => self.inject_fault(node, CacheNodeBehaviour::Hangs),
+            Event::Fail(node) => self.inject_fault(node, CacheNodeBehaviour::Fails),
+            Event::Refuse(node) => self.inject_fault(node, CacheNodeBehaviour::Refuses),
+            Event::ClearKeys(node) => self.fleet.cache_node(node).clear_keys(),
+            Event::Cut(balancer, node) => {
+                self.fleet.balancer(balancer).to_cache_nodes[node].cut();
+                self.schedule(FAULT_DURATION, Step::HealLink(balancer, node));
             }
-            Event::Reset(it, endpoint) => self.fleet.balancer(it).to_cache_nodes[endpoint].reset(),
-            Event::SilenceWatches(it) => self.fleet.balancer(it).agent.silence_watches(),
+            Event::Reset(balancer, node) => self.fleet.balancer(balancer).to_cache_nodes[node].reset(),
+            Event::SilenceWatches(balancer) => self.fleet.balancer(balancer).agent.silence_watches(),
             Event::DiscoveryOutage => {
-                for it in 0..self.plan.balancers {
-                    self.fleet.balancer(it).agent.pause_updates();
-                    self.fleet.balancer(it).agent.silence_watches();
+                for balancer in 0..self.plan.balancers {
+                    self.fleet.balancer(balancer).agent.pause_updates();
+                    self.fleet.balancer(balancer).agent.silence_watches();
                 }
                 self.schedule(FAULT_DURATION, Step::EndDiscoveryOutage);
             }
-            Event::PauseUpdates(it) => {
-                self.fleet.balancer(it).agent.pause_updates();
-                self.schedule(FAULT_DURATION, Step::ResumeUpdates(it));
+            Event::PauseUpdates(balancer) => {
+                self.fleet.balancer(balancer).agent.pause_updates();
+                self.schedule(FAULT_DURATION, Step::ResumeUpdates(balancer));
             }
         }
         Ok(())
     }
 
-    fn move_discovery(&mut self, it: usize) -> io::Result<()> {
-        let addr = self.fleet.balancer(it).agent.add_listener(self.fleet.runtime().handle())?;
-        let balancer = self.fleet.balancer_mut(it);
-        balancer.config["discovery"] = addr.to_string().into();
-        balancer.process.reload(&balancer.config)
+    fn move_discovery(&mut self, balancer: usize) -> io::Result<()> {
+        let addr = self.fleet.balancer(balancer).agent.add_listener(self.fleet.runtime().handle())?;
+        let moved = self.fleet.balancer_mut(balancer);
+        moved.config["discovery"] = addr.to_string().into();
+        moved.process.reload(&moved.config)
     }
 
-    fn inject_fault(&mut self, endpoint: usize, behaviour: CacheNodeBehaviour) {
-        self.fleet.cache_node(endpoint).set_behaviour(behaviour);
-        self.schedule(FAULT_DURATION, Step::Serve(endpoint));
+    fn inject_fault(&mut self, node: usize, behaviour: CacheNodeBehaviour) {
+        self.fleet.cache_node(node).set_behaviour(behaviour);
+        self.schedule(FAULT_DURATION, Step::RestoreCacheNode(node));
     }
 
-    fn schedule_series(&mut self, it: usize, series: Series) {
-        let (drain, undrain) = (Step::AdminCommand(it, "/drain"), Step::AdminCommand(it, "/undrain"));
+    fn schedule_series(&mut self, balancer: usize, series: Series) {
+        let (drain, undrain) =
+            (Step::AdminCommand(balancer, "/drain"), Step::AdminCommand(balancer, "/undrain"));
         let steps = match series {
-            Series::ReloadTwice => vec![Step::Reload(it), Step::Reload(it)],
-            Series::ReloadTerminate => vec![Step::Reload(it), Step::Terminate(it)],
-            Series::Terminate => vec![Step::Terminate(it)],
-            Series::TerminateTwice => vec![Step::Terminate(it), Step::Terminate(it)],
-            Series::DrainUndrainDrainTerminate => vec![drain, undrain, drain, Step::Terminate(it)],
+            Series::ReloadTwice => vec![Step::Reload(balancer), Step::Reload(balancer)],
+            Series::ReloadTerminate => vec![Step::Reload(balancer), Step::Terminate(balancer)],
+            Series::Terminate => vec![Step::Terminate(balancer)],
+            Series::TerminateTwice => vec![Step::Terminate(balancer), Step::Terminate(balancer)],
+            Series::DrainUndrainDrainTerminate => vec![drain, undrain, drain, Step::Terminate(balancer)],
             Series::DrainUndrain => vec![drain, undrain],
         };
         for (number, step) in (0..).zip(steps) {
@@ -248,62 +257,65 @@
 
     /// Sends SIGTERM to a balancer. The first SIGTERM also schedules SIGKILL for the earliest time that the protocol
     /// allows.
-    fn terminate(&mut self, it: usize) -> io::Result<()> {
-        let terminated = Instant::now();
-        if std::mem::replace(&mut self.ending[it], true) {
-            if !self.fleet.balancer(it).process.has_ended() {
-                self.fleet.balancer(it).process.terminate()?;
+    fn terminate(&mut self, balancer: usize) -> io::Result<()> {
+        let terminated_at = Instant::now();
+        if std::mem::replace(&mut self.terminating[balancer], true) {
+            if !self.fleet.balancer(balancer).process.has_ended() {
+                self.fleet.balancer(balancer).process.terminate()?;
             }
             return Ok(());
         }
-        self.check_limits(it);
-        self.fleet.balancer(it).process.terminate()?;
-        self.client_addrs()[it].connect_until = Some(terminated + DIAL_AFTER_TERMINATE);
-        self.schedule(self.plan.killed_after(), Step::KillAndRestart(it));
+        self.check_limits(balancer);
+        self.fleet.balancer(balancer).process.terminate()?;
+        self.balancer_addrs()[balancer].connect_until = Some(terminated_at + CONNECT_AFTER_TERMINATE);
+        self.schedule(self.plan.sigkill_delay(), Step::KillAndRestart(balancer));
         Ok(())
     }
 
-    fn kill_and_restart(&mut self, it: usize) -> io::Result<()> {
-        if !self.fleet.balancer(it).process.has_ended() {
-            self.violations.push(Violation::StillRunning(it));
+    fn kill_and_restart(&mut self, balancer: usize) -> io::Result<()> {
+        if !self.fleet.balancer(balancer).process.has_ended() {
+            self.violations.push(Violation::StillRunning(balancer));
         }
-        self.restart(it)
+        self.restart(balancer)
     }
 
-    fn restart(&mut self, it: usize) -> io::Result<()> {
-        self.fleet.restart(it, crate::process::Disk::Empty)?;
-        self.ending[it] = false;
-        let addr = self.fleet.balancer(it).client_addr;
-        self.client_addrs()[it] = BalancerAddress { addr, connect_until: None };
+    fn restart(&mut self, balancer: usize) -> io::Result<()> {
+        self.fleet.restart(balancer, crate::process::Disk::Empty)?;
+        self.terminating[balancer] = false;
+        let addr = self.fleet.balancer(balancer).client_addr;
+        self.balancer_addrs()[balancer] = BalancerAddress { addr, connect_until: None };
         Ok(())
     }
 
-    fn client_addrs(&self) -> std::sync::MutexGuard<'_, Vec<BalancerAddress>> {
-        self.clients.client_addrs.lock().unwrap_or_else(PoisonError::into_inner)
+    fn balancer_addrs(&self) -> std::sync::MutexGuard<'_, Vec<BalancerAddress>> {
+        self.clients.balancer_addrs.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn check_limits(&mut self, it: usize) {
-        let process = self.fleet.balancer(it).process.id();
+    fn check_limits(&mut self, balancer: usize) {
+        let process = self.fleet.balancer(balancer).process.id();
         let memory_kb = resource_usage(process).map_or(0, |usage| usage.resident_kb);
-        let sockets = open_descriptors(process);
-        if memory_kb > MEMORY_KB || sockets as u64 > self.plan.sockets {
-            self.violations.push(Violation::OverLimit(it, memory_kb, sockets));
+        let descriptors = open_descriptors(process);
+        if memory_kb > MEMORY_LIMIT_KB || descriptors as u64 > self.plan.socket_limit {
+            self.violations.push(Violation::OverLimit(balancer, memory_kb, descriptors));
         }
     }
 
     fn report(mut self) -> Report {
         let mut verdict = self.fleet.verdict();
         verdict.violations.append(&mut self.violations);
-        let kept = self.clients.kept_waiting.all().into_iter();
-        verdict.violations.extend(kept.map(|(it, time)| Violation::PartialRequestNotClosed(it, time)));
-        let at_fault = verdict.violations.iter().filter_map(Violation::request).take(MAX_RECORDS);
-        let records = Records { fleet: &self.fleet, calls: &self.clients.calls, begun: self.begun };
-        let mut records_at_fault: Vec<String> = at_fault.map(|id| records.of_request(id)).collect();
+        let unclosed = self.clients.unclosed_partial_requests.all().into_iter();
+        verdict
+            .violations
+            .extend(unclosed.map(|(balancer, waited)| Violation::PartialRequestNotClosed(balancer, waited)));
+        let violating_ids =
+            verdict.violations.iter().filter_map(Violation::request).take(MAX_REPORTED_REQUESTS);
+        let records = Records { fleet: &self.fleet, calls: &self.clients.calls, started: self.started };
+        let mut reported: Vec<String> = violating_ids.map(|id| records.request_records(id)).collect();
         if !verdict.violations.is_empty() {
-            records_at_fault.extend((0..self.plan.balancers).map(|it| records.last_lines(it)));
+            reported.extend((0..self.plan.balancers).map(|balancer| records.last_lines(balancer)));
         }
-        let cut_batches = self.clients.cut_batches.load(Ordering::Relaxed);
-        Report { plan: self.plan, cut_batches, verdict, records: records_at_fault }
+        let interrupted_batches = self.clients.interrupted_batches.load(Ordering::Relaxed);
+        Report { plan: self.plan, interrupted_batches, verdict, records: reported }
     }
 }
 
@@ -333,8 +345,8 @@
 ///
 /// # Errors
 /// Returns the system's error, also if the connection fails because the process is ending.
-fn post_admin_command(fleet: &Fleet, it: usize, path: &str) -> io::Result<()> {
-    let mut stream = TcpStream::connect(fleet.balancer(it).admin_addr)?;
+fn post_admin_command(fleet: &Fleet, balancer: usize, path: &str) -> io::Result<()> {
+    let mut stream = TcpStream::connect(fleet.balancer(balancer).admin_addr)?;
     stream.set_read_timeout(Some(ADMIN_TIMEOUT))?;
     write!(stream, "POST {path} HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")?;
     stream.read_to_string(&mut String::new()).map(drop)
--- a/crates/testfleet/src/soak/plan.rs
+++ b/crates/testfleet/src/soak/plan.rs
@@ -7,21 +7,21 @@
 use std::time::Duration;
 
 /// How long clients send requests.
-pub const RUN: Duration = Duration::from_secs(6);
+pub const RUN_DURATION: Duration = Duration::from_secs(6);
 /// The number of cache nodes. Each is listed under several ids, so that a run has the drawn number of endpoints.
 const CACHE_NODES: usize = 12;
 /// The possible numbers of listed endpoints, up to sixteen times the size of a usual fleet.
-const ENDPOINTS: [usize; 5] = [12, 48, 204, 804, 3_204];
+const ENDPOINT_COUNTS: [usize; 5] = [12, 48, 204, 804, 3_204];
 /// The possible deadlines of requests, in milliseconds.
 const DEADLINES_MS: [u64; 6] = [80, 180, 400, 900, 3_000, 8_000];
 /// The possible socket limits of a process. The lower limit leaves 40 connection slots.
-const SOCKETS: [u64; 2] = [100, 512];
+const SOCKET_LIMITS: [u64; 2] = [100, 512];
 /// The number of clients of a crowd: more than the 40 connection slots of the lower socket limit.
-const CROWD: usize = 120;
+const CROWD_SIZE: usize = 120;
 /// The number of events of a run.
-const EVENTS: std::ops::Range<usize> = 3..9;
+const EVENT_COUNTS: std::ops::Range<usize> = 3..9;
 /// The times of events, in milliseconds from the start of the run.
-const EVENTS_AT_MS: std::ops::Range<u64> = 500..5_000;
+const EVENT_TIMES_MS: std::ops::Range<u64> = 500..5_000;
 
 /// Additional clients at the first balancer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -108,17 +108,17 @@
     /// The number of cache nodes.
     pub cache_nodes: usize,
     /// The number of endpoint ids of each cache node.
-    pub ids: usize,
+    pub ids_per_cache_node: usize,
     /// The deadline of the requests of each class, in milliseconds.
     pub deadlines_ms: [u64; 3],
     /// The socket limit of each process.
-    pub sockets: u64,
+    pub socket_limit: u64,
     /// Whether balancers watch the endpoint list; otherwise they poll it.
     pub pushed: bool,
     /// How discovery agents write lists.
     pub encoding: ListEncoding,
     /// The number of clients at each balancer.
-    pub callers: usize,
+    pub clients_per_balancer: usize,
     /// The additional clients at the first balancer.
     pub crowd: Crowd,
     /// The number of busy processes on the same machine.
@@ -132,30 +132,30 @@
     #[must_use]
     pub fn draw(seed: u64) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let endpoints = ENDPOINTS[rng.usize(..ENDPOINTS.len())];
+        let endpoints = ENDPOINT_COUNTS[rng.usize(..ENDPOINT_COUNTS.len())];
         let balancers = rng.usize(1..=9);
         let crowd = match rng.u8(..4) {
-            0 => Crowd::Idle(CROWD),
-            1 => Crowd::Busy(CROWD),
+            0 => Crowd::Idle(CROWD_SIZE),
+            1 => Crowd::Busy(CROWD_SIZE),
             _ => Crowd::None,
         };
         let deadlines_ms = [(); 3].map(|()| DEADLINES_MS[rng.usize(..DEADLINES_MS.len())]);
         let piece = rng.bool().then(|| 1 << rng.u32(6..14));
         let encoding = ListEncoding { indented: rng.bool(), whole: rng.bool(), piece };
-        let mut events: Vec<_> = (0..rng.usize(EVENTS))
-            .map(|_| (Duration::from_millis(rng.u64(EVENTS_AT_MS)), event(&mut rng, balancers)))
+        let mut events: Vec<_> = (0..rng.usize(EVENT_COUNTS))
+            .map(|_| (Duration::from_millis(rng.u64(EVENT_TIMES_MS)), draw_event(&mut rng, balancers)))
             .collect();
         events.sort_by_key(|(at, _)| *at);
         Self {
             seed,
             balancers,
             cache_nodes: CACHE_NODES,
-            ids: endpoints / CACHE_NODES,
+            ids_per_cache_node: endpoints / CACHE_NODES,
             deadlines_ms,
-            sockets: SOCKETS[usize::from(crowd == Crowd::None && rng.bool())],
+            socket_limit: SOCKET_LIMITS[usize::from(crowd == Crowd::None && rng.bool())],
             pushed: rng.bool(),
             encoding,
-            callers: rng.usize(3..=8),
+            clients_per_balancer: rng.usize(3..=8),
             crowd,
             busy_processes: if rng.u8(..4) == 0 { 3 } else { 0 },
             events,
@@ -166,9 +166,10 @@
     /// the start.
     #[must_use]
     pub fn draw_with_crowd(seed: u64) -> Self {
-        const TERMINATED: Duration = Duration::from_millis(2_000);
-        let mut plan = Self { crowd: Crowd::Busy(CROWD), sockets: SOCKETS[0], ..Self::draw(seed) };
-        plan.events.push((TERMINATED, Event::Series(0, Series::Terminate)));
+        const TERMINATE_AT: Duration = Duration::from_millis(2_000);
+        let mut plan =
+            Self { crowd: Crowd::Busy(CROWD_SIZE), socket_limit: SOCKET_LIMITS[0], ..Self::draw(seed) };
+        plan.events.push((TERMINATE_AT, Event::Series(0, Series::Terminate)));
         plan.events.sort_by_key(|(at, _)| *at);
         plan
     }
@@ -180,7 +181,8 @@
         const SERIES_AT: Duration = Duration::from_millis(2_000);
         const OUTAGE_AT_MS: std::ops::Range<u64> = 1_000..3_000;
         let mut rng = fastrand::Rng::with_seed(!seed);
-        let mut plan = Self { crowd: Crowd::Batches(CROWD), sockets: SOCKETS[0], ..Self::draw(seed) };
+        let mut plan =
+            Self { crowd: Crowd::Batches(CROWD_SIZE), socket_limit: SOCKET_LIMITS[0], ..Self::draw(seed) };
         let series = SERIES[rng.usize(..SERIES.len())];
         plan.events.push((SERIES_AT, Event::Series(0, series)));
         if rng.bool() {
@@ -199,34 +201,34 @@
                    "lateWorth": 0.5, "onTimeUs": deadline_ms * 500, "deadlineUs": deadline_ms * 1_000})
         };
         let discovery = if self.pushed { "push" } else { "ask" };
-        json!({"limits": {"sockets": self.sockets},
+        json!({"limits": {"sockets": self.socket_limit},
                "settings": {"profiles": classes.map(class).collect::<Vec<_>>(), "discovery": discovery}})
     }
 
     /// Returns the time between SIGTERM and SIGKILL: the shortest time that the protocol allows, which is the longest
     /// deadline, at most 3 s, plus 0.7 s.
     #[must_use]
-    pub fn killed_after(&self) -> Duration {
-        const LONGEST_COUNTED_MS: u64 = 3_000;
-        const BEHIND_MS: u64 = 700;
-        let longest = self.deadlines_ms.iter().copied().max().unwrap_or_default();
-        Duration::from_millis(longest.min(LONGEST_COUNTED_MS) + BEHIND_MS)
+    pub fn sigkill_delay(&self) -> Duration {
+        const MAX_COUNTED_DEADLINE_MS: u64 = 3_000;
+        const GRACE_MS: u64 = 700;
+        let longest_deadline_ms = self.deadlines_ms.iter().copied().max().unwrap_or_default();
+        Duration::from_millis(longest_deadline_ms.min(MAX_COUNTED_DEADLINE_MS) + GRACE_MS)
     }
 }
 
 /// Draws an event. Which numbers are drawn, and in which order, determines the plan of every seed.
-fn event(rng: &mut fastrand::Rng, balancers: usize) -> Event {
-    let (balancer, endpoint) = (rng.usize(..balancers), rng.usize(..CACHE_NODES));
+fn draw_event(rng: &mut fastrand::Rng, balancers: usize) -> Event {
+    let (balancer, node) = (rng.usize(..balancers), rng.usize(..CACHE_NODES));
     match rng.u8(..18) {
         number @ 0..6 => Event::Series(balancer, SERIES[usize::from(number)]),
         6 => Event::Pause(balancer),
         7 => Event::Kill(balancer),
-        8 | 9 => Event::ChangePhase(endpoint, Phase::Draining),
-        10 => Event::ChangePhase(endpoint, Phase::Gone),
-        11 => Event::Hang(endpoint),
-        12 => [Event::Fail(endpoint), Event::Refuse(endpoint)][rng.usize(..2)],
-        13 => [Event::ClearKeys(endpoint), Event::Reset(balancer, endpoint)][rng.usize(..2)],
-        14 => Event::Cut(balancer, endpoint),
+        8 | 9 => Event::ChangePhase(node, Phase::Draining),
+        10 => Event::ChangePhase(node, Phase::Gone),
+        11 => Event::Hang(node),
+        12 => [Event::Fail(node), Event::Refuse(node)][rng.usize(..2)],
+        13 => [Event::ClearKeys(node), Event::Reset(balancer, node)][rng.usize(..2)],
+        14 => Event::Cut(balancer, node),
         15 => [Event::SilenceWatches(balancer), Event::PauseUpdates(balancer)][rng.usize(..2)],
         16 => Event::ResetWatches(balancer),
         _ => Event::MoveDiscovery(balancer),
@@ -235,14 +237,14 @@
 
 impl fmt::Display for Plan {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Self { seed, balancers, cache_nodes, ids, deadlines_ms, sockets, .. } = self;
+        let Self { seed, balancers, cache_nodes, ids_per_cache_node, deadlines_ms, socket_limit, .. } = self;
         write!(
             f,
             "seed {seed}: {balancers} balancers, {} endpoints, {deadlines_ms:?} ms, ",
-            cache_nodes * ids
+            cache_nodes * ids_per_cache_node
         )?;
-        write!(f, "{sockets} sockets, {}, ", if self.pushed { "pushed" } else { "asked for" })?;
-        write!(f, "{:?}, {} callers, crowd {:?}, ", self.encoding, self.callers, self.crowd)?;
+        write!(f, "{socket_limit} sockets, {}, ", if self.pushed { "pushed" } else { "asked for" })?;
+        write!(f, "{:?}, {} callers, crowd {:?}, ", self.encoding, self.clients_per_balancer, self.crowd)?;
         write!(f, "{} busy processes", self.busy_processes)?;
         self.events.iter().try_for_each(|(at, event)| write!(f, "; {:.3} s {event:?}", at.as_secs_f64()))
     }
--- a/crates/testfleet/src/soak/report.rs
+++ b/crates/testfleet/src/soak/report.rs
@@ -19,7 +19,7 @@
     /// The executed plan.
     pub plan: Plan,
     /// The number of batches whose connection ended after some, but not all, of their answers.
-    pub cut_batches: u64,
+    pub interrupted_batches: u64,
     /// The verdict of the referee.
     pub verdict: Verdict,
     /// The records of violating requests and the last log lines of each balancer; empty if there is no violation.
@@ -28,7 +28,7 @@
 
 impl fmt::Display for Report {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}: {} batches cut; {}", self.plan, self.cut_batches, self.verdict)?;
+        write!(f, "{}: {} batches cut; {}", self.plan, self.interrupted_batches, self.verdict)?;
         self.records.iter().try_for_each(|record| write!(f, "\n{record}"))
     }
 }
@@ -38,29 +38,30 @@
 pub(super) struct Records<'a> {
     pub(super) fleet: &'a Fleet,
     pub(super) calls: &'a EventLog<Call>,
-    pub(super) begun: Instant,
+    pub(super) started: Instant,
 }
 
 impl Records<'_> {
     /// Returns the records of a request, with times in seconds from the start of the run.
-    pub(super) fn of_request(&self, id: &str) -> String {
+    pub(super) fn request_records(&self, id: &str) -> String {
         let call = self.calls.with_entries(|calls| calls.iter().find(|it| it.id == id).cloned());
         let Some(call) = call else { return format!("{id}: no record") };
-        let concurrent = self.concurrent_calls(&call).into_iter().map(|call| self.record_of(&call));
+        let concurrent = self.concurrent_calls(&call).into_iter().map(|call| self.call_record(&call));
         let record =
-            concurrent.fold(self.record_of(&call), |text, call| format!("{text}\n    concurrent {call}"));
-        let lines = self.log_lines_of(&call).into_iter();
+            concurrent.fold(self.call_record(&call), |text, call| format!("{text}\n    concurrent {call}"));
+        let lines = self.log_lines(&call).into_iter();
         lines.fold(record, |text, line| format!("{text}\n    {line}"))
     }
 
     /// Returns the log lines of a request. At level `debug`, the line that accepts the request names both the id that
     /// the client sent and the internal number that the other lines use.
-    fn log_lines_of(&self, call: &Call) -> Vec<String> {
+    fn log_lines(&self, call: &Call) -> Vec<String> {
         let process = &self.fleet.balancer(call.balancer).process;
         let mut lines = process.lines_with(&call.id);
-        let number = lines.iter().find_map(|line| line.split_once("request ")?.1.split_once(':'));
-        let rest =
-            number.map(|(number, _)| process.lines_with(&format!("request {number}: "))).unwrap_or_default();
+        let internal_number = lines.iter().find_map(|line| line.split_once("request ")?.1.split_once(':'));
+        let rest = internal_number
+            .map(|(number, _)| process.lines_with(&format!("request {number}: ")))
+            .unwrap_or_default();
         lines.extend(rest.into_iter().skip(1));
         lines.truncate(MAX_LOG_LINES);
         lines
@@ -83,46 +84,57 @@
 
     /// Returns a line with the records of a request: its outcomes and attempts, the interruptions of its balancer, and
     /// the event-loop stalls during the request.
-    fn record_of(&self, call: &Call) -> String {
-        let since = |at: Instant| at.saturating_duration_since(self.begun).as_secs_f64();
+    fn call_record(&self, call: &Call) -> String {
+        let seconds_since_start = |at: Instant| at.saturating_duration_since(self.started).as_secs_f64();
         let mut text = format!(
             "{} at n{}, {}, {:?}: begun {:.3}",
             call.id,
             call.balancer,
             call.class,
             call.deadline,
-            since(call.at)
+            seconds_since_start(call.at)
         );
-        text += &call.written_at.map_or_else(String::new, |at| format!(", written {:.3}", since(at)));
+        text += &call
+            .written_at
+            .map_or_else(String::new, |at| format!(", written {:.3}", seconds_since_start(at)));
         for (at, answer) in &call.answers {
-            text += &format!(", {answer:?} {:.3}", since(*at));
+            text += &format!(", {answer:?} {:.3}", seconds_since_start(*at));
         }
         let mut attempts = self.fleet.attempts().all();
         attempts.append(&mut self.fleet.origin().runs().all());
-        for it in attempts.iter().filter(|it| it.id == call.id) {
-            let ended = it.ended.map_or_else(String::new, |(at, how)| format!(" {how:?} {:.3}", since(at)));
-            text += &format!("; {} sent {:.3}{ended}", it.endpoint, since(it.sent));
+        for attempt in attempts.iter().filter(|it| it.id == call.id) {
+            let ended = attempt
+                .ended
+                .map_or_else(String::new, |(at, how)| format!(" {how:?} {:.3}", seconds_since_start(at)));
+            text += &format!("; {} sent {:.3}{ended}", attempt.endpoint, seconds_since_start(attempt.sent));
         }
-        for it in self.fleet.interruptions.iter().filter(|it| it.balancer == call.balancer) {
-            let how = if it.killed { "killed" } else { "stopped" };
-            let until = it.until.map_or_else(String::new, |until| format!(" until {:.3}", since(until)));
-            text += &format!("; n{} {how} {:.3}{until}", call.balancer, since(it.from));
+        for interruption in self.fleet.interruptions.iter().filter(|it| it.balancer == call.balancer) {
+            let how = if interruption.killed { "killed" } else { "stopped" };
+            let until = interruption
+                .until
+                .map_or_else(String::new, |until| format!(" until {:.3}", seconds_since_start(until)));
+            text +=
+                &format!("; n{} {how} {:.3}{until}", call.balancer, seconds_since_start(interruption.from));
         }
         let ended = call.answers.first().map_or_else(Instant::now, |(at, _)| *at);
         for stall in
             self.fleet.runtime().stalls().all().iter().filter(|it| it.until >= call.at && it.from <= ended)
         {
-            text += &format!("; stand-ins stood still {:.3} to {:.3}", since(stall.from), since(stall.until));
+            text += &format!(
+                "; stand-ins stood still {:.3} to {:.3}",
+                seconds_since_start(stall.from),
+                seconds_since_start(stall.until)
+            );
         }
         text
     }
 
     /// Returns the last log lines of a balancer.
-    pub(super) fn last_lines(&self, it: usize) -> String {
-        const LINES: usize = 12;
-        let log = self.fleet.balancer(it).process.log();
+    pub(super) fn last_lines(&self, balancer: usize) -> String {
+        const LAST_LINES: usize = 12;
+        let log = self.fleet.balancer(balancer).process.log();
         log.with_entries(|lines| {
-            format!("n{it}:\n    {}", lines[lines.len().saturating_sub(LINES)..].join("\n    "))
+            format!("n{balancer}:\n    {}", lines[lines.len().saturating_sub(LAST_LINES)..].join("\n    "))
         })
     }
 }
--- a/crates/testfleet/tests/process.rs
+++ b/crates/testfleet/tests/process.rs
@@ -1,4 +1,4 @@
-//! Processes: signals, disks and log lines, with a shell script as the program.
+//! Tests of processes and the fleet file, with a shell script as the program: signals, disks and log lines.
 
 use serde_json::json;
 use std::fs;
@@ -10,7 +10,8 @@
 use testfleet::process::{Disk, Launch, Process};
 use testfleet::runtime::Runtime;
 
-/// Logs the lines of a balancer of a fleet and its arguments, then runs until a signal ends it.
+/// A script that logs the lines that a balancer of a fleet logs, its clock offset, disk and arguments, and runs until a
+/// signal ends it.
 const SCRIPT: &str = r#"#!/bin/sh
 echo "n0: listening on 127.0.0.1:9" >&2
 echo "n0: admin endpoint on 127.0.0.1:10" >&2
@@ -24,23 +25,23 @@
 exec tail -f /dev/null
 "#;
 
-fn script(folder: &Path) -> PathBuf {
+fn write_script(folder: &Path) -> PathBuf {
     let file = folder.join("program");
     fs::write(&file, SCRIPT).unwrap();
     fs::set_permissions(&file, fs::Permissions::from_mode(0o755)).unwrap();
     file
 }
 
-/// Returns the state of a process from `/proc`.
-fn state(process: &Process) -> char {
+/// Returns the state of a process from `/proc`: `T` is stopped.
+fn process_state(process: &Process) -> char {
     let stat = fs::read_to_string(format!("/proc/{}/stat", process.id())).unwrap();
     stat.rsplit(") ").next().unwrap().chars().next().unwrap()
 }
 
-fn until(mut so: impl FnMut() -> bool) {
-    let end = std::time::Instant::now() + testfleet::PATIENCE;
-    while !so() {
-        assert!(std::time::Instant::now() < end, "not so within {:?}", testfleet::PATIENCE);
+fn wait_until(mut condition: impl FnMut() -> bool) {
+    let deadline = std::time::Instant::now() + testfleet::PATIENCE;
+    while !condition() {
+        assert!(std::time::Instant::now() < deadline, "condition not met within {:?}", testfleet::PATIENCE);
         std::thread::yield_now();
     }
 }
@@ -48,7 +49,8 @@
 #[test]
 fn restarted_process_finds_kept_empty_or_restored_disk() {
     let (folder, runtime) = (Folder::below(&std::env::temp_dir()).unwrap(), Runtime::start().unwrap());
-    let launch = Launch { program: script(folder.path()), clock_offset_ms: -30_000, ..Launch::default() };
+    let launch =
+        Launch { program: write_script(folder.path()), clock_offset_ms: -30_000, ..Launch::default() };
     let mut process =
         Process::start(runtime.handle(), launch, &folder.path().join("n0"), &json!({"a": 1})).unwrap();
     assert!(process.next_line_with("offset").contains("offset -30000, disk , arguments serve --config "));
@@ -58,7 +60,7 @@
     fs::write(&memory, "new").unwrap();
     process.restart(Disk::Kept, &json!({})).unwrap();
     assert!(process.next_line_with("offset").contains("disk new,"));
-    assert!(process.restore_disk_copy("early").is_err(), "it runs");
+    assert!(process.restore_disk_copy("early").is_err(), "restored under a running process");
     process.kill().unwrap();
     process.restore_disk_copy("early").unwrap();
     process.restart(Disk::Kept, &json!({})).unwrap();
@@ -70,40 +72,44 @@
 #[test]
 fn signals_reach_the_process_and_are_refused_after_it_is_reaped() {
     let (folder, runtime) = (Folder::below(&std::env::temp_dir()).unwrap(), Runtime::start().unwrap());
-    let launch = Launch { program: script(folder.path()), ..Launch::default() };
-    let home = folder.path().join("n0");
-    let mut process = Process::start(runtime.handle(), launch, &home, &json!({})).unwrap();
+    let launch = Launch { program: write_script(folder.path()), ..Launch::default() };
+    let process_folder = folder.path().join("n0");
+    let mut process = Process::start(runtime.handle(), launch, &process_folder, &json!({})).unwrap();
     process.next_line_with("offset");
     process.pause().unwrap();
-    until(|| state(&process) == 'T');
+    wait_until(|| process_state(&process) == 'T');
     process.resume().unwrap();
-    until(|| state(&process) != 'T');
+    wait_until(|| process_state(&process) != 'T');
     process.terminate().unwrap();
     assert!(!process.wait_end().unwrap().success());
-    let refused = [process.terminate(), process.pause()].map(|it| it.unwrap_err().raw_os_error());
-    assert_eq!(refused, [None, None], "by us, before the system is asked");
-    let number = process.id();
+    let errors = [process.terminate(), process.pause()].map(|result| result.unwrap_err().raw_os_error());
+    assert_eq!(errors, [None, None], "refused without a system call");
+    let process_id = process.id();
     process.restart(Disk::Kept, &json!({})).unwrap();
-    assert_ne!(process.id(), number);
-    let number = process.id();
+    assert_ne!(process.id(), process_id);
+    let process_id = process.id();
     drop(process);
-    assert!(!Path::new(&format!("/proc/{number}")).exists(), "it goes with its owner");
+    assert!(
+        !Path::new(&format!("/proc/{process_id}")).exists(),
+        "process still running after its owner was dropped"
+    );
 }
 
 #[test]
 fn fleet_starts_with_fleet_file_and_awaits_log_lines() {
     let folder = Folder::below(&std::env::temp_dir()).unwrap();
-    let builder = Fleet::builder(script(folder.path())).folder(folder.path()).balancers(1).cache_nodes(1);
+    let builder =
+        Fleet::builder(write_script(folder.path())).folder(folder.path()).balancers(1).cache_nodes(1);
     let fleet = builder.with_fleet(true).clock_offset_ms(0, 250).start().unwrap();
     fleet.await_caught_up(0, 7);
-    fleet.await_joined(0); // said before, and waited for all the same
+    fleet.await_joined(0); // finds a line that was logged before the one awaited above
     fleet.await_lease(0);
     assert_eq!(fleet.await_fenced(0), "the lease ran out");
-    let said = fleet.balancer(0).process.next_line_with("offset 250");
+    let line = fleet.balancer(0).process.next_line_with("offset 250");
     let file = fleet.folder().join("fleet.toml");
     assert!(
-        said.contains(&format!("--fleet {} --fleet-listen 127.0.0.1:0 --keep ", file.display())),
-        "{said}"
+        line.contains(&format!("--fleet {} --fleet-listen 127.0.0.1:0 --keep ", file.display())),
+        "{line}"
     );
     let address = fleet.udp_relay().address(0).unwrap();
     let listed = [FleetMember { address, zone: "z0".into(), voter: true }];
--- a/crates/testfleet/tests/referee.rs
+++ b/crates/testfleet/tests/referee.rs
@@ -1,4 +1,4 @@
-//! The referee: each rule, kept and violated.
+//! Tests of the referee: each rule, kept and violated.
 
 use std::time::{Duration, Instant};
 use testfleet::cache_node::{Attempt, Ending};
@@ -39,7 +39,7 @@
         id: id.into(),
         key,
         class,
-        time: None,
+        remaining_time: None,
         balancer: Some(1),
         connection: 0,
         sent: at,
@@ -52,7 +52,7 @@
     Outcome::Closed("end".into())
 }
 
-fn told(at: Instant, phase: Phase) -> EndpointNotification {
+fn notification(at: Instant, phase: Phase) -> EndpointNotification {
     EndpointNotification { balancer: 1, endpoint: "s-0".into(), phase, at }
 }
 
@@ -82,9 +82,9 @@
     ];
     assert_eq!(violations(&evidence), expected);
     evidence.interruptions = vec![interruption(false, at + ms(5), None)];
-    assert_eq!(violations(&evidence), expected, "one that is stopped loses nothing");
+    assert_eq!(violations(&evidence), expected, "a stopped balancer loses no requests");
     evidence.interruptions = vec![interruption(true, at + ms(11), None)];
-    assert_eq!(violations(&evidence), expected, "killed too late");
+    assert_eq!(violations(&evidence), expected, "killed after the request was lost");
     evidence.interruptions = vec![interruption(true, at + ms(5), Some(at + ms(7)))];
     expected.pop();
     assert_eq!(violations(&evidence), expected);
@@ -102,46 +102,46 @@
 }
 
 #[test]
-fn concurrent_attempts_at_cache_nodes_and_origin_are_a_violation() {
+fn concurrent_attempts_of_one_request_are_a_violation() {
     let at = Instant::now();
     let pair = |took| Evidence {
         attempts: vec![attempt("x", "s-1", at, took)],
         runs: vec![attempt("x", "origin", at + ms(200), Some(1))],
         ..Evidence::default()
     };
-    let hosts = ["s-1".to_owned(), "origin".to_owned()];
-    let found = [Violation::ConcurrentAttempts("x".into(), hosts)];
-    assert_eq!(violations(&pair(None)), found);
-    assert_eq!(violations(&pair(Some(260))), found);
-    assert!(violations(&pair(Some(230))).is_empty(), "within what records are off by");
+    let endpoints = ["s-1".to_owned(), "origin".to_owned()];
+    let expected = [Violation::ConcurrentAttempts("x".into(), endpoints)];
+    assert_eq!(violations(&pair(None)), expected);
+    assert_eq!(violations(&pair(Some(260))), expected);
+    assert!(violations(&pair(Some(230))).is_empty(), "within the tolerance for records");
 }
 
 #[test]
-fn attempt_at_draining_endpoint_is_measured_from_when_the_process_was_notified() {
+fn attempt_after_drain_notification_and_slack_is_a_violation() {
     let at = Instant::now();
     let sent = |after| vec![attempt("x", "s-0", at + ms(after), Some(1))];
     let mut evidence = Evidence {
-        notifications: vec![told(at, Phase::Draining)],
+        notifications: vec![notification(at, Phase::Draining)],
         attempts: sent(301),
         ..Evidence::default()
     };
-    let found = |after| {
+    let expected = |after| {
         let (id, endpoint) = ("x".into(), "s-0".into());
         [Violation::SentToDrainingEndpoint { id, balancer: 1, endpoint, after: ms(after) }]
     };
-    assert_eq!(violations(&evidence), found(301));
-    evidence.notifications.push(told(at + ms(200), Phase::Gone));
-    assert_eq!(violations(&evidence), found(301), "told more does not give more time");
-    evidence.notifications.push(told(at + ms(250), Phase::Ready));
-    assert!(violations(&evidence).is_empty(), "ready again");
+    assert_eq!(violations(&evidence), expected(301));
+    evidence.notifications.push(notification(at + ms(200), Phase::Gone));
+    assert_eq!(violations(&evidence), expected(301), "a second notification does not extend the time");
+    evidence.notifications.push(notification(at + ms(250), Phase::Ready));
+    assert!(violations(&evidence).is_empty(), "notified that the endpoint is ready again");
     evidence.notifications.truncate(1);
     evidence.interruptions = vec![interruption(false, at + ms(100), Some(at + ms(900)))];
     evidence.attempts = sent(1_100);
-    assert!(violations(&evidence).is_empty(), "it read that only once it went on");
+    assert!(violations(&evidence).is_empty(), "read the notification only after it was continued");
     evidence.attempts = sent(1_300);
-    assert_eq!(violations(&evidence), found(400));
+    assert_eq!(violations(&evidence), expected(400));
     evidence.interruptions = vec![interruption(true, at + ms(100), Some(at + ms(900)))];
-    assert!(violations(&evidence).is_empty(), "another process, which was told nothing");
+    assert!(violations(&evidence).is_empty(), "its successor was not notified");
     evidence.attempts = sent(299);
     evidence.interruptions.clear();
     assert!(violations(&evidence).is_empty());
@@ -163,7 +163,7 @@
     let late = |by| vec![Violation::AnsweredLate("late".into(), ms(by))];
     assert_eq!(violations(&evidence), late(400));
     evidence.interruptions = vec![interruption(false, at, Some(at + ms(500)))];
-    assert_eq!(violations(&evidence), late(400), "it was over by then");
+    assert_eq!(violations(&evidence), late(400), "stopped only before the deadline");
     evidence.interruptions = vec![interruption(false, at + ms(900), Some(at + ms(1_200)))];
     assert_eq!(violations(&evidence), late(200));
     evidence.interruptions = vec![interruption(false, at + ms(900), Some(at + ms(1_350)))];
@@ -171,12 +171,12 @@
 }
 
 #[test]
-fn notification_written_to_killed_process_does_not_count_for_its_successor() {
+fn notification_of_killed_process_does_not_bind_its_successor() {
     let at = Instant::now();
     let killed = Interruption { restarted: Some(at + ms(50)), ..interruption(true, at, Some(at + ms(200))) };
     let attempts = vec![attempt("7f", "s-0", at + ms(1_020), Some(5))];
-    let told_at = |after| told(at + ms(after), Phase::Draining);
-    let judged = |notifications| {
+    let draining_at = |after| notification(at + ms(after), Phase::Draining);
+    let violations_with = |notifications| {
         violations(&Evidence {
             interruptions: vec![killed],
             attempts: attempts.clone(),
@@ -184,42 +184,53 @@
             ..Evidence::default()
         })
     };
-    assert_eq!(judged(vec![told_at(1), told_at(1_000)]), [], "to the one before, then to this one");
-    assert_eq!(judged(vec![told_at(1), told_at(60)]).len(), 1, "to this one before it was ready");
+    assert_eq!(
+        violations_with(vec![draining_at(1), draining_at(1_000)]),
+        [],
+        "written to the killed process, then to its successor"
+    );
+    assert_eq!(
+        violations_with(vec![draining_at(1), draining_at(60)]).len(),
+        1,
+        "written to the successor before it was ready"
+    );
 }
 
 #[test]
 fn attempt_after_disconnect_or_raced_close_is_a_violation() {
     let at = Instant::now();
-    let left =
+    let disconnected =
         Call { disconnected_at: Some(at + ms(10)), ..call("left", at, &[(10, Outcome::ClientDisconnected)]) };
     let evidence = |after| Evidence {
-        calls: vec![left.clone()],
+        calls: vec![disconnected.clone()],
         attempts: vec![attempt("left", "s-1", at + ms(after), Some(1))],
         ..Evidence::default()
     };
     assert_eq!(violations(&evidence(160)), []);
     assert_eq!(violations(&evidence(210)), [Violation::SentAfterDisconnect("left".into(), ms(100))]);
-    let held_up = vec![interruption(false, at, Some(at + ms(150)))];
-    assert_eq!(violations(&Evidence { interruptions: held_up, ..evidence(190) }), []);
-    let crossed = Evidence {
+    let stopped = vec![interruption(false, at, Some(at + ms(150)))];
+    assert_eq!(violations(&Evidence { interruptions: stopped, ..evidence(190) }), []);
+    let forwarded_after_close = Evidence {
         calls: vec![call("x", at, &[(10, closed())])],
         attempts: vec![attempt("x", "s-1", at, Some(1))],
         ..Evidence::default()
     };
-    assert_eq!(violations(&crossed), [Violation::ForwardedAfterClose("x".into())]);
+    assert_eq!(violations(&forwarded_after_close), [Violation::ForwardedAfterClose("x".into())]);
 }
 
 #[test]
 fn overstated_remaining_time_is_a_violation() {
     let at = Instant::now();
-    let told = |time| Evidence {
+    let evidence = |remaining_time| Evidence {
         calls: vec![call("x", at, &[(10, Outcome::Served)])],
-        attempts: vec![Attempt { time: Some(ms(time)), ..attempt("x", "s-1", at + ms(400), Some(1)) }],
+        attempts: vec![Attempt {
+            remaining_time: Some(ms(remaining_time)),
+            ..attempt("x", "s-1", at + ms(400), Some(1))
+        }],
         ..Evidence::default()
     };
-    assert_eq!(violations(&told(800)), []);
-    assert_eq!(violations(&told(850)), [Violation::DeadlineOverstated("x".into(), ms(250))]);
+    assert_eq!(violations(&evidence(800)), []);
+    assert_eq!(violations(&evidence(850)), [Violation::DeadlineOverstated("x".into(), ms(250))]);
 }
 
 #[test]
@@ -228,7 +239,7 @@
     let calls = vec![call("late", at, &[(1_400, Outcome::Rejected)])];
     let stall = |from, until| vec![Stall { from: at + ms(from), until: at + ms(until) }];
     let evidence = |stalls| Evidence { calls: calls.clone(), stalls, ..Evidence::default() };
-    assert_eq!(violations(&evidence(stall(0, 900))).len(), 1, "it was over by then");
+    assert_eq!(violations(&evidence(stall(0, 900))).len(), 1, "stalled only before the deadline");
     assert_eq!(violations(&evidence(stall(1_200, 1_250))).len(), 1, "shorter than the delay");
     assert_eq!(violations(&evidence(stall(900, 1_350))), []);
 }
@@ -236,17 +247,21 @@
 #[test]
 fn time_behind_earlier_pipelined_answers_does_not_count() {
     let at = Instant::now();
-    let judged = |pipeline_position| {
+    let violations_with = |pipeline_position| {
         let calls = vec![Call { pipeline_position, ..call("late", at, &[(1_400, Outcome::Served)]) }];
         violations(&Evidence { calls, ..Evidence::default() })
     };
-    assert_eq!(judged(PipelinePosition::UnblockedAt(at + ms(1_390))), []);
+    assert_eq!(violations_with(PipelinePosition::UnblockedAt(at + ms(1_390))), []);
     assert_eq!(
-        judged(PipelinePosition::UnblockedAt(at + ms(1_200))),
+        violations_with(PipelinePosition::UnblockedAt(at + ms(1_200))),
         [Violation::AnsweredLate("late".into(), ms(200))]
     );
-    assert_eq!(judged(PipelinePosition::First), [Violation::AnsweredLate("late".into(), ms(400))]);
-    assert_eq!(judged(PipelinePosition::Blocked), [], "the one ahead of it is late");
+    assert_eq!(violations_with(PipelinePosition::First), [Violation::AnsweredLate("late".into(), ms(400))]);
+    assert_eq!(
+        violations_with(PipelinePosition::Blocked),
+        [],
+        "the delay is attributed to the request before it"
+    );
 }
 
 #[test]
@@ -258,7 +273,11 @@
     assert_eq!(check_evidence(&evidence).raced_close, 1);
     assert_eq!(violations(&evidence), []);
     evidence.stalls = vec![Stall { from: at + ms(10), until: at + ms(40) }];
-    assert_eq!(violations(&evidence), [Violation::Lost("x".into(), "end".into())], "0.11 s are left");
+    assert_eq!(
+        violations(&evidence),
+        [Violation::Lost("x".into(), "end".into())],
+        "0.108 s without the stall"
+    );
 }
 
 #[test]
@@ -269,15 +288,19 @@
         runs: vec![attempt("x", "origin", at + ms(6), Some(1))],
         ..Evidence::default()
     };
-    let crossed = [Violation::ForwardedAfterClose("x".into())];
+    let forwarded_after_close = [Violation::ForwardedAfterClose("x".into())];
     evidence.interruptions = vec![interruption(true, at + ms(5), Some(at + ms(300)))];
     let verdict = check_evidence(&evidence);
     assert_eq!(verdict.violations, []);
     assert_eq!((verdict.lost_with_killed, verdict.raced_close), (1, 0));
     evidence.interruptions = vec![interruption(true, at + ms(8), Some(at + ms(300)))];
-    assert_eq!(violations(&evidence), crossed, "killed behind the close");
+    assert_eq!(violations(&evidence), forwarded_after_close, "killed after the close");
     evidence.interruptions = vec![interruption(true, at - ms(5), Some(at + ms(300)))];
-    assert_eq!(violations(&evidence), crossed, "written to the next process, and closed by that");
+    assert_eq!(
+        violations(&evidence),
+        forwarded_after_close,
+        "written to the next process, which closed the connection"
+    );
     evidence.interruptions = vec![interruption(false, at + ms(5), Some(at + ms(300)))];
-    assert_eq!(violations(&evidence), crossed, "one that is stopped closes nothing");
+    assert_eq!(violations(&evidence), forwarded_after_close, "a stopped process closes no connection");
 }
--- a/crates/testfleet/tests/stand_ins.rs
+++ b/crates/testfleet/tests/stand_ins.rs
@@ -1,4 +1,4 @@
-//! The stand-ins on their own: cache node, origin, discovery agent and clients, over plain sockets.
+//! Tests of the stand-ins without balancers: cache node, origin, discovery agent and clients, over plain sockets.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -9,7 +9,7 @@
 use testfleet::discovery::{DiscoveryAgent, Member, Phase};
 use testfleet::event_log::EventLog;
 use testfleet::origin::{Origin, OriginBehaviour};
-use testfleet::relay::Callers;
+use testfleet::relay::ConnectionRegistry;
 use testfleet::runtime::Runtime;
 
 fn connect(addr: SocketAddr) -> BufReader<TcpStream> {
@@ -18,13 +18,13 @@
     BufReader::new(stream)
 }
 
-fn line(stream: &mut BufReader<TcpStream>) -> String {
+fn read_line(stream: &mut BufReader<TcpStream>) -> String {
     let mut line = String::new();
     stream.read_line(&mut line).unwrap();
     line.trim_end().to_owned()
 }
 
-fn get(stream: &mut BufReader<TcpStream>, id: &str) {
+fn send_get(stream: &mut BufReader<TcpStream>, id: &str) {
     let words = ["CACHE.GET", "7f", id, "c=read,t=acme,d=100"];
     let words: String = words.iter().map(|word| format!("${}\r\n{word}\r\n", word.len())).collect();
     stream.get_mut().write_all(format!("*4\r\n{words}").as_bytes()).unwrap();
@@ -33,33 +33,34 @@
 #[test]
 fn cache_node_follows_its_behaviour_and_records_each_attempt() {
     let (runtime, attempts) = (Runtime::start().unwrap(), EventLog::default());
-    let endpoint = CacheNode::start(runtime.handle(), "s-0", Callers::default(), attempts.clone()).unwrap();
-    let mut client = connect(endpoint.addr());
+    let node =
+        CacheNode::start(runtime.handle(), "s-0", ConnectionRegistry::default(), attempts.clone()).unwrap();
+    let mut client = connect(node.addr());
     let mut lines = |id: &str, n: usize| {
-        get(&mut client, id);
-        (0..n).map(|_| line(&mut client)).collect::<Vec<_>>()
+        send_get(&mut client, id);
+        (0..n).map(|_| read_line(&mut client)).collect::<Vec<_>>()
     };
     assert_eq!(lines("a", 5), ["*3", "$-1", "$4", "miss", "$-1"]);
     assert_eq!(lines("b", 6)[1..3], ["$11", "value of 7f"]);
-    endpoint.clear_keys();
+    node.clear_keys();
     assert_eq!(lines("c", 5)[3], "miss");
-    endpoint.set_behaviour(CacheNodeBehaviour::Drains);
+    node.set_behaviour(CacheNodeBehaviour::Drains);
     assert_eq!(lines("d", 1), ["-BUSY"]);
-    endpoint.set_behaviour(CacheNodeBehaviour::Fails);
+    node.set_behaviour(CacheNodeBehaviour::Fails);
     assert_eq!(lines("e", 1), ["-ERR out of order"]);
-    endpoint.set_behaviour(CacheNodeBehaviour::Serves);
-    endpoint.set_latency(Duration::from_millis(30));
-    let asked = Instant::now();
+    node.set_behaviour(CacheNodeBehaviour::Serves);
+    node.set_latency(Duration::from_millis(30));
+    let sent_at = Instant::now();
     lines("f", 6);
-    assert!(asked.elapsed() >= Duration::from_millis(30));
-    endpoint.set_behaviour(CacheNodeBehaviour::Hangs);
-    get(&mut client, "g");
-    attempts.wait("the attempt", |attempts| (attempts.len() == 7).then_some(()));
+    assert!(sent_at.elapsed() >= Duration::from_millis(30));
+    node.set_behaviour(CacheNodeBehaviour::Hangs);
+    send_get(&mut client, "g");
+    attempts.wait("the attempt at the hanging node", |attempts| (attempts.len() == 7).then_some(()));
     drop(client);
-    let ended = attempts.wait("its end", |attempts| attempts[6].ended).1;
+    let ended = attempts.wait("the end of the attempt at the hanging node", |attempts| attempts[6].ended).1;
     assert_eq!(ended, Ending::Closed);
-    endpoint.set_behaviour(CacheNodeBehaviour::Refuses);
-    assert!(!connect(endpoint.addr()).read(&mut [0]).is_ok_and(|n| n > 0));
+    node.set_behaviour(CacheNodeBehaviour::Refuses);
+    assert!(!connect(node.addr()).read(&mut [0]).is_ok_and(|n| n > 0));
     let all = attempts.all();
     assert_eq!(all.iter().map(|it| &it.id[..]).collect::<String>(), "abcdefg");
     assert!(all[..6].iter().all(|it| it.ended.is_some_and(|it| it.1 == Ending::Answered)));
@@ -69,14 +70,14 @@
 #[test]
 fn origin_records_failed_executions_but_not_declined_requests() {
     let runtime = Runtime::start().unwrap();
-    let origin = Origin::start(runtime.handle(), Callers::default(), EventLog::default()).unwrap();
+    let origin = Origin::start(runtime.handle(), ConnectionRegistry::default(), EventLog::default()).unwrap();
     let mut client = connect(origin.addr());
     let mut put = |id: &str| {
         let head = format!("PUT /7f HTTP/1.1\r\nHost: x\r\nReq-Id: {id}\r\nReq-Extra: c=once,t=acme\r\n");
         client.get_mut().write_all(format!("{head}Content-Length: 1\r\n\r\nv").as_bytes()).unwrap();
-        let status = line(&mut client);
+        let status = read_line(&mut client);
         let head: Vec<_> =
-            std::iter::from_fn(|| Some(line(&mut client)).filter(|it| !it.is_empty())).collect();
+            std::iter::from_fn(|| Some(read_line(&mut client)).filter(|it| !it.is_empty())).collect();
         let length = head.iter().find_map(|it| it.strip_prefix("content-length: ")).unwrap();
         client.read_exact(&mut vec![0; length.parse().unwrap()]).unwrap();
         (status[9..12].to_owned(), head.iter().any(|it| it == "srv-declined: 1"))
@@ -94,9 +95,9 @@
 }
 
 /// Returns the next line of a watch that is not a keep-alive.
-fn news(watch: &mut BufReader<TcpStream>) -> String {
+fn next_change(watch: &mut BufReader<TcpStream>) -> String {
     loop {
-        let next = line(watch);
+        let next = read_line(watch);
         if next.starts_with('{') {
             return next;
         }
@@ -105,7 +106,7 @@
 
 #[test]
 fn paused_updates_are_published_only_after_resume() {
-    let (runtime, told) = (Runtime::start().unwrap(), EventLog::default());
+    let (runtime, notifications) = (Runtime::start().unwrap(), EventLog::default());
     let member = Member {
         name: "s-0".into(),
         addr: ([127, 0, 0, 1], 9).into(),
@@ -115,21 +116,22 @@
         weight: 1.0,
         ids: 1,
     };
-    let agent = DiscoveryAgent::start(runtime.handle(), 4, vec![member], told.clone()).unwrap();
+    let agent = DiscoveryAgent::start(runtime.handle(), 4, vec![member], notifications.clone()).unwrap();
     let mut watch = connect(agent.addr());
     watch.get_mut().write_all(b"GET /v1/endpoints?watch=1&from=1 HTTP/1.1\r\n\r\n").unwrap();
     agent.set_phase("s-0", Phase::Draining);
-    assert!(news(&mut watch).contains("draining"));
+    assert!(next_change(&mut watch).contains("draining"));
     agent.pause_updates();
     agent.update("s-0", |member| member.weight = 9.0);
     agent.set_phase("s-0", Phase::Gone);
     let list = agent.list();
     assert_eq!((&list["revision"], &list["members"][0]["size"]), (&2.into(), &1.0.into()));
     agent.resume_updates();
-    let both = news(&mut watch);
+    let both = next_change(&mut watch);
     assert!(both.contains("9.0") && both.contains("gone") && both.contains("\"revision\":4"), "{both}");
     assert_eq!(agent.list()["members"].as_array().unwrap().len(), 0);
-    let phases = told.wait("what was told", |told| (told.len() == 3).then(|| told.to_vec()));
+    let phases =
+        notifications.wait("three notifications", |entries| (entries.len() == 3).then(|| entries.to_vec()));
     assert_eq!(
         phases.iter().map(|it| it.phase).collect::<Vec<_>>(),
         [Phase::Draining, Phase::Draining, Phase::Gone]
@@ -160,7 +162,7 @@
     first.write_all(b"$1\r\nv\r\n$1\r\nw\r\n").unwrap();
     clients.await_answered(1);
     clients.start_load(load(2));
-    let (mut second, _) = listener.accept().unwrap(); // the connection with an answer too many is used no more
+    let (mut second, _) = listener.accept().unwrap(); // the connection with the unexpected answer is not reused
     second.read(&mut buffer).map(drop).unwrap();
     second.write_all(b"-BUSY 20\r\n").unwrap();
     clients.await_answered(2);
