--- a/crates/testfleet/src/fleet.rs
+++ b/crates/testfleet/src/fleet.rs
@@ -154,9 +154,11 @@
             })
     }
 
+    /// Records that a balancer is being killed or stopped.
     fn record_interruption(&mut self, balancer: usize, killed: bool, from: Instant) {
         self.interruptions.push(Interruption { balancer, killed, from, until: None, restarted: None });
     }
+    /// Records the end of the last interruption of a balancer by a kill or by a stop.
     fn mark_resumed(&mut self, balancer: usize, killed: bool) {
         let interruption =
             self.interruptions.iter_mut().rfind(|it| it.balancer == balancer && it.killed == killed);
@@ -199,6 +201,7 @@
         config["known"] = list;
         self.restart_with(number, disk, &config)
     }
+    /// Restarts a balancer with a configuration, records the interruption and waits until the balancer is ready.
     fn restart_with(&mut self, number: usize, disk: Disk, config: &Value) -> io::Result<()> {
         let already_killed =
             self.interruptions.iter().any(|it| it.balancer == number && it.killed && it.until.is_none());
@@ -250,26 +253,26 @@
 
     /// Waits until a started balancer listens, and points the relays at its addresses.
     pub(crate) fn await_listening(&mut self, number: usize) {
-        let it = &mut self.balancers[number];
-        let address = it.process.find_address(&format!("n{number}: listening on "));
-        it.admin_addr = it.process.find_address("admin endpoint on ");
-        it.client_addr = address;
-        it.from_clients.set_target(address);
+        let balancer = &mut self.balancers[number];
+        let address = balancer.process.find_address(&format!("n{number}: listening on "));
+        balancer.admin_addr = balancer.process.find_address("admin endpoint on ");
+        balancer.client_addr = address;
+        balancer.from_clients.set_target(address);
         if self.in_fleet {
             // Registered before waiting for any balancer to be ready: a balancer needs a lease to be ready, and the
             // other balancers to get a lease.
-            self.udp_relay.register(number, it.process.find_address("fleet: listening on "));
+            self.udp_relay.register(number, balancer.process.find_address("fleet: listening on "));
         }
     }
     /// Waits until a balancer is ready.
     pub(crate) fn await_ready(&mut self, number: usize) {
-        let it = &mut self.balancers[number];
-        it.process.next_line(|line| line.ends_with(" ready"));
+        let balancer = &mut self.balancers[number];
+        balancer.process.next_line(|line| line.ends_with(" ready"));
         if !self.in_fleet
             && self.with_peers
-            && let Some(real) = crate::proc_stats::udp_addresses(it.process.id()).first()
+            && let Some(real_address) = crate::proc_stats::udp_addresses(balancer.process.id()).first()
         {
-            self.udp_relay.register(number, *real);
+            self.udp_relay.register(number, *real_address);
         }
     }
     /// Waits until a balancer has logged that it joined the fleet.
@@ -333,6 +336,7 @@
     }
 }
 
+/// Returns the part of a log line after a prefix.
 fn reason_after(line: String, prefix: &str) -> String {
     line.split_once(prefix).map_or_else(String::new, |(_, reason)| reason.to_owned())
 }
--- a/crates/testfleet/src/referee/rules.rs
+++ b/crates/testfleet/src/referee/rules.rs
@@ -99,12 +99,12 @@
 
 /// Returns `time`, or the end of the interruption of the balancer that contains it.
 fn end_of_interruptions(evidence: &Evidence, balancer: usize, time: Instant) -> Instant {
-    let stops = evidence.interruptions.iter().filter(|it| it.balancer == balancer && it.from <= time);
-    stops.filter_map(|it| it.until).fold(time, Instant::max)
+    let interruptions = evidence.interruptions.iter().filter(|it| it.balancer == balancer && it.from <= time);
+    interruptions.filter_map(|it| it.until).fold(time, Instant::max)
 }
 
-/// Checks that a request was answered in time. If the balancer was stopped at the deadline, the time until it was
-/// continued does not count.
+/// Checks that a request was answered in time. If the balancer was killed or stopped at the deadline, the time
+/// until the end of the interruption does not count.
 fn check_deadline(evidence: &Evidence, call: &Call) -> Option<Violation> {
     let (answered, _) = call.answers.first()?;
     let mut until = call.written_at? + call.deadline;
@@ -113,9 +113,9 @@
         PipelinePosition::UnblockedAt(unblocked) => until = until.max(unblocked),
         PipelinePosition::Blocked => return None, // the delay is attributed to the request before it
     }
-    for stop in evidence.interruptions.iter().filter(|it| it.balancer == call.balancer) {
-        if stop.from <= until + ANSWER_SLACK {
-            until = until.max(stop.until.unwrap_or(*answered));
+    for interruption in evidence.interruptions.iter().filter(|it| it.balancer == call.balancer) {
+        if interruption.from <= until + ANSWER_SLACK {
+            until = until.max(interruption.until.unwrap_or(*answered));
         }
     }
     let late_by =
--- a/crates/testfleet/src/relay/tcp.rs
+++ b/crates/testfleet/src/relay/tcp.rs
@@ -26,6 +26,7 @@
 struct State {
     target: SocketAddr,
     refused: bool,
+    /// The number of resets so far. Connections accepted before the last one are reset.
     resets: u64,
     to_target: Faults,
     to_client: Faults,
@@ -178,6 +179,7 @@
     }
 }
 
+/// Splits a stream into halves that reset the connection on drop.
 fn split(stream: TcpStream) -> io::Result<(OwnedReadHalf, Writer)> {
     stream.set_nodelay(true)?;
     stream.set_zero_linger()?;
@@ -185,6 +187,7 @@
     Ok((reader, Writer(Some(writer))))
 }
 
+/// Connects to the target once the link is not cut, and relays both directions until both have ended.
 async fn relay_connection(client: TcpStream, link: Link, mut rng: fastrand::Rng) -> io::Result<()> {
     client.set_zero_linger()?;
     let mut state = link.state.clone();
@@ -247,6 +250,7 @@
 }
 
 impl StreamDirection<'_> {
+    /// Relays data from a reader to a writer until the reader ends. With `last_write`, see [`Self::read_chunks`].
     async fn relay(
         self, reader: OwnedReadHalf, writer: Writer, last_write: Option<(&Mutex<Instant>, Option<Instant>)>,
     ) -> io::Result<(OwnedReadHalf, Writer)> {
@@ -257,6 +261,9 @@
         tokio::try_join!(reading, write_chunks(writer, queued, end_receiver, state, select_faults, count))
     }
 
+    /// Reads chunks and queues each with the time at which it is due. With `last_write`, stores in its first field the
+    /// time at which each chunk was written: for the first chunk its second field, if set, and otherwise the time of
+    /// reading.
     async fn read_chunks(
         mut self, mut reader: OwnedReadHalf, chunks: mpsc::Sender<(Instant, Bytes)>,
         end_sender: watch::Sender<bool>, mut last_write: Option<(&Mutex<Instant>, Option<Instant>)>,
@@ -298,7 +305,9 @@
         let is_held = |state: &State| select_faults(state).stalled || select_faults(state).cut;
         if is_held(&state.borrow_and_update()) {
             tokio::select! {
-                released = state.wait_for(|state| !is_held(state)) => { released.map_err(|_| io::ErrorKind::BrokenPipe)?; }
+                released = state.wait_for(|state| !is_held(state)) => {
+                    released.map_err(|_| io::ErrorKind::BrokenPipe)?;
+                }
                 // The sender has disconnected: its data must not arrive after the fault ends.
                 _ = end_receiver.wait_for(|ended| *ended) => return Err(io::ErrorKind::ConnectionReset.into()),
             }
--- a/crates/testfleet/src/soak/clients.rs
+++ b/crates/testfleet/src/soak/clients.rs
@@ -20,7 +20,7 @@
 const KEY_COUNT: u64 = 400;
 /// The pause before a request with [`Pacing::Paused`], and before an early disconnect, in milliseconds.
 const REQUEST_PAUSE_MS: std::ops::Range<u64> = 10..60;
-/// The pause before clients reconnect that send requests without pauses or stay idle, in milliseconds. A closed
+/// The pause before a client without request pauses, or an idle client, reconnects, in milliseconds. A closed
 /// connection occupies its ephemeral port for a minute: reconnecting as fast as connections are refused would exhaust
 /// the ports within one or two runs.
 const RECONNECT_PAUSE_MS: std::ops::Range<u64> = 100..500;
@@ -50,6 +50,7 @@
     Disconnect,
 }
 
+/// Draws how a client sends a request.
 fn draw_behaviour(rng: &mut fastrand::Rng) -> RequestBehaviour {
     match rng.u8(..20) {
         0 | 1 => RequestBehaviour::Pipelined,
@@ -125,6 +126,7 @@
         address.connect_until.is_none_or(|until| Instant::now() < until).then_some(address.addr)
     }
 
+    /// Connects to a balancer; returns `None` if clients must not connect to it or the connection fails.
     async fn connect(&self, balancer: usize) -> Option<BufReader<TcpStream>> {
         let addr = self.balancer_addr(balancer)?;
         let stream = TcpStream::connect(addr).await.ok()?;
@@ -132,6 +134,7 @@
         Some(BufReader::new(stream))
     }
 
+    /// Draws the class and the key of a request.
     fn draw_request(&self, rng: &mut fastrand::Rng, balancer: usize) -> Request {
         let SoakClass { class, deadline } = self.classes[rng.usize(..self.classes.len())].clone();
         let key = spread_key(rng.u64(..KEY_COUNT));
--- a/crates/testfleet/src/soak/mod.rs
+++ b/crates/testfleet/src/soak/mod.rs
@@ -45,19 +45,27 @@
 /// How long the run waits for the last answers after the longest deadline has passed.
 const FINAL_ANSWERS_GRACE: Duration = Duration::from_secs(1);
 
-/// A scheduled step of a run.
+/// A scheduled step of a run. Balancers and cache nodes are given by number.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Step {
+    /// Applies an event of the plan.
     Event(Event),
+    /// Sends SIGHUP to a balancer, unless it is terminating.
     Reload(usize),
+    /// Sends SIGTERM to a balancer.
     Terminate(usize),
+    /// Sends an admin command with this path to a balancer, unless it is terminating.
     AdminCommand(usize, &'static str),
+    /// Sends SIGCONT to a balancer.
     Resume(usize),
-    /// Sends SIGKILL after SIGTERM, and restarts the balancer.
-    /// A process that is still running at this time is a violation.
+    /// Sends SIGKILL to a balancer some time after SIGTERM, and restarts it. A process that is still running is a
+    /// violation.
     KillAndRestart(usize),
+    /// Ends the fault of a cache node.
     RestoreCacheNode(usize),
+    /// Removes the faults of the link of a balancer to a cache node.
     HealLink(usize, usize),
+    /// Resumes the updates of the discovery agent of a balancer.
     ResumeUpdates(usize),
     /// Resumes the updates of all discovery agents.
     EndDiscoveryOutage,
@@ -141,6 +149,7 @@
 }
 
 impl Run {
+    /// Executes all steps at their times, checks the limits of all processes, and waits for the last answers.
     fn execute(&mut self) -> io::Result<()> {
         let longest_deadline_ms = self.plan.deadlines_ms.into_iter().max().unwrap_or_default();
         let end =
@@ -154,6 +163,7 @@
         Ok(())
     }
 
+    /// Schedules a step behind the steps that are due at the same time or earlier.
     fn schedule(&mut self, after: Duration, step: Step) {
         let at = Instant::now() + after;
         let index = self.steps.partition_point(|(other, _)| *other <= at);
@@ -187,6 +197,7 @@
         Ok(())
     }
 
+    /// Applies an event. An event that needs a running balancer is skipped while the balancer is terminating.
     fn apply_event(&mut self, event: Event) -> io::Result<()> {
         match event {
             Event::Series(balancer, series) => self.schedule_series(balancer, series),
@@ -227,6 +238,7 @@
         Ok(())
     }
 
+    /// Starts another listener of the discovery agent of a balancer, and reloads the balancer with its address.
     fn move_discovery(&mut self, balancer: usize) -> io::Result<()> {
         let addr = self.fleet.balancer(balancer).agent.add_listener(self.fleet.runtime().handle())?;
         let moved = self.fleet.balancer_mut(balancer);
@@ -234,6 +246,7 @@
         moved.process.reload(&moved.config)
     }
 
+    /// Changes the behaviour of a cache node for [`FAULT_DURATION`].
     fn inject_fault(&mut self, node: usize, behaviour: CacheNodeBehaviour) {
         self.fleet.cache_node(node).set_behaviour(behaviour);
         self.schedule(FAULT_DURATION, Step::RestoreCacheNode(node));
@@ -291,6 +304,7 @@
         self.clients.balancer_addrs.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
+    /// Records a violation if a balancer exceeds its memory limit or its socket limit.
     fn check_limits(&mut self, balancer: usize) {
         let process = self.fleet.balancer(balancer).process.id();
         let memory_kb = resource_usage(process).map_or(0, |usage| usage.resident_kb);
--- a/crates/testfleet/src/soak/plan.rs
+++ b/crates/testfleet/src/soak/plan.rs
@@ -18,9 +18,9 @@
 const SOCKET_LIMITS: [u64; 2] = [100, 512];
 /// The number of clients of a crowd: more than the 40 connection slots of the lower socket limit.
 const CROWD_SIZE: usize = 120;
-/// The number of events of a run.
+/// The possible numbers of events of a run.
 const EVENT_COUNTS: std::ops::Range<usize> = 3..9;
-/// The times of events, in milliseconds from the start of the run.
+/// The possible times of events, in milliseconds from the start of the run.
 const EVENT_TIMES_MS: std::ops::Range<u64> = 500..5_000;
 
 /// Additional clients at the first balancer.
@@ -66,35 +66,35 @@
 /// An event of a run. Balancers and cache nodes are given by number.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Event {
-    /// Sends a series of signals and admin commands to a balancer, which is restarted after SIGTERM.
+    /// A balancer is sent a series of signals and admin commands, and is restarted after SIGTERM.
     Series(usize, Series),
-    /// Sends a balancer SIGSTOP, and SIGCONT 0.15 s later.
+    /// A balancer is sent SIGSTOP, and SIGCONT 0.15 s later.
     Pause(usize),
-    /// Sends a balancer SIGKILL and restarts it.
+    /// A balancer is sent SIGKILL and is restarted.
     Kill(usize),
     /// The endpoints of a cache node change to this phase.
     ChangePhase(usize, Phase),
-    /// A cache node does not answer for a while.
+    /// A cache node does not answer for 1.2 s.
     Hang(usize),
-    /// A cache node answers every command with an error for a while.
+    /// A cache node answers every command with an error for 1.2 s.
     Fail(usize),
-    /// A cache node closes connections on accept for a while.
+    /// A cache node closes connections on accept for 1.2 s.
     Refuse(usize),
     /// A cache node loses its keys.
     ClearKeys(usize),
-    /// The link of a balancer to a cache node is cut for a while.
+    /// The link of a balancer to a cache node is cut for 1.2 s.
     Cut(usize, usize),
     /// The connections of a balancer to a cache node are reset.
     Reset(usize, usize),
     /// The open discovery watches of a balancer receive nothing more, but stay open.
     SilenceWatches(usize),
-    /// The discovery agent of a balancer publishes no changes for a while.
+    /// The discovery agent of a balancer publishes no changes for 1.2 s.
     PauseUpdates(usize),
     /// The open discovery watches of a balancer are reset.
     ResetWatches(usize),
     /// A balancer is sent SIGHUP with a new address of its discovery agent in the configuration.
     MoveDiscovery(usize),
-    /// All discovery agents silence their open watches and publish no changes for a while.
+    /// All discovery agents silence their open watches, and publish no changes for 1.2 s.
     DiscoveryOutage,
 }
 
--- a/crates/testfleet/tests/relay.rs
+++ b/crates/testfleet/tests/relay.rs
@@ -79,14 +79,14 @@
     assert_eq!(balancers[1].receive(), ("hello".into(), addresses[0]));
 
     relay.update_faults(&[0], &[1], |faults| faults.cut = true);
-    balancers[0].send("unheard", addresses[1]);
+    balancers[0].send("lost", addresses[1]);
     wait_until(|| relay.counts(0, 1).lost == 1);
     balancers[1].send("back", addresses[0]);
     assert_eq!(balancers[0].receive(), ("back".into(), addresses[1]));
 
     relay.cut(&[0, 1], &[2]);
-    balancers[2].send("unheard", addresses[0]);
-    balancers[1].send("unheard", addresses[2]);
+    balancers[2].send("lost", addresses[0]);
+    balancers[1].send("lost", addresses[2]);
     wait_until(|| relay.counts(2, 0).lost == 1 && relay.counts(1, 2).lost == 1);
     relay.heal();
     balancers[0].send("again", addresses[1]);
@@ -96,7 +96,7 @@
     assert_eq!(relay.counts(0, 1).bytes, 10);
 
     let unregistered = UdpSocket::bind("127.0.0.1:0").unwrap();
-    unregistered.send_to(b"who?", addresses[0]).unwrap();
+    unregistered.send_to(b"unregistered", addresses[0]).unwrap();
     wait_until(|| relay.unregistered_senders() == 1);
 }
 
@@ -108,7 +108,7 @@
     let new = BalancerSocket::register(&relay, 1);
     sender.send("hello", relay.address(1).unwrap());
     assert_eq!(new.receive().0, "hello");
-    old.send("ghost", relay.address(0).unwrap());
+    old.send("outdated", relay.address(0).unwrap());
     wait_until(|| relay.unregistered_senders() == 1);
 }
 
