--- a/crates/testfleet/src/builder.rs
+++ b/crates/testfleet/src/builder.rs
@@ -1,4 +1,4 @@
-//! Builds and starts a [`Fleet`]: relays, stand-ins, configuration files and processes.
+//! The builder of a [`Fleet`], which starts relays, stand-ins and processes and writes their configuration files.
 
 use crate::SPREAD_MULTIPLIER;
 use crate::cache_node::{Attempt, CacheNode};
@@ -10,7 +10,7 @@
 use crate::folder::Folder;
 use crate::origin::{ORIGIN_NAME, Origin};
 use crate::process::{Launch, Process};
-use crate::relay::{Callers, TcpLink, UdpRelay};
+use crate::relay::{ConnectionRegistry, TcpLink, UdpRelay};
 use crate::runtime::{Runtime, any_port};
 use rustc_hash::FxHashMap;
 use serde_json::Value;
@@ -18,14 +18,14 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// The shape of a fleet, with defaults for everything but the program.
+/// A builder of a fleet. Everything but the program has a default.
 #[derive(Debug, Clone)]
 pub struct FleetBuilder {
     program: PathBuf,
     folder: PathBuf,
     balancers: usize,
     cache_nodes: usize,
-    ids: usize,
+    ids_per_cache_node: usize,
     zones: usize,
     seed: u64,
     voters: usize,
@@ -33,12 +33,12 @@
     with_fleet: bool,
     with_peers: bool,
     args: Vec<String>,
-    offsets: FxHashMap<usize, i64>,
+    clock_offsets_ms: FxHashMap<usize, i64>,
     overrides: Value,
 }
 
 impl Fleet {
-    /// Returns a builder for a fleet of processes of this program.
+    /// Returns a builder of a fleet whose balancers are processes of this program.
     pub fn builder(program: impl Into<PathBuf>) -> FleetBuilder {
         FleetBuilder::new(program.into())
     }
@@ -51,7 +51,7 @@
             folder: std::env::temp_dir(),
             balancers: 3,
             cache_nodes: 4,
-            ids: 1,
+            ids_per_cache_node: 1,
             zones: 1,
             seed: 1,
             voters: 3,
@@ -59,7 +59,7 @@
             with_fleet: false,
             with_peers: false,
             args: Vec::new(),
-            offsets: FxHashMap::default(),
+            clock_offsets_ms: FxHashMap::default(),
             overrides: Value::Null,
         }
     }
@@ -73,17 +73,18 @@
     pub fn cache_nodes(self, cache_nodes: usize) -> Self {
         Self { cache_nodes, ..self }
     }
-    /// Sets under how many endpoint ids each cache node is listed; the default is 1.
+    /// Sets the number of endpoint ids under which each cache node is listed; the default is 1.
     #[must_use]
     pub fn ids(self, ids: usize) -> Self {
-        Self { ids, ..self }
+        Self { ids_per_cache_node: ids, ..self }
     }
-    /// Sets the number of zones, at least one. Balancers and cache nodes are assigned to them round-robin.
+    /// Sets the number of zones; the default and minimum is 1. Balancers and cache nodes are assigned to zones
+    /// round-robin.
     #[must_use]
     pub fn zones(self, zones: usize) -> Self {
         Self { zones: zones.max(1), ..self }
     }
-    /// Sets the seed of all random draws.
+    /// Sets the seed of all random draws; the default is 1.
     #[must_use]
     pub fn seed(self, seed: u64) -> Self {
         Self { seed, ..self }
@@ -93,7 +94,7 @@
     pub fn folder(self, folder: impl Into<PathBuf>) -> Self {
         Self { folder: folder.into(), ..self }
     }
-    /// Sets how many balancers, from the first on, are voters of the quorum group; the default is 3.
+    /// Sets the number of voters of the quorum group, which are the first balancers; the default is 3.
     #[must_use]
     pub fn council(self, voters: usize) -> Self {
         Self { voters, ..self }
@@ -103,12 +104,12 @@
     pub fn lease(self, lease: &str) -> Self {
         Self { lease: lease.to_owned(), ..self }
     }
-    /// Sets whether the balancers get a fleet file.
+    /// Sets whether the balancers are started with a fleet file; the default is `false`.
     #[must_use]
     pub fn with_fleet(self, with_fleet: bool) -> Self {
         Self { with_fleet, ..self }
     }
-    /// Sets whether the balancers gossip about endpoints. Only used without a fleet file.
+    /// Sets whether the balancers gossip about endpoints; the default is `false`. Has no effect with a fleet file.
     #[must_use]
     pub fn with_peers(self, with_peers: bool) -> Self {
         Self { with_peers, ..self }
@@ -124,10 +125,10 @@
     pub fn overrides(self, overrides: Value) -> Self {
         Self { overrides, ..self }
     }
-    /// Sets the clock offset of one balancer.
+    /// Sets the clock offset of a balancer, in milliseconds; the default is 0.
     #[must_use]
-    pub fn clock_offset_ms(mut self, balancer: usize, offset: i64) -> Self {
-        self.offsets.insert(balancer, offset);
+    pub fn clock_offset_ms(mut self, balancer: usize, offset_ms: i64) -> Self {
+        self.clock_offsets_ms.insert(balancer, offset_ms);
         self
     }
 
@@ -146,12 +147,15 @@
         let folder = Folder::below(&self.folder)?;
         let runtime = Runtime::start()?;
         let handle = runtime.handle();
-        let (attempts, notifications, callers) =
-            (EventLog::<Attempt>::default(), EventLog::<EndpointNotification>::default(), Callers::default());
+        let (attempts, notifications, registry) = (
+            EventLog::<Attempt>::default(),
+            EventLog::<EndpointNotification>::default(),
+            ConnectionRegistry::default(),
+        );
         let start_node =
-            |number| CacheNode::start(handle, &format!("s-{number}"), callers.clone(), attempts.clone());
+            |number| CacheNode::start(handle, &format!("s-{number}"), registry.clone(), attempts.clone());
         let cache_nodes: Vec<CacheNode> = (0..self.cache_nodes).map(start_node).collect::<io::Result<_>>()?;
-        let origin = Origin::start(handle, callers.clone(), EventLog::default())?;
+        let origin = Origin::start(handle, registry.clone(), EventLog::default())?;
         let udp_relay = UdpRelay::start(handle, self.balancers, self.seed)?;
         let addresses: Vec<_> =
             (0..self.balancers).map(|it| udp_relay.address(it)).collect::<io::Result<_>>()?;
@@ -159,7 +163,7 @@
         let stand_ins = StandIns {
             cache_nodes: &cache_nodes,
             origin: &origin,
-            callers: &callers,
+            registry: &registry,
             notifications: &notifications,
         };
         let balancers: Vec<Balancer> = (0..self.balancers)
@@ -204,7 +208,7 @@
     ) -> io::Result<Balancer> {
         let handle = runtime.handle();
         let seed = self.seed.wrapping_add(number as u64).wrapping_mul(SPREAD_MULTIPLIER);
-        let link = |target| TcpLink::start(handle, target, Some((stand_ins.callers.clone(), number)), seed);
+        let link = |target| TcpLink::start(handle, target, Some((stand_ins.registry.clone(), number)), seed);
         let to_cache_nodes: Vec<_> =
             stand_ins.cache_nodes.iter().map(|it| link(it.addr())).collect::<io::Result<_>>()?;
         let to_origin = link(stand_ins.origin.addr())?;
@@ -215,7 +219,7 @@
             kind: kind.to_owned(),
             phase: Phase::Ready,
             weight: 1.0,
-            ids: if kind == ORIGIN_NAME { 1 } else { self.ids },
+            ids: if kind == ORIGIN_NAME { 1 } else { self.ids_per_cache_node },
         };
         let cache_nodes = stand_ins.cache_nodes.iter().zip(&to_cache_nodes).enumerate();
         let mut members: Vec<_> = cache_nodes
@@ -223,7 +227,7 @@
             .collect();
         members.push(member(ORIGIN_NAME, to_origin.addr(), self.zone(0), ORIGIN_NAME));
         let agent = DiscoveryAgent::start(handle, number, members, stand_ins.notifications.clone())?;
-        let mut config = config::balancer_config(&config::Balancer {
+        let mut config = config::balancer_config(&config::BalancerParameters {
             number,
             balancers: self.balancers,
             discovery: agent.addr(),
@@ -233,16 +237,18 @@
             peers: (self.with_peers && !self.with_fleet).then(|| addresses.to_vec()),
         });
         config::merge_values(&mut config, &self.overrides);
-        let home = folder.join(format!("n{number}"));
+        let process_folder = folder.join(format!("n{number}"));
         let mut launch =
             Launch { program: self.program.clone(), args: self.args.clone(), ..Launch::default() };
-        launch.clock_offset_ms = self.offsets.get(&number).copied().unwrap_or_default();
+        launch.clock_offset_ms = self.clock_offsets_ms.get(&number).copied().unwrap_or_default();
         if self.with_fleet {
-            launch.args.extend(config::fleet_arguments(&folder.join("fleet.toml"), &home.join("disk")));
+            launch
+                .args
+                .extend(config::fleet_arguments(&folder.join("fleet.toml"), &process_folder.join("disk")));
         }
-        // The target is set once the balancer has logged the address it listens on.
+        // The target is set when the balancer has logged its listening address.
         let from_clients = TcpLink::start(handle, any_port(), None, seed)?;
-        let process = Process::start(handle, launch, &home, &config)?;
+        let process = Process::start(handle, launch, &process_folder, &config)?;
         let (client_addr, admin_addr) = (any_port(), any_port());
         Ok(Balancer {
             process,
@@ -261,6 +267,6 @@
 struct StandIns<'a> {
     cache_nodes: &'a [CacheNode],
     origin: &'a Origin,
-    callers: &'a Callers,
+    registry: &'a ConnectionRegistry,
     notifications: &'a EventLog<EndpointNotification>,
 }
--- a/crates/testfleet/src/origin.rs
+++ b/crates/testfleet/src/origin.rs
@@ -1,8 +1,8 @@
-//! A stand-in origin that speaks HTTP/1.1 and records every execution.
+//! A stand-in origin that speaks HTTP/1.1 and records every executed request.
 
 use crate::cache_node::{Attempt, Ending, parse_class, parse_remaining_time};
 use crate::event_log::EventLog;
-use crate::relay::{Caller, Callers};
+use crate::relay::{ConnectionRegistry, RelayedConnection};
 use crate::runtime::{any_port, listen};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
@@ -28,10 +28,10 @@
 pub enum OriginBehaviour {
     /// Executes requests.
     #[default]
-    Runs,
+    Executes,
     /// Declines requests without executing them.
     Declines,
-    /// Executes requests and answers with an error.
+    /// Executes requests and answers them with an error.
     Fails,
 }
 
@@ -42,39 +42,42 @@
     shared: Arc<Shared>,
 }
 
+/// The state shared by the handles and connections of the origin.
 #[derive(Debug)]
 struct Shared {
     behaviour: watch::Sender<OriginBehaviour>,
     latency: watch::Sender<Duration>,
     connections: AtomicU64,
-    callers: Callers,
+    registry: ConnectionRegistry,
     runs: EventLog<Attempt>,
 }
 
-/// Records how an execution ended when dropped, which also covers a connection that ends early.
-struct Run<'a> {
+/// An execution in progress. Its end is recorded on drop, also if the connection ends early.
+struct Execution<'a> {
     shared: &'a Shared,
     index: usize,
     ending: Ending,
 }
 
-impl Drop for Run<'_> {
+impl Drop for Execution<'_> {
     fn drop(&mut self) {
-        self.shared.runs.update(self.index, |run| run.ended = Some((Instant::now(), self.ending)));
+        self.shared
+            .runs
+            .update(self.index, |execution| execution.ended = Some((Instant::now(), self.ending)));
     }
 }
 
 impl Origin {
-    /// Starts the origin, which records executions in `runs`.
+    /// Starts an origin that records executions in `runs`.
     ///
     /// # Errors
     /// Returns the system's error if no port can be bound.
-    pub fn start(handle: &Handle, callers: Callers, runs: EventLog<Attempt>) -> io::Result<Self> {
+    pub fn start(handle: &Handle, registry: ConnectionRegistry, runs: EventLog<Attempt>) -> io::Result<Self> {
         let listener = listen(handle, any_port())?;
         let addr = listener.local_addr()?;
         let (behaviour, latency) =
-            (watch::Sender::new(OriginBehaviour::Runs), watch::Sender::new(Duration::ZERO));
-        let shared = Arc::new(Shared { behaviour, latency, connections: AtomicU64::new(0), callers, runs });
+            (watch::Sender::new(OriginBehaviour::Executes), watch::Sender::new(Duration::ZERO));
+        let shared = Arc::new(Shared { behaviour, latency, connections: AtomicU64::new(0), registry, runs });
         handle.spawn(Arc::clone(&shared).accept(listener));
         Ok(Self { addr, shared })
     }
@@ -101,15 +104,15 @@
 impl Shared {
     async fn accept(self: Arc<Self>, listener: TcpListener) {
         loop {
-            let Ok((stream, from)) = listener.accept().await else { continue };
+            let Ok((stream, remote_addr)) = listener.accept().await else { continue };
             let number = self.connections.fetch_add(1, Ordering::Relaxed);
-            let (shared, caller) = (Arc::clone(&self), self.callers.find(from));
+            let (shared, relayed) = (Arc::clone(&self), self.registry.find(remote_addr));
             tokio::spawn(async move {
                 let serve = service_fn(|request| {
-                    let (shared, caller) = (Arc::clone(&shared), caller.clone());
-                    async move { Ok::<_, Infallible>(shared.answer(request, number, caller).await) }
+                    let (shared, relayed) = (Arc::clone(&shared), relayed.clone());
+                    async move { Ok::<_, Infallible>(shared.answer(request, number, relayed).await) }
                 });
-                // An early end of the connection is not an error here: the execution is recorded as closed.
+                // An early end of the connection needs no handling: its execution is recorded as closed.
                 let _ = hyper::server::conn::http1::Builder::new()
                     .serve_connection(TokioIo::new(stream), serve)
                     .await;
@@ -118,13 +121,13 @@
     }
 
     async fn answer(
-        &self, request: Request<Incoming>, connection: u64, caller: Option<Caller>,
+        &self, request: Request<Incoming>, connection: u64, relayed: Option<RelayedConnection>,
     ) -> Response<Full<Bytes>> {
         let header = |name: &str| {
             request.headers().get(name).and_then(|value| value.to_str().ok()).unwrap_or_default().to_owned()
         };
-        let (id, extra) = (header("Req-Id"), header("Req-Extra"));
-        let (class, time) = (parse_class(&extra), parse_remaining_time(&extra));
+        let (id, options) = (header("Req-Id"), header("Req-Extra"));
+        let (class, remaining_time) = (parse_class(&options), parse_remaining_time(&options));
         let key = request.uri().path().trim_start_matches('/').to_owned();
         let behaviour = *self.behaviour.borrow();
         let mut answer = Response::new(Full::new(Bytes::from(format!("value of {key}"))));
@@ -134,29 +137,30 @@
             return answer;
         }
         if request.into_body().collect().await.is_err() {
-            return answer; // it did not come whole, and does not run
+            return answer; // an incomplete request is not executed
         }
         let at = Instant::now();
-        let (sent, balancer) = (caller.as_ref().map_or(at, Caller::last_write), caller.map(|it| it.balancer));
+        let (sent, balancer) =
+            (relayed.as_ref().map_or(at, RelayedConnection::last_write), relayed.map(|it| it.balancer));
         let endpoint = ORIGIN_NAME.to_owned();
         let index = self.runs.push(Attempt {
             endpoint,
             id,
             key,
             class,
-            time,
+            remaining_time,
             balancer,
             connection,
             sent,
             at,
             ended: None,
         });
-        let mut run = Run { shared: self, index, ending: Ending::Closed };
+        let mut execution = Execution { shared: self, index, ending: Ending::Closed };
         let latency = *self.latency.borrow();
         if !latency.is_zero() {
             tokio::time::sleep(latency).await;
         }
-        run.ending = Ending::Answered;
+        execution.ending = Ending::Answered;
         if behaviour == OriginBehaviour::Fails {
             *answer.status_mut() = StatusCode::INTERNAL_SERVER_ERROR;
         }
--- a/crates/testfleet/src/relay/faults.rs
+++ b/crates/testfleet/src/relay/faults.rs
@@ -1,23 +1,24 @@
-//! The faults of one direction of a link and their effect on each datagram. Deterministic: seeded, without clock or
-//! I/O.
+//! The faults of one direction of a link and their effect on datagrams. Deterministic: all random draws come from a
+//! seed, and there is no clock and no I/O.
 
 use bytes::Bytes;
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// The maximum number of datagrams buffered while a direction is stalled; the oldest are dropped beyond it.
+/// The maximum number of datagrams buffered while a direction is stalled. Beyond it, the oldest datagram is dropped.
 pub const MAX_STALLED_DATAGRAMS: usize = 4_096;
 
-/// The faults of a direction. Streams use only `delay`, `jitter`, `stalled` and `cut`, since TCP hides the others.
+/// The faults of one direction of a link. Streams use only `delay`, `jitter`, `stalled` and `cut`, since TCP hides the
+/// others.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct Faults {
     /// The probability that a datagram is lost.
     pub lost: f64,
-    /// The probability that it is duplicated.
+    /// The probability that a datagram is duplicated.
     pub doubled: f64,
-    /// The probability that it is reordered behind the next one.
+    /// The probability that a datagram is sent after the next one.
     pub reordered: f64,
-    /// The fixed delay.
+    /// The fixed delay of all data.
     pub delay: Duration,
     /// The maximum of the random delay added to `delay`.
     pub jitter: Duration,
@@ -74,7 +75,8 @@
         self.faults
     }
 
-    /// Changes the faults, and returns the buffered datagrams that this releases, each with its delay.
+    /// Changes the faults. Returns the buffered datagrams that the change releases, each with the delay to send it
+    /// after.
     pub fn set_faults(&mut self, faults: Faults) -> Vec<(Duration, Bytes)> {
         self.faults = faults;
         if faults.stalled {
@@ -84,25 +86,27 @@
         let mut out: Vec<_> =
             stalled_datagrams.into_iter().flat_map(|datagram| self.apply_faults(datagram, true)).collect();
         if faults.reordered == 0.0
-            && let Some(late) = self.delayed_by_one.take()
+            && let Some(delayed) = self.delayed_by_one.take()
         {
-            out.push((Duration::ZERO, self.count_sent(late)));
+            out.push((Duration::ZERO, self.count_sent(delayed)));
         }
         out
     }
 
-    /// Receives a datagram, and returns the datagrams to send, each with its delay.
+    /// Receives a datagram. Returns the datagrams to send, each with the delay to send it after.
     pub fn forward(&mut self, datagram: Bytes) -> Vec<(Duration, Bytes)> {
         self.counts.received += 1;
         self.apply_faults(datagram, false)
     }
 
-    fn apply_faults(&mut self, datagram: Bytes, again: bool) -> Vec<(Duration, Bytes)> {
+    /// Applies the faults to a datagram. A datagram that was buffered in a stall is not lost to the loss probability,
+    /// which was applied to it on arrival.
+    fn apply_faults(&mut self, datagram: Bytes, was_stalled: bool) -> Vec<(Duration, Bytes)> {
         let faults = self.faults;
-        // Drawn for every datagram, so that the same seed makes the same draws under every fault.
+        // All three are drawn for every datagram, so that the draws of a seed do not depend on the faults.
         let [lost, doubled, reordered] =
-            [faults.lost, faults.doubled, faults.reordered].map(|chance| self.rng.f64() < chance);
-        if faults.cut || (lost && !again) {
+            [faults.lost, faults.doubled, faults.reordered].map(|probability| self.rng.f64() < probability);
+        if faults.cut || (lost && !was_stalled) {
             self.counts.lost += 1;
             return Vec::new();
         }
@@ -118,10 +122,10 @@
             self.delayed_by_one = Some(datagram);
             return Vec::new();
         }
-        let mut all = vec![datagram.clone()];
-        all.extend(doubled.then_some(datagram));
-        all.extend(self.delayed_by_one.take());
-        all.into_iter()
+        let mut sent = vec![datagram.clone()];
+        sent.extend(doubled.then_some(datagram));
+        sent.extend(self.delayed_by_one.take());
+        sent.into_iter()
             .map(|it| (faults.delay + faults.jitter.mul_f64(self.rng.f64()), self.count_sent(it)))
             .collect()
     }
