--- a/crates/spindlebeam/src/config.rs
+++ b/crates/spindlebeam/src/config.rs
@@ -1,7 +1,7 @@
-//! The configuration: the platform's JSON file, the environment, and what the program makes of both.
+//! Loads the configuration from the platform's JSON file and the environment.
 //!
 //! The file is read once. Its `settings` are checked (`validate`), then flattened to the text that the decision module
-//! parses (`settings_text`); the other fields are read one by one (`fields`), so that an error names the one at fault.
+//! parses (`settings_text`); the other fields are read one by one (`fields`), so that an error names the invalid field.
 
 mod fields;
 mod json;
@@ -18,26 +18,29 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// Descriptors kept back: for the listeners, the standard streams, the runtime, the datagrams, the files and the one that
-/// [`discovery::Dialer`] keeps (15 and one to spare), and for all connections to discovery that may be open at a time.
+/// Descriptors that are not available to connections: 15 and a spare one for the listeners, the standard streams, the
+/// runtime, the datagrams, the files and the one that [`discovery::Dialer`] keeps, and one for each connection to
+/// discovery that may be open at a time.
 const RESERVED_SOCKETS: usize = 16 + discovery::pace::MAX_CONNECTIONS;
-/// The fewest descriptors that connections are left with.
+/// Minimum number of descriptors that remain for connections.
 const MIN_USABLE_SOCKETS: usize = 64;
 /// Bytes in a megabyte of `limits.memory_mb`.
 const MEGABYTE: usize = 1 << 20;
-/// Connections to endpoints are retired at this part of their idle time: a request written after it ends as a reset.
+/// Connections to endpoints are retired at this fraction of their idle time: a request written after it ends in a
+/// reset.
 const IDLE_MARGIN: f64 = 0.85;
-/// Used where `permissions.maxOpen` is missing.
+/// Default of `permissions.maxOpen`.
 const DEFAULT_MAX_OPEN: u64 = 20_000;
-/// Used where `permissions.dialTimeoutUs` is missing, microseconds.
+/// Default of `permissions.dialTimeoutUs`, in microseconds.
 const DEFAULT_DIAL_TIMEOUT_US: u64 = 100_000;
-/// Used where `permissions.connIdleUs` is missing, microseconds.
+/// Default of `permissions.connIdleUs`, in microseconds.
 const DEFAULT_IDLE_US: u64 = 10_000_000;
 
 /// Reads the configuration file, then applies the environment.
 ///
 /// # Errors
-/// When the file is missing, or it or a variable cannot be used; the error names what is wrong and where.
+/// If the file is missing or invalid, or a variable is invalid; the error names the file and the field, or the
+/// variable.
 pub fn read(file: &Path) -> Result<Config> {
     let file_name = || format!("configuration {}", file.display());
     let json = std::fs::read(file).with_context(file_name)?;
@@ -46,23 +49,24 @@
     Ok(config)
 }
 
-/// Applies the environment: `PROXY_OPERATOR`, which overrides the file, since a second process may be started with the file
-/// of the first; `PROXY_FD`; and `TMPDIR`.
+/// Applies the environment variables `PROXY_OPERATOR`, `PROXY_FD` and `TMPDIR`.
+///
+/// `PROXY_OPERATOR` overrides the file, since a second process may be started with the file of the first.
 ///
 /// # Errors
-/// When a variable cannot be used; the error names it.
+/// If a variable is invalid; the error names it.
 pub fn apply_environment(variable: impl Fn(&str) -> Option<String>, config: &mut Config) -> Result<()> {
     if let Some(text) = variable("PROXY_OPERATOR") {
         config.operator = Some(parse_address("PROXY_OPERATOR", &text)?);
     }
     if let Some(text) = variable("PROXY_FD") {
         let number =
-            text.parse().with_context(|| format!("PROXY_FD: {text:?} is no number of a descriptor"))?;
+            text.parse().with_context(|| format!("PROXY_FD: {text:?} is not a descriptor number"))?;
         config.inherited_descriptor = Some(number);
     }
     config.folder = variable("TMPDIR").map(PathBuf::from);
     if config.operator.is_some() {
-        // Callers of the admin endpoint take descriptors of their own.
+        // Connections to the admin endpoint take descriptors from those of the clients.
         let clients = config.bounds.clients.saturating_sub(MAX_CALLERS);
         config.bounds.clients = clients.max(1);
     }
@@ -72,7 +76,7 @@
 /// Parses the text of a configuration file.
 ///
 /// # Errors
-/// When it cannot be used; the error names the field and says why.
+/// If it is invalid; the error names the field and the reason.
 pub fn parse(json: &[u8]) -> Result<Config> {
     let file = ConfigFile(json::read(json).context("not in the form of a configuration")?);
     ensure!(file.0.is_object(), "not in the form of a configuration: no object");
@@ -106,7 +110,7 @@
         .with_context(|| format!("seed: {text:?} is no hexadecimal number of 64 bits"))
 }
 
-/// Divides descriptors and memory among clients, endpoints and values.
+/// Divides descriptors and memory between clients, endpoints and values.
 fn parse_bounds(file: &ConfigFile, settings: &Settings) -> Result<Bounds> {
     let sockets: usize = file.required("limits.sockets")?;
     let usable = sockets.saturating_sub(RESERVED_SOCKETS);
@@ -115,7 +119,7 @@
     let memory_mb: usize = file.required("limits.memory_mb")?;
     ensure!(memory_mb > 0, "limits.memory_mb: 0 is too little");
     let memory = memory_mb.saturating_mul(MEGABYTE);
-    // Clients come with new connections and leave old ones open; attempts reuse theirs.
+    // Clients get the larger part: they open new connections and leave old ones open, while attempts reuse theirs.
     let clients = usable * 5 / 8;
     let permission =
         |name: &str, default: u64| whole_number(&file.settings()["permissions"][name]).unwrap_or(default);
@@ -133,7 +137,7 @@
     })
 }
 
-/// The names that the settings give to the numbers of the decision module.
+/// Collects the names of the classes, tenants, zones and kinds, which the decision module knows by their numbers.
 fn parse_names(settings: &Value) -> Names {
     Names {
         classes: strings(&settings["profiles"], Some("name")),
@@ -143,13 +147,13 @@
     }
 }
 
-/// The items of a list as text, or one field of each.
+/// Returns the items of a list as text, or the given field of each item.
 fn strings(list: &Value, field: Option<&str>) -> Vec<String> {
     let items = list.as_array().map(Vec::as_slice).unwrap_or_default();
     items.iter().map(|item| plain_text(field.map_or(item, |name| &item[name]))).collect()
 }
 
-/// The addresses of the other balancers; none where this one may not send to them, or is the only one.
+/// Returns the addresses of the other balancers, or `None` without an address to listen on or with too few balancers.
 fn parse_gossip(file: &ConfigFile, me: usize) -> Result<Option<GossipAddresses>> {
     let (listen, all) = (file.address("peer_listen")?, file.address("peers_all")?);
     let peers = file.optional::<Vec<String>>("peers")?.unwrap_or_default();
--- a/crates/spindlebeam/src/config/fields.rs
+++ b/crates/spindlebeam/src/config/fields.rs
@@ -1,4 +1,4 @@
-//! Access to the fields of the configuration file, each read apart so that an error names the one at fault.
+//! Typed access to the fields of the configuration file, read one by one so that an error names the invalid field.
 
 use anyhow::{Context, Result, anyhow};
 use proto::discovery::EndpointList;
@@ -16,23 +16,24 @@
         &self.0["settings"]
     }
 
-    /// The field at this path, names joined by dots; none where it is missing or null.
+    /// Returns the field at a path of names joined by dots, or `None` if it is missing or null.
     pub(super) fn optional<T: DeserializeOwned>(&self, path: &str) -> Result<Option<T>> {
         let value = path.split('.').fold(&self.0, |value, name| &value[name]);
         Option::<T>::deserialize(value).map_err(|error| anyhow!("{path}: {error}"))
     }
 
-    /// The field at this path.
+    /// Returns the field at a path; a missing or null field is an error.
     pub(super) fn required<T: DeserializeOwned>(&self, path: &str) -> Result<T> {
         self.optional(path)?.with_context(|| format!("{path}: missing"))
     }
 
-    /// An address with its port.
+    /// Returns the address and port at a path, or `None` if the field is missing or null.
     pub(super) fn address(&self, path: &str) -> Result<Option<SocketAddr>> {
         self.optional::<String>(path)?.map(|text| parse_address(path, &text)).transpose()
     }
 
-    /// The endpoint list known from before. One that cannot be read is ignored: discovery sends all of it anyway.
+    /// Returns the endpoint list known from before. An invalid list is logged and ignored, since discovery sends a
+    /// whole list anyway.
     pub(super) fn known_endpoints(&self) -> Option<EndpointList> {
         self.optional("known").unwrap_or_else(|error| {
             log::warn!("configuration: {error}; started without the list known before");
@@ -46,7 +47,8 @@
     text.parse().with_context(|| format!("{field}: {text:?} is no address and port"))
 }
 
-/// A plain value as text. A whole number bears no fraction, so that it reads as either kind of number.
+/// Formats a scalar as text. A whole number is written without a fraction, so that it parses as an integer and as a
+/// float.
 pub(super) fn plain_text(value: &Value) -> String {
     match value {
         Value::String(text) => text.clone(),
@@ -57,7 +59,7 @@
     }
 }
 
-/// A whole number, also one that is written with a fraction of 0.
+/// Returns the value as a whole number, or `None`. A number with a fraction of 0 counts as whole.
 pub(super) fn whole_number(value: &Value) -> Option<u64> {
     value.as_u64().or_else(|| plain_text(value).parse().ok().filter(|_| value.is_f64()))
 }
--- a/crates/spindlebeam/src/config/json.rs
+++ b/crates/spindlebeam/src/config/json.rs
@@ -1,4 +1,4 @@
-//! Reads JSON and rejects names that occur twice in an object: the last of two would silently win.
+//! Parses JSON and rejects duplicate names in an object: the last one would silently win.
 
 use serde::de::{DeserializeSeed, Deserializer, Error, MapAccess, SeqAccess, Visitor};
 use serde_json::{Map, Number, Value};
@@ -7,19 +7,19 @@
 /// Parses the whole text.
 ///
 /// # Errors
-/// When it is no JSON, or a name occurs twice in an object; the error says where.
+/// If it is not valid JSON, or a name occurs twice in an object; the error says where.
 pub(super) fn read(json: &[u8]) -> serde_json::Result<Value> {
     let mut reader = serde_json::Deserializer::from_slice(json);
     let value = ValueAt(String::new()).deserialize(&mut reader)?;
     reader.end().map(|()| value)
 }
 
-/// The path of a field as error messages show it.
+/// Returns the path of a field inside an object, for error messages.
 pub(super) fn child_path(path: &str, name: &str) -> String {
     if path.is_empty() { name.to_owned() } else { format!("{path}.{name}") }
 }
 
-/// Deserializes the value at this path.
+/// Deserializes a JSON value; the string is its path for error messages.
 struct ValueAt(String);
 
 impl<'de> DeserializeSeed<'de> for ValueAt {
@@ -65,7 +65,7 @@
             let path = child_path(&self.0, &name);
             let value = fields.next_value_seed(ValueAt(path.clone()))?;
             if object.insert(name, value).is_some() {
-                return Err(Error::custom(format!("{path}: stands twice")));
+                return Err(Error::custom(format!("{path}: occurs twice")));
             }
         }
         Ok(object.into())
--- a/crates/spindlebeam/src/config/settings_text.rs
+++ b/crates/spindlebeam/src/config/settings_text.rs
@@ -1,11 +1,11 @@
-//! The settings as the text that the decision module parses: a line `path=value` for each plain value.
+//! Converts the settings to the text that the decision module parses: a line `path=value` for each scalar.
 
 use super::fields::plain_text;
 use anyhow::anyhow;
 use decide::settings::SettingsError;
 use serde_json::Value;
 
-/// Flattens the settings.
+/// Flattens the settings to lines of `path=value`.
 pub(super) fn flatten(settings: &Value) -> String {
     let mut text = String::new();
     append("", settings, &mut text);
@@ -14,7 +14,7 @@
 
 fn append(path: &str, value: &Value, out: &mut String) {
     match value {
-        Value::Null => {} // as if it were missing
+        Value::Null => {} // counts as missing
         Value::Object(fields) => {
             fields.iter().for_each(|(name, value)| append(&child(path, name), value, out));
         }
@@ -35,7 +35,7 @@
 fn append_line(path: &str, text: &str, out: &mut String) {
     out.push_str(path);
     out.push('=');
-    // Blanks and line ends separate nothing inside a value.
+    // Blanks and line ends are separators in this text, so a value may not contain them.
     out.extend(text.chars().map(|c| if c == ' ' || c == '\n' { '_' } else { c }));
     out.push('\n');
 }
@@ -44,7 +44,7 @@
     if path.is_empty() { name.to_owned() } else { format!("{path}.{name}") }
 }
 
-/// The error with the path as it is written in the file: `profiles.2.name` is `settings.profiles[2].name`.
+/// Returns the error with the path as it is written in the file: `profiles.2.name` is `settings.profiles[2].name`.
 pub(super) fn describe_error(error: &SettingsError) -> anyhow::Error {
     let mut path = "settings".to_owned();
     for name in error.path.split('.') {
--- a/crates/spindlebeam/src/fleet_thread.rs
+++ b/crates/spindlebeam/src/fleet_thread.rs
@@ -1,7 +1,7 @@
-//! The fleet's thread: the socket, the clock and the disk of this balancer as a member of its fleet.
+//! The fleet thread: runs this balancer as a member of its fleet, with a socket, a clock and a disk.
 //!
-//! It runs beside the core's thread, so that no request waits for a vote or a slow disk. The core receives
-//! copies of what it needs through [`gateway::fleet_link`].
+//! It is separate from the core's thread, so that no request waits for a vote or a slow disk. The core receives
+//! copies of the state that it needs through [`gateway::fleet_link`].
 
 #[doc(hidden)]
 pub mod answer;
@@ -19,17 +19,18 @@
 use tokio::sync::mpsc;
 use unix_clock::UnixClock;
 
-/// Operators' calls that wait for the thread; more are rejected.
+/// Maximum number of operators' calls that wait for the thread; further calls are rejected.
 const MAX_WAITING_CALLS: usize = 64;
-/// Events of the core that wait for the thread; more are dropped, and the ledger counts them as missing.
+/// Maximum number of core events that wait for the thread; further events are dropped, and the ledger counts them as
+/// missing.
 const MAX_WAITING_EVENTS: usize = 4_096;
-/// The program's version, which other balancers learn as a hash.
+/// The program's version; other balancers receive a hash of it.
 const PROGRAM_VERSION: &str = env!("CARGO_PKG_VERSION");
 
-/// The fleet's options of the command line.
+/// The fleet options of the command line.
 #[derive(Debug, Clone, Default)]
 pub struct Options {
-    /// The file that names the balancers; this balancer is in no fleet without one.
+    /// The file that names the balancers; without one this balancer is in no fleet.
     pub file: Option<PathBuf>,
     /// The address to receive datagrams at, if not the one in the file.
     pub listen: Option<SocketAddr>,
@@ -37,7 +38,7 @@
     pub keep: Option<PathBuf>,
 }
 
-/// Starts the thread of the balancer with this name; `seed` is that of all randomness. Returns `None` without
+/// Starts the fleet thread of the balancer `name`; all its randomness is drawn from `seed`. Returns `None` without
 /// a fleet file.
 ///
 /// # Errors
@@ -69,7 +70,7 @@
     let run = move || -> Result<()> {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
         let member = FleetMember::new(file, config, clock.now());
-        // The driver is created inside: a socket is registered with the runtime that it is created in.
+        // Created inside the runtime, because a socket is registered with the runtime that it is created in.
         runtime.block_on(async {
             let driver = Driver::new(member, socket, ledger, clock, unix_clock, updates_sender)?;
             driver.run(calls_receiver, audit_events_receiver).await
@@ -77,7 +78,7 @@
     };
     let thread = std::thread::Builder::new().name("fleet".into()).spawn(move || {
         let ended = run();
-        // The lease ends with the thread, and with it the admission of requests.
+        // Without the thread the lease expires, and no more requests are admitted.
         log::error!("fleet: thread ended: {ended:?}");
     });
     thread.context("starting the fleet's thread")?;
@@ -86,7 +87,7 @@
     Ok(Some(FleetLink { updates, calls, audit_events, clock, number, incarnation, program, configuration }))
 }
 
-/// Describes the balancer with this name as its fleet file does, for `check-config`.
+/// Describes the balancer `name` and its fleet for `check-config`, from the fleet file.
 ///
 /// # Errors
 /// If the file cannot be used or names no such balancer.
--- a/crates/spindlebeam/src/fleet_thread/answer.rs
+++ b/crates/spindlebeam/src/fleet_thread/answer.rs
@@ -14,17 +14,17 @@
 /// The sender of a call's answer: an HTTP status and a JSON body.
 pub(super) type AnswerSender = oneshot::Sender<(u16, String)>;
 
-/// Answers with a view of the fleet.
+/// Sends a view of the fleet as the answer.
 pub(super) fn send_view(sender: AnswerSender, view: &Value) {
     send(sender, OK, view);
 }
 
-/// Answers that a proposal was rejected before it was sent.
+/// Sends the error of a proposal that was rejected before it was sent.
 pub(super) fn send_rejection(sender: AnswerSender, error: ProposeError) {
     send(sender, SERVICE_UNAVAILABLE, &json!({"error": error.to_string()}));
 }
 
-/// Answers with the outcome of a proposal for the calendar.
+/// Sends the outcome of a proposal for the calendar.
 pub(super) fn send_outcome(sender: AnswerSender, outcome: &ProposalOutcome) {
     match outcome {
         ProposalOutcome::Committed { revision, applied } => {
@@ -38,10 +38,10 @@
 }
 
 fn send(sender: AnswerSender, status: u16, body: &Value) {
-    let _ = sender.send((status, body.to_string())); // the caller may have left
+    let _ = sender.send((status, body.to_string())); // the caller may have disconnected
 }
 
-/// The text of `came_to`. Operators' programs compare it, so it does not follow the names of the types.
+/// Returns the text of `came_to`. Operators' programs compare it, so it does not follow the names of the types.
 #[must_use]
 pub fn applied_text(applied: Option<&Applied>) -> String {
     match applied {
@@ -79,7 +79,7 @@
     }
 }
 
-/// The reason in the log line of a voter that does not vote.
+/// Returns the reason for the log line of a voter that does not vote.
 pub(super) fn voting_block_text(reason: &VotingBlock) -> String {
     match reason {
         VotingBlock::LostState => {
--- a/crates/spindlebeam/src/fleet_thread/driver.rs
+++ b/crates/spindlebeam/src/fleet_thread/driver.rs
@@ -1,4 +1,4 @@
-//! The event loop of the fleet's thread.
+//! The event loop of the fleet thread.
 
 use super::answer::{AnswerSender, send_outcome, send_rejection, send_view, voting_block_text};
 use super::stores::LogStore;
@@ -21,12 +21,12 @@
 
 /// Interval at which new ledger records are written to disk.
 const SAVE_INTERVAL: Duration = Duration::from_secs(5);
-/// Records read from disk at a time at the start; the ledger itself bounds how many it holds.
+/// Number of records read from disk at a time at the start; the ledger itself limits how many it holds.
 const RECORDS_PER_READ: usize = 4_096;
 /// Interval at which the datagram counters are logged.
 const REPORT_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Feeds the fleet member with datagrams, timers, calls and events, and carries out its outputs.
+/// Passes datagrams, timers, calls and events to the fleet member, and carries out its outputs.
 pub(super) struct Driver {
     member: FleetMember<LogStore>,
     socket: UdpSocket,
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Runs until the core is gone.
+    /// Runs until the core has ended.
     pub(super) async fn run(
         mut self, mut calls: mpsc::Receiver<FleetRequest>, mut audit_events: mpsc::Receiver<AuditEvent>,
     ) -> Result<()> {
@@ -91,7 +91,7 @@
             tokio::select! {
                 received = self.socket.recv_from(&mut buffer) => match received {
                     Ok((length, from)) => self.handle_datagram(from, &buffer[..length]),
-                    Err(_) => continue, // the system's answer to an earlier datagram, which counts as lost
+                    Err(_) => continue, // reports the failure of an earlier datagram, which counts as lost
                 },
                 _ = tick.tick() => self.handle_tick(),
                 Some(expired) = poll_fn(|context| self.timers.poll_expired(context)), if !self.timers.is_empty() => {
@@ -175,7 +175,7 @@
     }
 
     fn send_update(&self, update: FleetUpdate) {
-        let _ = self.updates.send(update); // the core may be gone; the loop ends then
+        let _ = self.updates.send(update); // fails only when the core has ended; then the loop ends too
     }
 
     fn log_members(&mut self, count: usize) {
--- a/crates/spindlebeam/src/fleet_thread/stores.rs
+++ b/crates/spindlebeam/src/fleet_thread/stores.rs
@@ -40,13 +40,13 @@
 }
 
 impl Stores {
-    /// Opens or creates the files in the folder, if there is one.
+    /// Opens or creates the files in the folder. Without a folder the log is in memory and the ledger is not stored.
     pub(super) fn open(folder: Option<&Path>, is_voter: bool) -> Result<Self> {
         let Some(folder) = folder else {
             return Ok(Self { log: LogStore::Memory(MemoryStore::default()), ledger: None });
         };
         std::fs::create_dir_all(folder).with_context(|| format!("--keep {}", folder.display()))?;
-        ensure!(folder.is_dir(), "--keep {}: no folder", folder.display());
+        ensure!(folder.is_dir(), "--keep {}: not a folder", folder.display());
         let log = match is_voter {
             true => LogStore::Disk(DiskStore::open(folder.join(LOG_FILE))?),
             false => LogStore::Memory(MemoryStore::default()),
--- a/crates/spindlebeam/src/lib.rs
+++ b/crates/spindlebeam/src/lib.rs
@@ -1,6 +1,6 @@
-//! The balancer as a program: its configuration, the life of its process, and the thread of the fleet.
+//! The balancer program: its configuration, its process lifecycle and the fleet thread.
 //!
-//! The core is the crate `gateway`; the fronts are in `front`.
+//! The core is in the crate `gateway`; client connections and the admin endpoint are in `front`.
 #![forbid(unsafe_code)]
 #![warn(unreachable_pub)]
 
--- a/crates/spindlebeam/src/main.rs
+++ b/crates/spindlebeam/src/main.rs
@@ -28,7 +28,7 @@
 
 fn main() -> ExitCode {
     let level = env_logger::Env::default().default_filter_or("info");
-    // Grace periods are fractions of a second: dates to the second could not order the lines.
+    // Grace periods are fractions of a second: timestamps in whole seconds would not order the lines.
     env_logger::Builder::from_env(level).format_timestamp_millis().init();
     match run() {
         Ok(()) => ExitCode::SUCCESS,
@@ -41,9 +41,9 @@
 
 /// The options of the command line.
 struct Options {
-    /// `--config`.
+    /// The value of `--config`.
     config: Option<PathBuf>,
-    /// `--fleet`, `--fleet-listen` and `--keep`.
+    /// The values of `--fleet`, `--fleet-listen` and `--keep`.
     fleet: fleet_thread::Options,
 }
 
@@ -77,7 +77,7 @@
     Ok(Options { config, fleet })
 }
 
-/// Reads the configuration and prints what the program makes of it.
+/// Reads the configuration and prints a summary of it.
 fn check_config(options: Options) -> Result<()> {
     let config = config::read(&config_path(options.config)?)?;
     let (classes, tenants) = (config.names.classes.len(), config.names.tenants.len());
@@ -96,7 +96,7 @@
     Ok(())
 }
 
-/// The limits in the form that `check-config` has always printed, whatever the fields are called.
+/// Formats the limits for `check-config`. The output is fixed and does not follow the names of the fields.
 fn describe(bounds: &Bounds) -> String {
     format!(
         "Bounds {{ clients: {}, peers: {}, held_bytes: {}, open: {}, answer_bytes: {}, dial: {:?}, idle: {:?}, \
@@ -113,7 +113,7 @@
     )
 }
 
-/// The configuration file: `--config`, or else `$PROXY_CONFIG`.
+/// Returns the path of the configuration file: `--config`, or `$PROXY_CONFIG` if the option is not given.
 fn config_path(option: Option<PathBuf>) -> Result<PathBuf> {
     let from_environment = || std::env::var_os("PROXY_CONFIG").map(PathBuf::from);
     option.or_else(from_environment).context("no configuration: give --config or set PROXY_CONFIG")
--- a/crates/spindlebeam/src/reload.rs
+++ b/crates/spindlebeam/src/reload.rs
@@ -1,4 +1,4 @@
-//! Rereads the configuration file on SIGHUP, and applies what a running program can change.
+//! Rereads the configuration file on SIGHUP, and applies the changes that need no restart.
 
 use crate::config;
 use anyhow::Result;
@@ -13,14 +13,14 @@
 use tokio::task::spawn_blocking;
 use tokio::time::sleep;
 
-/// How often a move of discovery that the fleet's calendar holds is tried again.
+/// Interval between retries of a move of discovery that the fleet's calendar holds.
 const RETRY_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Rereads the file at each signal, and moves the watch of discovery to the address that it names.
+/// Rereads the file on each SIGHUP, and moves the discovery watch to the address in it.
 ///
-/// Where the fleet's calendar holds planned changes, the move waits; of several files the newest wins. A file that cannot be
-/// used is logged and changes nothing. Never returns.
-pub async fn follow(
+/// While the fleet's calendar holds planned changes, the move waits; of several waiting files the newest is applied. An
+/// invalid file is logged and changes nothing. Never returns.
+pub async fn reload_on_sighup(
     mut hangup: Signal, file: PathBuf, running: Config, discovery: watch::Sender<SocketAddr>, handle: Handle,
 ) {
     let mut reloader = Reloader { file, running, pending: None, discovery, handle };
@@ -28,7 +28,7 @@
         tokio::select! {
             signal = hangup.recv() => match signal {
                 Some(()) => reloader.reload().await,
-                None => std::future::pending().await, // no further signal can come; the program serves on
+                None => std::future::pending().await, // no further signal can come; the program keeps serving
             },
             () = sleep(RETRY_INTERVAL), if reloader.pending.is_some() => reloader.retry_pending().await,
         }
@@ -41,7 +41,7 @@
     running: Config,
     /// The newest configuration, while the fleet's calendar holds its move of discovery.
     pending: Option<Config>,
-    /// Where discovery is followed.
+    /// Sends the address of discovery to the task that follows it.
     discovery: watch::Sender<SocketAddr>,
     handle: Handle,
 }
@@ -84,7 +84,7 @@
     }
 
     fn apply(&mut self, new: &Config) {
-        // Where the address stays the same, the watch is sound and goes on.
+        // An unchanged address keeps the open watch.
         let moved =
             self.discovery.send_if_modified(|addr| std::mem::replace(addr, new.discovery) != new.discovery);
         self.running.discovery = new.discovery;
@@ -95,13 +95,13 @@
     }
 }
 
-/// Reads the file on a thread of its own: the disk may hang for seconds.
+/// Reads the file on a blocking thread, since the disk may hang for seconds.
 async fn read_file(file: &Path) -> Result<Config> {
     let file = file.to_owned();
     spawn_blocking(move || config::read(&file)).await.unwrap_or_else(|error| Err(error.into()))
 }
 
-/// Logs which fields differ that a running program cannot change.
+/// Logs the changed fields that take effect only after a restart.
 fn log_restart_needed(running: &Config, new: &Config) {
     let fields = fields_that_need_restart(running, new);
     if !fields.is_empty() {
@@ -109,7 +109,8 @@
     }
 }
 
-/// The fields that differ and cannot be changed in a running program. The seed and the known list matter only at a start.
+/// Returns the changed fields that take effect only after a restart. The seed and the known list are left out, since
+/// they matter only at the start.
 fn fields_that_need_restart(running: &Config, new: &Config) -> Vec<&'static str> {
     let fields = [
         ("name", running.name != new.name),
--- a/crates/spindlebeam/src/serve.rs
+++ b/crates/spindlebeam/src/serve.rs
@@ -1,4 +1,4 @@
-//! The life of the balancer process: open its sockets, start its parts, serve until a signal, shut down gracefully.
+//! Runs the balancer process: opens its sockets, starts its parts, serves until a signal and shuts down gracefully.
 
 mod gossip;
 mod parts;
@@ -17,10 +17,10 @@
 use std::path::Path;
 use tokio::task::LocalSet;
 
-/// Serves as the configuration file says until SIGTERM or SIGINT, and then until every accepted request is answered.
+/// Serves with the given configuration file until SIGTERM or SIGINT, and then until every accepted request is answered.
 ///
 /// # Errors
-/// When the file cannot be used, a socket cannot be opened, or a part of the program has stopped.
+/// If the file is invalid, a socket cannot be opened, or a part of the program has stopped.
 pub fn serve(file: &Path, fleet: &fleet_thread::Options) -> Result<()> {
     let config = config::read(file)?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
@@ -31,13 +31,13 @@
 }
 
 async fn run(config: Config, file: &Path, fleet: &fleet_thread::Options) -> Result<()> {
-    // Before anything else: the default action of these signals would end the process.
+    // Installed first, because the default action of these signals ends the process.
     let Signals { hangup, mut stop } = Signals::install()?;
     let sockets = Sockets::open(&config)?;
     let mut parts = Parts::start(config, file, fleet, sockets, hangup).await?;
     tokio::select! {
         signal = stop.recv() => log::info!("{signal}: shutting down gracefully"),
-        // Without one of them the process would reject everything and still look alive.
+        // Without one of its parts the process would reject every request and still look alive.
         error = parts.stopped() => return Err(error),
     }
     shutdown::shut_down(parts).await;
--- a/crates/spindlebeam/src/serve/parts.rs
+++ b/crates/spindlebeam/src/serve/parts.rs
@@ -1,4 +1,4 @@
-//! The parts of the running program: core, discovery, front, admin endpoint, gossip and reload, each a task of its own.
+//! The parts of the running program: core, discovery, front, admin endpoint, gossip and reload, each in its own task.
 
 use super::gossip;
 use super::serving_file::ServingFile;
@@ -21,21 +21,21 @@
 use tokio::sync::{oneshot, watch};
 use tokio::task::{JoinHandle, spawn_local};
 
-/// The running parts, and what the shutdown needs to know of them.
+/// The running parts, and the state that the shutdown needs.
 pub(super) struct Parts {
     /// The balancer's name.
     pub(super) name: String,
-    /// The way to the core.
+    /// The handle of the core.
     pub(super) handle: Handle,
     /// The client connections.
     pub(super) front: Rc<Front>,
-    /// The file that names the serving process, where several share the listening socket.
+    /// The file that names the serving process, if several processes may share the listening socket.
     pub(super) serving_file: Option<ServingFile>,
-    /// The longest time that any client waits.
+    /// The longest deadline of any class.
     pub(super) longest_deadline: Duration,
-    /// Ends [`Parts::accepting`].
+    /// Stops the task [`Parts::accepting`].
     pub(super) stop_accepting: oneshot::Sender<()>,
-    /// Accepts clients.
+    /// The task that accepts clients.
     pub(super) accepting: JoinHandle<()>,
     core: JoinHandle<()>,
     discovery: JoinHandle<()>,
@@ -46,7 +46,7 @@
     /// Starts every part.
     ///
     /// # Errors
-    /// When the fleet file cannot be used, or the fleet's or the gossip socket cannot be opened.
+    /// If the fleet file is invalid, or the fleet's or the gossip socket cannot be opened.
     pub(super) async fn start(
         config: Config, file: &Path, fleet: &fleet_thread::Options, sockets: Sockets, hangup: Signal,
     ) -> Result<Self> {
@@ -71,9 +71,14 @@
         }
         let name = config.name.clone();
         let shares_socket = config.inherited_descriptor.is_some();
-        // A task of its own: a new configuration may also come during the shutdown.
-        let reload =
-            spawn_local(reload::follow(hangup, file.to_owned(), config, discovery_address, handle.clone()));
+        // Keeps running during the shutdown: a new configuration may also come then.
+        let reload = spawn_local(reload::reload_on_sighup(
+            hangup,
+            file.to_owned(),
+            config,
+            discovery_address,
+            handle.clone(),
+        ));
         let (stop_accepting, stopped) = oneshot::channel();
         let accepting = spawn_local(front.clone().accept(sockets.clients, shares_socket, stopped));
         Ok(Self {
@@ -90,7 +95,7 @@
         })
     }
 
-    /// Waits until a part that never returns has stopped, which is a fault of this program.
+    /// Waits until a task that should never return has ended, which is a bug, and returns an error that names it.
     pub(super) async fn stopped(&mut self) -> anyhow::Error {
         tokio::select! {
             ended = &mut self.core => anyhow!("the core has stopped: {ended:?}"),
@@ -100,7 +105,7 @@
     }
 }
 
-/// Starts to follow the endpoint list; its events go to the core.
+/// Starts the task that follows the endpoint list and passes its events to the core.
 fn follow_discovery(
     config: &Config, address_changes: watch::Receiver<SocketAddr>, handle: Handle,
 ) -> JoinHandle<()> {
@@ -108,8 +113,8 @@
         Discovery::Push => Delivery::Push,
         Discovery::Poll => Delivery::Poll,
     };
-    let dialler = ::discovery::Dialer::new();
-    let dial = move |addr| dialler.clone().connect(addr).boxed_local();
+    let dialer = ::discovery::Dialer::new();
+    let dial = move |addr| dialer.clone().connect(addr).boxed_local();
     let on_event = move |event| handle.handle_watch_event(event);
     let (known, balancers) = (config.known.clone(), config.settings.balancers);
     spawn_local(::discovery::follow(address_changes, known, delivery, balancers, dial, on_event))
--- a/crates/spindlebeam/src/serve/serving_file.rs
+++ b/crates/spindlebeam/src/serve/serving_file.rs
@@ -1,4 +1,4 @@
-//! Tells which process of a balancer serves, where several share its inherited listening socket.
+//! Records which process of a balancer serves when several share its inherited listening socket.
 //!
 //! A file in the shared folder holds the id of the process that became ready last.
 
@@ -9,9 +9,9 @@
 use tokio::task::spawn_blocking;
 use tokio::time::timeout;
 
-/// The name of the file.
+/// The name of the file in the shared folder.
 const FILE_NAME: &str = "spindlebeam-serving";
-/// How long a process that shuts down waits for the disk to say what the file holds.
+/// Timeout for reading the file during the shutdown.
 const READ_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// The file that names the serving process.
@@ -19,7 +19,7 @@
 pub(super) struct ServingFile(PathBuf);
 
 impl ServingFile {
-    /// The file of this balancer; none where its processes share neither a folder nor a socket.
+    /// Returns the file of this balancer, or `None` without an inherited socket or a shared folder.
     pub(super) fn new(config: &Config) -> Option<Self> {
         config.inherited_descriptor?;
         config.folder.as_ref().map(|folder| Self(folder.join(FILE_NAME)))
@@ -31,11 +31,12 @@
         let process_id = std::process::id().to_string();
         let file = self.0.clone();
         if let Ok(Err(error)) = spawn_blocking(move || std::fs::write(file, process_id)).await {
-            log::warn!("{}: {error}; a process before this one accepts on for a while", self.0.display());
+            log::warn!("{}: {error}; the previous process keeps accepting for a while", self.0.display());
         }
     }
 
-    /// Whether another process serves. False where the disk does not answer in time: accepting for longer harms nobody.
+    /// Returns whether the file names another process. Returns `false` if the disk does not answer in time, since
+    /// accepting for longer does no harm.
     pub(super) async fn names_another_process(self) -> bool {
         let read = timeout(READ_TIMEOUT, spawn_blocking(move || std::fs::read_to_string(self.0))).await;
         let process_id = read.ok().and_then(|read| read.ok()?.ok()?.parse().ok());
--- a/crates/spindlebeam/src/serve/shutdown.rs
+++ b/crates/spindlebeam/src/serve/shutdown.rs
@@ -1,25 +1,27 @@
-//! The graceful shutdown: what happens from SIGTERM until the process ends, and when.
+//! The graceful shutdown: its steps and their times, from SIGTERM until the process ends.
 //!
-//! The platform ends the process after the longest deadline (counted as [`COUNTED_DEADLINE`] where it is longer) plus 0.7 s.
+//! The platform ends the process after the longest deadline (counted as [`COUNTED_DEADLINE`] where it is longer) plus
+//! 0.7 s.
 
 use super::parts::Parts;
 use front::shutdown::LAST_WRITES;
 use std::time::Duration;
 use tokio::time::{Instant, sleep, sleep_until, timeout_at};
 
-/// The longest deadline that the platform counts with.
+/// Upper limit of the deadline that the platform counts.
 const COUNTED_DEADLINE: Duration = Duration::from_secs(3);
-/// Every request gets its answer by this long after the counted deadline; [`LAST_WRITES`] is left for writing it.
+/// Every request is answered within this time after the counted deadline; [`LAST_WRITES`] is left for writing the
+/// answer.
 const LAST_ANSWER: Duration = Duration::from_millis(500);
-/// The platform has ended the process by this long after the counted deadline; one that still runs ends by itself.
+/// The process exits by itself this long after the counted deadline if the platform has not ended it before.
 const LATEST_EXIT: Duration = Duration::from_millis(1_900);
 /// New connections are accepted for this long after SIGTERM.
 const ACCEPT_AFTER_SIGTERM: Duration = Duration::from_millis(500);
-/// Where another process serves, idle connections are closed this long after SIGTERM: most have sent another request by
-/// then, and were closed behind its answer.
+/// If another process serves, idle connections are closed this long after SIGTERM: by then most of them have sent
+/// another request, and were closed after its answer.
 const IDLE_AT_REPLACEMENT: Duration = Duration::from_millis(1_500);
 
-/// Answers every accepted request, closes all client connections, and returns when the process is to end.
+/// Answers every accepted request, closes all client connections, and returns when the process may exit.
 pub(super) async fn shut_down(parts: Parts) {
     let now = Instant::now();
     // The platform counts from when it sent the signal, which may have come while the event loop stalled.
@@ -45,8 +47,8 @@
     }
     log::info!("{}: done", parts.name);
     if replaced {
-        // A platform books what a process used in its whole life in the second in which it ends by itself, and then
-        // throttles the other process. This one holds nothing any more, so it waits to be ended.
+        // When a process exits by itself, the platform books all that it used in its lifetime in that second, and then
+        // throttles the other process. This process holds nothing any more, so it waits to be ended.
         sleep_until(signalled_at + parts.longest_deadline.max(COUNTED_DEADLINE) + LATEST_EXIT).await;
     }
 }
--- a/crates/spindlebeam/src/serve/signals.rs
+++ b/crates/spindlebeam/src/serve/signals.rs
@@ -3,7 +3,7 @@
 use std::io;
 use tokio::signal::unix::{Signal, SignalKind, signal};
 
-/// Handlers for all signals of the process.
+/// The installed signal handlers.
 pub(super) struct Signals {
     /// SIGHUP: read the configuration file again.
     pub(super) hangup: Signal,
@@ -15,7 +15,7 @@
     /// Installs the handlers.
     ///
     /// # Errors
-    /// When the system refuses one.
+    /// If the system refuses to install one.
     pub(super) fn install() -> io::Result<Self> {
         let hangup = signal(SignalKind::hangup())?;
         let terminate = signal(SignalKind::terminate())?;
@@ -31,7 +31,7 @@
 }
 
 impl StopSignals {
-    /// Waits for one of them and returns its name.
+    /// Waits for one of the signals and returns its name.
     pub(super) async fn recv(&mut self) -> &'static str {
         tokio::select! {
             _ = self.terminate.recv() => "SIGTERM",
--- a/crates/spindlebeam/src/serve/sockets.rs
+++ b/crates/spindlebeam/src/serve/sockets.rs
@@ -5,14 +5,14 @@
 use std::net::SocketAddr;
 use tokio::net::{TcpListener, TcpSocket};
 
-/// Connections that the system may hold until they are accepted.
+/// Backlog of a listener: connections that the system holds until they are accepted.
 const BACKLOG: u32 = 1024;
 
 /// The listening sockets.
 pub(super) struct Sockets {
-    /// For clients; inherited where the platform holds it.
+    /// Listens for clients; inherited if the platform holds the socket.
     pub(super) clients: TcpListener,
-    /// For the admin endpoint, where one is configured.
+    /// Listens for calls of the admin endpoint, if one is configured.
     pub(super) operators: Option<TcpListener>,
 }
 
@@ -20,7 +20,7 @@
     /// Opens the sockets that the configuration names.
     ///
     /// # Errors
-    /// When one cannot be opened; the error names the field or the variable.
+    /// If one cannot be opened; the error names the field or the variable.
     pub(super) fn open(config: &Config) -> Result<Self> {
         let clients = match config.inherited_descriptor {
             Some(number) => inherited(number)?,
@@ -43,7 +43,7 @@
 
 fn listen(field: &str, addr: SocketAddr) -> Result<TcpListener> {
     let socket = TcpSocket::new_v4()?;
-    // A restart must not wait until the system has forgotten the connections of the process before.
+    // Allows a restart while the system still remembers connections of the previous process.
     socket.set_reuseaddr(true)?;
     let listener = socket.bind(addr).and_then(|()| socket.listen(BACKLOG));
     listener.with_context(|| format!("{field}: listening on {addr}"))
--- a/crates/spindlebeam/tests/bad_settings.rs
+++ b/crates/spindlebeam/tests/bad_settings.rs
@@ -1,4 +1,5 @@
-//! Settings that contradict themselves or lack what cannot be guessed: refused by file and field, at the start and later.
+//! Settings that contradict themselves or lack what cannot be guessed: refused by file and field, at the start and
+//! later.
 
 mod platform;
 
@@ -25,10 +26,10 @@
 }
 
 #[rstest]
-#[case::class_twice(&[("/settings/profiles/2/name", json!("leer"))], "settings.profiles[2].name: \"leer\" stands twice")]
-#[case::tenant_twice(&[("/settings/tenants/1/name", json!("acme"))], "settings.tenants[1].name: \"acme\" stands twice")]
-#[case::zone_twice(&[("/settings/dcs/1", json!("a"))], "settings.dcs[1]: \"a\" stands twice")]
-#[case::kind_twice(&[("/settings/hostTypes/0", json!("origin"))], "settings.hostTypes[1]: \"origin\" stands twice")]
+#[case::class_twice(&[("/settings/profiles/2/name", json!("leer"))], "settings.profiles[2].name: \"leer\" occurs twice")]
+#[case::tenant_twice(&[("/settings/tenants/1/name", json!("acme"))], "settings.tenants[1].name: \"acme\" occurs twice")]
+#[case::zone_twice(&[("/settings/dcs/1", json!("a"))], "settings.dcs[1]: \"a\" occurs twice")]
+#[case::kind_twice(&[("/settings/hostTypes/0", json!("origin"))], "settings.hostTypes[1]: \"origin\" occurs twice")]
 #[case::no_classes(&[("/settings/profiles", json!([]))], "settings.profiles: the settings name no classes")]
 #[case::no_list(&[("/settings/tenants", json!({"name": "x"}))], "settings.tenants: {\"name\":\"x\"} is no list")]
 #[case::no_class_name(&[("/settings/profiles/1/name", json!(null))], "settings.profiles[1].name: missing")]
@@ -92,7 +93,7 @@
 fn a_field_that_stands_twice_is_refused(#[case] field: &str, #[case] path: &str) {
     let text = with(&[]).to_string().replacen(field, &format!("{field}1,{field}"), 1);
     let said = format!("{:#}", config::parse(text.as_bytes()).expect_err("which of them holds?"));
-    assert!(said.contains(&format!("{path}: stands twice")), "{said}");
+    assert!(said.contains(&format!("{path}: occurs twice")), "{said}");
 }
 
 #[rstest]
@@ -120,7 +121,7 @@
     wait_until(|| child.try_wait().unwrap().is_some());
     let out = child.wait_with_output().unwrap();
     let wanted = format!(
-        "spindlebeam: configuration {}: settings.profiles[2].name: \"leer\" stands twice\n",
+        "spindlebeam: configuration {}: settings.profiles[2].name: \"leer\" occurs twice\n",
         file.display()
     );
     assert_eq!((out.status.success(), String::from_utf8(out.stderr).unwrap()), (false, wanted));
@@ -134,7 +135,7 @@
     bad["settings"]["profiles"][2]["name"] = "leer".into();
     p.balancer.reload(&bad.to_string());
     let said = p.balancer.logged("the configuration in use stays");
-    assert!(said.contains(".json: settings.profiles[2].name: \"leer\" stands twice;"), "{said}");
+    assert!(said.contains(".json: settings.profiles[2].name: \"leer\" occurs twice;"), "{said}");
     let mut client = p.balancer.client();
     client.get("leer", "1");
     p.peers[0].asked().value("v");
