--- a/crates/spindlebeam/tests/bad_settings.rs
+++ b/crates/spindlebeam/tests/bad_settings.rs
@@ -1,5 +1,5 @@
-//! Settings that contradict themselves or lack what cannot be guessed: refused by file and field, at the start and
-//! later.
+//! Settings that are inconsistent, or lack a field without a safe default, are rejected with the file and the field, at
+//! the start and on reload.
 
 mod platform;
 
@@ -8,16 +8,16 @@
 use serde_json::{Value, json};
 use spindlebeam::config;
 
-const HERE: &str = "127.0.0.1:1";
+const UNUSED_ADDRESS: &str = "127.0.0.1:1";
 
-/// A usable configuration of two classes, two tenants, two zones and two kinds, in which some fields are replaced.
-fn with(edits: &[(&str, Value)]) -> Value {
-    let mut file = platform::config(HERE.parse().unwrap(), 1024, Value::Null);
+/// Returns a valid configuration of four classes, two tenants, two zones and two kinds, with some fields replaced.
+fn config_with(edits: &[(&str, Value)]) -> Value {
+    let mut file = platform::config(UNUSED_ADDRESS.parse().unwrap(), 1024, Value::Null);
     file["settings"]["dcs"] = json!(["a", "b"]);
     file["settings"]["tenants"] = json!([{"name": "acme", "quotaPerS": 9.0}, {"name": "zeta"}]);
     for (path, value) in edits {
-        let at = file.pointer_mut(path).map(|field| *field = value.clone());
-        if at.is_none() {
+        let replaced = file.pointer_mut(path).map(|field| *field = value.clone());
+        if replaced.is_none() {
             let (parent, name) = path.rsplit_once('/').unwrap();
             file.pointer_mut(parent).unwrap()[name] = value.clone();
         }
@@ -42,17 +42,17 @@
 #[case::deadline_0(&[("/settings/profiles/3/deadlineUs", json!(0))], "settings.profiles[3].deadlineUs: 0 is no whole")]
 #[case::deadline_word(&[("/settings/profiles/3/deadlineUs", json!("soon"))], "[3].deadlineUs: \"soon\" is no whole")]
 #[case::deadline_huge(&[("/settings/profiles/3/deadlineUs", json!(u64::MAX))], "[3].deadlineUs: 18446744073709551615")]
-#[case::aim_0(&[("/settings/profiles/0/onTimeUs", json!(0))], "settings.profiles[0].onTimeUs: 0 is no whole")]
-#[case::aim_late(&[("/settings/profiles/0/onTimeUs", json!(60_000_001))],
+#[case::objective_0(&[("/settings/profiles/0/onTimeUs", json!(0))], "settings.profiles[0].onTimeUs: 0 is no whole")]
+#[case::objective_beyond_deadline(&[("/settings/profiles/0/onTimeUs", json!(60_000_001))],
     "settings.profiles[0].onTimeUs: 60000001 is beyond deadlineUs, 60000000")]
 #[case::no_window(&[("/settings/profiles/1/memorySpanUs", json!(null))], "settings.profiles[1].memorySpanUs: missing")]
 #[case::no_scope(&[("/settings/profiles/1/keyScope", json!("row"))], "settings.profiles[1].keyScope: \"row\" is not")]
-#[case::worth(&[("/settings/profiles/1/worth", json!(-1))], "settings.profiles[1].worth: \"-1\" is not")]
-#[case::quota(&[("/settings/tenants/0/quotaPerS", json!("many"))], "settings.tenants[0].quotaPerS: \"many\" is not")]
+#[case::negative_worth(&[("/settings/profiles/1/worth", json!(-1))], "settings.profiles[1].worth: \"-1\" is not")]
+#[case::quota_word(&[("/settings/tenants/0/quotaPerS", json!("many"))], "settings.tenants[0].quotaPerS: \"many\" is not")]
 #[case::no_discovery(&[("/settings/discovery", json!(null))], "settings.discovery: missing")]
 #[case::odd_discovery(&[("/settings/discovery", json!("guess"))], "settings.discovery: \"guess\" is not push or ask")]
 #[case::me_outside(&[("/settings/me", json!(1))], "settings.me: 1 is none of the 1 balancers")]
-#[case::nobody(&[("/settings/siblings", json!(0))], "settings.siblings: 0 is no whole number from 1")]
+#[case::no_balancers(&[("/settings/siblings", json!(0))], "settings.siblings: 0 is no whole number from 1")]
 #[case::zone_outside(&[("/settings/locality", json!(2))], "settings.locality: 2 is none of the 2 zones in settings.dcs")]
 #[case::origin_outside(&[("/settings/specifics/originKind", json!(2))],
     "settings.specifics.originKind: 2 is none of the 2 kinds in settings.hostTypes")]
@@ -60,12 +60,12 @@
     "settings.specifics.originKind: mode aside needs the kind of the origin")]
 #[case::odd_mode(&[("/settings/specifics/mode", json!("under"))], "settings.specifics.mode: \"under\" is not")]
 #[case::no_attempts(&[("/settings/permissions/maxAttempts", json!(0))], "settings.permissions.maxAttempts: 0 is no whole")]
-#[case::no_hold_off(&[("/settings/permissions/maxRetryAfterUs", json!(null))],
+#[case::no_max_retry_after(&[("/settings/permissions/maxRetryAfterUs", json!(null))],
     "settings.permissions.maxRetryAfterUs: missing")]
-#[case::flag(&[("/settings/permissions/cancel", json!("no"))], "settings.permissions.cancel: \"no\" is not true or false")]
+#[case::cancel(&[("/settings/permissions/cancel", json!("no"))], "settings.permissions.cancel: \"no\" is not true or false")]
 #[case::dial_0(&[("/settings/permissions/dialTimeoutUs", json!(0))], "settings.permissions.dialTimeoutUs: 0 is no whole")]
-#[case::open(&[("/settings/permissions/maxOpen", json!("all"))], "settings.permissions.maxOpen: \"all\" is no whole")]
-#[case::cold(&[("/settings/rules", json!({"coldFrom": 1.01}))], "settings.rules.coldFrom: 1.01 is more than 1")]
+#[case::max_open(&[("/settings/permissions/maxOpen", json!("all"))], "settings.permissions.maxOpen: \"all\" is no whole")]
+#[case::cold_from(&[("/settings/rules", json!({"coldFrom": 1.01}))], "settings.rules.coldFrom: 1.01 is more than 1")]
 #[case::settings(&[("/settings", json!([]))], "settings: [] is no object")]
 #[case::seed(&[("/seed", json!("xyz"))], "seed: \"xyz\" is no hexadecimal number of 64 bits")]
 #[case::no_seed(&[("/seed", json!(null))], "seed: missing")]
@@ -80,80 +80,82 @@
 #[case::sockets(&[("/limits/sockets", json!(20))], "limits.sockets: 20 are too few")]
 #[case::peers(&[("/settings/permissions/peers", json!(true)), ("/settings/siblings", json!(3)),
     ("/peers", json!(["127.0.0.1:1", "127.0.0.1:2"]))], "peers: 2 addresses, and settings.siblings is 3")]
-fn what_cannot_hold_is_refused_by_its_field(#[case] edits: &[(&str, Value)], #[case] wanted: &str) {
-    let error = config::parse(with(edits).to_string().as_bytes()).expect_err("it cannot be used");
-    let said = format!("{error:#}");
-    assert!(said.contains(wanted) && !said.contains('\n'), "{said}");
+fn invalid_setting_is_rejected_with_its_field(#[case] edits: &[(&str, Value)], #[case] expected: &str) {
+    let error =
+        config::parse(config_with(edits).to_string().as_bytes()).expect_err("invalid settings were accepted");
+    let message = format!("{error:#}");
+    assert!(message.contains(expected) && !message.contains('\n'), "{message}");
 }
 
 #[rstest]
 #[case::in_the_file("\"seed\":", "seed")]
 #[case::in_the_settings("\"locality\":", "settings.locality")]
 #[case::in_a_class("\"onTimeUs\":", "settings.profiles[0].onTimeUs")]
-fn a_field_that_stands_twice_is_refused(#[case] field: &str, #[case] path: &str) {
-    let text = with(&[]).to_string().replacen(field, &format!("{field}1,{field}"), 1);
-    let said = format!("{:#}", config::parse(text.as_bytes()).expect_err("which of them holds?"));
-    assert!(said.contains(&format!("{path}: occurs twice")), "{said}");
+fn duplicate_field_is_rejected_with_its_path(#[case] field: &str, #[case] path: &str) {
+    let text = config_with(&[]).to_string().replacen(field, &format!("{field}1,{field}"), 1);
+    let message =
+        format!("{:#}", config::parse(text.as_bytes()).expect_err("a duplicate field was accepted"));
+    assert!(message.contains(&format!("{path}: occurs twice")), "{message}");
 }
 
 #[rstest]
 #[case::as_it_is(&[])]
 #[case::no_tenants(&[("/settings/tenants", json!([]))])]
 #[case::tenants_null(&[("/settings/tenants", json!(null))])]
-#[case::shares(&[("/settings/tenants/0/share", json!(0.9)), ("/settings/tenants/1/share", json!(0.9))])]
+#[case::shares_above_1(&[("/settings/tenants/0/share", json!(0.9)), ("/settings/tenants/1/share", json!(0.9))])]
 #[case::window_of_a_safe_class(&[("/settings/profiles/0/memorySpanUs", json!(null))])]
 #[case::window_0(&[("/settings/profiles/1/memorySpanUs", json!(0))])]
 #[case::short_deadline(&[("/settings/profiles/0/onTimeUs", json!(1)), ("/settings/profiles/0/deadlineUs", json!(1.0))])]
-#[case::no_aim(&[("/settings/profiles/0/onTimeUs", json!(null))])]
-#[case::asked(&[("/settings/discovery", json!("ask"))])]
-#[case::through(&[("/settings/specifics", json!({"mode": "through", "originKind": -1}))])]
+#[case::no_objective(&[("/settings/profiles/0/onTimeUs", json!(null))])]
+#[case::discovery_by_polling(&[("/settings/discovery", json!("ask"))])]
+#[case::mode_through(&[("/settings/specifics", json!({"mode": "through", "originKind": -1}))])]
 #[case::several_tiers(&[("/settings/permissions/peers", json!(true)), ("/settings/siblings", json!(3)),
     ("/peers", json!(["127.0.0.1:1"])), ("/settings/tiers", json!(["edge", "core"]))])]
 #[case::unknown_fields(&[("/settings/rules", json!({"coldFrom": 1, "another": [null]})), ("/more", json!({"a": {}}))])]
-fn what_a_platform_may_send_is_taken(#[case] edits: &[(&str, Value)]) {
-    config::parse(with(edits).to_string().as_bytes()).unwrap();
+fn harmless_settings_are_accepted(#[case] edits: &[(&str, Value)]) {
+    config::parse(config_with(edits).to_string().as_bytes()).unwrap();
 }
 
 #[test]
-fn the_start_ends_with_one_line_that_names_file_and_field() {
-    let bad = with(&[("/settings/profiles/2/name", json!("leer"))]);
+fn start_with_invalid_settings_prints_file_and_field() {
+    let bad = config_with(&[("/settings/profiles/2/name", json!("leer"))]);
     let (mut child, file) = spawn(&bad.to_string(), 1024);
     wait_until(|| child.try_wait().unwrap().is_some());
     let out = child.wait_with_output().unwrap();
-    let wanted = format!(
+    let expected = format!(
         "spindlebeam: configuration {}: settings.profiles[2].name: \"leer\" occurs twice\n",
         file.display()
     );
-    assert_eq!((out.status.success(), String::from_utf8(out.stderr).unwrap()), (false, wanted));
+    assert_eq!((out.status.success(), String::from_utf8(out.stderr).unwrap()), (false, expected));
 }
 
 #[test]
-fn a_reload_of_contradictory_settings_leaves_all_as_it_is() {
-    let p = Platform::start(1);
+fn reload_of_invalid_settings_changes_nothing() {
+    let platform = Platform::start(1);
     let other = Discovery::start(list(9, true, &[]));
     let mut bad = platform::config(other.addr, 1024, Value::Null);
     bad["settings"]["profiles"][2]["name"] = "leer".into();
-    p.balancer.reload(&bad.to_string());
-    let said = p.balancer.logged("the configuration in use stays");
-    assert!(said.contains(".json: settings.profiles[2].name: \"leer\" occurs twice;"), "{said}");
-    let mut client = p.balancer.client();
+    platform.balancer.reload(&bad.to_string());
+    let message = platform.balancer.wait_for_log("the configuration in use stays");
+    assert!(message.contains(".json: settings.profiles[2].name: \"leer\" occurs twice;"), "{message}");
+    let mut client = platform.balancer.client();
     client.get("leer", "1");
-    p.peers[0].asked().value("v");
-    assert_eq!(client.answer(), "v");
-    assert!(other.paths.try_recv().is_err(), "discovery is where it was");
+    platform.peers[0].next_request().respond_value("v");
+    assert_eq!(client.read_answer(), "v");
+    assert!(other.paths.try_recv().is_err(), "the new discovery address is not used");
 }
 
 #[rstest]
 #[case::one_bad_member(json!({"revision": 4, "complete": true, "members": [{"id": "s-1", "host_port": "nowhere"}]}))]
 #[case::no_list(json!("all of them"))]
-fn a_list_known_before_that_cannot_be_read_is_left_out_of_the_start(#[case] known: Value) {
+fn start_ignores_invalid_known_list(#[case] known: Value) {
     let peer = Peer::start(false);
     let origin = member("origin", Peer::start(true).addr, "ready");
     let discovery = Discovery::start(list(1, true, &[origin, member("s-1", peer.addr, "ready")]));
     let balancer = Balancer::start(&platform::config(discovery.addr, 1024, known), 1024);
-    balancer.logged("ready");
+    balancer.wait_for_log("ready");
     let mut client = balancer.client();
     client.get("leer", "1");
-    peer.asked().value("v");
-    assert_eq!(client.answer(), "v");
+    peer.next_request().respond_value("v");
+    assert_eq!(client.read_answer(), "v");
 }
--- a/crates/spindlebeam/tests/crossings_client.rs
+++ b/crates/spindlebeam/tests/crossings_client.rs
@@ -1,186 +1,203 @@
-//! The end of a client's connection: clients that leave in any state, and what crosses the end of the process.
+//! The end of client connections: clients that disconnect in any state, and requests that cross a shutdown.
 
 mod platform;
-use platform::sockets::in_state;
+use platform::sockets::is_in_state;
 use platform::*;
 use rstest::rstest;
 use std::net::Shutdown;
 
-/// More commands than one connection may have waiting for answers.
-const FLOOD: usize = 100;
-/// Those of them that are taken at most before the first is answered.
-const TAKEN: usize = 32;
+/// More commands than may wait for answers on one connection.
+const BATCH: usize = 100;
+/// Maximum number of commands read on a connection before the first of them is answered.
+const READ_AT_MOST: usize = 32;
 
-/// What is not read from any more, and why, when its client leaves.
-enum Deaf {
-    /// It has sent more than may wait.
+/// Why the balancer has stopped reading from a client when it disconnects.
+enum UnreadClient {
+    /// It has sent more commands than may wait.
     Flooded,
-    /// It has said goodbye, and is owed an answer.
+    /// It has sent `QUIT` while a request is unanswered.
     Quit,
-    /// Its large answer has begun and does not go on, with a request behind it.
-    Streams,
+    /// Its large answer has begun and stalls, and another request follows.
+    Streaming,
 }
 
-/// A client that is not read from leaves: found by reading, since its end lay behind what was not read.
+/// Guards against attempts that outlive their client: the end of the connection lies behind data that the balancer does
+/// not read.
 #[rstest]
-#[case::flooded(Deaf::Flooded)]
-#[case::quit(Deaf::Quit)]
-#[case::streams(Deaf::Streams)]
-fn a_client_that_is_not_read_from_takes_its_tries_with_it(#[case] deaf: Deaf) {
-    let p = Platform::start(1);
-    let mut client = p.balancer.client();
-    match deaf {
-        Deaf::Flooded => {
-            client.flood("alta", FLOOD);
-            let kept: Vec<Asked> = (0..TAKEN).map(|_| p.origin.asked()).collect();
+#[case::flooded(UnreadClient::Flooded)]
+#[case::quit(UnreadClient::Quit)]
+#[case::streams(UnreadClient::Streaming)]
+fn attempts_of_unread_client_are_cancelled_when_it_leaves(#[case] state: UnreadClient) {
+    let platform = Platform::start(1);
+    let mut client = platform.balancer.client();
+    match state {
+        UnreadClient::Flooded => {
+            client.send_writes("alta", BATCH);
+            let unanswered: Vec<PeerRequest> =
+                (0..READ_AT_MOST).map(|_| platform.origin.next_request()).collect();
             drop(client);
-            (0..TAKEN).for_each(|_| assert!(p.origin.closed(), "each try is given up"));
-            drop(kept);
-            assert!(p.origin.heard_of_nothing_more(), "none of what it had sent is sent on");
+            (0..READ_AT_MOST)
+                .for_each(|_| assert!(platform.origin.next_is_close(), "each attempt is cancelled"));
+            drop(unanswered);
+            assert!(platform.origin.has_no_more_requests(), "no unread command is forwarded");
         }
-        Deaf::Quit => {
+        UnreadClient::Quit => {
             client.get("leer", "1");
             client.send(&["QUIT"]);
-            let _unanswered = p.peers[0].asked();
+            let _unanswered = platform.peers[0].next_request();
             drop(client);
-            assert!(p.peers[0].closed());
+            assert!(platform.peers[0].next_is_close());
         }
-        Deaf::Streams => {
-            ["a1", "a2"].iter().for_each(|id| client.get_as(id, "leer", "1"));
-            let mut asked = [p.peers[0].asked(), p.peers[0].asked()];
-            let first = asked.iter_mut().find(|it| it.words[2] == "a1").unwrap();
-            first.part("*3\r\n$1000000\r\nabc");
-            assert_eq!(client.line(), "$1000000");
+        UnreadClient::Streaming => {
+            ["a1", "a2"].iter().for_each(|id| client.get_with_id(id, "leer", "1"));
+            let mut request = [platform.peers[0].next_request(), platform.peers[0].next_request()];
+            let first = request.iter_mut().find(|it| it.words[2] == "a1").unwrap();
+            first.write_part("*3\r\n$1000000\r\nabc");
+            assert_eq!(client.read_line(), "$1000000");
             drop(client);
             assert!(
-                p.peers[0].closed() && p.peers[0].closed(),
-                "the answer under way, and the try behind it"
+                platform.peers[0].next_is_close() && platform.peers[0].next_is_close(),
+                "both the streamed attempt and the one after it are cancelled"
             );
         }
     }
 }
 
-/// Found on the bench: a process told to end took requests for as long as it held connections, and the platform ended it
-/// (the longest deadline, counted as 3 s where it is longer, and 0.7 s after SIGTERM) before they had their answers.
+/// Guards against requests without an answer: a process that shut down accepted requests as long as it held
+/// connections, and the platform ended it first (after SIGTERM, the longest deadline, counted as at most 3 s, plus 0.7
+/// s).
 #[rstest]
 #[case::short_deadlines(1_300_000, 1_300 + 700)]
 #[case::long_deadlines(50_000_000, 3_000 + 700)]
-fn what_is_taken_by_a_process_that_ends_has_its_answer_before_it_is_ended(
-    #[case] deadline_us: u64, #[case] within_ms: u128,
-) {
-    let mut p = Platform::configured(1, 1024, |config| {
+fn accepted_request_is_answered_before_process_is_ended(#[case] deadline_us: u64, #[case] within_ms: u128) {
+    let mut platform = Platform::with_config(1, 1024, |config| {
         for class in config["settings"]["profiles"].as_array_mut().unwrap() {
             class["deadlineUs"] = deadline_us.into();
             class["onTimeUs"] = deadline_us.min(1_000_000).into();
         }
     });
-    let (mut busy, mut clock) = (p.balancer.client(), p.balancer.client());
-    // Fragile writes whose answers never come: one is in the way, and one of a second tells the time.
+    let (mut busy, mut short) = (platform.balancer.client(), platform.balancer.client());
+    // Fragile writes whose answers never come: the first occupies its connection, the second fails after 1 s.
     busy.set("folio", "1");
-    let _first = p.origin.asked();
-    p.balancer.terminate();
-    p.balancer.logged("shutting down gracefully");
-    let told = std::time::Instant::now();
-    clock.send(&["CACHE.SET", "1", "aa", "c=folio,t=acme,d=1000,k=1", "v"]);
-    let _second = p.origin.asked();
-    assert!(clock.answer().starts_with("-"), "its time was over");
+    let _first = platform.origin.next_request();
+    platform.balancer.terminate();
+    platform.balancer.wait_for_log("shutting down gracefully");
+    let signalled = std::time::Instant::now();
+    short.send(&["CACHE.SET", "1", "aa", "c=folio,t=acme,d=1000,k=1", "v"]);
+    let _second = platform.origin.next_request();
+    assert!(short.read_answer().starts_with("-"), "its deadline has passed");
     busy.set("folio", "2");
-    assert!(busy.answer().starts_with("-") && busy.answer().starts_with("-"), "each has its answer");
-    assert!(busy.ended());
-    assert!(p.balancer.exit().success());
-    let took = told.elapsed().as_millis();
-    assert!(took <= within_ms, "{took} ms");
+    assert!(
+        busy.read_answer().starts_with("-") && busy.read_answer().starts_with("-"),
+        "both requests are answered"
+    );
+    assert!(busy.reads_end());
+    assert!(platform.balancer.wait_for_exit().success());
+    let elapsed_ms = signalled.elapsed().as_millis();
+    assert!(elapsed_ms <= within_ms, "{elapsed_ms} ms");
 }
 
-/// A command crosses the close of a connection whose answer is still on its way: it is left unread, and the answer comes.
+/// A command arrives while its connection is being closed and an answer is in flight. The command stays unread, and the
+/// answer is not lost to a reset.
 #[test]
-fn a_command_that_crosses_a_close_resets_no_answer() {
-    let mut p = Platform::start(1);
-    let mut client = p.balancer.client_that_holds(4 * 1024);
+fn command_crossing_close_does_not_reset_answer() {
+    let mut platform = Platform::start(1);
+    let mut client = platform.balancer.client_with_receive_buffer(4 * 1024);
     client.get("leer", "1");
-    let value = "v".repeat(60_000); // more than the client's system takes in, less than the balancer's holds back
-    p.peers[0].asked().value(&value);
-    p.balancer.terminate();
-    p.balancer.logged("closing");
+    let value = "v".repeat(60_000); // more than the client's receive buffer, less than the balancer's send buffer
+    platform.peers[0].next_request().respond_value(&value);
+    platform.balancer.terminate();
+    platform.balancer.wait_for_log("closing");
     client.get("leer", "2");
-    assert_eq!(client.answer(), value);
-    assert!(client.ended());
-    assert!(p.peers[0].heard_of_nothing_more(), "what came after the end of our sending is not sent on");
-    client.half_close(Shutdown::Write);
-    assert!(p.balancer.exit().success());
+    assert_eq!(client.read_answer(), value);
+    assert!(client.reads_end());
+    assert!(
+        platform.peers[0].has_no_more_requests(),
+        "a command that arrives after the close is not forwarded"
+    );
+    client.shutdown(Shutdown::Write);
+    assert!(platform.balancer.wait_for_exit().success());
 }
 
-/// Clients that rest until they are ended, and ask in the moment of the signal.
+/// Idle clients send a request at the moment of SIGTERM.
 #[test]
-fn a_request_that_crosses_the_signal_is_answered_or_left_unread() {
-    let mut p = Platform::start(1);
-    let mut resting: Vec<Client> = (0..8).map(|_| p.balancer.client()).collect();
-    for client in &mut resting {
+fn request_crossing_sigterm_is_answered() {
+    let mut platform = Platform::start(1);
+    let mut idle: Vec<Client> = (0..8).map(|_| platform.balancer.client()).collect();
+    for client in &mut idle {
         client.send(&["PING"]);
-        assert_eq!(client.answer(), "+PONG");
+        assert_eq!(client.read_answer(), "+PONG");
     }
-    // Signal and requests are there before the process takes its next step.
-    p.balancer.stopped(|| {
-        p.balancer.terminate();
-        resting.iter_mut().for_each(|client| client.get("leer", "1"));
+    // The process sees the signal and the requests at once.
+    platform.balancer.while_stopped(|| {
+        platform.balancer.terminate();
+        idle.iter_mut().for_each(|client| client.get("leer", "1"));
     });
-    resting.iter().for_each(|_| p.peers[0].asked().value("v"));
-    for client in &mut resting {
-        assert_eq!((client.answer().as_str(), client.ended()), ("v", true));
+    idle.iter().for_each(|_| platform.peers[0].next_request().respond_value("v"));
+    for client in &mut idle {
+        assert_eq!((client.read_answer().as_str(), client.reads_end()), ("v", true));
     }
-    assert!(p.balancer.exit().success());
+    assert!(platform.balancer.wait_for_exit().success());
 }
 
-/// Has a client send that many commands and leave; returns once the system of a stopped balancer knows of the end.
-fn floods_and_leaves(p: &Platform, mut client: Client, many: usize) {
+/// Sends commands and disconnects; returns when the stopped balancer's system has received the end of the connection.
+fn send_writes_and_disconnect(platform: &Platform, mut client: Client, count: usize) {
     const CLOSE_WAIT: &str = "08";
-    client.flood("alta", many);
+    client.send_writes("alta", count);
     let port = client.port();
     drop(client);
-    wait_until(|| in_state(p.balancer.addr, port, CLOSE_WAIT));
+    wait_until(|| is_in_state(platform.balancer.addr, port, CLOSE_WAIT));
 }
 
-/// Commands and their client's end are there before the process takes its next step.
+/// The process reads commands and the end of their connection at once.
 #[rstest]
-fn nothing_is_sent_on_of_what_comes_in_one_piece_with_its_clients_end(
-    #[values(1, TAKEN, FLOOD)] many: usize,
-) {
-    let p = Platform::start(1);
-    let (mut leaves, mut stays) = (p.balancer.client(), p.balancer.client());
+fn commands_read_with_disconnect_are_not_forwarded(#[values(1, READ_AT_MOST, BATCH)] count: usize) {
+    let platform = Platform::start(1);
+    let (mut leaves, mut stays) = (platform.balancer.client(), platform.balancer.client());
     leaves.send(&["PING"]);
-    assert_eq!(leaves.answer(), "+PONG");
-    p.balancer.stopped(|| floods_and_leaves(&p, leaves, many));
+    assert_eq!(leaves.read_answer(), "+PONG");
+    platform.balancer.while_stopped(|| send_writes_and_disconnect(&platform, leaves, count));
     stays.set("alta", "stays");
-    assert_eq!(p.origin.asked().words.last().unwrap(), "stays", "the first that is asked anything");
-    assert!(p.origin.heard_of_nothing_more());
+    assert_eq!(
+        platform.origin.next_request().words.last().unwrap(),
+        "stays",
+        "no command of the other client is forwarded before it"
+    );
+    assert!(platform.origin.has_no_more_requests());
 }
 
-/// A client that dials, asks and leaves while its connection waits in the listener's queue: all of that is there as it is accepted.
+/// A client connects, sends commands and disconnects while its connection is in the listener's backlog.
 #[test]
-fn nothing_is_sent_on_for_a_client_that_has_left_before_it_is_accepted() {
-    let p = Platform::start(1);
-    for many in [1, TAKEN, FLOOD] {
-        let mut stays = p.balancer.client();
-        p.balancer.stopped(|| floods_and_leaves(&p, p.balancer.client(), many));
+fn client_gone_before_accept_causes_no_attempt() {
+    let platform = Platform::start(1);
+    for count in [1, READ_AT_MOST, BATCH] {
+        let mut stays = platform.balancer.client();
+        platform
+            .balancer
+            .while_stopped(|| send_writes_and_disconnect(&platform, platform.balancer.client(), count));
         stays.set("alta", "stays");
-        assert_eq!(p.origin.asked().words.last().unwrap(), "stays", "the first that is asked anything");
-        assert!(p.origin.heard_of_nothing_more(), "{many} commands");
+        assert_eq!(
+            platform.origin.next_request().words.last().unwrap(),
+            "stays",
+            "no command of the other client is forwarded before it"
+        );
+        assert!(platform.origin.has_no_more_requests(), "{count} commands");
     }
 }
 
-/// More commands than are read are there as the process ends. What was read is answered, and the end behind that is in
-/// order: a reset over what was not read would take answers with it.
+/// At SIGTERM more commands have arrived than are read. Those that were read are answered, and the connection is closed
+/// without a reset, since a reset because of unread commands would discard answers.
 #[test]
-fn a_batch_that_is_read_in_part_as_the_process_ends_is_answered_so_far_and_its_connection_ended_in_order() {
-    let mut p = Platform::start(1);
-    let mut client = p.balancer.client();
-    client.flood("folio", FLOOD);
-    let _unanswered: Vec<Asked> = (0..TAKEN).map(|_| p.origin.asked()).collect();
-    p.balancer.terminate();
-    let ends = |client: &mut Client| client.line_or_error().expect("no reset");
-    let answers = (0..).take_while(|_| !ends(&mut client).is_empty()).count();
-    assert!((TAKEN..FLOOD).contains(&answers), "{answers}");
+fn partly_read_batch_is_answered_without_reset_at_shutdown() {
+    let mut platform = Platform::start(1);
+    let mut client = platform.balancer.client();
+    client.send_writes("folio", BATCH);
+    let _unanswered: Vec<PeerRequest> = (0..READ_AT_MOST).map(|_| platform.origin.next_request()).collect();
+    platform.balancer.terminate();
+    let next_line = |client: &mut Client| client.try_read_line().expect("the connection was reset");
+    let answers = (0..).take_while(|_| !next_line(&mut client).is_empty()).count();
+    assert!((READ_AT_MOST..BATCH).contains(&answers), "{answers}");
     drop(client);
-    assert!(p.balancer.exit().success());
-    assert!(p.origin.heard_of_nothing_more(), "what is read at the end is not sent on");
+    assert!(platform.balancer.wait_for_exit().success());
+    assert!(platform.origin.has_no_more_requests(), "commands read during the close are not forwarded");
 }
--- a/crates/spindlebeam/tests/crossings_list.rs
+++ b/crates/spindlebeam/tests/crossings_list.rs
@@ -1,4 +1,5 @@
-//! The list of hosts against the whole program: descriptors that clients hold as discovery returns, and many starts at once.
+//! Endpoint lists and the whole program: discovery that returns while clients hold the descriptors, and many starts at
+//! once.
 
 mod platform;
 
@@ -13,67 +14,69 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// What discovery does with calls.
+/// How discovery answers calls.
 #[derive(Debug, Clone, PartialEq)]
 enum Does {
-    /// Its port is held, but nobody listens.
+    /// Its port is bound, but nothing listens.
     Refuses,
-    /// Connections come up, and nothing is said.
+    /// Connections are established, but never answered.
     Silent,
-    /// 503.
+    /// Every call is answered with 503.
     Busy,
-    /// Tells this list, whole or as the first line of a watch.
-    Tells(Value),
+    /// Polls are answered with this list; a watch gets it as its first line.
+    SendsList(Value),
 }
 
-struct Service {
+/// A discovery service whose behaviour can change.
+struct DiscoveryService {
     addr: SocketAddr,
     socket: Socket,
 }
 
-impl Service {
+impl DiscoveryService {
     fn start(does: Does) -> Self {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
         socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
         let addr = socket.local_addr().unwrap().as_socket().unwrap();
-        let it = Self { addr, socket };
-        it.turns_to(does);
-        it
+        let service = Self { addr, socket };
+        service.switch_to(does);
+        service
     }
 
-    /// Does this from now on, and tells of each call.
-    fn turns_to(&self, does: Does) -> Receiver<Instant> {
-        let (sender, asked) = channel();
+    /// Changes the behaviour; the receiver gets the time of each answered call.
+    fn switch_to(&self, does: Does) -> Receiver<Instant> {
+        let (sender, calls) = channel();
         if does == Does::Refuses {
-            return asked;
+            return calls;
         }
         self.socket.listen(1024).unwrap();
         if does == Does::Silent {
-            return asked;
+            return calls;
         }
         let listener = TcpListener::from(self.socket.try_clone().unwrap());
         thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
                 let (does, sender) = (does.clone(), sender.clone());
                 thread::spawn(move || {
-                    if let Some(stream) = answered(stream, &does) {
+                    if let Some(stream) = answer_call(stream, &does) {
                         let _ = sender.send(Instant::now());
-                        let _ = BufReader::new(stream).read_line(&mut String::new()); // open until the balancer ends it
+                        let _ = BufReader::new(stream).read_line(&mut String::new()); // until the balancer closes it
                     }
                 });
             }
         });
-        asked
+        calls
     }
 }
 
-fn answered(mut stream: TcpStream, does: &Does) -> Option<TcpStream> {
+/// Reads a call and answers it; returns the stream unless the connection ended before.
+fn answer_call(mut stream: TcpStream, does: &Does) -> Option<TcpStream> {
     let mut line = String::new();
     let mut reader = BufReader::new(stream.try_clone().ok()?);
     reader.read_line(&mut line).ok().filter(|n| *n > 0)?;
-    while reader.read_line(&mut String::new()).ok()? > 2 {} // the rest of the head
+    while reader.read_line(&mut String::new()).ok()? > 2 {} // skips the rest of the head
     let list = match does {
-        Does::Tells(list) => list.to_string(),
+        Does::SendsList(list) => list.to_string(),
         _ => {
             stream.write_all(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n").ok()?;
             return Some(stream);
@@ -88,215 +91,224 @@
     Some(stream)
 }
 
-/// How clients take the descriptors.
+/// How clients occupy the descriptors.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Clients {
-    /// They were answered, and rest.
+    /// They were answered and are idle.
     Rest,
-    /// They wait for a host that says nothing; those beyond the places stay in the backlog.
+    /// They wait for a silent cache node; those without a connection slot stay in the backlog.
     Wait,
-    /// The same, and they take all that there are: the program was told of more than the system grants.
+    /// They wait as in [`Clients::Wait`] and exhaust the descriptors, since the configuration allows more than the
+    /// system.
     TakeAll,
 }
 
-/// How soon discovery is asked behind a call that came to nothing (`discovery::pace`): the longest pause, or for a call that is out
-/// still, at once.
-fn asked_again(way: &str) -> Duration {
+/// Maximum delay until discovery is called again after a failed call (see `discovery::pace`); a call that is still open
+/// is repeated at once.
+fn max_retry_delay(way: &str) -> Duration {
     if way == "push" { RETRY_INTERVAL } else { Duration::from_millis(750) }
 }
 
-/// For a machine that has other work as well.
-const SLACK: Duration = Duration::from_millis(1_000);
+/// Allowance for other load on the machine.
+const LOAD_ALLOWANCE: Duration = Duration::from_millis(1_000);
 
-/// Clients come until no more are taken; discovery returns: it is asked at once, and what it has is told; a host that it lists is
-/// dialled and serves.
+/// Clients occupy all connection slots while discovery is down. When it returns, it is called at once, its list is
+/// applied, and a cache node in the list is connected to and serves.
 #[rstest]
 fn idle_clients_leave_room_for_discovery_and_for_hosts(
     #[values(Does::Refuses, Does::Silent)] down: Does, #[values("push", "ask")] way: &str,
     #[values(Clients::Rest, Clients::Wait, Clients::TakeAll)] how: Clients,
 ) {
     const LIMIT: usize = 128;
-    let (host, fresh, origin) = (Peer::start(false), Peer::start(false), Peer::start(true));
+    let (cache_node, new_peer, origin) = (Peer::start(false), Peer::start(false), Peer::start(true));
     let listed = |revision, id: &str, peer: &Peer| {
         list(revision, true, &[member("origin", origin.addr, "ready"), member(id, peer.addr, "ready")])
     };
-    let service = Service::start(down.clone());
-    let told = if how == Clients::TakeAll { 8 * LIMIT } else { LIMIT };
-    let mut config = config(service.addr, told as u64, listed(1, "s-0", &host));
+    let service = DiscoveryService::start(down.clone());
+    let configured_sockets = if how == Clients::TakeAll { 8 * LIMIT } else { LIMIT };
+    let mut config = config(service.addr, configured_sockets as u64, listed(1, "s-0", &cache_node));
     config["settings"]["discovery"] = way.into();
     config["operator"] = "127.0.0.1:0".into();
     let balancer = Balancer::start(&config, LIMIT as u32);
-    balancer.logged("ready");
-    // The door's callers take theirs as well.
-    let door = balancer.door.unwrap();
-    let _callers: Vec<_> = (0..16).map(|_| TcpStream::connect(door).unwrap()).collect();
-    let open = || std::fs::read_dir(format!("/proc/{}/fd", balancer.process())).unwrap().count();
+    balancer.wait_for_log("ready");
+    // Connections to the admin endpoint take descriptors, too.
+    let admin_addr = balancer.admin_addr.unwrap();
+    let _callers: Vec<_> = (0..16).map(|_| TcpStream::connect(admin_addr).unwrap()).collect();
+    let open_descriptors =
+        || std::fs::read_dir(format!("/proc/{}/fd", balancer.process_id())).unwrap().count();
     let mut clients: Vec<Client> = Vec::new();
-    for nth in 0..2 * LIMIT {
+    for number in 0..2 * LIMIT {
         let mut client = balancer.client();
         match how {
             Clients::Rest => {
                 client.send(&["PING"]);
-                assert_eq!(client.answer(), "+PONG");
+                assert_eq!(client.read_answer(), "+PONG");
             }
-            Clients::Wait | Clients::TakeAll => client.get("leer", &format!("{nth:x}")),
+            Clients::Wait | Clients::TakeAll => client.get("leer", &format!("{number:x}")),
         }
         clients.push(client);
     }
     if how == Clients::TakeAll {
-        balancer.logged("front: accept failed: ");
+        balancer.wait_for_log("front: accept failed: ");
     } else {
-        // Each that waits holds a connection to a host as well; those that rest keep the places that reuse pays for.
-        wait_until(|| how == Clients::Rest || open() > LIMIT * 3 / 4);
-        let most = (0..1_000).map(|_| open()).max().unwrap();
-        assert!(most < LIMIT, "{most} descriptors");
+        // Each waiting client also holds a connection to a cache node; idle clients keep only the slots that reuse
+        // justifies.
+        wait_until(|| how == Clients::Rest || open_descriptors() > LIMIT * 3 / 4);
+        let most_open = (0..1_000).map(|_| open_descriptors()).max().unwrap();
+        assert!(most_open < LIMIT, "{most_open} of {LIMIT} descriptors are open");
     }
 
-    let back = Instant::now();
-    let asked = service.turns_to(Does::Tells(listed(2, "s-1", &fresh)));
-    asked.recv_timeout(PATIENCE).expect("discovery is asked");
-    balancer.logged("s-1 is Ready");
-    let heard = back.elapsed();
-    assert!(heard < asked_again(way) + SLACK, "{heard:?}");
+    let switched = Instant::now();
+    let calls = service.switch_to(Does::SendsList(listed(2, "s-1", &new_peer)));
+    calls.recv_timeout(WAIT_TIMEOUT).expect("discovery was not called in time");
+    balancer.wait_for_log("s-1 is Ready");
+    let elapsed = switched.elapsed();
+    assert!(elapsed < max_retry_delay(way) + LOAD_ALLOWANCE, "applied after {elapsed:?}");
     if how == Clients::TakeAll {
-        return; // a host is dialled where the program was told the truth
+        return; // a connection to a cache node is possible only if the configured limit is right
     }
     let mut last = if how == Clients::Rest { clients.pop().unwrap() } else { balancer.client() };
     if how != Clients::Rest {
-        drop(clients); // some have asked and gone before they were accepted: these are read first
+        drop(clients); // some disconnect before they are accepted; these are read first
     }
     thread::spawn(move || {
         loop {
-            fresh.asked().part("*3\r\n$1\r\nx\r\n$3\r\nhit\r\n$-1\r\n");
+            new_peer.next_request().write_part("*3\r\n$1\r\nx\r\n$3\r\nhit\r\n$-1\r\n");
         }
     });
     wait_until(|| {
         last.get("leer", "7f");
-        let answer = last.answer();
+        let answer = last.read_answer();
         assert!(answer == "x" || answer.starts_with("-BUSY"), "{answer}");
         answer == "x"
     });
 }
 
-/// SIGHUP, and neither the old agent nor the new one says anything: the list is held. Then the new one speaks, and is heard at
-/// once, also where the old one has told of a drain meanwhile that the new one's list does not know of.
+/// After SIGHUP the old list is used until the new discovery agent answers. Its list is then applied at once, also if
+/// the old agent has meanwhile reported a drain that the new list does not contain.
 #[rstest]
-fn a_move_between_silent_agents_holds_the_list_until_the_new_one_speaks(
+fn list_is_kept_until_new_discovery_agent_answers(
     #[values("push", "ask")] way: &str, #[values(true, false)] old_drains: bool,
 ) {
-    let (host, fresh, origin) = (Peer::start(false), Peer::start(false), Peer::start(true));
+    let (cache_node, new_peer, origin) = (Peer::start(false), Peer::start(false), Peer::start(true));
     let listed = [
         member("origin", origin.addr, "ready"),
-        member("s-0", host.addr, "ready"),
-        member("s-1", fresh.addr, "ready"),
+        member("s-0", cache_node.addr, "ready"),
+        member("s-1", new_peer.addr, "ready"),
     ];
-    let (old, new) = (Discovery::start(Value::Null), Service::start(Does::Silent));
+    let (old, new) = (Discovery::start(Value::Null), DiscoveryService::start(Does::Silent));
     let mut config = config(old.addr, 1024, list(3, true, &listed[..2]));
     config["settings"]["discovery"] = way.into();
     let balancer = Balancer::start(&config, 1024);
-    let mut watch = old.watch();
-    balancer.logged("ready");
+    let mut watch = old.next_watch();
+    balancer.wait_for_log("ready");
     config["discovery"] = new.addr.to_string().into();
     balancer.reload(&config.to_string());
-    balancer.logged("discovery is now at");
+    balancer.wait_for_log("discovery is now at");
     let mut client = balancer.client();
     client.get("leer", "7f");
-    host.asked().value("held");
-    assert_eq!(client.answer(), "held");
+    cache_node.next_request().respond_value("held");
+    assert_eq!(client.read_answer(), "held");
     if old_drains {
-        push(&mut watch, &list(4, false, &[member("s-0", host.addr, "draining")]).to_string());
-        balancer.logged("s-0 is Draining");
+        push(&mut watch, &list(4, false, &[member("s-0", cache_node.addr, "draining")]).to_string());
+        balancer.wait_for_log("s-0 is Draining");
     }
-    let back = Instant::now();
-    let _asked = new.turns_to(Does::Tells(list(2, true, &listed)));
-    balancer.logged("s-1 is Ready");
-    let heard = back.elapsed();
-    assert!(heard < asked_again(way) + SLACK, "{heard:?}");
-    let peers = [host, fresh];
-    let mut asked = [0; 2];
+    let switched = Instant::now();
+    let _asked = new.switch_to(Does::SendsList(list(2, true, &listed)));
+    balancer.wait_for_log("s-1 is Ready");
+    let elapsed = switched.elapsed();
+    assert!(elapsed < max_retry_delay(way) + LOAD_ALLOWANCE, "applied after {elapsed:?}");
+    let peers = [cache_node, new_peer];
+    let mut requests = [0; 2];
     for key in 0..32 {
         client.get("leer", &format!("{key:x}"));
-        let (at, request) = next_asked(&peers);
-        asked[at] += 1;
-        request.value("x");
-        assert_eq!(client.answer(), "x");
+        let (at, request) = next_request_of_any(&peers);
+        requests[at] += 1;
+        request.respond_value("x");
+        assert_eq!(client.read_answer(), "x");
     }
-    assert_eq!(asked[0] == 0, old_drains, "{asked:?}");
+    assert_eq!(requests[0] == 0, old_drains, "{requests:?}");
 }
 
-/// SIGHUP while the disk with the new file stands still: clients are served meanwhile, and the file counts as soon as it moves.
+/// Reading the new configuration file blocks: clients are served meanwhile, and the file is applied once it is read.
 #[test]
-fn a_configuration_on_a_disk_that_stands_still_holds_up_no_client() {
-    let (origin, old, new) = (Peer::start(true), Discovery::start(Value::Null), Service::start(Does::Silent));
+fn reload_from_stalled_disk_does_not_block_clients() {
+    let (origin, old, new) =
+        (Peer::start(true), Discovery::start(Value::Null), DiscoveryService::start(Does::Silent));
     let mut config = config(old.addr, 1024, list(1, true, &[member("origin", origin.addr, "ready")]));
     let balancer = Balancer::start(&config, 1024);
-    balancer.logged("ready");
-    let file = balancer.reload_on_a_still_disk();
-    let mut disk = std::fs::OpenOptions::new().write(true).open(file).unwrap(); // the program is reading now
+    balancer.wait_for_log("ready");
+    let file = balancer.reload_from_stalled_file();
+    let mut disk = std::fs::OpenOptions::new().write(true).open(file).unwrap(); // once the program opens it
     let mut client = balancer.client();
     client.send(&["PING"]);
-    assert_eq!(client.answer(), "+PONG");
+    assert_eq!(client.read_answer(), "+PONG");
     config["discovery"] = new.addr.to_string().into();
     disk.write_all(config.to_string().as_bytes()).unwrap();
     drop(disk);
-    balancer.logged("discovery is now at");
+    balancer.wait_for_log("discovery is now at");
 }
 
-/// Nine in ten are ready within 10 s, and none takes over 30 s, whatever discovery does meanwhile; at a first start, and where
-/// SIGTERM ends all at once and each is started anew in the place of its own.
+/// Of many processes, 90 % are ready within 10 s and all within 30 s, however discovery behaves: at a first start, and
+/// when all are ended by SIGTERM at once and replaced.
 #[rstest]
 #[case::up(None)]
 #[case::silent(Some(Does::Silent))]
 #[case::busy(Some(Does::Busy))]
 #[case::refusing(Some(Does::Refuses))]
-fn many_that_start_at_once_are_ready_in_time(#[case] does: Option<Does>, #[values("push", "ask")] way: &str) {
+fn many_processes_starting_at_once_are_ready_in_time(
+    #[case] does: Option<Does>, #[values("push", "ask")] way: &str,
+) {
     const PROCESSES: usize = 20;
-    let (host, origin) = (Peer::start(false), Peer::start(true));
-    let known = list(1, true, &[member("origin", origin.addr, "ready"), member("s-0", host.addr, "ready")]);
-    let service = Service::start(does.unwrap_or(Does::Tells(known.clone())));
+    let (cache_node, origin) = (Peer::start(false), Peer::start(true));
+    let known =
+        list(1, true, &[member("origin", origin.addr, "ready"), member("s-0", cache_node.addr, "ready")]);
+    let service = DiscoveryService::start(does.unwrap_or(Does::SendsList(known.clone())));
     let mut config = config(service.addr, 1024, known);
     config["settings"]["discovery"] = way.into();
-    let begun = Instant::now();
+    let started = Instant::now();
     let first: Vec<_> = (0..PROCESSES)
         .map(|_| {
             let config = config.clone();
             thread::spawn(move || {
-                let home = Home::new();
-                let balancer = Balancer::start_at(&home, &config);
-                (served(&home, &balancer, begun), home, balancer)
+                let env = ProcessEnv::with_socket();
+                let balancer = Balancer::start_in(&env, &config);
+                (time_until_served(&env, &balancer, started), env, balancer)
             })
         })
         .collect();
-    let first: Vec<_> = first.into_iter().map(|it| it.join().expect("it is ready")).collect();
+    let first: Vec<_> =
+        first.into_iter().map(|thread| thread.join().expect("a process was not ready in time")).collect();
     let terminated = Instant::now();
     first.iter().for_each(|(_, _, balancer)| balancer.terminate());
-    let (mut fresh, mut anew) = (Vec::new(), Vec::new());
+    let (mut first_times, mut restart_times) = (Vec::new(), Vec::new());
     let second: Vec<_> = first
         .into_iter()
-        .map(|(took, home, before)| {
-            fresh.push(took);
+        .map(|(took, env, before)| {
+            first_times.push(took);
             let config = config.clone();
             thread::spawn(move || {
-                let balancer = Balancer::start_at(&home, &config);
-                balancer.logged("ready");
-                drop(before); // it has not ended by then, and would answer as well
-                served(&home, &balancer, terminated)
+                let balancer = Balancer::start_in(&env, &config);
+                balancer.wait_for_log("ready");
+                drop(before); // ends the old process, which would also answer
+                time_until_served(&env, &balancer, terminated)
             })
         })
         .collect();
-    anew.extend(second.into_iter().map(|it| it.join().expect("it is ready")));
-    for mut took in [fresh, anew] {
+    restart_times
+        .extend(second.into_iter().map(|thread| thread.join().expect("a replacement was not ready in time")));
+    for mut took in [first_times, restart_times] {
         took.sort();
         assert!(took[PROCESSES * 9 / 10 - 1] < Duration::from_secs(10), "{took:?}");
         assert!(took[PROCESSES - 1] < Duration::from_secs(30), "{took:?}");
     }
 }
 
-/// How long since then, when it answers.
-fn served(home: &Home, balancer: &Balancer, since: Instant) -> Duration {
-    balancer.logged("accepting from the inherited socket");
-    let mut client = home.client();
+/// Waits until the process serves; returns the time since `since`.
+fn time_until_served(env: &ProcessEnv, balancer: &Balancer, since: Instant) -> Duration {
+    balancer.wait_for_log("accepting from the inherited socket");
+    let mut client = env.client();
     client.send(&["PING"]);
-    assert_eq!(client.answer(), "+PONG");
+    assert_eq!(client.read_answer(), "+PONG");
     since.elapsed()
 }
--- a/crates/spindlebeam/tests/crossings_try.rs
+++ b/crates/spindlebeam/tests/crossings_try.rs
@@ -1,4 +1,4 @@
-//! What crosses a try and its waiting, through the program as a process.
+//! Attempts that wait for a connection and are no longer needed when it is established.
 
 mod platform;
 use platform::*;
@@ -8,94 +8,104 @@
 use std::time::Duration;
 
 #[rstest]
-fn a_keyed_repeat_held_in_its_dial_is_not_sent_once_its_window_is_over(
+fn keyed_retry_waiting_for_dial_is_not_sent_after_its_window(
     #[values(("all", "-BUSY"), ("zone", "-ERR"), ("cell", "-ERR"))] case: (&str, &str),
 ) {
-    let (scope, word) = case;
-    let (origin, admit) = Peer::narrow(true);
-    admit.send(()).unwrap(); // the connection that is dialled ahead
-    let p = Platform::of(vec![Peer::start(false)], origin, 1024, |config| {
+    let (scope, prefix) = case;
+    let (origin, permit) = Peer::with_short_backlog(true);
+    permit.send(()).unwrap(); // accepts the connection that is opened before the first request
+    let platform = Platform::with_servers(vec![Peer::start(false)], origin, 1024, |config| {
         let settings = &mut config["settings"];
         settings["profiles"][1]["memorySpanUs"] = json!(800_000);
         settings["profiles"][1]["keyScope"] = json!(scope);
         settings["permissions"]["dialTimeoutUs"] = json!(15_000_000);
     });
-    let mut client = p.balancer.client();
+    let mut client = platform.balancer.client();
     client.set("alta", "first");
-    let put = p.origin.asked();
-    let _fills_the_backlog = TcpStream::connect(p.origin.addr).unwrap();
-    put.hang_up(); // it may have run
-    let answered = client.answered_within(Duration::from_secs(5));
-    (0..9).for_each(|_| admit.send(()).unwrap());
-    assert!(answered, "it does not wait for what could not be sent any more");
-    assert!(client.answer().starts_with(word));
+    let put = platform.origin.next_request();
+    let _backlog_filler = TcpStream::connect(platform.origin.addr).unwrap();
+    put.hang_up(); // the write may have run
+    let has_answer = client.has_answer_within(Duration::from_secs(5));
+    (0..9).for_each(|_| permit.send(()).unwrap());
+    assert!(has_answer, "the client waits although no retry can be sent any more");
+    assert!(client.read_answer().starts_with(prefix));
     client.set("alta", "second");
-    assert_eq!(p.origin.asked().words.last().unwrap(), "second");
-    assert!(p.origin.heard_of_nothing_more());
+    assert_eq!(platform.origin.next_request().words.last().unwrap(), "second");
+    assert!(platform.origin.has_no_more_requests());
 }
 
 #[rstest]
-fn a_try_held_in_its_dial_is_not_sent_once_its_client_has_left(#[values(false, true)] cancel: bool) {
-    let (host, admit) = Peer::narrow(false);
-    admit.send(()).unwrap();
-    let p = Platform::of(vec![host], Peer::start(true), 1024, |config| {
+fn attempt_waiting_for_dial_is_not_sent_after_client_left(#[values(false, true)] cancel: bool) {
+    let (cache_node, permit) = Peer::with_short_backlog(false);
+    permit.send(()).unwrap();
+    let platform = Platform::with_servers(vec![cache_node], Peer::start(true), 1024, |config| {
         config["operator"] = json!("127.0.0.1:0");
         config["settings"]["permissions"]["cancel"] = json!(cancel);
         config["settings"]["permissions"]["dialTimeoutUs"] = json!(15_000_000);
     });
-    let (mut stays, mut leaves) = (p.balancer.client(), p.balancer.client());
+    let (mut stays, mut leaves) = (platform.balancer.client(), platform.balancer.client());
     stays.get("leer", "1");
-    let asked = p.peers[0].asked(); // on the one connection
-    let _fills_the_backlog = TcpStream::connect(p.peers[0].addr).unwrap();
+    let request = platform.peers[0].next_request(); // uses the only connection
+    let _backlog_filler = TcpStream::connect(platform.peers[0].addr).unwrap();
     leaves.get("leer", "2");
-    wait_until(|| p.figure("in_flight") == 2);
+    wait_until(|| platform.metric("in_flight") == 2);
     drop(leaves);
-    wait_until(|| p.figure("in_flight") == 1);
-    (0..9).for_each(|_| admit.send(()).unwrap());
-    assert!(p.peers[0].opened() && p.peers[0].opened(), "what fills the backlog, then what was held");
-    let mut third = p.balancer.client();
+    wait_until(|| platform.metric("in_flight") == 1);
+    (0..9).for_each(|_| permit.send(()).unwrap());
+    assert!(
+        platform.peers[0].wait_for_connection() && platform.peers[0].wait_for_connection(),
+        "the filler of the backlog and then the waiting connection are accepted"
+    );
+    let mut third = platform.balancer.client();
     third.get("leer", "3");
-    let next = p.peers[0].asked();
-    assert_eq!(next.words[1], "3", "nobody waits for the other");
-    assert!(!p.peers[0].opened_more(), "the connection that came up for nobody serves the next");
-    next.value("v");
-    assert_eq!(third.answer(), "v");
-    asked.value("v");
-    assert_eq!(stays.answer(), "v");
-    assert!(p.peers[0].heard_of_nothing_more());
+    let next = platform.peers[0].next_request();
+    assert_eq!(next.words[1], "3", "no client waits for the request before it");
+    assert!(
+        !platform.peers[0].has_new_connection(),
+        "the connection that is no longer needed serves the next request"
+    );
+    next.respond_value("v");
+    assert_eq!(third.read_answer(), "v");
+    request.respond_value("v");
+    assert_eq!(stays.read_answer(), "v");
+    assert!(platform.peers[0].has_no_more_requests());
 }
 
-/// Whether anybody's dial to this address is held.
-fn dialling(addr: SocketAddr) -> bool {
-    let held = format!("0100007F:{:04X} 02", addr.port()); // to this address, in the state SYN_SENT
+/// Returns whether a connection to this address waits to be established.
+fn is_dialing(addr: SocketAddr) -> bool {
+    let held = format!("0100007F:{:04X} 02", addr.port()); // remote address and the state SYN_SENT
     std::fs::read_to_string("/proc/net/tcp").unwrap().lines().any(|line| line.contains(&held))
 }
 
 #[test]
-fn a_copy_held_in_its_dial_is_not_sent_once_the_other_has_answered() {
-    let (host, admit) = Peer::narrow(false);
-    admit.send(()).unwrap();
-    let p = Platform::of(vec![Peer::start(false), host], Peer::start(true), 1024, |config| {
-        let settings = &mut config["settings"];
-        settings["permissions"]["secondCopies"] = json!(true);
-        settings["permissions"]["cancel"] = json!(false);
-        settings["permissions"]["dialTimeoutUs"] = json!(15_000_000);
-        settings["profiles"][3]["onTimeUs"] = json!(1_000_000); // a second copy after half of it
-    });
-    let (key, other) = (p.key_of(0), p.key_of(1));
-    let (mut client, mut busy) = (p.balancer.client(), p.balancer.client());
+fn hedged_request_waiting_for_dial_is_not_sent_after_answer() {
+    let (cache_node, permit) = Peer::with_short_backlog(false);
+    permit.send(()).unwrap();
+    let platform =
+        Platform::with_servers(vec![Peer::start(false), cache_node], Peer::start(true), 1024, |config| {
+            let settings = &mut config["settings"];
+            settings["permissions"]["secondCopies"] = json!(true);
+            settings["permissions"]["cancel"] = json!(false);
+            settings["permissions"]["dialTimeoutUs"] = json!(15_000_000);
+            settings["profiles"][3]["onTimeUs"] = json!(1_000_000); // the hedged request is sent after half of it
+        });
+    let (key, other) = (platform.key_of(0), platform.key_of(1));
+    let (mut client, mut busy) = (platform.balancer.client(), platform.balancer.client());
     busy.get("leer", &other);
-    let kept = p.peers[1].asked(); // on the one connection
-    let _fills_the_backlog = TcpStream::connect(p.peers[1].addr).unwrap();
+    let kept = platform.peers[1].next_request(); // uses the only connection
+    let _backlog_filler = TcpStream::connect(platform.peers[1].addr).unwrap();
     client.get("prisa", &key);
-    let first = p.peers[0].asked();
-    wait_until(|| dialling(p.peers[1].addr));
-    first.value("v");
-    assert_eq!(client.answer(), "v");
-    (0..9).for_each(|_| admit.send(()).unwrap());
-    assert!(p.peers[1].opened() && p.peers[1].opened(), "what fills the backlog, then what was held");
-    kept.value("w");
-    assert_eq!(busy.answer(), "w");
+    let first = platform.peers[0].next_request();
+    wait_until(|| is_dialing(platform.peers[1].addr));
+    first.respond_value("v");
+    assert_eq!(client.read_answer(), "v");
+    (0..9).for_each(|_| permit.send(()).unwrap());
+    assert!(
+        platform.peers[1].wait_for_connection() && platform.peers[1].wait_for_connection(),
+        "the filler of the backlog and then the waiting connection are accepted"
+    );
+    kept.respond_value("w");
+    assert_eq!(busy.read_answer(), "w");
     busy.get("leer", &other);
-    assert_eq!(p.peers[1].asked().words[1], other, "the copy that nobody waits for is not sent");
+    assert_eq!(platform.peers[1].next_request().words[1], other, "the unneeded hedged request is not sent");
 }
--- a/crates/spindlebeam/tests/crowd.rs
+++ b/crates/spindlebeam/tests/crowd.rs
@@ -1,80 +1,80 @@
-//! More clients than connection slots: what each has written is answered in its time, and before its connection ends.
+//! More clients than connection slots: every command is answered in time, and before its connection ends.
 
 mod platform;
 
 use platform::*;
 use std::time::{Duration, Instant};
 
-/// Sockets of the process, and the slots that it has of them.
+/// Sockets of the process, and its resulting connection slots.
 const SOCKETS: u64 = 100;
 const SLOTS: usize = 40;
-/// Clients beyond them.
+/// Number of clients without a slot.
 const CROWD: usize = 60;
 
 fn platform() -> Platform {
-    Platform::configured(1, 1024, |config| config["limits"]["sockets"] = SOCKETS.into())
+    Platform::with_config(1, 1024, |config| config["limits"]["sockets"] = SOCKETS.into())
 }
 
 #[test]
-fn newcomer_without_a_slot_is_refused_in_its_time_and_the_next_has_the_slot_that_falls_free() {
-    let p = platform();
-    let (mut busy, _hangs) = p.take_all_slots(SLOTS);
-    let [mut one, mut behind] = [(); 2].map(|()| p.balancer.client());
-    one.get("leer", "1");
-    behind.get("leer", "1");
-    for client in [&mut one, &mut behind] {
-        assert!(client.answer().starts_with("-BUSY"));
-        assert!(client.ended());
+fn client_without_slot_is_refused_and_freed_slot_is_reused() {
+    let platform = platform();
+    let (mut busy, _unanswered) = platform.take_all_slots(SLOTS);
+    let [mut first, mut second] = [(); 2].map(|()| platform.balancer.client());
+    first.get("leer", "1");
+    second.get("leer", "1");
+    for client in [&mut first, &mut second] {
+        assert!(client.read_answer().starts_with("-BUSY"));
+        assert!(client.reads_end());
     }
-    busy.pop(); // it leaves
-    let mut next = p.balancer.client();
+    busy.pop(); // frees a slot
+    let mut next = platform.balancer.client();
     next.send(&["PING"]);
-    assert_eq!(next.answer(), "+PONG");
+    assert_eq!(next.read_answer(), "+PONG");
     next.get("leer", "1");
-    p.peers[0].asked().miss(); // it is served as any
+    platform.peers[0].next_request().respond_miss(); // served like any other request
 }
 
-/// The longer a newcomer takes to be refused, the later all behind it in the listener's queue are.
+/// Guards against refusals that delay each other: each client in the backlog waited for a slot after the one before it.
 #[test]
-fn newcomers_behind_one_that_has_waited_for_a_slot_are_refused_without_a_wait_of_their_own() {
-    const NEWCOMERS: u32 = 900;
-    /// The shortest time of a timer.
-    const TICK: Duration = Duration::from_millis(1);
-    let p = platform();
-    let _busy = p.take_all_slots(SLOTS);
-    let mut crowd: Vec<Client> = (0..NEWCOMERS).map(|_| p.balancer.client()).collect();
+fn clients_behind_a_slot_wait_are_refused_without_waiting() {
+    const CLIENTS: u32 = 900;
+    /// Resolution of a timer.
+    const TIMER_RESOLUTION: Duration = Duration::from_millis(1);
+    let platform = platform();
+    let _busy = platform.take_all_slots(SLOTS);
+    let mut crowd: Vec<Client> = (0..CLIENTS).map(|_| platform.balancer.client()).collect();
     crowd.iter_mut().for_each(|client| client.get("leer", "1"));
     let mut first_refused = None;
     for mut client in crowd {
-        assert!(client.answer().starts_with("-BUSY"));
+        assert!(client.read_answer().starts_with("-BUSY"));
         first_refused.get_or_insert_with(Instant::now);
     }
-    let took = first_refused.unwrap().elapsed();
-    assert!(took < NEWCOMERS * TICK, "{took:?} from the first to the last");
+    let elapsed = first_refused.unwrap().elapsed();
+    assert!(elapsed < CLIENTS * TIMER_RESOLUTION, "{elapsed:?} from the first refusal to the last");
 }
 
-/// A request is taken once it is written to a connection that the machine has accepted, whether the process has or not. With the
-/// listener, what was not accepted by the process would be reset.
+/// Guards against requests without an answer: closing the listener resets connections in its backlog, on which requests
+/// may already be written. Such a request counts as accepted.
 #[test]
-fn sigterm_refuses_what_clients_without_a_slot_have_written() {
-    let mut p = platform();
-    let (mut busy, _hangs) = p.take_all_slots(SLOTS);
-    let mut crowd: Vec<Client> = (0..CROWD).map(|_| p.balancer.client()).collect();
+fn sigterm_refuses_requests_of_clients_without_slot() {
+    let mut platform = platform();
+    let (mut busy, _unanswered) = platform.take_all_slots(SLOTS);
+    let mut crowd: Vec<Client> = (0..CROWD).map(|_| platform.balancer.client()).collect();
     crowd.iter_mut().for_each(|client| client.get("leer", "1"));
-    p.balancer.logged("client connections are busy");
-    p.balancer.terminate();
-    let told = Instant::now();
+    platform.balancer.wait_for_log("client connections are busy");
+    platform.balancer.terminate();
+    let signalled = Instant::now();
     for (number, client) in crowd.iter_mut().enumerate() {
-        let answer = client.answer();
+        let answer = client.read_answer();
         assert!(
             answer.starts_with("-BUSY"),
-            "client {number} of the crowd: {answer:?}, {:?} on",
-            told.elapsed()
+            "client {number} of the crowd: {answer:?}, {:?} after SIGTERM",
+            signalled.elapsed()
         );
-        assert!(client.ended());
+        assert!(client.reads_end());
     }
     for client in &mut busy {
-        assert!(client.answer().starts_with('-'), "its fetch hangs");
+        assert!(client.read_answer().starts_with('-'), "its fetch hangs");
     }
-    assert!(p.balancer.exit().success());
+    assert!(platform.balancer.wait_for_exit().success());
 }
--- a/crates/spindlebeam/tests/held_up.rs
+++ b/crates/spindlebeam/tests/held_up.rs
@@ -1,4 +1,5 @@
-//! A process that is held up for a moment: what comes meanwhile is counted from when it came, not from when it is read.
+//! Requests that arrive while the process is stalled: their deadlines count from when they arrived, not from when they
+//! are read.
 
 mod platform;
 
@@ -6,67 +7,75 @@
 use rstest::rstest;
 use std::time::{Duration, Instant};
 
-/// How long the process stands still. The operators allow for 0.15 s; more sets the two clocks apart on a busy machine as well.
-const HELD_UP: Duration = Duration::from_millis(400);
-/// The time that the request gives.
-const TIME: Duration = Duration::from_millis(1_000);
-/// The rule's slack, and what a busy machine may take.
-const SLACK: Duration = Duration::from_millis(200);
+/// Duration of the stall. 0.15 s are allowed; a longer stall distinguishes the two starting times also on a busy
+/// machine.
+const STALL: Duration = Duration::from_millis(400);
+/// The deadline of the request.
+const DEADLINE: Duration = Duration::from_millis(1_000);
+/// Allowance of the rule, and for other load on the machine.
+const ALLOWANCE: Duration = Duration::from_millis(200);
 
-/// On what connection the request comes.
+/// The connection that the request arrives on.
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum On {
-    /// One that has been answered before.
+enum RequestConnection {
+    /// A connection with an answered request.
     Open,
-    /// One that is dialled meanwhile.
+    /// A connection that is opened during the stall.
     New,
-    /// One on which another request came before it, and waits as well.
-    Behind,
+    /// A connection on which another request arrives before it during the stall.
+    Pipelined,
 }
 
 #[rstest]
-fn a_request_that_comes_while_the_process_is_held_up_is_answered_in_its_time(
-    #[values(On::Open, On::New, On::Behind)] on: On, #[values("alta", "folio")] class: &str,
+fn request_arriving_during_stall_is_answered_by_its_deadline(
+    #[values(RequestConnection::Open, RequestConnection::New, RequestConnection::Pipelined)]
+    connection: RequestConnection,
+    #[values("alta", "folio")] class: &str,
 ) {
     let platform = Platform::start(1);
     let key = platform.key_of(0);
     let mut client = platform.balancer.client();
     client.get("leer", &key);
-    platform.peers[0].asked().value("x");
-    assert_eq!(client.answer(), "x");
-    let mut asked = Instant::now();
-    platform.balancer.stopped(|| {
-        if on == On::New {
+    platform.peers[0].next_request().respond_value("x");
+    assert_eq!(client.read_answer(), "x");
+    let mut written = Instant::now();
+    platform.balancer.while_stopped(|| {
+        if connection == RequestConnection::New {
             client = platform.balancer.client();
         }
-        if on == On::Behind {
-            client.get_within("leer", &key, TIME);
+        if connection == RequestConnection::Pipelined {
+            client.get_with_deadline("leer", &key, DEADLINE);
         }
-        client.get_within(class, &key, TIME);
-        asked = Instant::now();
-        assert!(!client.answered_within(HELD_UP), "it stands still");
+        client.get_with_deadline(class, &key, DEADLINE);
+        written = Instant::now();
+        assert!(!client.has_answer_within(STALL), "a stopped process answered");
     });
-    let _hangs = platform.peers[0].asked();
-    let answers: Vec<String> = (0..if on == On::Behind { 2 } else { 1 }).map(|_| client.answer()).collect();
-    let took = asked.elapsed();
-    let sound = |answer: &String| answer.starts_with("-BUSY") || answer == "-ERR failed";
-    assert!(answers.iter().all(sound), "{answers:?}");
-    assert!(took < TIME + SLACK, "answered {took:?} after it was written: it gave {TIME:?}");
+    let _unanswered = platform.peers[0].next_request();
+    let answers: Vec<String> = (0..if connection == RequestConnection::Pipelined { 2 } else { 1 })
+        .map(|_| client.read_answer())
+        .collect();
+    let elapsed = written.elapsed();
+    let is_refusal_or_failure = |answer: &String| answer.starts_with("-BUSY") || answer == "-ERR failed";
+    assert!(answers.iter().all(is_refusal_or_failure), "{answers:?}");
+    assert!(
+        elapsed < DEADLINE + ALLOWANCE,
+        "answered {elapsed:?} after it was written; its deadline is {DEADLINE:?}"
+    );
 }
 
 #[test]
-fn a_request_whose_time_is_over_as_it_is_read_is_refused_and_sent_nowhere() {
+fn request_read_after_its_deadline_is_refused() {
     let platform = Platform::start(1);
     let key = platform.key_of(0);
     let mut client = platform.balancer.client();
     client.get("leer", &key);
-    platform.peers[0].asked().value("x");
-    assert_eq!(client.answer(), "x");
-    platform.balancer.stopped(|| {
-        client.get_within("leer", &key, HELD_UP / 4);
-        assert!(!client.answered_within(HELD_UP), "it stands still");
+    platform.peers[0].next_request().respond_value("x");
+    assert_eq!(client.read_answer(), "x");
+    platform.balancer.while_stopped(|| {
+        client.get_with_deadline("leer", &key, STALL / 4);
+        assert!(!client.has_answer_within(STALL), "a stopped process answered");
     });
-    let answer = client.answer();
+    let answer = client.read_answer();
     assert!(answer.starts_with("-BUSY"), "{answer}");
-    assert!(platform.peers[0].heard_of_nothing_more(), "it is sent nowhere");
+    assert!(platform.peers[0].has_no_more_requests(), "it must not be forwarded");
 }
--- a/crates/spindlebeam/tests/platform/client.rs
+++ b/crates/spindlebeam/tests/platform/client.rs
@@ -1,6 +1,6 @@
-//! A client of the program.
+//! A RESP client of the balancer.
 
-use super::PATIENCE;
+use super::WAIT_TIMEOUT;
 use bytes::BytesMut;
 use std::io::{BufRead, BufReader, ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
@@ -8,9 +8,10 @@
 use std::thread::{self, JoinHandle};
 use std::time::Duration;
 
+/// A connection to the balancer with a read timeout.
 pub struct Client(BufReader<TcpStream>);
 
-/// Every request carries a new id.
+/// Returns a request id that no other request of this test program has.
 fn new_id() -> String {
     static COUNT: AtomicU32 = AtomicU32::new(1);
     format!("{:016x}", COUNT.fetch_add(1, Ordering::Relaxed))
@@ -23,123 +24,125 @@
     bytes
 }
 
-/// A read with an id of its own.
+/// Encodes a read of the key with a new request id.
 pub fn read_command(key: &str) -> Vec<u8> {
     command(&["CACHE.GET", key, &new_id(), "c=leer,t=acme,d=60000"]).to_vec()
 }
 
 impl Client {
     pub(super) fn connect(addr: SocketAddr) -> Self {
-        Self::of(TcpStream::connect(addr).unwrap())
+        Self::from_stream(TcpStream::connect(addr).unwrap())
     }
-    pub fn of(stream: TcpStream) -> Self {
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    pub fn from_stream(stream: TcpStream) -> Self {
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
         Client(BufReader::new(stream))
     }
     pub fn send(&mut self, words: &[&str]) {
-        self.raw(&command(words));
+        self.write_raw(&command(words));
     }
-    /// Many writes of the values from 0 on, sent as one piece.
-    pub fn flood(&mut self, class: &str, many: usize) {
+    /// Sends `count` write commands in one piece; their values are the numbers from 0.
+    pub fn send_writes(&mut self, class: &str, count: usize) {
         let options = format!("c={class},t=acme,d=60000,k=5c0f");
-        let commands = (0..many).map(|n| command(&["CACHE.SET", "7f", &new_id(), &options, &n.to_string()]));
+        let commands = (0..count).map(|n| command(&["CACHE.SET", "7f", &new_id(), &options, &n.to_string()]));
         let bytes: Vec<u8> = commands.flatten().collect();
-        self.raw(&bytes);
+        self.write_raw(&bytes);
     }
-    pub fn raw(&mut self, bytes: &[u8]) {
+    pub fn write_raw(&mut self, bytes: &[u8]) {
         self.0.get_mut().write_all(bytes).unwrap();
     }
-    /// Sends what goes without waiting; nothing once the connection has ended, or is full.
-    pub fn try_raw(&mut self, bytes: &[u8]) {
+    /// Sends as much as the socket accepts in one write. Errors are ignored: the connection may be closed.
+    pub fn try_write_raw(&mut self, bytes: &[u8]) {
         let mut stream = self.0.get_ref();
         let _ = stream.write(bytes);
     }
-    /// Sends the same on a thread of its own, as fast as it is taken, until the connection has ended.
+    /// Sends the bytes repeatedly on a separate thread until the connection is closed.
     pub fn send_without_pause(&self, bytes: Vec<u8>) {
         let mut stream = self.0.get_ref().try_clone().unwrap();
         thread::spawn(move || while stream.write_all(&bytes).is_ok() {});
     }
-    /// Sends a read; nothing once the connection has ended.
+    /// Sends a read command. Errors are ignored: the connection may be closed.
     pub fn try_get(&mut self, class: &str, key: &str) {
-        self.try_raw(&command(&["CACHE.GET", key, &new_id(), &format!("c={class},t=acme,d=60000")]));
+        self.try_write_raw(&command(&["CACHE.GET", key, &new_id(), &format!("c={class},t=acme,d=60000")]));
     }
-    /// Has all further answers read on a thread of its own, up to the end of the connection.
-    pub fn read_apart(&self) -> JoinHandle<Vec<String>> {
-        let mut reader = Client::of(self.0.get_ref().try_clone().unwrap());
+    /// Reads all further answers on a separate thread until the connection ends.
+    pub fn collect_answers(&self) -> JoinHandle<Vec<String>> {
+        let mut reader = Client::from_stream(self.0.get_ref().try_clone().unwrap());
         thread::spawn(move || {
-            let answers = std::iter::from_fn(|| Some(reader.answer()).filter(|answer| !answer.is_empty()));
+            let answers =
+                std::iter::from_fn(|| Some(reader.read_answer()).filter(|answer| !answer.is_empty()));
             answers.collect()
         })
     }
     pub fn port(&self) -> u16 {
         self.0.get_ref().local_addr().unwrap().port()
     }
-    pub fn inner(&mut self) -> &mut impl Read {
+    pub fn reader(&mut self) -> &mut impl Read {
         &mut self.0
     }
-    /// A line.
-    pub fn line(&mut self) -> String {
+    /// Reads a line, without its line end.
+    pub fn read_line(&mut self) -> String {
         let mut line = String::new();
         self.0.read_line(&mut line).unwrap();
         line.trim_end().to_owned()
     }
-    /// A line, empty where the connection has ended in order.
-    pub fn line_or_error(&mut self) -> std::io::Result<String> {
+    /// Reads a line with its line end; empty if the connection was closed without a reset.
+    pub fn try_read_line(&mut self) -> std::io::Result<String> {
         let mut line = String::new();
         self.0.read_line(&mut line).map(|_| line)
     }
-    /// The rest of a bulk string of so many bytes.
-    pub fn bulk(&mut self, length: usize) -> String {
+    /// Reads a bulk string of `length` bytes whose length line has been read.
+    pub fn read_bulk(&mut self, length: usize) -> String {
         let mut body = vec![0; length + 2];
         self.0.read_exact(&mut body).unwrap();
         assert_eq!(body.split_off(length), b"\r\n");
         String::from_utf8(body).unwrap()
     }
-    /// A line of an answer, or a whole bulk string; empty when the connection has ended.
-    pub fn answer(&mut self) -> String {
+    /// Reads a line of an answer, or a whole bulk string; empty if the connection has ended.
+    pub fn read_answer(&mut self) -> String {
         let mut line = String::new();
         match self.0.read_line(&mut line) {
-            // A time-out is no end of a connection: a test that took it for one would pass without the fact.
+            // A timeout must not count as the end of the connection: tests that wait for the end would pass without it.
             Err(error) if matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {
-                panic!("nothing came within {PATIENCE:?}")
+                panic!("no answer within {WAIT_TIMEOUT:?}")
             }
             Err(_) => return String::new(),
             Ok(_) => {}
         }
         if let Some(len) = line.strip_prefix('$') {
-            return self.bulk(len.trim().parse().unwrap());
+            return self.read_bulk(len.trim().parse().unwrap());
         }
         line.trim_end().to_owned()
     }
-    /// Whether an answer has begun within a time.
-    pub fn answered_within(&mut self, time: Duration) -> bool {
+    /// Returns whether an answer has begun within `time`.
+    pub fn has_answer_within(&mut self, time: Duration) -> bool {
         self.0.get_ref().set_read_timeout(Some(time)).unwrap();
-        let begun = self.0.get_ref().peek(&mut [0]).is_ok_and(|n| n > 0);
-        self.0.get_ref().set_read_timeout(Some(PATIENCE)).unwrap();
-        begun
+        let has_begun = self.0.get_ref().peek(&mut [0]).is_ok_and(|n| n > 0);
+        self.0.get_ref().set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
+        has_begun
     }
     pub fn get(&mut self, class: &str, key: &str) {
-        self.get_as(&new_id(), class, key);
+        self.get_with_id(&new_id(), class, key);
     }
-    pub fn get_as(&mut self, id: &str, class: &str, key: &str) {
+    pub fn get_with_id(&mut self, id: &str, class: &str, key: &str) {
         self.send(&["CACHE.GET", key, id, &format!("c={class},t=acme,d=60000")]);
     }
-    /// A read whose client waits for no longer than this.
-    pub fn get_within(&mut self, class: &str, key: &str, time: Duration) {
+    /// Sends a read with this deadline.
+    pub fn get_with_deadline(&mut self, class: &str, key: &str, time: Duration) {
         let options = format!("c={class},t=acme,d={}", time.as_millis());
         self.send(&["CACHE.GET", key, &new_id(), &options]);
     }
     pub fn set(&mut self, class: &str, value: &str) {
         self.send(&["CACHE.SET", "7f", &new_id(), &format!("c={class},t=acme,d=60000,k=5c0f"), value]);
     }
-    pub fn half_close(&mut self, how: Shutdown) {
-        let _ = self.0.get_mut().shutdown(how); // it may have gone by then
+    pub fn shutdown(&mut self, direction: Shutdown) {
+        let _ = self.0.get_mut().shutdown(direction); // the connection may already be closed
     }
-    pub fn ended(&mut self) -> bool {
-        self.answer().is_empty()
+    /// Reads on, and returns whether the connection has ended instead of giving an answer.
+    pub fn reads_end(&mut self) -> bool {
+        self.read_answer().is_empty()
     }
-    /// Whether its connection has ended by now; nothing is waited for.
-    pub fn has_ended(&self) -> bool {
+    /// Returns whether the connection is closed, without waiting.
+    pub fn is_closed(&self) -> bool {
         let stream = self.0.get_ref();
         stream.set_nonblocking(true).unwrap();
         let peeked = stream.peek(&mut [0]);
--- a/crates/spindlebeam/tests/platform/discovery.rs
+++ b/crates/spindlebeam/tests/platform/discovery.rs
@@ -1,16 +1,18 @@
-//! Discovery as the test says, its lists, and the program's configuration.
+//! A scripted discovery service, the lists that it sends, and the balancer's configuration.
 
-use super::PATIENCE;
+use super::WAIT_TIMEOUT;
 use serde_json::{Value, json};
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::mpsc::{Receiver, channel};
 use std::thread;
 
-/// Discovery: answers with its list, then watches say what the test pushes.
+/// A discovery service that answers polls with a fixed list and sends on watches what the test pushes.
 pub struct Discovery {
     pub addr: SocketAddr,
+    /// The paths of the requests.
     pub paths: Receiver<String>,
+    /// The connections of open watches.
     watches: Receiver<TcpStream>,
 }
 
@@ -37,35 +39,40 @@
         });
         Self { addr, paths, watches }
     }
-    pub fn watch(&self) -> TcpStream {
-        self.watches.recv_timeout(PATIENCE).expect("the balancer watches")
+    /// Waits for the connection of the next watch.
+    pub fn next_watch(&self) -> TcpStream {
+        self.watches.recv_timeout(WAIT_TIMEOUT).expect("the balancer opened no watch in time")
     }
-    pub fn asked_for(&self) -> String {
-        self.paths.recv_timeout(PATIENCE).expect("the balancer asks")
+    /// Waits for the path of the next request.
+    pub fn next_path(&self) -> String {
+        self.paths.recv_timeout(WAIT_TIMEOUT).expect("the balancer sent no request to discovery in time")
     }
 }
 
-/// Writes a line to a watch, as one chunk.
+/// Writes a line to a watch as one chunk.
 pub fn push(watch: &mut TcpStream, line: &str) {
     write!(watch, "{:x}\r\n{line}\n\r\n", line.len() + 1).unwrap();
 }
 
+/// A list entry of an endpoint; the id `origin` makes it an origin.
 pub fn member(id: &str, addr: SocketAddr, phase: &str) -> Value {
     let flavor = if id == "origin" { "origin" } else { "m" };
     json!({"id": id, "host_port": addr.to_string(), "locality": "a", "flavor": flavor, "cell": 0,
            "phase": phase, "size": 1.0, "up_since_ms": 0})
 }
 
+/// An endpoint list, whole or a change.
 pub fn list(revision: u64, complete: bool, members: &[Value]) -> Value {
     json!({"revision": revision, "complete": complete, "members": members})
 }
 
-/// Classes `leer` (safe), `alta` (keyed) and `folio` (fragile) with times that no test reaches, and `prisa`,
-/// whose first try is cut short early.
+/// The classes `leer` (idempotent), `alta` (with idempotency key) and `folio` (fragile) have times that no test
+/// reaches;
+/// `prisa` has a short objective, so that its first attempt times out early.
 pub fn settings() -> Value {
-    let class = |name: &str, effect: &str, aim: u64| {
+    let class = |name: &str, effect: &str, objective_us: u64| {
         json!({"name": name, "effect": effect, "keyScope": "all", "memorySpanUs": 4_000_000, "worth": 1.0,
-               "lateWorth": 0.0, "onTimeUs": aim, "deadlineUs": 60_000_000})
+               "lateWorth": 0.0, "onTimeUs": objective_us, "deadlineUs": 60_000_000})
     };
     json!({
         "me": 0, "siblings": 1, "dcs": ["a"], "locality": 0, "hostTypes": ["m", "origin"],
@@ -79,6 +86,7 @@
     })
 }
 
+/// The configuration of a balancer at an unused port.
 pub fn config(discovery: SocketAddr, sockets: u64, known: Value) -> Value {
     json!({"name": "n0", "listen": "127.0.0.1:0", "discovery": discovery.to_string(),
            "seed": "8c1f30d27a5be964", "limits": {"cores": 1.0, "memory_mb": 192, "sockets": sockets},
--- a/crates/spindlebeam/tests/platform/mod.rs
+++ b/crates/spindlebeam/tests/platform/mod.rs
@@ -1,6 +1,6 @@
-//! A scripted platform: peers, an origin and discovery that do what a test says, and the program between them.
+//! A scripted platform: cache nodes, an origin and discovery that follow the test, and a balancer process between them.
 //!
-//! Nothing sleeps: a test waits for what happens, and `PATIENCE` only ends one that waits for ever.
+//! Tests wait for events instead of sleeping; `WAIT_TIMEOUT` only ends a test that would wait for ever.
 #![allow(
     dead_code,
     unused_imports,
@@ -23,21 +23,23 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-pub const PATIENCE: Duration = Duration::from_secs(20);
+/// Timeout of every wait for an event.
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// How long a wait leaves the processor to others between two looks: many tests wait at a time, and a look may cost more than a turn.
-const BETWEEN_LOOKS: Duration = Duration::from_millis(10);
+/// Interval between checks of a condition: many tests wait at a time, and a check may cost more CPU than a turn of the
+/// program.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Waits until something is so.
-pub fn wait_until(mut so: impl FnMut() -> bool) {
-    let until = Instant::now() + PATIENCE;
-    while !so() {
-        assert!(Instant::now() < until, "not so within {PATIENCE:?}");
-        thread::park_timeout(BETWEEN_LOOKS);
+/// Waits until the condition holds.
+pub fn wait_until(mut condition: impl FnMut() -> bool) {
+    let until = Instant::now() + WAIT_TIMEOUT;
+    while !condition() {
+        assert!(Instant::now() < until, "the condition did not hold within {WAIT_TIMEOUT:?}");
+        thread::park_timeout(POLL_INTERVAL);
     }
 }
 
-/// A balancer with this many peers, and an origin.
+/// A balancer process with its cache nodes, origin and discovery.
 pub struct Platform {
     pub config: Value,
     pub peers: Vec<Peer>,
@@ -48,77 +50,82 @@
 }
 
 impl Platform {
+    /// Starts a balancer with this number of cache nodes.
     pub fn start(peers: usize) -> Self {
-        Self::limited(peers, 192, 1024, 1024)
+        Self::with_limits(peers, 192, 1024, 1024)
     }
-    /// With a door for operators.
-    pub fn with_door(peers: usize) -> Self {
-        Self::configured(peers, 1024, |config| config["operator"] = "127.0.0.1:0".into())
+    /// Starts a balancer with an admin endpoint.
+    pub fn with_admin_endpoint(peers: usize) -> Self {
+        Self::with_config(peers, 1024, |config| config["operator"] = "127.0.0.1:0".into())
     }
-    /// A figure that the door gives.
-    pub fn figure(&self, name: &str) -> u64 {
-        let (status, text) = call(self.balancer.door.unwrap(), "GET", "/metrics", "");
+    /// Reads a metric from the admin endpoint.
+    pub fn metric(&self, name: &str) -> u64 {
+        let (status, text) = call(self.balancer.admin_addr.unwrap(), "GET", "/metrics", "");
         assert_eq!(status, 200);
         let line = text.lines().find_map(|line| line.strip_prefix(&format!("balancer.{name}:")));
         line.unwrap_or_else(|| panic!("no {name} in {text}")).split('|').next().unwrap().parse().unwrap()
     }
-    /// With other limits: memory and descriptors as it is told of them, and descriptors as the system enforces.
-    pub fn limited(peers: usize, memory_mb: u64, sockets: u64, descriptors: u32) -> Self {
-        Self::configured(peers, descriptors, |config| {
+    /// Starts a balancer with these limits in its configuration; `descriptors` is the limit that the system enforces.
+    pub fn with_limits(peers: usize, memory_mb: u64, sockets: u64, descriptors: u32) -> Self {
+        Self::with_config(peers, descriptors, |config| {
             config["limits"] = json!({"memory_mb": memory_mb, "sockets": sockets});
         })
     }
-    pub fn configured(peers: usize, descriptors: u32, edit: impl FnOnce(&mut Value)) -> Self {
+    /// Starts a balancer whose configuration `edit` changes; `descriptors` is the limit that the system enforces.
+    pub fn with_config(peers: usize, descriptors: u32, edit: impl FnOnce(&mut Value)) -> Self {
         let peers = (0..peers).map(|_| Peer::start(false)).collect();
-        Self::of(peers, Peer::start(true), descriptors, edit)
+        Self::with_servers(peers, Peer::start(true), descriptors, edit)
     }
-    /// A balancer whose clients' socket the platform holds, so that others can take part in it.
-    pub fn shared(home: &Home, edit: impl FnOnce(&mut Value)) -> Self {
-        Self::at(home, vec![Peer::start(false)], Peer::start(true), 1024, edit)
+    /// Starts a balancer with the listening socket of `env`, so that further processes can share it.
+    pub fn with_inherited_socket(env: &ProcessEnv, edit: impl FnOnce(&mut Value)) -> Self {
+        Self::start_in(env, vec![Peer::start(false)], Peer::start(true), 1024, edit)
     }
-    /// Of these peers and this origin.
-    pub fn of(peers: Vec<Peer>, origin: Peer, descriptors: u32, edit: impl FnOnce(&mut Value)) -> Self {
-        Self::at(&Home::alone(), peers, origin, descriptors, edit)
+    /// Starts a balancer with these cache nodes and this origin.
+    pub fn with_servers(
+        peers: Vec<Peer>, origin: Peer, descriptors: u32, edit: impl FnOnce(&mut Value),
+    ) -> Self {
+        Self::start_in(&ProcessEnv::without_socket(), peers, origin, descriptors, edit)
     }
-    fn at(
-        home: &Home, peers: Vec<Peer>, origin: Peer, descriptors: u32, edit: impl FnOnce(&mut Value),
+    fn start_in(
+        env: &ProcessEnv, peers: Vec<Peer>, origin: Peer, descriptors: u32, edit: impl FnOnce(&mut Value),
     ) -> Self {
         let mut members = vec![member("origin", origin.addr, "ready")];
-        members.extend(peers.iter().enumerate().map(|(i, p)| member(&format!("s-{i}"), p.addr, "ready")));
+        members
+            .extend(peers.iter().enumerate().map(|(i, peer)| member(&format!("s-{i}"), peer.addr, "ready")));
         let discovery = Discovery::start(list(1, true, &members));
         let mut config = config(discovery.addr, 1024, Value::Null);
         edit(&mut config);
-        let balancer = Balancer::of(home, home.spawn(&config.to_string(), descriptors), &config);
-        let watch = discovery.watch();
-        balancer.logged("ready");
+        let balancer = Balancer::from_child(env, env.spawn(&config.to_string(), descriptors), &config);
+        let watch = discovery.next_watch();
+        balancer.wait_for_log("ready");
         assert!(
-            peers.iter().chain([&origin]).all(Peer::opened),
-            "each is dialled ahead of its first request"
+            peers.iter().chain([&origin]).all(Peer::wait_for_connection),
+            "a connection to each server is opened before the first request"
         );
         Self { config, peers, origin, discovery, watch, balancer }
     }
-    /// Takes all connection slots: these clients wait for the one fetch of their key, which hangs for as long as the request at the
-    /// origin is kept.
-    pub fn take_all_slots(&self, slots: usize) -> (Vec<Client>, Asked) {
-        let asks = || {
+    /// Occupies all connection slots with clients that wait for the one fetch of their key, which hangs as long as the
+    /// returned request at the origin is kept.
+    pub fn take_all_slots(&self, slots: usize) -> (Vec<Client>, PeerRequest) {
+        let busy_client = || {
             let mut client = self.balancer.client();
             client.get("leer", "1");
-            self.peers[0].asked().miss();
+            self.peers[0].next_request().respond_miss();
             client
         };
-        let busy = (0..slots).map(|_| asks()).collect();
-        (busy, self.origin.asked())
+        let busy = (0..slots).map(|_| busy_client()).collect();
+        (busy, self.origin.next_request())
     }
-    /// A key whose first server is this peer, found by asking; all keys tried are answered.
+    /// Finds a key that is first sent to this cache node by trying keys; every attempt is answered.
     pub fn key_of(&self, peer: usize) -> String {
         let mut client = self.balancer.client();
         (1..)
             .map(|n: u64| format!("{n:x}"))
             .find(|key| {
                 client.get("leer", key);
-                let found = next_asked(&self.peers);
-                found.1.value("x");
-                client.answer() == "x" && found.0 == peer
+                let (found, request) = next_request_of_any(&self.peers);
+                request.respond_value("x");
+                client.read_answer() == "x" && found == peer
             })
             .unwrap()
     }
--- a/crates/spindlebeam/tests/platform/peer.rs
+++ b/crates/spindlebeam/tests/platform/peer.rs
@@ -1,6 +1,6 @@
-//! A cache node or an origin that does what the test says.
+//! A scripted cache node or origin.
 
-use super::PATIENCE;
+use super::WAIT_TIMEOUT;
 use bytes::BytesMut;
 use proto::resp::decode_command;
 use std::io::{Read, Write};
@@ -9,139 +9,150 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Something that happened at a peer.
-pub enum Seen {
-    /// A request, and the connection to answer it on.
-    Asked(Asked),
+/// An event at a peer.
+pub enum PeerEvent {
+    /// A request arrived.
+    Request(PeerRequest),
     /// The balancer closed a connection.
     Closed,
 }
 
-pub struct Asked {
+/// A request at a peer, and the connection to answer it on.
+pub struct PeerRequest {
+    /// The words of a RESP command, or the lines of an HTTP head and the body.
     pub words: Vec<String>,
     stream: TcpStream,
 }
 
-impl Asked {
-    /// A part of an answer; whoever is not there any more to take it misses it.
-    pub fn part(&mut self, bytes: &str) {
+impl PeerRequest {
+    /// Writes a part of an answer. Errors are ignored: the connection may be closed.
+    pub fn write_part(&mut self, bytes: &str) {
         let _ = self.stream.write_all(bytes.as_bytes());
     }
-    pub fn answer(mut self, bytes: &str) {
+    pub fn respond(mut self, bytes: &str) {
         self.stream.write_all(bytes.as_bytes()).unwrap();
     }
-    pub fn value(self, value: &str) {
-        self.answer(&format!("*3\r\n${}\r\n{value}\r\n$3\r\nhit\r\n$-1\r\n", value.len()));
+    pub fn respond_value(self, value: &str) {
+        self.respond(&format!("*3\r\n${}\r\n{value}\r\n$3\r\nhit\r\n$-1\r\n", value.len()));
     }
-    pub fn miss(self) {
-        self.answer("*3\r\n$-1\r\n$4\r\nmiss\r\n$-1\r\n");
+    pub fn respond_miss(self) {
+        self.respond("*3\r\n$-1\r\n$4\r\nmiss\r\n$-1\r\n");
     }
-    pub fn http(self, head: &str, body: &str) {
-        self.answer(&format!("HTTP/1.1 {head}\r\nContent-Length: {}\r\n\r\n{body}", body.len()));
+    pub fn respond_http(self, head: &str, body: &str) {
+        self.respond(&format!("HTTP/1.1 {head}\r\nContent-Length: {}\r\n\r\n{body}", body.len()));
     }
-    /// Ends the connection without an answer.
+    /// Closes the connection without an answer.
     pub fn hang_up(self) {
         self.stream.shutdown(Shutdown::Both).unwrap();
     }
 }
 
+/// A cache node that speaks RESP, or an origin that speaks HTTP.
 pub struct Peer {
     pub addr: SocketAddr,
-    seen: Receiver<Seen>,
+    events: Receiver<PeerEvent>,
     opened: Receiver<()>,
 }
 
 impl Peer {
     pub fn start(http: bool) -> Self {
-        Self::taking(TcpListener::bind("127.0.0.1:0").unwrap(), http, || true)
+        Self::accept_while(TcpListener::bind("127.0.0.1:0").unwrap(), http, || true)
     }
-    /// With the shortest backlog, and taking one connection for each word: further ones are held in their dial.
-    pub fn narrow(http: bool) -> (Self, Sender<()>) {
+    /// Starts a peer with the shortest backlog that accepts one connection for each message of the returned sender.
+    /// Further connections remain in their dial.
+    pub fn with_short_backlog(http: bool) -> (Self, Sender<()>) {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         socket2::SockRef::from(&listener).listen(0).unwrap();
-        let (admit, admitted) = channel();
-        (Self::taking(listener, http, move || admitted.recv().is_ok()), admit)
+        let (permit, permits) = channel();
+        (Self::accept_while(listener, http, move || permits.recv().is_ok()), permit)
     }
-    fn taking(listener: TcpListener, http: bool, mut takes: impl FnMut() -> bool + Send + 'static) -> Self {
+    fn accept_while(
+        listener: TcpListener, http: bool, mut may_accept: impl FnMut() -> bool + Send + 'static,
+    ) -> Self {
         let addr = listener.local_addr().unwrap();
-        let (sender, seen) = channel();
-        let (opening, opened) = channel();
+        let (sender, events) = channel();
+        let (opened_sender, opened) = channel();
         thread::spawn(move || {
-            while takes() {
+            while may_accept() {
                 let Ok((stream, _)) = listener.accept() else { break };
-                let _ = opening.send(());
+                let _ = opened_sender.send(());
                 let sender = sender.clone();
-                thread::spawn(move || attend(stream, http, &sender));
+                thread::spawn(move || serve_connection(stream, http, &sender));
             }
         });
-        Self { addr, seen, opened }
+        Self { addr, events, opened }
     }
-    pub fn next(&self) -> Seen {
-        self.seen.recv_timeout(PATIENCE).expect("the peer hears of something")
+    /// Waits for the next event.
+    pub fn next(&self) -> PeerEvent {
+        self.events
+            .recv_timeout(WAIT_TIMEOUT)
+            .expect("no request came and no connection ended at the peer in time")
     }
-    /// The next request; connections that end before it are passed over.
-    pub fn asked(&self) -> Asked {
+    /// Waits for the next request; closed connections before it are skipped.
+    pub fn next_request(&self) -> PeerRequest {
         loop {
-            if let Seen::Asked(asked) = self.next() {
-                return asked;
+            if let PeerEvent::Request(request) = self.next() {
+                return request;
             }
         }
     }
-    /// The next request within a time, if one comes.
-    pub fn asked_within(&self, time: Duration) -> Option<Asked> {
+    /// Waits for the next request for at most `time`.
+    pub fn next_request_within(&self, time: Duration) -> Option<PeerRequest> {
         let until = Instant::now() + time;
         loop {
-            match self.seen.recv_timeout(until.saturating_duration_since(Instant::now())) {
-                Ok(Seen::Asked(asked)) => return Some(asked),
-                Ok(Seen::Closed) => {}
+            match self.events.recv_timeout(until.saturating_duration_since(Instant::now())) {
+                Ok(PeerEvent::Request(request)) => return Some(request),
+                Ok(PeerEvent::Closed) => {}
                 Err(_) => return None,
             }
         }
     }
-    /// Waits for a further connection.
-    pub fn opened(&self) -> bool {
-        self.opened.recv_timeout(PATIENCE).is_ok()
+    /// Waits for a further connection, and returns whether one came.
+    pub fn wait_for_connection(&self) -> bool {
+        self.opened.recv_timeout(WAIT_TIMEOUT).is_ok()
     }
-    /// Whether a further connection has come.
-    pub fn opened_more(&self) -> bool {
+    /// Returns whether a further connection has come, without waiting.
+    pub fn has_new_connection(&self) -> bool {
         self.opened.try_recv().is_ok()
     }
-    /// Forgets the connections so far.
-    pub fn forget_opened(&self) {
+    /// Clears the record of accepted connections.
+    pub fn clear_connections(&self) {
         self.opened.try_iter().for_each(drop);
     }
-    pub fn closed(&self) -> bool {
-        matches!(self.next(), Seen::Closed)
+    /// Waits for the next event, and returns whether it is a closed connection.
+    pub fn next_is_close(&self) -> bool {
+        matches!(self.next(), PeerEvent::Closed)
     }
-    pub fn heard_of_nothing_more(&self) -> bool {
-        !self.seen.try_iter().any(|seen| matches!(seen, Seen::Asked(_)))
+    /// Returns whether no further request has arrived, without waiting.
+    pub fn has_no_more_requests(&self) -> bool {
+        !self.events.try_iter().any(|event| matches!(event, PeerEvent::Request(_)))
     }
 }
 
-/// The next request at any of these, and at which.
-pub fn next_asked(peers: &[Peer]) -> (usize, Asked) {
-    let until = Instant::now() + PATIENCE;
+/// Waits for the next request at any of the peers, and returns the index of the peer with it.
+pub fn next_request_of_any(peers: &[Peer]) -> (usize, PeerRequest) {
+    let until = Instant::now() + WAIT_TIMEOUT;
     while Instant::now() < until {
-        let heard = peers.iter().map(|p| p.seen.try_recv()).enumerate();
-        let mut asked = heard.filter_map(|(i, seen)| match seen {
-            Ok(Seen::Asked(asked)) => Some((i, asked)),
+        let events = peers.iter().map(|peer| peer.events.try_recv()).enumerate();
+        let mut requests = events.filter_map(|(i, event)| match event {
+            Ok(PeerEvent::Request(request)) => Some((i, request)),
             _ => None,
         });
-        if let Some(found) = asked.next() {
+        if let Some(found) = requests.next() {
             return found;
         }
         thread::yield_now();
     }
-    panic!("none of the peers hears of anything");
+    panic!("no request came at any of {} peers within {WAIT_TIMEOUT:?}", peers.len());
 }
 
-fn attend(mut stream: TcpStream, http: bool, sender: &Sender<Seen>) {
+fn serve_connection(mut stream: TcpStream, http: bool, sender: &Sender<PeerEvent>) {
     let mut buffer = BytesMut::new();
     loop {
-        let whole = if http { http_request(&mut buffer) } else { resp_request(&mut buffer) };
-        if let Some(words) = whole {
+        let decoded = if http { http_request(&mut buffer) } else { resp_request(&mut buffer) };
+        if let Some(words) = decoded {
             let stream = stream.try_clone().unwrap();
-            let _ = sender.send(Seen::Asked(Asked { words, stream }));
+            let _ = sender.send(PeerEvent::Request(PeerRequest { words, stream }));
             continue;
         }
         let mut chunk = [0; 4096];
@@ -150,15 +161,15 @@
             _ => break,
         }
     }
-    let _ = sender.send(Seen::Closed);
+    let _ = sender.send(PeerEvent::Closed);
 }
 
 fn resp_request(buffer: &mut BytesMut) -> Option<Vec<String>> {
-    let command = decode_command(buffer).expect("the balancer writes commands")?;
+    let command = decode_command(buffer).expect("the balancer sent a malformed command")?;
     Some(command.0.iter().map(|word| String::from_utf8(word.to_vec()).unwrap()).collect())
 }
 
-/// The lines of the head, then the body.
+/// Decodes a request into the lines of its head and its body.
 fn http_request(buffer: &mut BytesMut) -> Option<Vec<String>> {
     let text = String::from_utf8(buffer.to_vec()).unwrap();
     let (head, rest) = text.split_once("\r\n\r\n")?;
--- a/crates/spindlebeam/tests/platform/process.rs
+++ b/crates/spindlebeam/tests/platform/process.rs
@@ -1,6 +1,6 @@
-//! The program as a process: started, signalled and called by its operators.
+//! The balancer process: starting it, signals, its log and its admin endpoint.
 
-use super::{Client, PATIENCE, wait_until};
+use super::{Client, WAIT_TIMEOUT, wait_until};
 use serde_json::{Value, json};
 use socket2::{Domain, Socket, Type};
 use std::io::{BufRead, BufReader, Read, Write};
@@ -13,59 +13,60 @@
 use std::thread;
 use std::time::Instant;
 
-/// The program, ended with the test.
+/// A balancer process, killed when dropped.
 pub struct Balancer {
-    pub door: Option<SocketAddr>,
+    pub admin_addr: Option<SocketAddr>,
     pub folder: PathBuf,
     child: Child,
-    file: PathBuf,
+    config_file: PathBuf,
     log: Receiver<String>,
     pub addr: SocketAddr,
 }
 
-/// A place of its own for a test's files.
-fn place() -> PathBuf {
+/// Returns a path for a test's files that nothing else uses.
+fn unique_path() -> PathBuf {
     static COUNT: AtomicU32 = AtomicU32::new(0);
     let number = COUNT.fetch_add(1, Ordering::Relaxed);
     Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("{}-{number}", std::process::id()))
 }
 
-/// Starts the program with a configuration of its own.
+/// Starts a process that binds its own socket; returns it and its configuration file.
 pub fn spawn(config: &str, descriptors: u32) -> (Child, PathBuf) {
-    Home::alone().spawn(config, descriptors)
+    ProcessEnv::without_socket().spawn(config, descriptors)
 }
 
-/// What the processes of one balancer share: their folder, and the clients' socket if the platform holds it.
-pub struct Home {
+/// The resources that the processes of one balancer share: their folder, and the client socket if it is inherited.
+pub struct ProcessEnv {
     pub folder: PathBuf,
     pub socket: Option<TcpListener>,
-    /// The descriptor that the program is told of.
-    pub number: &'static str,
+    /// The value of `PROXY_FD`.
+    pub descriptor: &'static str,
+    /// The path of the program.
     pub program: String,
 }
 
-impl Home {
-    /// With a clients' socket that the platform holds.
-    pub fn new() -> Self {
+impl ProcessEnv {
+    /// Creates resources with a client socket that the processes inherit.
+    pub fn with_socket() -> Self {
         let socket = Some(TcpListener::bind("127.0.0.1:0").unwrap());
-        Home { socket, number: "7", ..Self::alone() }
+        ProcessEnv { socket, descriptor: "7", ..Self::without_socket() }
     }
-    /// Of a process that binds its own socket.
-    pub fn alone() -> Self {
-        let home = Home {
-            folder: place(),
+    /// Creates resources for a process that binds its own socket.
+    pub fn without_socket() -> Self {
+        let env = ProcessEnv {
+            folder: unique_path(),
             socket: None,
-            number: "",
+            descriptor: "",
             program: env!("CARGO_BIN_EXE_spindlebeam").into(),
         };
-        std::fs::create_dir(&home.folder).unwrap();
-        home
+        std::fs::create_dir(&env.folder).unwrap();
+        env
     }
     pub fn client(&self) -> Client {
         Client::connect(self.socket.as_ref().unwrap().local_addr().unwrap())
     }
     pub fn spawn(&self, config: &str, descriptors: u32) -> (Child, PathBuf) {
-        let file = place().with_extension("json");
+        let file = unique_path().with_extension("json");
         std::fs::write(&file, config).unwrap();
         let mut command = Command::new("sh");
         let inherited = if self.socket.is_some() { "exec 7<&0 && " } else { "" };
@@ -79,7 +80,7 @@
             .env("TMPDIR", &self.folder)
             .stderr(Stdio::piped());
         if let Some(socket) = &self.socket {
-            command.env("PROXY_FD", self.number).stdin(OwnedFd::from(socket.try_clone().unwrap()));
+            command.env("PROXY_FD", self.descriptor).stdin(OwnedFd::from(socket.try_clone().unwrap()));
         }
         (command.spawn().unwrap(), file)
     }
@@ -87,30 +88,37 @@
 
 impl Balancer {
     pub fn start(config: &Value, descriptors: u32) -> Self {
-        let home = Home::alone();
-        Self::of(&home, home.spawn(&config.to_string(), descriptors), config)
+        let env = ProcessEnv::without_socket();
+        Self::from_child(&env, env.spawn(&config.to_string(), descriptors), config)
     }
-    /// A process of a balancer that others are of as well.
-    pub fn start_at(home: &Home, config: &Value) -> Self {
-        Self::of(home, home.spawn(&config.to_string(), 1024), config)
+    /// Starts a process of a balancer that may have further processes.
+    pub fn start_in(env: &ProcessEnv, config: &Value) -> Self {
+        Self::from_child(env, env.spawn(&config.to_string(), 1024), config)
     }
-    pub(super) fn of(home: &Home, (mut child, file): (Child, PathBuf), config: &Value) -> Self {
+    pub(super) fn from_child(
+        env: &ProcessEnv, (mut child, config_file): (Child, PathBuf), config: &Value,
+    ) -> Self {
         let (sender, log) = channel();
         let lines = BufReader::new(child.stderr.take().unwrap()).lines();
         thread::spawn(move || lines.map_while(Result::ok).try_for_each(|line| sender.send(line)));
-        let folder = home.folder.clone();
-        let mut it = Self { door: None, folder, child, file, log, addr: "127.0.0.1:0".parse().unwrap() };
+        let folder = env.folder.clone();
+        let mut balancer =
+            Self { admin_addr: None, folder, child, config_file, log, addr: "127.0.0.1:0".parse().unwrap() };
         let addr = |line: String| line.rsplit(' ').next().unwrap().parse().unwrap();
-        it.addr = addr(it.logged("listening on "));
-        it.door = config["operator"].as_str().map(|_| addr(it.logged("admin endpoint on ")));
-        it
-    }
-    /// Waits for a line of the log; lines before it are passed over, and count for the time.
-    pub fn logged(&self, part: &str) -> String {
-        let until = Instant::now() + PATIENCE;
+        balancer.addr = addr(balancer.wait_for_log("listening on "));
+        balancer.admin_addr =
+            config["operator"].as_str().map(|_| addr(balancer.wait_for_log("admin endpoint on ")));
+        balancer
+    }
+    /// Waits for a log line that contains `part`; the timeout covers the skipped lines, too.
+    pub fn wait_for_log(&self, part: &str) -> String {
+        let until = Instant::now() + WAIT_TIMEOUT;
         loop {
             let left = until.saturating_duration_since(Instant::now());
-            let line = self.log.recv_timeout(left).unwrap_or_else(|_| panic!("no line with {part:?}"));
+            let line = self
+                .log
+                .recv_timeout(left)
+                .unwrap_or_else(|_| panic!("no log line contains {part:?} within {WAIT_TIMEOUT:?}"));
             if line.contains(part) {
                 return line;
             }
@@ -119,15 +127,15 @@
     pub fn terminate(&self) {
         self.signal("-TERM");
     }
-    /// Replaces the configuration file, then tells the program so.
+    /// Replaces the configuration file and sends SIGHUP.
     pub fn reload(&self, config: &str) {
-        std::fs::write(&self.file, config).unwrap();
+        std::fs::write(&self.config_file, config).unwrap();
         self.signal("-HUP");
     }
-    /// Tells the program of a new configuration on a disk that stands still; yields its file.
-    pub fn reload_on_a_still_disk(&self) -> PathBuf {
-        std::fs::remove_file(&self.file).unwrap();
-        let file = stands_still(self.file.clone());
+    /// Replaces the configuration file with one whose reads block and sends SIGHUP; returns the file.
+    pub fn reload_from_stalled_file(&self) -> PathBuf {
+        std::fs::remove_file(&self.config_file).unwrap();
+        let file = create_stalled_file(self.config_file.clone());
         self.signal("-HUP");
         file
     }
@@ -135,69 +143,69 @@
         let kill = Command::new("kill").args([signal, &self.child.id().to_string()]).status();
         assert!(kill.unwrap().success());
     }
-    /// Has something happen while the process stands still, so that it finds all of it at once.
-    pub fn stopped(&self, meanwhile: impl FnOnce()) {
+    /// Runs `action` while the process is stopped, so that the process sees all its effects at once.
+    pub fn while_stopped(&self, action: impl FnOnce()) {
         self.signal("-STOP");
         let state = || std::fs::read_to_string(format!("/proc/{}/stat", self.child.id())).unwrap();
         wait_until(|| state().rsplit(')').next().unwrap().trim_start().starts_with('T'));
-        meanwhile();
+        action();
         self.signal("-CONT");
     }
-    pub fn exit(&mut self) -> ExitStatus {
+    pub fn wait_for_exit(&mut self) -> ExitStatus {
         self.child.wait().unwrap()
     }
     pub fn client(&self) -> Client {
         Client::connect(self.addr)
     }
-    /// A client whose system takes in so many bytes before it has read them.
-    pub fn client_that_holds(&self, bytes: usize) -> Client {
+    /// Connects a client whose socket has a receive buffer of this size.
+    pub fn client_with_receive_buffer(&self, bytes: usize) -> Client {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
         socket.set_recv_buffer_size(bytes).unwrap();
         socket.connect(&self.addr.into()).unwrap();
-        Client::of(socket.into())
+        Client::from_stream(socket.into())
     }
-    /// The number of its process.
-    pub fn process(&self) -> u32 {
+    /// Returns the process id.
+    pub fn process_id(&self) -> u32 {
         self.child.id()
     }
-    /// The most memory that it has had, in KB.
+    /// Returns the peak resident memory of the process in KB.
     pub fn resident_kb(&self) -> u64 {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).unwrap();
         let line = status.lines().find_map(|line| line.strip_prefix("VmHWM:")).unwrap();
         line.trim().trim_end_matches(" kB").parse().unwrap()
     }
-    /// Processor time that its threads have had.
+    /// Returns the processor time of all threads in microseconds.
     pub fn processor_us(&self) -> u64 {
         let tasks = std::fs::read_dir(format!("/proc/{}/task", self.child.id())).unwrap();
         let times =
             tasks.filter_map(|task| std::fs::read_to_string(task.ok()?.path().join("schedstat")).ok());
         times.map(|times| times.split(' ').next().unwrap().parse::<u64>().unwrap() / 1_000).sum()
     }
-    /// A yes of the door.
-    pub fn order(&self, path: &str, host: &str) {
-        let body = json!({"who": host}).to_string();
+    /// Posts a call to the admin endpoint, which must succeed.
+    pub fn post_admin(&self, path: &str, cache_node: &str) {
+        let body = json!({"who": cache_node}).to_string();
         assert_eq!(
-            call(self.door.unwrap(), "POST", path, &body),
+            call(self.admin_addr.unwrap(), "POST", path, &body),
             (200, "{\"done\":true}".into()),
             "{path} {body}"
         );
     }
 }
 
-/// A file on a disk that stands still: whoever opens it waits until the test opens its other end.
-pub fn stands_still(file: PathBuf) -> PathBuf {
+/// Creates a named pipe in place of a file on a stalled disk: opening it blocks until the test opens the other end.
+pub fn create_stalled_file(file: PathBuf) -> PathBuf {
     assert!(Command::new("mkfifo").arg(&file).status().unwrap().success());
     file
 }
 
-/// One call at an operators' door: the status and the body of its answer.
-pub fn call(door: SocketAddr, method: &str, path: &str, body: &str) -> (u16, String) {
-    let mut stream = TcpStream::connect(door).unwrap();
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+/// Calls the admin endpoint; returns the status and the body of the response.
+pub fn call(admin_addr: SocketAddr, method: &str, path: &str, body: &str) -> (u16, String) {
+    let mut stream = TcpStream::connect(admin_addr).unwrap();
+    stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
     write!(stream, "{method} {path} HTTP/1.1\r\nHost: x\r\nContent-Length: {}\r\n\r\n{body}", body.len())
         .unwrap();
     let mut answer = String::new();
-    stream.read_to_string(&mut answer).unwrap(); // one call per connection: it ends behind the answer
+    stream.read_to_string(&mut answer).unwrap(); // the connection serves one call and ends after the response
     let (head, body) = answer.split_once("\r\n\r\n").unwrap_or_else(|| panic!("{answer:?}"));
     (head.split(' ').nth(1).unwrap().parse().unwrap(), body.to_owned())
 }
--- a/crates/spindlebeam/tests/serve.rs
+++ b/crates/spindlebeam/tests/serve.rs
@@ -1,21 +1,24 @@
-//! The program as a process, spoken to over sockets, between peers that follow a script.
+//! The program between clients, scripted cache nodes, an origin and discovery.
 
 mod platform;
 use platform::*;
 use serde_json::Value;
 
 #[test]
-fn a_miss_is_fetched_from_the_origin_and_served_as_it_came() {
-    let p = Platform::start(1);
-    let mut client = p.balancer.client();
-    client.get_as("9b1f03aa5c7e2d41", "leer", "7f3a9c21e0b4d655");
-    let asked = p.peers[0].asked();
-    assert_eq!(asked.words[..3], ["CACHE.GET", "7f3a9c21e0b4d655", "9b1f03aa5c7e2d41"]);
-    let ms: u64 =
-        asked.words[3].strip_prefix("c=leer,t=acme,d=").expect("the form of clients").parse().unwrap();
-    assert!(0 < ms && ms <= 60_000, "the time that the balancer will wait: {ms}");
-    asked.miss();
-    let fetch = p.origin.asked();
+fn miss_is_fetched_from_origin_and_served_unchanged() {
+    let platform = Platform::start(1);
+    let mut client = platform.balancer.client();
+    client.get_with_id("9b1f03aa5c7e2d41", "leer", "7f3a9c21e0b4d655");
+    let request = platform.peers[0].next_request();
+    assert_eq!(request.words[..3], ["CACHE.GET", "7f3a9c21e0b4d655", "9b1f03aa5c7e2d41"]);
+    let ms: u64 = request.words[3]
+        .strip_prefix("c=leer,t=acme,d=")
+        .expect("options in the form c=leer,t=acme,d=MS")
+        .parse()
+        .unwrap();
+    assert!(0 < ms && ms <= 60_000, "the remaining time of the request: {ms}");
+    request.respond_miss();
+    let fetch = platform.origin.next_request();
     assert_eq!(fetch.words[0], "GET /7f3a9c21e0b4d655 HTTP/1.1");
     assert!(fetch.words.contains(&"Req-Id: 9b1f03aa5c7e2d41".to_owned()), "{:?}", fetch.words);
     assert!(
@@ -23,17 +26,17 @@
         "{:?}",
         fetch.words
     );
-    fetch.answer("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n");
-    assert_eq!(client.answer(), "abcde");
-    assert!(p.peers[0].heard_of_nothing_more() && p.origin.heard_of_nothing_more());
+    fetch.respond("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n");
+    assert_eq!(client.read_answer(), "abcde");
+    assert!(platform.peers[0].has_no_more_requests() && platform.origin.has_no_more_requests());
 }
 
 #[test]
-fn a_write_goes_to_the_origin_with_its_value_and_key() {
-    let p = Platform::start(1);
-    let mut client = p.balancer.client();
+fn write_is_sent_to_origin_with_value_and_key() {
+    let platform = Platform::start(1);
+    let mut client = platform.balancer.client();
     client.set("alta", "solicitud");
-    let put = p.origin.asked();
+    let put = platform.origin.next_request();
     assert_eq!(
         (put.words[0].as_str(), put.words.last().unwrap().as_str()),
         ("PUT /7f HTTP/1.1", "solicitud")
@@ -43,318 +46,328 @@
         "{:?}",
         put.words
     );
-    put.http("200 OK", "recibo");
-    assert_eq!(client.answer(), "recibo");
+    put.respond_http("200 OK", "recibo");
+    assert_eq!(client.read_answer(), "recibo");
 }
 
 #[test]
-fn a_reject_by_the_only_peer_is_a_refusal() {
-    let p = Platform::start(1);
-    let mut client = p.balancer.client();
+fn rejection_by_the_only_cache_node_is_a_refusal() {
+    let platform = Platform::start(1);
+    let mut client = platform.balancer.client();
     client.get("leer", "1");
-    p.peers[0].asked().answer("-BUSY\r\n");
-    assert!(client.answer().starts_with("-BUSY"));
+    platform.peers[0].next_request().respond("-BUSY\r\n");
+    assert!(client.read_answer().starts_with("-BUSY"));
 }
 
 #[test]
-fn a_read_whose_peer_resets_is_tried_at_another() {
-    let p = Platform::start(2);
-    let key = p.key_of(0);
-    let mut client = p.balancer.client();
+fn read_is_retried_at_another_node_after_resets() {
+    let platform = Platform::start(2);
+    let key = platform.key_of(0);
+    let mut client = platform.balancer.client();
     client.get("leer", &key);
-    p.peers[0].asked().hang_up(); // on a connection that was used before: that is all it tells
-    p.peers[0].asked().hang_up(); // on a new one
-    p.peers[1].asked().value("desde el otro");
-    assert_eq!(client.answer(), "desde el otro");
+    platform.peers[0].next_request().hang_up(); // on a reused connection: retried at the same node
+    platform.peers[0].next_request().hang_up(); // on a new connection
+    platform.peers[1].next_request().respond_value("desde el otro");
+    assert_eq!(client.read_answer(), "desde el otro");
 }
 
 #[test]
-fn a_bad_answer_of_a_peer_is_an_error_and_closes_its_connection() {
-    let p = Platform::start(2);
-    let key = p.key_of(0);
-    let mut client = p.balancer.client();
+fn malformed_response_closes_connection_and_read_is_retried() {
+    let platform = Platform::start(2);
+    let key = platform.key_of(0);
+    let mut client = platform.balancer.client();
     client.get("leer", &key);
-    p.peers[0].asked().answer("?no such thing\r\n");
-    assert!(p.peers[0].closed());
-    p.peers[1].asked().value("v");
-    assert_eq!(client.answer(), "v");
+    platform.peers[0].next_request().respond("?no such thing\r\n");
+    assert!(platform.peers[0].next_is_close());
+    platform.peers[1].next_request().respond_value("v");
+    assert_eq!(client.read_answer(), "v");
 }
 
 #[test]
-fn a_fragile_write_that_may_have_run_fails_and_is_not_sent_again() {
+fn fragile_write_that_may_have_run_is_not_retried() {
     for broken in [true, false] {
-        let p = Platform::start(1);
-        let mut client = p.balancer.client();
+        let platform = Platform::start(1);
+        let mut client = platform.balancer.client();
         client.set("folio", "f");
-        let put = p.origin.asked();
+        let put = platform.origin.next_request();
         if broken {
             put.hang_up()
         } else {
-            put.http("500 Internal Server Error", "")
+            put.respond_http("500 Internal Server Error", "")
         }
-        assert_eq!(client.answer(), "-ERR failed");
-        assert!(p.origin.heard_of_nothing_more());
+        assert_eq!(client.read_answer(), "-ERR failed");
+        assert!(platform.origin.has_no_more_requests());
     }
 }
 
 #[test]
-fn a_fragile_write_that_the_origin_declined_is_sent_again() {
-    let p = Platform::start(1);
-    let mut client = p.balancer.client();
+fn fragile_write_declined_by_origin_is_retried() {
+    let platform = Platform::start(1);
+    let mut client = platform.balancer.client();
     client.set("folio", "f");
-    p.origin.asked().http("503 Service Unavailable\r\nSrv-Declined: 1", "");
-    p.origin.asked().http("200 OK", "recibo");
-    assert_eq!(client.answer(), "recibo");
+    platform.origin.next_request().respond_http("503 Service Unavailable\r\nSrv-Declined: 1", "");
+    platform.origin.next_request().respond_http("200 OK", "recibo");
+    assert_eq!(client.read_answer(), "recibo");
 }
 
 #[test]
-fn a_try_that_timed_out_is_closed_and_another_peer_serves() {
-    let p = Platform::start(2);
-    let key = p.key_of(0);
-    let mut client = p.balancer.client();
-    p.peers[0].forget_opened();
-    client.get("prisa", &key); // cut short at half its aim
-    let _unanswered = p.peers[0].asked();
-    p.peers[1].asked().value("v");
-    assert_eq!(client.answer(), "v");
-    assert!(p.peers[0].closed(), "no try of the request is out any more");
-    // The connection spent is replaced before the next request needs it.
-    assert!(p.peers[0].opened());
+fn timed_out_attempt_is_closed_and_retried_elsewhere() {
+    let platform = Platform::start(2);
+    let key = platform.key_of(0);
+    let mut client = platform.balancer.client();
+    platform.peers[0].clear_connections();
+    client.get("prisa", &key); // times out at half its latency objective
+    let _unanswered = platform.peers[0].next_request();
+    platform.peers[1].next_request().respond_value("v");
+    assert_eq!(client.read_answer(), "v");
+    assert!(platform.peers[0].next_is_close(), "the timed-out attempt is cancelled");
+    // The closed connection is replaced before the next request needs it.
+    assert!(platform.peers[0].wait_for_connection());
     client.get("leer", &key);
-    p.peers[0].asked().value("w");
-    assert_eq!(client.answer(), "w");
+    platform.peers[0].next_request().respond_value("w");
+    assert_eq!(client.read_answer(), "w");
 }
 
 #[test]
-fn a_client_that_leaves_takes_its_try_with_it() {
-    let p = Platform::start(1);
-    let mut client = p.balancer.client();
+fn attempt_is_cancelled_when_its_client_leaves() {
+    let platform = Platform::start(1);
+    let mut client = platform.balancer.client();
     client.get("leer", "1");
-    let _unanswered = p.peers[0].asked();
+    let _unanswered = platform.peers[0].next_request();
     drop(client);
-    assert!(p.peers[0].closed());
+    assert!(platform.peers[0].next_is_close());
 }
 
 #[test]
 fn answers_follow_the_order_of_the_commands() {
-    let p = Platform::start(1);
-    let mut client = p.balancer.client();
+    let platform = Platform::start(1);
+    let mut client = platform.balancer.client();
     client.get("leer", "1");
-    let first = p.peers[0].asked();
+    let first = platform.peers[0].next_request();
     client.get("leer", "2");
     client.send(&["PING"]);
-    let second = p.peers[0].asked();
-    second.value("dos");
-    first.value("uno");
-    assert_eq!([client.answer(), client.answer(), client.answer()], ["uno", "dos", "+PONG"]);
+    let second = platform.peers[0].next_request();
+    second.respond_value("dos");
+    first.respond_value("uno");
+    assert_eq!([client.read_answer(), client.read_answer(), client.read_answer()], ["uno", "dos", "+PONG"]);
 }
 
 #[test]
-fn a_command_that_waited_for_a_place_is_taken_as_soon_as_one_is_free() {
-    // Found by reading: what had been read beyond the places was taken up only when all were empty.
-    let p = Platform::start(1);
-    let mut client = p.balancer.client();
+fn pipelined_command_is_sent_once_an_earlier_one_is_answered() {
+    // Guards against stalled commands: surplus commands were processed only after all open requests were answered.
+    let platform = Platform::start(1);
+    let mut client = platform.balancer.client();
     (0..33).for_each(|n| client.set("alta", &n.to_string()));
-    let mut asked: Vec<Asked> = (0..32).map(|_| p.origin.asked()).collect();
-    let first = asked.iter().position(|put| put.words.last().unwrap() == "0").unwrap();
-    asked.swap_remove(first).http("200 OK", "recibo");
-    assert_eq!(p.origin.asked().words.last().unwrap(), "32", "with 31 still waiting");
-    assert_eq!(client.answer(), "recibo");
+    let mut request: Vec<PeerRequest> = (0..32).map(|_| platform.origin.next_request()).collect();
+    let first = request.iter().position(|put| put.words.last().unwrap() == "0").unwrap();
+    request.swap_remove(first).respond_http("200 OK", "recibo");
+    assert_eq!(platform.origin.next_request().words.last().unwrap(), "32", "with 31 still waiting");
+    assert_eq!(client.read_answer(), "recibo");
 }
 
 #[test]
-fn requests_that_would_not_fit_into_the_memory_are_refused() {
-    // A third of 2 MiB holds ten of the longest answers, and many more of the usual ones until a long one is seen.
-    let p = Platform::limited(1, 2, 1024, 1024);
-    let mut client = p.balancer.client();
+fn requests_beyond_the_memory_limit_are_refused() {
+    // A third of 2 MiB holds ten of the longest answers, and many more of the usual length until a long one has been
+    // seen.
+    let platform = Platform::with_limits(1, 2, 1024, 1024);
+    let mut client = platform.balancer.client();
     (0..12).for_each(|_| client.set("alta", "x"));
-    let asked: Vec<Asked> = (0..12).map(|_| p.origin.asked()).collect();
+    let request: Vec<PeerRequest> = (0..12).map(|_| platform.origin.next_request()).collect();
     let long = "r".repeat(64 * 1024);
-    asked.into_iter().for_each(|put| put.http("200 OK", &long));
-    (0..12).for_each(|_| assert_eq!(client.answer(), long));
+    request.into_iter().for_each(|put| put.respond_http("200 OK", &long));
+    (0..12).for_each(|_| assert_eq!(client.read_answer(), long));
     (0..12).for_each(|_| client.set("alta", "x"));
-    let asked: Vec<Asked> = (0..10).map(|_| p.origin.asked()).collect();
-    asked.into_iter().for_each(|put| put.http("200 OK", "recibo"));
-    (0..10).for_each(|_| assert_eq!(client.answer(), "recibo"));
-    assert_eq!([client.answer(), client.answer()], ["-BUSY", "-BUSY"]);
-    assert!(p.origin.heard_of_nothing_more());
+    let request: Vec<PeerRequest> = (0..10).map(|_| platform.origin.next_request()).collect();
+    request.into_iter().for_each(|put| put.respond_http("200 OK", "recibo"));
+    (0..10).for_each(|_| assert_eq!(client.read_answer(), "recibo"));
+    assert_eq!([client.read_answer(), client.read_answer()], ["-BUSY", "-BUSY"]);
+    assert!(platform.origin.has_no_more_requests());
 }
 
 #[test]
-fn nothing_new_goes_to_a_peer_that_drains_and_what_it_has_is_served() {
-    let mut p = Platform::start(2);
-    let key = p.key_of(0);
-    let mut client = p.balancer.client();
+fn draining_node_gets_no_new_requests_and_finishes_open_ones() {
+    let mut platform = Platform::start(2);
+    let key = platform.key_of(0);
+    let mut client = platform.balancer.client();
     client.get("leer", &key);
-    let kept = p.peers[0].asked();
-    push(&mut p.watch, ""); // nothing changed
-    push(&mut p.watch, &list(2, false, &[member("s-0", p.peers[0].addr, "draining")]).to_string());
-    p.balancer.logged("s-0 is Draining");
-    let mut other = p.balancer.client();
+    let kept = platform.peers[0].next_request();
+    push(&mut platform.watch, ""); // nothing changed
+    push(
+        &mut platform.watch,
+        &list(2, false, &[member("s-0", platform.peers[0].addr, "draining")]).to_string(),
+    );
+    platform.balancer.wait_for_log("s-0 is Draining");
+    let mut other = platform.balancer.client();
     other.get("leer", &key);
-    p.peers[1].asked().value("nuevo");
-    assert_eq!(other.answer(), "nuevo");
-    kept.value("viejo");
-    assert_eq!(client.answer(), "viejo");
-    assert!(p.peers[0].heard_of_nothing_more());
+    platform.peers[1].next_request().respond_value("nuevo");
+    assert_eq!(other.read_answer(), "nuevo");
+    kept.respond_value("viejo");
+    assert_eq!(client.read_answer(), "viejo");
+    assert!(platform.peers[0].has_no_more_requests());
 }
 
 #[test]
-fn a_malformed_line_of_discovery_restarts_the_watch_from_the_last_revision() {
-    let mut p = Platform::start(1);
-    let paths = |n| (0..n).map(|_| p.discovery.asked_for()).collect::<Vec<_>>();
+fn malformed_watch_line_restarts_watch_at_last_revision() {
+    let mut platform = Platform::start(1);
+    let paths = |n| (0..n).map(|_| platform.discovery.next_path()).collect::<Vec<_>>();
     assert_eq!(paths(2), ["/v1/endpoints", "/v1/endpoints?watch=1&from=1"]);
-    push(&mut p.watch, &list(5, false, &[]).to_string());
-    push(&mut p.watch, "{\"revision\": tomorrow}");
-    p.balancer.logged("keeping the last endpoint list");
+    push(&mut platform.watch, &list(5, false, &[]).to_string());
+    push(&mut platform.watch, "{\"revision\": tomorrow}");
+    platform.balancer.wait_for_log("keeping the last endpoint list");
     assert_eq!(paths(1), ["/v1/endpoints?watch=1&from=5"]);
-    let mut client = p.balancer.client();
+    let mut client = platform.balancer.client();
     client.get("leer", "1");
-    p.peers[0].asked().value("v");
-    assert_eq!(client.answer(), "v");
+    platform.peers[0].next_request().respond_value("v");
+    assert_eq!(client.read_answer(), "v");
 }
 
 #[test]
-fn sighup_moves_the_watch_and_loses_neither_clients_nor_requests() {
-    let mut p = Platform::start(2);
-    let key = p.key_of(0);
-    let mut client = p.balancer.client();
+fn sighup_moves_watch_without_losing_clients_or_requests() {
+    let mut platform = Platform::start(2);
+    let key = platform.key_of(0);
+    let mut client = platform.balancer.client();
     client.get("leer", &key);
-    let kept = p.peers[0].asked();
+    let kept = platform.peers[0].next_request();
 
-    // A file that cannot be used changes nothing: the old watch is still listened to.
-    p.balancer.reload("{\"name\": ");
-    p.balancer.logged("the configuration in use stays");
-    push(&mut p.watch, &list(40, false, &[member("s-9", p.peers[1].addr, "draining")]).to_string());
-    p.balancer.logged("s-9 is Draining");
+    // An invalid file changes nothing: the old watch is still followed.
+    platform.balancer.reload("{\"name\": ");
+    platform.balancer.wait_for_log("the configuration in use stays");
+    push(
+        &mut platform.watch,
+        &list(40, false, &[member("s-9", platform.peers[1].addr, "draining")]).to_string(),
+    );
+    platform.balancer.wait_for_log("s-9 is Draining");
 
-    // The new agent counts from 3 and no longer has the first peer; the old one is left.
-    let members = [member("origin", p.origin.addr, "ready"), member("s-1", p.peers[1].addr, "ready")];
+    // The list of the new agent has revision 3 and lacks the first cache node; the old agent is disconnected.
+    let members =
+        [member("origin", platform.origin.addr, "ready"), member("s-1", platform.peers[1].addr, "ready")];
     let other = Discovery::start(list(3, true, &members));
     let mut changed = config(other.addr, 1024, Value::Null);
     changed["limits"]["memory_mb"] = 96.into();
-    p.balancer.reload(&changed.to_string());
-    p.balancer.logged("limits changed in the file; in use after a restart");
-    p.balancer.logged(&format!("discovery is now at {}", other.addr));
-    assert_eq!([other.asked_for(), other.asked_for()], ["/v1/endpoints", "/v1/endpoints?watch=1&from=3"]);
-    assert_eq!(std::io::Read::read(&mut p.watch, &mut [0]).unwrap(), 0, "the old watch is closed");
-    let mut watch = other.watch();
-    push(&mut watch, &list(4, false, &[member("s-8", p.peers[1].addr, "draining")]).to_string());
-    p.balancer.logged("s-8 is Draining");
+    platform.balancer.reload(&changed.to_string());
+    platform.balancer.wait_for_log("limits changed in the file; in use after a restart");
+    platform.balancer.wait_for_log(&format!("discovery is now at {}", other.addr));
+    assert_eq!([other.next_path(), other.next_path()], ["/v1/endpoints", "/v1/endpoints?watch=1&from=3"]);
+    assert_eq!(std::io::Read::read(&mut platform.watch, &mut [0]).unwrap(), 0, "the old watch is closed");
+    let mut watch = other.next_watch();
+    push(&mut watch, &list(4, false, &[member("s-8", platform.peers[1].addr, "draining")]).to_string());
+    platform.balancer.wait_for_log("s-8 is Draining");
 
-    kept.value("tomado antes");
-    assert_eq!(client.answer(), "tomado antes", "on the connection it came on");
+    kept.respond_value("tomado antes");
+    assert_eq!(client.read_answer(), "tomado antes", "answered on the connection of the request");
     client.get("leer", &key);
-    p.peers[1].asked().value("ahora");
-    assert_eq!(client.answer(), "ahora");
-    assert!(p.peers[0].heard_of_nothing_more());
+    platform.peers[1].next_request().respond_value("ahora");
+    assert_eq!(client.read_answer(), "ahora");
+    assert!(platform.peers[0].has_no_more_requests());
 }
 
 #[test]
-fn the_old_list_is_kept_until_a_new_agent_has_one() {
-    let p = Platform::start(1);
+fn old_list_is_kept_until_new_discovery_agent_has_one() {
+    let platform = Platform::start(1);
     let silent = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
-    p.balancer.reload(&config(silent.local_addr().unwrap(), 1024, Value::Null).to_string());
-    drop(silent.accept().unwrap()); // it is asked, and ends that without a word
-    p.balancer.logged("keeping the last endpoint list");
+    platform.balancer.reload(&config(silent.local_addr().unwrap(), 1024, Value::Null).to_string());
+    drop(silent.accept().unwrap()); // the new agent is called, and closes the connection without an answer
+    platform.balancer.wait_for_log("keeping the last endpoint list");
     let _asked_again = silent.accept().unwrap();
-    let mut client = p.balancer.client();
+    let mut client = platform.balancer.client();
     client.get("leer", "1");
-    p.peers[0].asked().value("v");
-    assert_eq!(client.answer(), "v");
+    platform.peers[0].next_request().respond_value("v");
+    assert_eq!(client.read_answer(), "v");
 }
 
 #[test]
-fn with_a_silent_discovery_the_list_known_before_is_used() {
+fn known_list_is_used_while_discovery_is_silent() {
     let peer = Peer::start(false);
     let silent = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let known = list(7, true, &[member("s-0", peer.addr, "ready")]);
     let balancer = Balancer::start(&config(silent.local_addr().unwrap(), 1024, known), 1024);
-    balancer.logged("silent");
+    balancer.wait_for_log("silent");
     let mut client = balancer.client();
     client.send(&["PING"]);
-    assert_eq!(client.answer(), "+PONG");
+    assert_eq!(client.read_answer(), "+PONG");
     client.get("leer", "1");
-    peer.asked().value("v");
-    assert_eq!(client.answer(), "v");
+    peer.next_request().respond_value("v");
+    assert_eq!(client.read_answer(), "v");
 }
 
 #[test]
-fn sigterm_answers_what_was_taken_and_ends_with_success() {
-    let mut p = Platform::start(1);
-    let (mut busy, mut idle) = (p.balancer.client(), p.balancer.client());
+fn sigterm_answers_accepted_requests_and_exits_with_success() {
+    let mut platform = Platform::start(1);
+    let (mut busy, mut idle) = (platform.balancer.client(), platform.balancer.client());
     idle.send(&["PING"]);
-    assert_eq!(idle.answer(), "+PONG");
+    assert_eq!(idle.read_answer(), "+PONG");
     busy.get("leer", "1");
-    let asked = p.peers[0].asked();
-    p.balancer.terminate();
-    p.balancer.logged("shutting down gracefully");
-    assert!(idle.ended());
-    asked.value("v");
-    assert_eq!(busy.answer(), "v");
-    assert!(busy.ended());
-    assert!(p.balancer.exit().success());
+    let request = platform.peers[0].next_request();
+    platform.balancer.terminate();
+    platform.balancer.wait_for_log("shutting down gracefully");
+    assert!(idle.reads_end());
+    request.respond_value("v");
+    assert_eq!(busy.read_answer(), "v");
+    assert!(busy.reads_end());
+    assert!(platform.balancer.wait_for_exit().success());
 }
 
 #[test]
-fn an_id_that_is_open_is_an_error_and_never_a_second_run() {
-    let p = Platform::start(1);
-    let (mut client, mut other) = (p.balancer.client(), p.balancer.client());
-    client.get_as("9b1f", "leer", "1");
-    let first = p.peers[0].asked();
-    other.get_as("9b1f", "leer", "1");
-    assert_eq!(other.answer(), "-ERR a request with this id is open");
-    first.value("v");
-    assert_eq!(client.answer(), "v");
-    assert!(p.peers[0].heard_of_nothing_more());
-    other.get_as("9b1f", "leer", "2");
-    p.peers[0].asked().value("w");
-    assert_eq!(other.answer(), "w", "it is open no more");
+fn id_of_an_open_request_is_rejected_and_not_run_again() {
+    let platform = Platform::start(1);
+    let (mut client, mut other) = (platform.balancer.client(), platform.balancer.client());
+    client.get_with_id("9b1f", "leer", "1");
+    let first = platform.peers[0].next_request();
+    other.get_with_id("9b1f", "leer", "1");
+    assert_eq!(other.read_answer(), "-ERR a request with this id is open");
+    first.respond_value("v");
+    assert_eq!(client.read_answer(), "v");
+    assert!(platform.peers[0].has_no_more_requests());
+    other.get_with_id("9b1f", "leer", "2");
+    platform.peers[0].next_request().respond_value("w");
+    assert_eq!(other.read_answer(), "w", "the id is free again");
 }
 
 #[test]
-fn clients_that_say_nothing_or_half_a_command_are_closed_and_an_idle_one_is_not() {
-    let p = Platform::start(1);
-    let mut usual = p.balancer.client();
-    usual.send(&["PING"]);
-    assert_eq!(usual.answer(), "+PONG");
-    let (mut silent, mut half) = (p.balancer.client(), p.balancer.client());
-    half.raw(b"*4\r\n$9\r\nCACHE.GET\r\n");
-    assert!(silent.ended());
-    assert_eq!(half.answer(), "-ERR the command did not end in time");
-    assert!(half.ended());
-    usual.send(&["PING"]);
-    assert_eq!(usual.answer(), "+PONG", "idle for longer, but it had asked");
+fn silent_and_partial_clients_are_closed_but_not_idle_ones() {
+    let platform = Platform::start(1);
+    let mut idle = platform.balancer.client();
+    idle.send(&["PING"]);
+    assert_eq!(idle.read_answer(), "+PONG");
+    let (mut silent, mut partial) = (platform.balancer.client(), platform.balancer.client());
+    partial.write_raw(b"*4\r\n$9\r\nCACHE.GET\r\n");
+    assert!(silent.reads_end());
+    assert_eq!(partial.read_answer(), "-ERR the command did not end in time");
+    assert!(partial.reads_end());
+    idle.send(&["PING"]);
+    assert_eq!(idle.read_answer(), "+PONG", "a client that had sent a command may be idle for longer");
 }
 
 #[test]
-fn a_client_that_sends_on_after_its_error_can_read_it() {
-    let p = Platform::start(1);
-    let mut client = p.balancer.client();
-    client.raw(b"*5\r\n$9\r\nCACHE.SET\r\n$1\r\n7\r\n$1\r\n8\r\n$17\r\nc=alta,t=acme,d=90\r\n$60000000\r\n");
-    client.raw(&vec![b'x'; 1 << 20]); // more than the system buffers, read by none but the balancer
-    assert_eq!(client.answer(), "-ERR malformed command");
-    assert!(client.ended());
+fn client_that_keeps_sending_after_an_error_can_read_it() {
+    let platform = Platform::start(1);
+    let mut client = platform.balancer.client();
+    client.write_raw(
+        b"*5\r\n$9\r\nCACHE.SET\r\n$1\r\n7\r\n$1\r\n8\r\n$17\r\nc=alta,t=acme,d=90\r\n$60000000\r\n",
+    );
+    client.write_raw(&vec![b'x'; 1 << 20]); // more than socket buffers hold, so the balancer must read it
+    assert_eq!(client.read_answer(), "-ERR malformed command");
+    assert!(client.reads_end());
 }
 
 #[test]
-fn what_comes_behind_an_answer_is_served_to_none() {
-    let p = Platform::start(1);
-    let mut client = p.balancer.client();
+fn surplus_bytes_after_a_response_are_discarded() {
+    let platform = Platform::start(1);
+    let mut client = platform.balancer.client();
     client.get("leer", "1");
     let value = "*3\r\n$3\r\nuno\r\n$3\r\nhit\r\n$-1\r\n";
-    p.peers[0].asked().answer(&[value, value].concat());
-    assert_eq!(client.answer(), "uno");
+    platform.peers[0].next_request().respond(&[value, value].concat());
+    assert_eq!(client.read_answer(), "uno");
     client.get("leer", "2");
-    assert!(p.peers[0].closed(), "that connection is used no more");
-    p.peers[0].asked().value("dos");
-    assert_eq!(client.answer(), "dos");
+    assert!(platform.peers[0].next_is_close(), "the connection is not reused");
+    platform.peers[0].next_request().respond_value("dos");
+    assert_eq!(client.read_answer(), "dos");
 }
 
 #[test]
-fn bad_input_is_answered_and_only_broken_framing_ends_the_connection() {
-    let p = Platform::start(1);
-    let mut client = p.balancer.client();
+fn invalid_input_is_answered_and_bad_framing_closes() {
+    let platform = Platform::start(1);
+    let mut client = platform.balancer.client();
     for (words, error) in [
         (&["NO.SUCH"][..], "-ERR unknown command"),
         (&["CACHE.GET", "1", "2"], "-ERR wrong number of arguments"),
@@ -371,7 +384,7 @@
         (&["SELECT", "0"], "+OK"),
     ] {
         client.send(words);
-        assert_eq!(client.answer(), error, "{words:?}");
+        assert_eq!(client.read_answer(), error, "{words:?}");
     }
     for (bytes, error) in [
         (&b"GET / HTTP/1.1\r\n\r\n"[..], "-ERR malformed command"),
@@ -380,52 +393,52 @@
         (b"*-3\r\n", "-ERR malformed command"),
         (b"*1\r\n$-1\r\n", "-ERR malformed command"),
     ] {
-        let mut client = p.balancer.client();
-        client.raw(bytes);
-        assert_eq!(client.answer(), error, "{bytes:?}");
-        assert!(client.ended());
+        let mut client = platform.balancer.client();
+        client.write_raw(bytes);
+        assert_eq!(client.read_answer(), error, "{bytes:?}");
+        assert!(client.reads_end());
     }
     client.send(&["PING"]);
-    assert_eq!(client.answer(), "+PONG", "the others are served on");
-    assert!(p.peers[0].heard_of_nothing_more());
+    assert_eq!(client.read_answer(), "+PONG", "other connections are still served");
+    assert!(platform.peers[0].has_no_more_requests());
 }
 
 #[test]
-fn more_clients_than_places_are_all_answered_at_the_cost_of_idle_ones() {
-    // 57 places for clients; and then fewer descriptors than the program was told of, so that accepting fails.
-    for (sockets, descriptors, places) in [(64 + 64, 1024, 57), (1024, 40, 40)] {
-        let p = Platform::limited(1, 192, sockets, descriptors);
+fn clients_beyond_the_slots_replace_idle_ones() {
+    // First 57 slots for clients, then fewer descriptors than configured, so that accepting fails.
+    for (sockets, descriptors, slots) in [(64 + 64, 1024, 57), (1024, 40, 40)] {
+        let platform = Platform::with_limits(1, 192, sockets, descriptors);
         let mut clients: Vec<Client> = Vec::new();
         for _ in 0..100 {
-            let mut client = p.balancer.client();
+            let mut client = platform.balancer.client();
             client.send(&["PING"]);
-            assert_eq!(client.answer(), "+PONG");
+            assert_eq!(client.read_answer(), "+PONG");
             clients.push(client);
         }
-        // Which of them is not said: a few witnesses are kept longer, to see whether clients reuse.
-        wait_until(|| clients.iter().filter(|client| client.has_ended()).count() >= 100 - places);
+        // Which clients are closed is not defined: a few are kept longer to observe whether clients reuse connections.
+        wait_until(|| clients.iter().filter(|client| client.is_closed()).count() >= 100 - slots);
         clients[99].send(&["PING"]);
-        assert_eq!(clients[99].answer(), "+PONG", "the last one has its place");
+        assert_eq!(clients[99].read_answer(), "+PONG", "the last client has a slot");
     }
 }
 
 #[test]
-fn clients_that_ask_once_and_linger_are_closed_long_before_the_places_are_full() {
-    let p = Platform::limited(1, 192, 64 + 64, 1024); // 57 places: 7 for those that asked once
+fn single_request_clients_are_closed_before_slots_are_full() {
+    let platform = Platform::with_limits(1, 192, 64 + 64, 1024); // 57 slots, 7 of them on probation
     let mut clients: Vec<Client> = Vec::new();
     for _ in 0..40 {
-        let mut client = p.balancer.client();
+        let mut client = platform.balancer.client();
         client.send(&["PING"]);
-        assert_eq!(client.answer(), "+PONG");
+        assert_eq!(client.read_answer(), "+PONG");
         clients.push(client);
     }
-    assert!(clients[8].ended(), "nobody has used a connection twice");
+    assert!(clients[8].reads_end(), "no client has reused its connection");
     clients[39].send(&["PING"]);
-    assert_eq!(clients[39].answer(), "+PONG", "the last one is on probation");
+    assert_eq!(clients[39].read_answer(), "+PONG", "the last client may still reuse its connection");
 }
 
 #[test]
-fn a_configuration_that_cannot_be_used_ends_the_program_with_one_line() {
+fn invalid_configuration_ends_program_with_one_line() {
     let usable = config("127.0.0.1:1".parse().unwrap(), 1024, Value::Null);
     let broken = |edit: fn(&mut Value)| {
         let mut config = usable.clone();
@@ -440,8 +453,8 @@
         broken(|c| c["listen"] = "nowhere".into()),
     ] {
         let out = spawn(&text, 1024).0.wait_with_output().unwrap();
-        let said = String::from_utf8(out.stderr).unwrap();
-        assert!(!out.status.success() && said.lines().count() == 1, "{said}");
-        assert!(said.starts_with("spindlebeam: configuration "), "{said}");
+        let output = String::from_utf8(out.stderr).unwrap();
+        assert!(!out.status.success() && output.lines().count() == 1, "{output}");
+        assert!(output.starts_with("spindlebeam: configuration "), "{output}");
     }
 }
