--- a/crates/spindlebeam/benches/turns.rs
+++ b/crates/spindlebeam/benches/turns.rs
@@ -1,4 +1,5 @@
-//! What one turn of the thread costs for each kind of event, at 200 and at 3,200 endpoints: medians, in microseconds.
+//! The cost of one turn of the event loop for each kind of event, with 200 and with 3,200 endpoints: medians in
+//! microseconds.
 //! `cargo bench -p spindlebeam --bench turns`; docs/design/thread-work.md has the table.
 
 use bytes::BytesMut;
@@ -14,20 +15,22 @@
 use upstream::endpoints::EndpointSet;
 use upstream::setup::Names;
 
+/// Timed runs of each kind of event.
 const ROUNDS: usize = 41;
 const BALANCERS: usize = 300;
+/// Bytes of a read from a watch.
 const READ: usize = 16 * 1024;
 
-/// The median of rounds, in microseconds, each of which gets what it needs made before it is timed.
+/// Returns the median time of `work` in microseconds; its input is made by `make` before each timed run.
 fn median<T, R>(mut make: impl FnMut() -> T, mut work: impl FnMut(T) -> R) -> f64 {
     let mut times: Vec<f64> = (0..ROUNDS)
         .map(|_| {
-            let made = make();
-            let begun = Instant::now();
-            let kept = black_box(work(made));
-            let took = begun.elapsed();
-            drop(kept);
-            took.as_secs_f64() * 1e6
+            let input = make();
+            let started = Instant::now();
+            let output = black_box(work(input));
+            let elapsed = started.elapsed();
+            drop(output);
+            elapsed.as_secs_f64() * 1e6
         })
         .collect();
     times.sort_by(f64::total_cmp);
@@ -85,19 +88,19 @@
     Event::Request(Request { id: RequestId(id), class, tenant, key, write: false, remaining_us: 900_000 })
 }
 
-#[expect(clippy::too_many_lines, reason = "one row of the table after the other, each with its set-up")]
+#[expect(clippy::too_many_lines, reason = "a list of table rows, each with its set-up")]
 fn costs(endpoints: usize) -> Vec<(&'static str, f64)> {
     let (first, next) = (read(&line(endpoints, false, false)), read(&line(endpoints, true, false)));
     let (plain, indented) = (line(endpoints, true, false), line(endpoints, true, true));
-    let scanned = |text: &str| {
+    let piece = |text: &str| {
         let text = text.as_bytes()[..text.len() - 1].to_vec();
-        // All but the last byte, and of that the time for a piece as it is read.
+        // The time for all but the last byte, divided by the number of reads.
         let pieces = text.len().div_ceil(READ) as f64;
         let whole =
             median(|| BytesMut::from(&text[..]), |mut buffer| WatchReader::default().next(&mut buffer));
         whole / pieces
     };
-    let ended = |text: &str| {
+    let last_byte = |text: &str| {
         let almost = || {
             let (mut reader, mut buffer) =
                 (WatchReader::default(), BytesMut::from(&text.as_bytes()[..text.len() - 1]));
@@ -116,7 +119,7 @@
         group.apply(&first, false);
         group
     };
-    let laid = || {
+    let overridden = || {
         let mut maintenance = OverriddenList::new(None, OperatorOverrides::default());
         let _ = maintenance.apply_list(&first);
         maintenance
@@ -130,13 +133,13 @@
             other => unreachable!("{other:?}"),
         }
     };
-    let told = loads();
+    let published = loads();
     vec![
-        ("a piece of 16 KiB of a list, plain", scanned(&plain)),
-        ("a piece of 16 KiB of a list, indented", scanned(&indented)),
-        ("the last byte of a whole list, plain", ended(&plain)),
-        ("the last byte of a whole list, indented", ended(&indented)),
-        ("orders of staff laid over it", median(laid, |mut it| it.apply_list(&next))),
+        ("a piece of 16 KiB of a list, plain", piece(&plain)),
+        ("a piece of 16 KiB of a list, indented", piece(&indented)),
+        ("the last byte of a whole list, plain", last_byte(&plain)),
+        ("the last byte of a whole list, indented", last_byte(&indented)),
+        ("orders of staff laid over it", median(overridden, |mut it| it.apply_list(&next))),
         ("the endpoint set", median(group, |mut it| it.apply(&next, false))),
         (
             "the module, a whole list",
@@ -186,7 +189,7 @@
             "a tick of gossip, the sum of what was heard",
             median(
                 || GossipState::new(0, BALANCERS, 1),
-                |mut it| (it.publish(1_000_000, &told).weight_factors.len(), it),
+                |mut it| (it.publish(1_000_000, &published).weight_factors.len(), it),
             ),
         ),
     ]
--- a/crates/spindlebeam/tests/soak.rs
+++ b/crates/spindlebeam/tests/soak.rs
@@ -1,16 +1,17 @@
-//! Short soaks of real processes under faults, by fixed seeds; `cargo run -p testfleet --example soak` plays any others.
+//! Short soaks of real processes under faults with fixed seeds; `cargo run -p testfleet --example soak` runs other
+//! seeds.
 
 use rstest::rstest;
 use std::path::Path;
 use std::sync::Mutex;
 use testfleet::soak::{Plan, run};
 
-/// One run at a time: each has up to nine processes.
-static ALONE: Mutex<()> = Mutex::new(());
+/// Serializes the runs, since each starts up to nine processes.
+static RUN_LOCK: Mutex<()> = Mutex::new(());
 
 #[rstest]
 fn soak_keeps_all_rules(#[values(1, 2, 4, 8, 11, 13)] seed: u64) {
-    let _alone = ALONE.lock();
+    let _guard = RUN_LOCK.lock();
     let (program, folder) = (Path::new(env!("CARGO_BIN_EXE_spindlebeam")), env!("CARGO_TARGET_TMPDIR"));
     let report = run(program, Path::new(folder), Plan::draw(seed)).unwrap();
     assert!(report.verdict.violations.is_empty(), "{report}");
@@ -18,8 +19,8 @@
 }
 
 #[rstest]
-fn soak_beside_a_crowd_that_pipelines_keeps_all_rules(#[values(1, 2)] seed: u64) {
-    let _alone = ALONE.lock();
+fn soak_with_pipelining_clients_keeps_all_rules(#[values(1, 2)] seed: u64) {
+    let _guard = RUN_LOCK.lock();
     let (program, folder) = (Path::new(env!("CARGO_BIN_EXE_spindlebeam")), env!("CARGO_TARGET_TMPDIR"));
     let report = run(program, Path::new(folder), Plan::draw_with_batches(seed)).unwrap();
     assert!(report.verdict.violations.is_empty(), "{report}");
--- a/crates/spindlebeam/tests/start.rs
+++ b/crates/spindlebeam/tests/start.rs
@@ -1,4 +1,4 @@
-//! What the program is told: its configuration and discovery's lists, as the decision module gets them.
+//! The configuration and the endpoint lists of discovery, as they reach the decision module.
 
 use decide::api::*;
 use proto::discovery::{EndpointList, parse_endpoint_list};
@@ -9,7 +9,7 @@
 use upstream::setup::Names;
 
 #[test]
-fn nested_settings_reach_the_module_by_the_same_paths() {
+fn nested_settings_reach_the_decision_module() {
     let class = json!({"name": "alta", "effect": "dedup", "keyScope": "all", "memorySpanUs": 4_000_000,
                        "onTimeUs": 500_000.0, "deadlineUs": 1_000_000, "worth": 5.0, "lateWorth": 0.25});
     let text = json!({
@@ -43,13 +43,16 @@
     assert_eq!((&settings.classes[..], settings.tenants[0].quota_per_s), (&[expected][..], 30.0));
     assert_eq!((&config.names.classes[0][..], &config.names.kinds[1][..]), ("alta", "origin"));
     assert_eq!((config.seed, config.bounds.dial), (0x8c1f_30d2_7a5b_e964, Duration::from_millis(100)));
-    assert!(config.bounds.idle < Duration::from_secs(10), "retired before the peers' own limit");
-    assert!(config.bounds.clients + config.bounds.peers < 1024, "some descriptors are kept back");
+    assert!(
+        config.bounds.idle < Duration::from_secs(10),
+        "connections are retired before the idle timeout of the endpoints"
+    );
+    assert!(config.bounds.clients + config.bounds.peers < 1024, "some descriptors are reserved");
 }
 
 #[test]
-fn a_peers_number_is_a_stable_hash_of_its_id() {
-    // FNV-1a as published: balancers of another build must rank keys alike.
+fn endpoint_number_is_a_stable_hash_of_its_id() {
+    // Published test vectors of FNV-1a: balancers of different builds must rank endpoints for a key alike.
     assert_eq!(endpoint_id(""), EndpointId(0xcbf2_9ce4_8422_2325));
     assert_eq!(endpoint_id("a"), EndpointId(0xaf63_dc4c_8601_ec8c));
 }
@@ -69,51 +72,60 @@
 }
 
 #[test]
-fn lists_become_the_modules_entries_and_void_idle_connections() {
+fn lists_become_entries_and_mark_stale_connections() {
     let names = |all: &[&str]| all.iter().map(|name| (*name).to_owned()).collect::<Vec<_>>();
     let names = Names { zones: names(&["a", "b"]), kinds: names(&["m1", "m2"]), ..Names::default() };
-    let mut group = EndpointSet::new(names, None);
-    let (kind, entries, stale) = group.apply(&read(1, true, &[("x", "ready", 5), ("y", "ready", 0)]), true);
+    let mut endpoints = EndpointSet::new(names, None);
+    let (kind, entries, stale) =
+        endpoints.apply(&read(1, true, &[("x", "ready", 5), ("y", "ready", 0)]), true);
     assert_eq!((kind, stale), (ListKind::Cached, vec![]));
     let expected = EndpointEntry {
         id: endpoint_id("x"),
         presence: Presence::Ready,
         kind: 1,
-        weight: 1.0, // a size that compares with nothing counts as an ordinary one
+        weight: 1.0, // a size of 0 counts as the ordinary one
         cell: CellId(3),
         zone: ZoneId(1),
         online_since: 5_000,
     };
     assert_eq!(entries[0], expected);
 
-    let (kind, _, stale) = group.apply(&read(2, false, &[("x", "ready", 9), ("y", "draining", 0)]), false);
+    let (kind, _, stale) =
+        endpoints.apply(&read(2, false, &[("x", "ready", 9), ("y", "draining", 0)]), false);
     assert_eq!(
         (kind, stale),
         (ListKind::Delta, vec![endpoint_id("x"), endpoint_id("y")]),
-        "restarted; draining"
+        "x has restarted, y is draining"
     );
     assert!(
-        group.endpoint(endpoint_id("x")).unwrap().ready()
-            && !group.endpoint(endpoint_id("y")).unwrap().ready()
+        endpoints.endpoint(endpoint_id("x")).unwrap().ready()
+            && !endpoints.endpoint(endpoint_id("y")).unwrap().ready()
     );
 
-    let before = group.endpoint(endpoint_id("x")).unwrap().clone();
-    let (kind, _, stale) = group.apply(&read(3, true, &[("y", "ready", 0)]), false);
-    assert_eq!((kind, stale), (ListKind::Full, vec![endpoint_id("x")]), "what a whole list lacks is gone");
+    let before = endpoints.endpoint(endpoint_id("x")).unwrap().clone();
+    let (kind, _, stale) = endpoints.apply(&read(3, true, &[("y", "ready", 0)]), false);
+    assert_eq!(
+        (kind, stale),
+        (ListKind::Full, vec![endpoint_id("x")]),
+        "an endpoint missing from a whole list is gone"
+    );
     assert!(
-        !before.ready() && group.endpoint(endpoint_id("x")).is_none(),
-        "also for a try that still dials it"
+        !before.ready() && endpoints.endpoint(endpoint_id("x")).is_none(),
+        "also for an attempt that still connects to it"
     );
 
-    // Found by reading: what a change called gone was kept for ever, on days that replace peers all the time.
-    let before = group.endpoint(endpoint_id("y")).unwrap().clone();
-    let (_, entries, stale) = group.apply(&read(4, false, &[("y", "gone", 0)]), false);
+    // Guards against unbounded growth: endpoints that a change list reported as gone were kept for ever.
+    let before = endpoints.endpoint(endpoint_id("y")).unwrap().clone();
+    let (_, entries, stale) = endpoints.apply(&read(4, false, &[("y", "gone", 0)]), false);
     assert_eq!((entries[0].presence, stale), (Presence::Gone, vec![endpoint_id("y")]));
-    assert!(!before.ready() && group.endpoint(endpoint_id("y")).is_none(), "no trace is kept of it");
+    assert!(
+        !before.ready() && endpoints.endpoint(endpoint_id("y")).is_none(),
+        "nothing is kept of a gone endpoint"
+    );
 }
 
 #[test]
-fn a_malformed_address_of_other_balancers_ends_the_start_with_its_field() {
+fn malformed_gossip_address_is_rejected_with_its_field() {
     let text = |field: &str, value: serde_json::Value, peers: bool| {
         let each: Vec<String> = (1..=12).map(|n| format!("10.3.0.{n}:7946")).collect();
         let mut text = json!({
@@ -135,11 +147,11 @@
         ("peers_all", json!("10.0.0.1"), "peers_all: \"10.0.0.1\""),
         ("peers", json!(["10.3.0.1:7946", "x:1"]), "peers[1]: \"x:1\""),
     ];
-    for (field, value, wanted) in bad {
+    for (field, value, expected) in bad {
         let error = format!("{:#}", config::parse(text(field, value, true).as_bytes()).unwrap_err());
-        assert!(error.contains(wanted), "{error}");
+        assert!(error.contains(expected), "{error}");
     }
-    // Where messages are not allowed, or nobody is there to hear them, nothing is opened.
+    // No socket is opened if gossip is not allowed, or without an address to listen on or other balancers.
     for (field, value, peers) in
         [("", json!(0), false), ("peer_listen", json!(null), true), ("peers", json!([]), true)]
     {
@@ -148,7 +160,7 @@
 }
 
 #[test]
-fn the_door_and_the_inherited_socket_are_told_by_file_or_environment_and_bad_ones_by_their_names() {
+fn admin_address_and_descriptor_come_from_file_or_variables() {
     let text = |operator: serde_json::Value| {
         json!({
             "name": "n3", "listen": "127.0.0.4:6379", "discovery": "127.0.0.5:8500", "seed": "1",
@@ -158,9 +170,9 @@
         })
         .to_string()
     };
-    let read = |operator: serde_json::Value, told: &[(&str, &str)]| {
+    let read = |operator: serde_json::Value, variables: &[(&str, &str)]| {
         let mut config = config::parse(text(operator).as_bytes())?;
-        let variable = |name: &str| told.iter().find(|it| it.0 == name).map(|it| it.1.to_owned());
+        let variable = |name: &str| variables.iter().find(|it| it.0 == name).map(|it| it.1.to_owned());
         config::apply_environment(variable, &mut config).map(|()| config)
     };
     let config = read(json!(null), &[]).unwrap();
@@ -171,15 +183,19 @@
         (config.operator, config.inherited_descriptor),
         (Some("127.0.0.4:19000".parse().unwrap()), Some(7))
     );
-    assert!(config.bounds.clients < clients, "descriptors are kept back for the door");
+    assert!(config.bounds.clients < clients, "descriptors are reserved for the admin endpoint");
     let config = read(json!("127.0.0.4:19000"), &[("PROXY_OPERATOR", "127.0.0.4:19001")]).unwrap();
-    assert_eq!(config.operator, Some("127.0.0.4:19001".parse().unwrap()), "what this process is told itself");
-    for (operator, told, wanted) in [
+    assert_eq!(
+        config.operator,
+        Some("127.0.0.4:19001".parse().unwrap()),
+        "the environment overrides the file"
+    );
+    for (operator, variables, expected) in [
         (json!("here"), &[][..], "operator: \"here\""),
         (json!(null), &[("PROXY_OPERATOR", "19000")], "PROXY_OPERATOR: \"19000\""),
         (json!(null), &[("PROXY_FD", "seven")], "PROXY_FD: \"seven\""),
     ] {
-        let error = format!("{:#}", read(operator, told).expect_err("it cannot be used"));
-        assert!(error.contains(wanted), "{error}");
+        let error = format!("{:#}", read(operator, variables).expect_err("an invalid value was accepted"));
+        assert!(error.contains(expected), "{error}");
     }
 }
