--- a/crates/spindlebeam/src/main.rs
+++ b/crates/spindlebeam/src/main.rs
@@ -96,7 +96,7 @@
     Ok(())
 }
 
-/// Formats the limits for `check-config`. The output is fixed and does not follow the names of the fields.
+/// Formats the limits for `check-config`. The output is fixed and does not depend on the names of the fields.
 fn describe(bounds: &Bounds) -> String {
     format!(
         "Bounds {{ clients: {}, peers: {}, held_bytes: {}, open: {}, answer_bytes: {}, dial: {:?}, idle: {:?}, \
--- a/crates/spindlebeam/src/serve/shutdown.rs
+++ b/crates/spindlebeam/src/serve/shutdown.rs
@@ -1,6 +1,6 @@
 //! The graceful shutdown: its steps and their times, from SIGTERM until the process ends.
 //!
-//! The platform ends the process after the longest deadline (counted as [`COUNTED_DEADLINE`] where it is longer) plus
+//! The platform ends the process after the longest deadline (counted as [`COUNTED_DEADLINE`] if it is longer) plus
 //! 0.7 s.
 
 use super::parts::Parts;
--- a/crates/spindlebeam/tests/held_up.rs
+++ b/crates/spindlebeam/tests/held_up.rs
@@ -7,7 +7,7 @@
 use rstest::rstest;
 use std::time::{Duration, Instant};
 
-/// Duration of the stall. 0.15 s are allowed; a longer stall distinguishes the two starting times also on a busy
+/// Duration of the stall. Operators allow 0.15 s; a longer stall distinguishes the two starting times even on a busy
 /// machine.
 const STALL: Duration = Duration::from_millis(400);
 /// The deadline of the request.
--- a/crates/spindlebeam/tests/platform/discovery.rs
+++ b/crates/spindlebeam/tests/platform/discovery.rs
@@ -66,8 +66,7 @@
     json!({"revision": revision, "complete": complete, "members": members})
 }
 
-/// The classes `leer` (idempotent), `alta` (with idempotency key) and `folio` (fragile) have times that no test
-/// reaches;
+/// The classes `leer` (idempotent), `alta` (with idempotency key) and `folio` (fragile) have times no test reaches;
 /// `prisa` has a short objective, so that its first attempt times out early.
 pub fn settings() -> Value {
     let class = |name: &str, effect: &str, objective_us: u64| {
