--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -1,10 +1,10 @@
-//! What can be wrong with the input.
+//! Errors of reading and decoding the input.
 
 use decide::settings::SettingsError;
 use std::io;
 use thiserror::Error;
 
-/// Input that breaks the wire format.
+/// An input that cannot be read or violates the wire format.
 #[derive(Debug, Error)]
 pub enum WireError {
     /// The input could not be read.
@@ -13,57 +13,57 @@
     /// The input ended inside a batch.
     #[error("truncated batch: {got} of {wanted} bytes of the {part}")]
     Truncated {
-        /// Which part was cut.
+        /// The truncated part: the header or the body.
         part: &'static str,
         /// Bytes found.
         got: usize,
         /// Bytes announced.
         wanted: usize,
     },
-    /// The header's length cannot hold the records it announces.
+    /// The length in the header is too short for the number of records in the header.
     #[error("batch length {len} is too short for {records} records")]
     Short {
-        /// The length field.
+        /// The length of the body in the header.
         len: usize,
-        /// The record count.
+        /// The number of records in the header.
         records: usize,
     },
-    /// A field holds a code that the wire does not know.
+    /// A field holds a code that the wire format does not define.
     #[error("record {record}: unknown {what} {code}")]
     Unknown {
-        /// Number of the record, from 0.
+        /// The index of the record, from 0.
         record: usize,
-        /// Which field.
+        /// The name of the field.
         what: &'static str,
-        /// Its value.
+        /// The value of the field.
         code: u64,
     },
     /// An offset or a length points outside the tail.
     #[error("record {record}: {what} at {offset} + {bytes} bytes lies outside the tail of {tail}")]
     OutsideTail {
-        /// Number of the record, from 0.
+        /// The index of the record, from 0.
         record: usize,
-        /// Which field.
+        /// The name of the field.
         what: &'static str,
-        /// Its offset.
+        /// The offset in the tail.
         offset: usize,
-        /// Its size in bytes.
+        /// The length in bytes.
         bytes: usize,
-        /// Size of the tail.
+        /// The length of the tail in bytes.
         tail: usize,
     },
-    /// The settings of an instance are not text.
+    /// The settings of an instance are not UTF-8 text.
     #[error("record {record}: the settings are not UTF-8")]
     NotText {
-        /// Number of the record, from 0.
+        /// The index of the record, from 0.
         record: usize,
     },
-    /// A setting cannot be used.
+    /// A setting has an invalid value.
     #[error("record {record}: {source}")]
     Setting {
-        /// Number of the record, from 0.
+        /// The index of the record, from 0.
         record: usize,
-        /// What is wrong with it.
+        /// The setting, its value and the allowed values.
         source: SettingsError,
     },
 }
--- a/crates/simulator-adapter/src/event.rs
+++ b/crates/simulator-adapter/src/event.rs
@@ -7,54 +7,54 @@
     Settings, TenantId, Token, ZoneId,
 };
 
-/// Bytes of an event's record.
+/// The size of an event record, in bytes.
 pub(crate) const EVENT_BYTES: usize = 48;
-/// Bytes of a batch's clock.
+/// The size of the clock at the start of a batch's body, in bytes.
 pub(crate) const CLOCK_BYTES: usize = 8;
-/// Bytes of an entry of the endpoint list.
+/// The size of an entry of the endpoint list, in bytes.
 const ENTRY_BYTES: usize = 24;
-/// The flag of a request that writes.
+/// The flag bit of a request that is a write.
 const WRITE_FLAG: u8 = 4;
-/// What a miss says where the endpoint has told another request to fetch the key.
+/// The hint of a miss whose key another request is already fetching for the endpoint.
 const FETCH_PENDING: u8 = 3;
 
-/// A module instance, by its number on the wire.
+/// The number of a module instance on the wire.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Instance(pub u16);
 
-/// What a record of a batch says.
+/// A decoded event record.
 #[derive(Debug, Clone, PartialEq)]
 pub enum WireEvent {
-    /// An instance starts, with no state.
+    /// An instance starts without state.
     Start {
-        /// Seed of its random numbers.
+        /// The seed of the instance's random numbers.
         seed: u64,
-        /// Its settings.
+        /// The settings of the instance.
         settings: Box<Settings>,
     },
-    /// An instance was killed.
+    /// An instance stops and loses its state.
     Stop,
-    /// A gossip datagram of another instance, by its number.
+    /// A gossip datagram, with the number of the instance that sent it.
     Gossip(usize, Vec<u8>),
-    /// Something for the module.
+    /// An event for the decision module.
     Module(Event),
-    /// Legal, but nothing the module acts on.
+    /// A valid record that the decision module does not handle.
     Unused,
 }
 
-/// One batch: all its events happen at `clock`.
+/// A batch of events that all happen at `clock`.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Batch {
     /// The time, in microseconds.
     pub clock: Micros,
-    /// The events, in order.
+    /// The events, in the order in which they are handled.
     pub events: Vec<(Instance, WireEvent)>,
 }
 
 /// Decodes the body of a frame from [`read_frame`](crate::read_frame).
 ///
 /// # Errors
-/// When a record is malformed; the error names it.
+/// Returns an error that names the record if a record is malformed.
 pub fn decode(records: usize, body: &[u8]) -> Result<Batch, WireError> {
     let start = records.saturating_mul(EVENT_BYTES).saturating_add(CLOCK_BYTES);
     let (Some(head), Some(tail)) = (body.get(..start), body.get(start..)) else {
@@ -73,9 +73,9 @@
     Ok(Batch { clock, events })
 }
 
-/// Decodes one record, whose lists and texts lie in the tail of its batch.
+/// Decodes one event record. Its lists and texts are in the tail of the batch.
 struct EventDecoder<'a> {
-    /// Number of the record in its batch, from 0.
+    /// The index of the record in its batch, from 0.
     number: usize,
     record: Record<'a>,
     tail: &'a [u8],
@@ -137,7 +137,7 @@
             id: entry.endpoint(1),
             presence,
             kind: entry.u16(7),
-            // A weight that is no positive number counts as an ordinary endpoint's.
+            // An invalid weight is replaced by the default of 1.
             weight: if weight.is_finite() && weight > 0.0 { weight } else { 1.0 },
             cell: CellId(entry.u16(13)),
             zone: ZoneId(entry.u8(15)),
@@ -154,7 +154,7 @@
             latency_us: record.u32(21).into(),
             finished: record.u8(25) != 0,
             fetch_pending: record.u8(26) == FETCH_PENDING,
-            stale: false, // connections are not modelled on the wire
+            stale: false, // the wire format has no connections
         })
     }
 
@@ -181,7 +181,8 @@
         Ok(WireEvent::Start { seed: self.record.u64(3), settings: Box::new(settings) })
     }
 
-    /// The part of the tail whose offset, and length in units of so many bytes, stand at this place of the record.
+    /// Returns the part of the tail that the record refers to at `at`: an offset in bytes, then a number of items of
+    /// `item_bytes` bytes each.
     fn in_tail(&self, what: &'static str, at: usize, unit: usize) -> Result<&'a [u8], WireError> {
         let (offset, bytes) = (self.record.size(at), self.record.size(at + 4).saturating_mul(unit));
         let found = offset.checked_add(bytes).and_then(|end| self.tail.get(offset..end));
--- a/crates/simulator-adapter/src/frame.rs
+++ b/crates/simulator-adapter/src/frame.rs
@@ -1,17 +1,18 @@
-//! Reads the frames of the wire.
+//! Reads frames from the input.
 
 use crate::WireError;
 use crate::event::{CLOCK_BYTES, EVENT_BYTES};
 use crate::record::Record;
 use std::io::Read;
 
-/// Bytes of a frame's header: the number of records, and the length of the body.
+/// The size in bytes of a frame's header: the number of records and the length of the body, 4 bytes each.
 const HEADER_BYTES: usize = 8;
 
-/// Reads one frame: its number of records and its body. `None` when the input ended cleanly before it.
+/// Reads one frame and returns its number of records and its body, or `None` if the input ends before the frame.
 ///
 /// # Errors
-/// When the input ends inside the frame or cannot be read.
+/// Returns an error if the input ends inside the frame, cannot be read, or has a length that is too short for the
+/// number of records.
 pub fn read_frame(input: &mut impl Read) -> Result<Option<(usize, Vec<u8>)>, WireError> {
     let mut header = Vec::with_capacity(HEADER_BYTES);
     input.by_ref().take(HEADER_BYTES as u64).read_to_end(&mut header)?;
@@ -25,7 +26,7 @@
     if records.checked_mul(EVENT_BYTES).and_then(|n| n.checked_add(CLOCK_BYTES)).is_none_or(|n| n > len) {
         return Err(WireError::Short { len, records });
     }
-    // Read to the end of what is there: a false length must not make us allocate gigabytes.
+    // The buffer grows with the bytes that arrive: a wrong length in the header must not allocate gigabytes.
     let mut body = Vec::new();
     input.by_ref().take(len as u64).read_to_end(&mut body)?;
     if body.len() < len {
--- a/crates/simulator-adapter/src/lib.rs
+++ b/crates/simulator-adapter/src/lib.rs
@@ -1,7 +1,7 @@
 //! The simulator's wire format, `thistle-28dc`: decodes batches of events and encodes replies with actions.
 //!
-//! Frames are big-endian: a header, records of a fixed size, then a tail that holds lists and texts. The crate decides
-//! nothing; the program beside it hosts the instances of the decision module.
+//! Frames are big-endian: a header, records of a fixed size, then a tail that holds lists and texts. The library only
+//! encodes and decodes; the program of this package hosts the instances of the decision module.
 #![forbid(unsafe_code)]
 
 mod error;
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,4 +1,5 @@
-//! Hosts many instances of the decision module on the simulator's wire, from standard input to standard output.
+//! Hosts many instances of the decision module for a simulator: reads batches of events from standard input and writes
+//! replies with actions to standard output.
 
 use decide::api::{Action, Event, Micros, Settings, Token};
 use decide::policy::Router;
@@ -8,12 +9,12 @@
 use std::io::{self, BufReader, BufWriter, Write};
 use std::process::ExitCode;
 
-/// The timer of an instance's next gossip; the timers of the decision module have other tokens.
+/// The token of the timer for an instance's next gossip. The decision module uses other tokens.
 const GOSSIP_TIMER: Token = Token(u64::MAX - 1);
-/// Bytes of the buffers of input and output.
+/// The size of the input buffer and of the output buffer, in bytes.
 const BUFFER_BYTES: usize = 1 << 16;
 
-/// An instance: its decisions, and what it knows from the others.
+/// An instance of the decision module with its gossip state.
 struct HostedInstance {
     router: Router,
     gossip: GossipState,
@@ -24,7 +25,7 @@
     fn new(seed: u64, settings: Settings, clock: Micros) -> Self {
         let gossip = GossipState::new(settings.instance as usize, settings.balancers as usize, clock);
         let router = Router::new(settings, seed, clock);
-        // Another seed than the router's: their draws must not go together.
+        // The seed differs from the router's, so that the two sequences of random numbers are not correlated.
         Self { router, gossip, rng: fastrand::Rng::with_seed(!seed) }
     }
 
@@ -55,11 +56,11 @@
     Ok(())
 }
 
-/// All instances of the process.
+/// The instances that the process hosts.
 #[derive(Default)]
 struct Host {
     instances: BTreeMap<Instance, HostedInstance>,
-    /// Scratch space for the actions of one event.
+    /// The actions of the current event, kept to reuse the allocation.
     actions: Vec<Action>,
 }
 
@@ -111,7 +112,7 @@
             };
             let turn = hosted.gossip.publish(clock, loads);
             reply.gossip(instance, &turn.datagram);
-            // Yields no actions: the factors only change weights.
+            // This event returns no actions: the factors only change weights.
             hosted.router.handle(clock, Event::WeightFactors(turn.weight_factors), &mut self.actions);
         }
     }
--- a/crates/simulator-adapter/src/record.rs
+++ b/crates/simulator-adapter/src/record.rs
@@ -2,7 +2,9 @@
 
 use decide::api::EndpointId;
 
-/// A record of a fixed size. The callers' offsets lie inside it by the layout of the wire.
+/// A record of a fixed size.
+///
+/// The methods panic if a field does not lie inside the record. Callers use the offsets of the wire format, which do.
 #[derive(Clone, Copy)]
 pub(crate) struct Record<'a>(pub(crate) &'a [u8]);
 
--- a/crates/simulator-adapter/src/reply.rs
+++ b/crates/simulator-adapter/src/reply.rs
@@ -1,20 +1,20 @@
-//! Encodes the actions that answer a batch.
+//! Encodes the reply to a batch: the actions of the instances.
 
 use crate::Instance;
 use decide::api::{Action, Micros};
 
-/// Bytes of an action's record.
+/// The size of an action record, in bytes.
 const ACTION_BYTES: usize = 24;
-/// Bytes of a reply's header: its length and the number of records.
+/// The size in bytes of a reply's header: its length and the number of records.
 const HEADER_BYTES: usize = 8;
-/// The number that stands for all other instances, in both of its bytes.
+/// Both bytes of the instance number that addresses all other instances.
 const ALL_INSTANCES: u8 = 0xff;
-/// 71 minutes: the longest timer that the wire carries.
+/// The longest timer delay that the wire format allows: 71 minutes.
 const MAX_DELAY_US: Micros = 71 * 60 * 1_000_000;
-/// A timeout of this much or more stands for "until the client gives up": the wire's field is signed.
+/// A timeout of at least this value is encoded as 0, which means "until the client's deadline": the field is signed.
 const MAX_TIMEOUT_US: Micros = i32::MAX as Micros;
 
-/// The reply to one batch, as it is put together.
+/// A builder for the reply to one batch.
 #[derive(Debug, Default)]
 pub struct Reply {
     records: Vec<u8>,
@@ -68,7 +68,7 @@
         self.append(code, record);
     }
 
-    /// Appends a gossip datagram of an instance to all others.
+    /// Appends a gossip datagram from an instance to all others.
     pub fn gossip(&mut self, instance: Instance, message: &[u8]) {
         let mut record = [0_u8; ACTION_BYTES];
         record[1..3].copy_from_slice(&instance.0.to_be_bytes());
@@ -85,7 +85,7 @@
         self.count += 1;
     }
 
-    /// The finished frame.
+    /// Returns the reply as a frame.
     #[must_use]
     pub fn into_frame(self) -> Vec<u8> {
         let bytes = self.records.len() + self.tail.len();
--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -1,4 +1,4 @@
-//! The thistle-28dc codec, the settings text, and the adapter as a process.
+//! Tests of the `thistle-28dc` codec, the settings text, and the adapter run as a process.
 
 use decide::api::*;
 use simulator_adapter::*;
@@ -118,7 +118,7 @@
     assert_eq!(encoded(Action::Cancel { id, attempt: 2 }), row("04 0003 000d6a085d3a91c4 0002"));
     assert_eq!(encoded(Action::CloseIdle(server)), row("07 0003 0a124a07 2bc3"));
     assert_eq!(encoded(Action::Watch), row("0b 0003 01"));
-    // A time-out or a delay that the field cannot hold.
+    // The field cannot hold a timeout or a delay of u64::MAX.
     assert_eq!(encoded(Action::Forward { id, endpoint: server, timeout_us: u64::MAX })[11..15], [0; 4]);
     assert_eq!(
         encoded(Action::Timer { delay_us: u64::MAX, token: Token(1) })[3..7],
@@ -216,7 +216,7 @@
         .spawn()
         .expect("the adapter starts");
     let mut stdin = child.stdin.take().expect("piped");
-    let _ = stdin.write_all(input); // it may stop reading at what is malformed
+    let _ = stdin.write_all(input); // the adapter may stop reading at a malformed record
     drop(stdin);
     child.wait_with_output().expect("the adapter ends")
 }
@@ -274,7 +274,7 @@
     }
 }
 
-/// A list, requests that end in each way, timers and a restart, as the simulator sends them.
+/// The input has an endpoint list, a request for each outcome, timers and the start of a second instance.
 #[test]
 fn replies_keep_their_bytes() {
     let outcomes = (1..10).map(|code| {
