--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -8,21 +8,21 @@
 #[derive(Debug, Error)]
 pub enum WireError {
     /// The input could not be read.
-    #[error("reading a batch: {0}")]
+    #[error("cannot read a batch: {0}")]
     Io(#[from] io::Error),
     /// The input ended inside a batch.
-    #[error("truncated batch: {got} of {wanted} bytes of the {part}")]
+    #[error("truncated batch: {found} of {expected} bytes of the {part}")]
     Truncated {
         /// The truncated part: the header or the body.
         part: &'static str,
-        /// Bytes found.
-        got: usize,
-        /// Bytes announced.
-        wanted: usize,
+        /// The number of bytes that were read.
+        found: usize,
+        /// The number of bytes that the part has.
+        expected: usize,
     },
     /// The length in the header is too short for the number of records in the header.
     #[error("batch length {len} is too short for {records} records")]
-    Short {
+    BodyTooShort {
         /// The length of the body in the header.
         len: usize,
         /// The number of records in the header.
@@ -30,7 +30,7 @@
     },
     /// A field holds a code that the wire format does not define.
     #[error("record {record}: unknown {what} {code}")]
-    Unknown {
+    UnknownCode {
         /// The index of the record, from 0.
         record: usize,
         /// The name of the field.
@@ -39,7 +39,7 @@
         code: u64,
     },
     /// An offset or a length points outside the tail.
-    #[error("record {record}: {what} at {offset} + {bytes} bytes lies outside the tail of {tail}")]
+    #[error("record {record}: {what} at {offset} + {bytes} bytes lies outside the tail of {tail} bytes")]
     OutsideTail {
         /// The index of the record, from 0.
         record: usize,
@@ -54,13 +54,13 @@
     },
     /// The settings of an instance are not UTF-8 text.
     #[error("record {record}: the settings are not UTF-8")]
-    NotText {
+    SettingsNotUtf8 {
         /// The index of the record, from 0.
         record: usize,
     },
     /// A setting has an invalid value.
     #[error("record {record}: {source}")]
-    Setting {
+    InvalidSetting {
         /// The index of the record, from 0.
         record: usize,
         /// The setting, its value and the allowed values.
--- a/crates/simulator-adapter/src/event.rs
+++ b/crates/simulator-adapter/src/event.rs
@@ -15,7 +15,7 @@
 const ENTRY_BYTES: usize = 24;
 /// The flag bit of a request that is a write.
 const WRITE_FLAG: u8 = 4;
-/// The hint of a miss whose key another request is already fetching for the endpoint.
+/// The hint of a miss when the endpoint has already told another request to fetch the key.
 const FETCH_PENDING: u8 = 3;
 
 /// The number of a module instance on the wire.
@@ -39,7 +39,7 @@
     /// An event for the decision module.
     Module(Event),
     /// A valid record that the decision module does not handle.
-    Unused,
+    Ignored,
 }
 
 /// A batch of events that all happen at `clock`.
@@ -58,7 +58,7 @@
 pub fn decode(records: usize, body: &[u8]) -> Result<Batch, WireError> {
     let start = records.saturating_mul(EVENT_BYTES).saturating_add(CLOCK_BYTES);
     let (Some(head), Some(tail)) = (body.get(..start), body.get(start..)) else {
-        return Err(WireError::Short { len: body.len(), records });
+        return Err(WireError::BodyTooShort { len: body.len(), records });
     };
     let clock = Record(head).u64(0);
     let decode_record = |(number, bytes)| {
@@ -87,7 +87,7 @@
         let request_id = || RequestId(record.u64(3));
         Ok(match record.u8(0) {
             1 => WireEvent::Module(self.request()),
-            2 => self.outcome(9).map(|_| WireEvent::Unused)?,
+            2 => self.outcome(9).map(|_| WireEvent::Ignored)?,
             3 => WireEvent::Module(self.endpoint_list()?),
             4 => WireEvent::Module(Event::Timer(Token(record.u64(3)))),
             5 => WireEvent::Module(Event::FirstByte(request_id())),
@@ -95,8 +95,8 @@
             7 => WireEvent::Module(Event::ClientLeft(request_id())),
             8 => WireEvent::Stop,
             9 => self.start()?,
-            10 => WireEvent::Gossip(record.u16(3).into(), self.in_tail("the message", 5, 1)?.to_vec()),
-            code => return Err(self.unknown("event code", code.into())),
+            10 => WireEvent::Gossip(record.u16(3).into(), self.tail_bytes("the message", 5, 1)?.to_vec()),
+            code => return Err(self.unknown_code("event code", code.into())),
         })
     }
 
@@ -118,9 +118,9 @@
             1 => ListKind::Failed,
             2 => ListKind::Cached,
             3 => ListKind::Delta,
-            code => return Err(self.unknown("list mode", code.into())),
+            code => return Err(self.unknown_code("list mode", code.into())),
         };
-        let entries = self.in_tail("the list", 8, ENTRY_BYTES)?.chunks_exact(ENTRY_BYTES);
+        let entries = self.tail_bytes("the list", 8, ENTRY_BYTES)?.chunks_exact(ENTRY_BYTES);
         let entries = entries.map(|bytes| self.entry(Record(bytes))).collect::<Result<_, _>>()?;
         Ok(Event::EndpointList(kind, entries))
     }
@@ -130,14 +130,14 @@
             0 => Presence::Gone,
             1 => Presence::Ready,
             2 => Presence::Draining,
-            code => return Err(self.unknown("server phase", code.into())),
+            code => return Err(self.unknown_code("server phase", code.into())),
         };
         let weight = f64::from(f32::from_bits(entry.u32(9)));
         Ok(EndpointEntry {
             id: entry.endpoint(1),
             presence,
             kind: entry.u16(7),
-            // An invalid weight is replaced by the default of 1.
+            // A weight that is not a positive number is replaced by 1, the weight of an ordinary endpoint.
             weight: if weight.is_finite() && weight > 0.0 { weight } else { 1.0 },
             cell: CellId(entry.u16(13)),
             zone: ZoneId(entry.u8(15)),
@@ -169,28 +169,28 @@
             7 => Ok(Outcome::Cancelled),
             8 => Ok(Outcome::NotSent),
             9 => Ok(Outcome::Miss),
-            code => Err(self.unknown("outcome", code.into())),
+            code => Err(self.unknown_code("outcome", code.into())),
         }
     }
 
     fn start(&self) -> Result<WireEvent, WireError> {
         let record = self.number;
-        let text = std::str::from_utf8(self.in_tail("the settings", 11, 1)?);
-        let text = text.map_err(|_| WireError::NotText { record })?;
-        let settings = text.parse().map_err(|source| WireError::Setting { record, source })?;
+        let text = std::str::from_utf8(self.tail_bytes("the settings", 11, 1)?);
+        let text = text.map_err(|_| WireError::SettingsNotUtf8 { record })?;
+        let settings = text.parse().map_err(|source| WireError::InvalidSetting { record, source })?;
         Ok(WireEvent::Start { seed: self.record.u64(3), settings: Box::new(settings) })
     }
 
     /// Returns the part of the tail that the record refers to at `at`: an offset in bytes, then a number of items of
     /// `item_bytes` bytes each.
-    fn in_tail(&self, what: &'static str, at: usize, unit: usize) -> Result<&'a [u8], WireError> {
-        let (offset, bytes) = (self.record.size(at), self.record.size(at + 4).saturating_mul(unit));
-        let found = offset.checked_add(bytes).and_then(|end| self.tail.get(offset..end));
+    fn tail_bytes(&self, what: &'static str, at: usize, item_bytes: usize) -> Result<&'a [u8], WireError> {
+        let (offset, bytes) = (self.record.size(at), self.record.size(at + 4).saturating_mul(item_bytes));
+        let part = offset.checked_add(bytes).and_then(|end| self.tail.get(offset..end));
         let tail = self.tail.len();
-        found.ok_or(WireError::OutsideTail { record: self.number, what, offset, bytes, tail })
+        part.ok_or(WireError::OutsideTail { record: self.number, what, offset, bytes, tail })
     }
 
-    fn unknown(&self, what: &'static str, code: u64) -> WireError {
-        WireError::Unknown { record: self.number, what, code }
+    fn unknown_code(&self, what: &'static str, code: u64) -> WireError {
+        WireError::UnknownCode { record: self.number, what, code }
     }
 }
--- a/crates/simulator-adapter/src/frame.rs
+++ b/crates/simulator-adapter/src/frame.rs
@@ -19,18 +19,18 @@
     match header.len() {
         0 => return Ok(None),
         HEADER_BYTES => {}
-        got => return Err(WireError::Truncated { part: "header", got, wanted: HEADER_BYTES }),
+        found => return Err(WireError::Truncated { part: "header", found, expected: HEADER_BYTES }),
     }
     let header = Record(&header);
     let (records, len) = (header.size(0), header.size(4));
     if records.checked_mul(EVENT_BYTES).and_then(|n| n.checked_add(CLOCK_BYTES)).is_none_or(|n| n > len) {
-        return Err(WireError::Short { len, records });
+        return Err(WireError::BodyTooShort { len, records });
     }
     // The buffer grows with the bytes that arrive: a wrong length in the header must not allocate gigabytes.
     let mut body = Vec::new();
     input.by_ref().take(len as u64).read_to_end(&mut body)?;
     if body.len() < len {
-        return Err(WireError::Truncated { part: "body", got: body.len(), wanted: len });
+        return Err(WireError::Truncated { part: "body", found: body.len(), expected: len });
     }
     Ok(Some((records, body)))
 }
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -81,16 +81,16 @@
                         hosted.gossip.handle_datagram(batch.clock, from, &datagram);
                     }
                 }
-                WireEvent::Unused => {}
+                WireEvent::Ignored => {}
             }
         }
         reply
     }
 
     fn start(&mut self, instance: Instance, seed: u64, settings: Settings, clock: Micros, reply: &mut Reply) {
-        let gossips = settings.peers && settings.balancers as usize >= gossip::MIN_BALANCERS;
+        let uses_gossip = settings.peers && settings.balancers as usize >= gossip::MIN_BALANCERS;
         let mut hosted = HostedInstance::new(seed, settings, clock);
-        if gossips {
+        if uses_gossip {
             reply.push(instance, &hosted.schedule_gossip());
         }
         self.instances.insert(instance, hosted);
@@ -110,10 +110,10 @@
                 reply.push(instance, &action);
                 continue;
             };
-            let turn = hosted.gossip.publish(clock, loads);
-            reply.gossip(instance, &turn.datagram);
+            let publication = hosted.gossip.publish(clock, loads);
+            reply.push_gossip(instance, &publication.datagram);
             // This event returns no actions: the factors only change weights.
-            hosted.router.handle(clock, Event::WeightFactors(turn.weight_factors), &mut self.actions);
+            hosted.router.handle(clock, Event::WeightFactors(publication.weight_factors), &mut self.actions);
         }
     }
 }
--- a/crates/simulator-adapter/src/reply.rs
+++ b/crates/simulator-adapter/src/reply.rs
@@ -63,19 +63,19 @@
                 record[3] = 1;
                 11
             }
-            Action::PublishLoad(_) => return, // travels as a datagram: see `gossip`
+            Action::PublishLoad(_) => return, // sent as a datagram: see `push_gossip`
         };
         self.append(code, record);
     }
 
     /// Appends a gossip datagram from an instance to all others.
-    pub fn gossip(&mut self, instance: Instance, message: &[u8]) {
+    pub fn push_gossip(&mut self, instance: Instance, datagram: &[u8]) {
         let mut record = [0_u8; ACTION_BYTES];
         record[1..3].copy_from_slice(&instance.0.to_be_bytes());
         record[3..5].fill(ALL_INSTANCES);
         put_u32(&mut record, 5, self.tail.len() as u64);
-        put_u32(&mut record, 9, message.len() as u64);
-        self.tail.extend_from_slice(message);
+        put_u32(&mut record, 9, datagram.len() as u64);
+        self.tail.extend_from_slice(datagram);
         self.append(8, record);
     }
 
