--- a/crates/emulator/src/clients.rs
+++ b/crates/emulator/src/clients.rs
@@ -1,4 +1,4 @@
-//! The clients: open-loop arrivals of requests, independent of the answers.
+//! The model of the clients: open-loop arrivals of requests, which do not depend on the answers.
 
 use crate::scenario::{Effect, Scenario, micros};
 use crate::{Micros, SECOND};
@@ -12,20 +12,20 @@
 /// The first hot key, beyond all other keys.
 const FIRST_HOT_KEY: u64 = 1 << 40;
 
-/// What a client wants: a request with its retries.
+/// A logical request of a client. It covers the first attempt and the retries.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Intent {
-    /// When the first request was sent.
+    /// The time of the first attempt.
     pub at: Micros,
-    /// The index of its class.
+    /// The index of the request class.
     pub class: usize,
-    /// The index of its municipio.
+    /// The index of the municipio.
     pub municipio: usize,
-    /// Whether it exceeds the municipio's quota.
+    /// Whether the request exceeds the municipio's quota.
     pub over_quota: bool,
     /// The requested key.
     pub key: Key,
-    /// The work on one core of speed 1, in microseconds.
+    /// The work of the request on one core of speed 1, in microseconds.
     pub work_us: f64,
     /// The client's timeout of each attempt.
     pub timeout: Micros,
@@ -42,7 +42,7 @@
 impl Quota {
     fn consume(&mut self, now: Micros) -> bool {
         self.tokens += now.saturating_sub(self.at) as f64 / SECOND as f64 * self.per_s;
-        // The bucket holds the tokens of one second.
+        // The bucket holds at most the tokens of one second.
         self.tokens = self.tokens.min(self.per_s.max(1.0));
         self.at = now;
         let over = self.tokens < 1.0;
@@ -59,9 +59,9 @@
     keys: Zipf<f64>,
     quotas: Vec<Quota>,
     rate: f64,
-    /// The current rate as a multiple of the usual one.
+    /// The current arrival rate as a multiple of the usual one.
     pub surge: f64,
-    /// The number of hot keys and the fraction of reads for them, during such a fault.
+    /// The number of hot keys and the fraction of reads for these keys; `None` when the fault is not active.
     pub hot_keys: Option<(u64, f64)>,
 }
 
@@ -69,7 +69,7 @@
     /// Creates the clients of a scenario.
     ///
     /// # Panics
-    /// Does not panic for a validated scenario, whose fractions are positive.
+    /// Panics if a class part, a quota or the Zipf exponent is not positive; in a validated scenario, all are.
     #[must_use]
     pub fn new(scenario: &Scenario) -> Self {
         let (callers, all) = (&scenario.callers, &scenario.municipios);
@@ -83,7 +83,7 @@
             municipios: WeightedIndex::new(all.iter().map(|m| m.share * m.asks)).expect("quotas above 0"),
             keys: Zipf::new(callers.keys as f64, callers.zipf).expect("an exponent above 0"),
             quotas: all.iter().map(|m| quota(m.share)).collect(),
-            // A municipio that exceeds its share adds load instead of displacing that of others.
+            // A municipio that exceeds its share adds load; it does not displace the load of others.
             rate: callers.per_second * all.iter().map(|m| m.share * m.asks).sum::<f64>() / total,
             surge: 1.0,
             hot_keys: None,
@@ -96,7 +96,7 @@
         ((unit / (self.rate * self.surge) * SECOND as f64).ceil() as Micros).max(1)
     }
 
-    /// Draws the intent that arrives now.
+    /// Draws the intent that arrives at `now`.
     pub fn next_intent(&mut self, now: Micros, scenario: &Scenario, rng: &mut impl Rng) -> Intent {
         let (class, municipio) = (self.classes.sample(rng), self.municipios.sample(rng));
         let spec = &scenario.classes[class];
@@ -104,7 +104,7 @@
             Some((keys, part)) if spec.effect == Effect::SafeToRepeat && rng.random_bool(part) => {
                 FIRST_HOT_KEY + rng.random_range(0..keys)
             }
-            // Consecutive numbers are spread over all 64 bits.
+            // The multiplication spreads consecutive numbers over all 64 bits.
             _ => (self.keys.sample(rng) as u64).wrapping_mul(0x9e37_79b9_7f4a_7c15),
         };
         let patience = rng.random_range(scenario.callers.patience..=1.0);
--- a/crates/emulator/src/node.rs
+++ b/crates/emulator/src/node.rs
@@ -7,7 +7,7 @@
 use hashlink::LruCache;
 use rustc_hash::FxBuildHasher;
 
-/// The number of buckets per second in which the load of a cold node is summed.
+/// The number of buckets per second into which the load of a cold node is divided.
 const RATE_BUCKETS: usize = 10;
 
 /// The state of a node.
@@ -15,13 +15,13 @@
 pub enum State {
     /// Accepts requests.
     Up,
-    /// Finishes accepted requests and rejects new ones.
+    /// Finishes accepted requests and rejects new requests.
     Draining,
-    /// The process is stopped: connections are refused.
+    /// The process is stopped; the machine refuses connections.
     Down,
     /// The machine does not respond.
     Silent,
-    /// Stopped by overload during slow start.
+    /// The process was stopped by overload during slow start; the machine refuses connections.
     Overloaded,
 }
 
@@ -32,24 +32,24 @@
     pub tag: T,
     /// The key that is read.
     pub key: Key,
-    /// Its work on one core of speed 1, in microseconds.
+    /// The work of the read on one core of speed 1, in microseconds.
     pub work_us: f64,
 }
 
 /// The result of offering a job to a node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NodeAdmission {
-    /// Started; it ends after this many microseconds.
+    /// The job has started and ends after this many microseconds.
     Started(Micros),
-    /// Queued until another job ends.
+    /// The job is queued until another job ends.
     Queued,
-    /// Rejected.
+    /// The job is rejected: the node drains or its queue is full.
     Rejected,
-    /// The connection is refused.
+    /// The machine refuses the connection.
     ConnectionRefused,
-    /// There is no response.
+    /// The machine does not respond.
     NoResponse,
-    /// The job overloaded the node, which has just stopped.
+    /// The job overloaded the node, and the node stopped.
     Overloaded,
 }
 
@@ -62,11 +62,11 @@
     cold_for: Micros,
     falls_at: f64,
     miss_work: f64,
-    /// The current state.
+    /// The current state of the node.
     pub state: State,
-    /// The time of the last start; 0 if it has been warm since before the simulation.
+    /// The time of the last start; 0 if the node was started and warm before the simulation.
     pub started: Micros,
-    /// The incarnation, increased by each start and stop, which identifies outdated jobs.
+    /// The incarnation. Each start and each stop increases it, so that jobs of an earlier incarnation are recognized.
     pub incarnation: u32,
     station: Station<Job<T>>,
     cached: LruCache<Key, (), FxBuildHasher>,
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Returns the fraction of its full capacity that is available now.
+    /// Returns the fraction of the node's full capacity that is available at `now`.
     #[must_use]
     pub fn warmth(&self, now: Micros) -> f64 {
         let age = now.saturating_sub(self.started);
@@ -104,26 +104,26 @@
         self.slow_start_fraction + (1.0 - self.slow_start_fraction) * age as f64 / self.cold_for as f64
     }
 
-    /// Returns its current capacity, in microseconds of work per microsecond.
+    /// Returns the node's capacity at `now`, in microseconds of work per microsecond.
     #[must_use]
     pub fn capacity(&self, now: Micros) -> f64 {
         self.cores as f64 * self.speed * self.warmth(now)
     }
 
-    /// Starts the node, cold and empty.
+    /// Starts the node with an empty cache, at the beginning of slow start.
     pub fn start(&mut self, now: Micros) {
         (self.state, self.started, self.incarnation) = (State::Up, now.max(1), self.incarnation + 1);
         (self.sent, _) = ([(0, 0.0); RATE_BUCKETS], self.cached.clear());
         self.station.clear();
     }
 
-    /// Stops the node into this state; its jobs are lost.
+    /// Stops the node and sets its state to `state`; its jobs are lost.
     pub fn stop(&mut self, state: State) {
         (self.state, self.incarnation) = (state, self.incarnation + 1);
         self.station.clear();
     }
 
-    /// Offers a read to the node.
+    /// Offers a read to the node, which starts, queues or rejects it.
     pub fn offer(&mut self, now: Micros, job: Job<T>) -> NodeAdmission {
         match self.state {
             State::Down | State::Overloaded => return NodeAdmission::ConnectionRefused,
@@ -144,8 +144,8 @@
         }
     }
 
-    /// Finishes a job of this incarnation. Returns whether its key was cached, and the next job that starts, with its
-    /// duration.
+    /// Finishes a job of the current incarnation. Returns whether its key was cached, and the queued job that starts
+    /// next, with its duration.
     pub fn finish(&mut self, now: Micros, key: Key) -> (bool, Option<(Job<T>, Micros)>) {
         let found = self.cached.get(&key).is_some();
         let next = self.station.finish().map(|job| (job, self.time(now, &job)));
@@ -181,7 +181,7 @@
         self.station.in_flight()
     }
 
-    /// Returns the work of a job. A miss costs only a fraction of it.
+    /// Returns the work that a job costs the node. A miss costs only a fraction of the work of a hit.
     fn work(&self, job: &Job<T>) -> f64 {
         job.work_us * if self.cached.peek(&job.key).is_some() { 1.0 } else { self.miss_work }
     }
@@ -190,7 +190,7 @@
         (self.work(job) / (self.speed * self.warmth(now))).ceil() as Micros
     }
 
-    /// Adds the work to the load and returns whether the load of the last second exceeds the slow-start budget.
+    /// Adds `work_us` to the load, and returns whether the load of the last second exceeds the slow-start budget.
     fn exceeds_slow_start_budget(&mut self, now: Micros, work_us: f64) -> bool {
         let bucket_number = now / (SECOND / RATE_BUCKETS as u64);
         let bucket = &mut self.sent[(bucket_number % RATE_BUCKETS as u64) as usize];
--- a/crates/emulator/src/origin.rs
+++ b/crates/emulator/src/origin.rs
@@ -1,4 +1,4 @@
-//! The model of the origin behind the caches: slow, bounded, with a ledger of all executions.
+//! The model of the slow origin behind the cache nodes: a few workers, a bounded queue and a ledger of all executions.
 
 use crate::Micros;
 use crate::scenario::{self, micros};
@@ -8,7 +8,7 @@
 use rand_distr::{Distribution, LogNormal};
 use rustc_hash::FxHashMap;
 
-/// A fetch or a write.
+/// A fetch or a write at the origin.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Job<T> {
     /// The caller's identifier of the job.
@@ -17,30 +17,30 @@
     pub request: RequestId,
     /// The key that is read or written.
     pub key: Key,
-    /// Whether it is a write.
+    /// Whether the job is a write.
     pub write: bool,
-    /// The idempotency key, if it has one.
+    /// The idempotency key of the write, if it has one.
     pub idempotency_key: Option<u64>,
 }
 
-/// How long duplicates of a write with an idempotency key are dropped.
+/// The time for which duplicates of a write with an idempotency key are dropped.
 const DEDUP_WINDOW: Micros = 4_000_000;
 
-/// The executions of the origin, which are the ground truth for the referee.
+/// A ledger of the origin's executions, from which the referee learns what was executed.
 #[derive(Debug, Default, Clone)]
 pub struct Ledger {
     writes: FxHashMap<RequestId, u32>,
     keyed: FxHashMap<u64, Micros>,
     /// The number of executed reads.
     pub reads: u64,
-    /// The number of executed writes, without dropped duplicates.
+    /// The number of executed writes; dropped duplicates are not counted.
     pub writes_run: u64,
     /// The number of dropped duplicates of writes with an idempotency key.
     pub dropped: u64,
 }
 
 impl Ledger {
-    /// Records an execution and returns how often this request has been executed.
+    /// Records the execution of a job. Returns how often the request has been executed, or 0 for a read.
     fn record_execution<T>(&mut self, now: Micros, job: &Job<T>) -> u32 {
         if !job.write {
             self.reads += 1;
@@ -60,23 +60,23 @@
     }
 }
 
-/// How a job ended.
+/// The outcome of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum JobOutcome {
-    /// 200.
+    /// The job was executed and answered with status 200.
     Served,
-    /// 500, although it was executed.
+    /// The job was executed but answered with status 500.
     Error,
 }
 
 /// The result of finishing a job.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct FinishedJob<T> {
-    /// How it ended.
+    /// The outcome of the finished job.
     pub outcome: JobOutcome,
-    /// How often its request has been executed.
+    /// How often the request has been executed; 0 for a read.
     pub executions: u32,
-    /// The next job that starts, with its duration.
+    /// The queued job that starts next, with its duration.
     pub next: Option<(Job<T>, Micros)>,
 }
 
@@ -86,9 +86,9 @@
     station: Station<Job<T>>,
     time: LogNormal<f64>,
     errors: f64,
-    /// The current slowdown factor.
+    /// The current factor of the service times; 1 is the usual speed.
     pub slowdown: f64,
-    /// The executions so far.
+    /// The ledger of all executions.
     pub ledger: Ledger,
 }
 
@@ -96,7 +96,7 @@
     /// Creates an idle origin.
     ///
     /// # Panics
-    /// Does not panic for a validated scenario, whose spread is finite.
+    /// Panics if the spread is not finite; a validated scenario has a finite spread.
     #[must_use]
     pub fn new(spec: &scenario::Origin) -> Self {
         let mean = micros(spec.service).max(1) as f64;
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Offers a job. Returns the job with its duration if it starts, `None` if it is queued.
+    /// Offers a job. Returns the job with its duration if it starts, and `None` if it is queued.
     ///
     /// # Errors
     /// Returns [`Declined`] if the queue is full; the job is not executed.
@@ -145,6 +145,6 @@
     }
 }
 
-/// The queue was full: the job was not executed.
+/// The error of a job that was not executed because the queue was full.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Declined;
--- a/crates/emulator/src/referee/mod.rs
+++ b/crates/emulator/src/referee/mod.rs
@@ -1,7 +1,8 @@
 //! The referee: records every message of clients, gateways and nodes, and checks them against the rules.
 //!
-//! Executions are taken from the origin's ledger and attempts from the wire. The referee knows nothing of a gateway's
-//! state, except when the decision module abandoned a request, since the client must be answered then.
+//! Executions are taken from the origin's ledger and attempts from the simulated network. The referee does not read the
+//! state of a gateway, with one exception: it records when the decision module abandons a request, because the client
+//! must be answered then.
 
 mod observation;
 
@@ -11,7 +12,7 @@
 use rustc_hash::{FxHashMap, FxHasher};
 use std::hash::{Hash, Hasher};
 
-/// The maximum number of recorded findings; further ones are only counted.
+/// The maximum number of recorded findings; further findings are only counted.
 const MAX_FINDINGS: usize = 50;
 
 /// An attempt of a request.
@@ -36,7 +37,7 @@
 pub struct Referee {
     slack: Slack,
     open: FxHashMap<RequestId, Request>,
-    /// When a gateway was notified that an endpoint drains or is gone.
+    /// The time at which a gateway was notified that an endpoint drains or is gone, by gateway and endpoint.
     draining_since: FxHashMap<(usize, EndpointId), Micros>,
     findings: Vec<Finding>,
     broken: usize,
@@ -104,7 +105,7 @@
         }
     }
 
-    /// Ends a request whose client deadline, with the tolerance, has passed.
+    /// Ends a request whose client deadline plus tolerance has passed; reports the request if it has no answer.
     pub fn expire_request(&mut self, now: Micros, request: RequestId) {
         let unanswered = self.open.get_mut(&request).filter(|open| !open.answered);
         if let Some(open) = unanswered {
@@ -119,7 +120,7 @@
         self.forget_completed(request);
     }
 
-    /// Ends the simulation: open requests have no answer.
+    /// Ends the simulation; reports each request that has no answer.
     pub fn finish(&mut self, now: Micros) {
         let mut open: Vec<RequestId> =
             self.open.iter().filter(|(_, o)| !o.answered).map(|(id, _)| *id).collect();
@@ -127,7 +128,7 @@
         open.into_iter().for_each(|request| self.expire_request(now, request));
     }
 
-    /// Returns the first violations.
+    /// Returns the first violations, at most 50.
     #[must_use]
     pub fn findings(&self) -> &[Finding] {
         &self.findings
@@ -240,8 +241,8 @@
         self.forget_completed(request);
     }
 
-    /// Drops answered requests without attempts in flight, to bound memory. Only requests that are not idempotent can
-    /// still violate a rule.
+    /// Removes a request that is answered and has no attempt in flight, to bound memory. A request that is not
+    /// idempotent is kept, because it can still violate a rule.
     fn forget_completed(&mut self, request: RequestId) {
         let over = |open: &Request| open.answered && open.attempts.iter().all(|a| a.outcome.is_some());
         if self.open.get(&request).is_some_and(|open| over(open) && open.effect != Effect::NonIdempotent) {
--- a/crates/emulator/src/referee/observation.rs
+++ b/crates/emulator/src/referee/observation.rs
@@ -1,15 +1,15 @@
-//! What the referee observes, and what it reports.
+//! The observations of the referee, its findings, and the rules with their tolerances.
 
 use crate::Micros;
 use decide::api::{Effect, EndpointId, Outcome, Presence, RequestId};
 use serde::Serialize;
 use std::fmt;
 
-/// The rules.
+/// A rule that the referee checks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Rule {
-    /// A request has one final answer, before the client's deadline.
+    /// A request gets exactly one final answer, before the client's deadline.
     OneAnswer,
     /// An abandoned request is answered at once.
     NotHeldBack,
@@ -17,7 +17,7 @@
     OneAttempt,
     /// A request that may have been executed is not retried or answered as rejected, unless its class allows it.
     NoSecondRun,
-    /// No new requests go to a draining or removed node.
+    /// No new request is sent to a draining or removed node.
     OrderlyDrain,
     /// No node is overloaded during slow start.
     ColdNode,
@@ -28,13 +28,13 @@
 /// A violation of a rule.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Finding {
-    /// The rule.
+    /// The violated rule.
     pub rule: Rule,
-    /// The time.
+    /// The time of the violation, in microseconds.
     pub at: Micros,
-    /// The request, if there is one.
+    /// The id of the request, if the violation concerns one.
     pub request: Option<u64>,
-    /// What was observed.
+    /// A description of the observed violation.
     pub seen: String,
 }
 
@@ -51,9 +51,9 @@
 /// A final answer, as received by the client.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Answer {
-    /// A value or receipt.
+    /// The request was served with a value or a receipt.
     Served {
-        /// The request that it was made for.
+        /// The request that the value was made for.
         made_for: RequestId,
     },
     /// The request was rejected.
@@ -62,7 +62,7 @@
     Failed,
 }
 
-/// An observed event.
+/// An event that the referee observes.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Observation {
     /// A gateway accepted a request.
@@ -71,9 +71,9 @@
         gateway: usize,
         /// The request.
         request: RequestId,
-        /// Whether it may be executed more than once.
+        /// Whether the request may be executed more than once.
         effect: Effect,
-        /// When its client gives up.
+        /// The time at which the client gives up.
         client_deadline: Micros,
     },
     /// A gateway was notified of an endpoint.
@@ -93,7 +93,7 @@
         request: RequestId,
         /// The number of the attempt.
         attempt: u16,
-        /// The endpoint it was sent to.
+        /// The endpoint that the attempt was sent to.
         endpoint: EndpointId,
     },
     /// An attempt ended.
@@ -102,7 +102,7 @@
         request: RequestId,
         /// The number of the attempt.
         attempt: u16,
-        /// How it ended.
+        /// The outcome of the attempt.
         outcome: Outcome,
     },
     /// The decision module abandoned a request.
@@ -121,12 +121,12 @@
     Executed {
         /// The request.
         request: RequestId,
-        /// The number of executions so far.
+        /// The number of executions of the request, including this one.
         times: u32,
     },
     /// A node was overloaded during slow start.
     Overloaded {
-        /// The rule.
+        /// The overloaded node.
         endpoint: EndpointId,
     },
 }
@@ -134,15 +134,15 @@
 /// The tolerances of the rules.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Slack {
-    /// How long after the client's deadline, or after it was abandoned, a request may be answered.
+    /// The maximum time from the client's deadline, or from the moment a request is abandoned, to its answer.
     pub answer: Micros,
-    /// How long after the notification of a drain new requests may be sent.
+    /// The maximum time from the notification of a drain to the last new request.
     pub drain: Micros,
 }
 
 impl Slack {
-    /// The tolerances on a virtual clock.
+    /// The tolerances of a simulation on a virtual clock.
     pub const VIRTUAL: Self = Self { answer: 10_000, drain: 250_000 };
-    /// The tolerances on sockets.
+    /// The tolerances of a run on sockets.
     pub const SOCKETS: Self = Self { answer: 60_000, drain: 300_000 };
 }
--- a/crates/emulator/src/scenario/mod.rs
+++ b/crates/emulator/src/scenario/mod.rs
@@ -9,7 +9,7 @@
 use thiserror::Error;
 use validate::InvalidValue;
 
-/// Why a scenario is not usable.
+/// An error of reading or validating a scenario.
 #[derive(Debug, Error)]
 pub enum ScenarioError {
     /// The file cannot be read.
@@ -20,15 +20,15 @@
         /// The cause.
         source: std::io::Error,
     },
-    /// Not TOML, an unknown field, or a value of the wrong type; the text names line, column and field.
+    /// The text is not TOML, or it has an unknown field or a value of the wrong type.
     #[error("{file}: {text}")]
     Form {
         /// The file.
         file: PathBuf,
-        /// The position and the error.
+        /// The error, with line, column and field.
         text: String,
     },
-    /// A value is out of range.
+    /// A value is not allowed.
     #[error("{file}: {field}: {wrong}")]
     Value {
         /// The file.
@@ -40,13 +40,13 @@
     },
 }
 
-/// A simulated day.
+/// A scenario: the description of a simulated day.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
     /// A one-line description.
     pub about: String,
-    /// How long clients arrive.
+    /// The time during which clients send new requests.
     #[serde(with = "humantime_serde")]
     pub lasts: Duration,
     /// The cache nodes.
@@ -61,10 +61,10 @@
     /// The clients.
     #[serde(default)]
     pub callers: Clients,
-    /// The request classes; a default set if none are given.
+    /// The request classes; a default set is used if none are given.
     #[serde(default = "classes", rename = "class")]
     pub classes: Vec<Class>,
-    /// The municipios (tenants); a default set if none are given.
+    /// The municipios (tenants); a default set is used if none are given.
     #[serde(default = "municipios", rename = "municipio")]
     pub municipios: Vec<Municipio>,
     /// The scheduled faults, in any order.
@@ -76,23 +76,23 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Fleet {
-    /// The number of them.
+    /// The number of nodes.
     pub nodes: usize,
-    /// The speed of the single core of every other node; the reference is 1.
+    /// The speed of the core of a node with one core, relative to 1. The nodes with an even number have one core.
     pub one_core: f64,
-    /// The speed of both cores of the remaining nodes.
+    /// The speed of each core of a node with two cores, relative to 1. The nodes with an odd number have two cores.
     pub two_cores: f64,
-    /// The queue capacity of a node; further requests are rejected.
+    /// The queue capacity of a node; a node with a full queue rejects requests.
     pub room: usize,
-    /// The number of objects that a node caches; the least recently used are evicted.
+    /// The maximum number of objects that a node caches; the least recently used objects are evicted.
     pub keeps: usize,
     /// The fraction of its capacity that a node has right after its start.
     #[serde(rename = "cold_from")]
     pub slow_start_fraction: f64,
-    /// The duration of slow start, over which the capacity grows linearly.
+    /// The duration of slow start, during which the capacity of a node grows linearly.
     #[serde(with = "humantime_serde")]
     pub cold_for: Duration,
-    /// A cold node stops when its load exceeds this multiple of its current capacity for a second.
+    /// A cold node stops when its load in the last second exceeds this multiple of its current capacity.
     pub falls_at: f64,
     /// The fraction of a read's work that a miss costs.
     pub miss_work: f64,
@@ -118,16 +118,16 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Origin {
-    /// The number of concurrent fetches and writes.
+    /// The number of fetches and writes that are executed at the same time.
     pub workers: usize,
-    /// The mean service time.
+    /// The mean service time of a fetch or write.
     #[serde(with = "humantime_serde")]
     pub service: Duration,
     /// The sigma of the log-normal distribution of service times.
     pub spread: f64,
-    /// The queue capacity; further requests are declined (503, not executed).
+    /// The queue capacity; when the queue is full, requests are declined with status 503 and not executed.
     pub room: usize,
-    /// The fraction of requests that are executed and answered with 500.
+    /// The fraction of requests that are executed but answered with status 500.
     pub errors: f64,
 }
 
@@ -141,7 +141,7 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Gateways {
-    /// The number of them.
+    /// The number of gateways.
     pub count: usize,
     /// The maximum delay of discovery notifications to a gateway.
     #[serde(with = "humantime_serde")]
@@ -165,14 +165,15 @@
     pub per_second: f64,
     /// The number of distinct keys.
     pub keys: u64,
-    /// The Zipf exponent of their popularity.
+    /// The exponent of the Zipf distribution of the keys' popularity.
     pub zipf: f64,
     /// The maximum number of retries of a rejected or failed request, if its class allows them.
     pub retries: u32,
     /// The delay before a retry.
     #[serde(with = "humantime_serde")]
     pub retry_after: Duration,
-    /// The minimum timeout of a client, as a fraction of the class's deadline; drawn uniformly from there to 1.
+    /// The minimum timeout of a client, as a fraction of the class's deadline. The fraction of each request is drawn
+    /// uniformly from this value to 1.
     pub patience: f64,
 }
 
@@ -193,7 +194,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Effect {
-    /// Idempotent: a read.
+    /// A read, which is idempotent.
     SafeToRepeat,
     /// A write with an idempotency key; duplicates are dropped for 4 s.
     Keyed,
@@ -205,17 +206,17 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Class {
-    /// The name.
+    /// The name in reports.
     pub name: String,
-    /// The relative share of requests.
+    /// The share of this class in all requests, relative to the other classes.
     pub part: f64,
     /// The mean work on one core of speed 1; each request takes 0.7 to 1.3 times this.
     #[serde(with = "humantime_serde")]
     pub work: Duration,
-    /// The latency objective: later answers count nothing.
+    /// The latency objective; a later answer adds nothing to the score.
     #[serde(with = "humantime_serde")]
     pub wanted: Duration,
-    /// The maximum timeout of a client.
+    /// The maximum timeout of a client for one attempt.
     #[serde(with = "humantime_serde")]
     pub deadline: Duration,
     /// The priority weight of a request.
@@ -228,19 +229,19 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Municipio {
-    /// The name.
+    /// The name in reports.
     pub name: String,
-    /// The quota as a relative share; requests beyond it have a fifth of the weight.
+    /// The quota, as a share relative to the other municipios. Requests that exceed it have a fifth of the weight.
     pub share: f64,
-    /// The rate of its requests, as a multiple of its share.
+    /// The rate of the municipio's requests, as a multiple of its share.
     #[serde(default = "one")]
     pub asks: f64,
 }
 
-/// A fault at a time.
+/// A fault with the time at which it starts.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ScheduledFault {
-    /// The time.
+    /// The time at which the fault starts.
     #[serde(with = "humantime_serde")]
     pub at: Duration,
     /// The fault.
@@ -248,13 +249,13 @@
     pub what: Fault,
 }
 
-/// A fault.
+/// A fault that is injected into the simulation.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "kebab-case", deny_unknown_fields)]
 pub enum Fault {
     /// A fraction of the nodes crashes at once and restarts cold and empty.
     Crash {
-        /// The affected fraction.
+        /// The fraction of the nodes.
         part: f64,
         /// The time until they restart.
         #[serde(with = "humantime_serde")]
@@ -262,7 +263,7 @@
     },
     /// A fraction of the machines stops responding, and restarts cold and empty.
     Vanish {
-        /// The affected fraction.
+        /// The fraction of the nodes.
         part: f64,
         /// The time until they restart.
         #[serde(with = "humantime_serde")]
@@ -270,13 +271,13 @@
     },
     /// Nodes drain, stop 2 s later, and restart cold and empty.
     Drain {
-        /// The number of them.
+        /// The number of nodes.
         nodes: usize,
         /// The time until they restart.
         #[serde(with = "humantime_serde")]
         back_after: Duration,
     },
-    /// A fraction of all reads is for a few keys.
+    /// A fraction of all reads requests a few keys.
     HotKeys {
         /// The number of keys.
         keys: u64,
@@ -286,9 +287,9 @@
         #[serde(with = "humantime_serde")]
         lasts: Duration,
     },
-    /// The origin is slower by a factor.
+    /// The origin's service times are multiplied by a factor.
     ArchiveSlow {
-        /// The number of them.
+        /// The factor of the service times.
         times: f64,
         /// The duration.
         #[serde(with = "humantime_serde")]
@@ -307,9 +308,9 @@
         #[serde(with = "humantime_serde")]
         lasts: Duration,
     },
-    /// Clients arrive faster by a factor.
+    /// The arrival rate of the clients is multiplied by a factor.
     Surge {
-        /// The number of them.
+        /// The factor of the arrival rate.
         times: f64,
         /// The duration.
         #[serde(with = "humantime_serde")]
@@ -317,7 +318,7 @@
     },
     /// Nodes are added, cold and empty.
     Grow {
-        /// The number of them.
+        /// The number of nodes.
         nodes: usize,
     },
 }
@@ -371,17 +372,18 @@
     /// Reads a scenario from a file.
     ///
     /// # Errors
-    /// Returns an error with file, position and field if it cannot be read or is not valid.
+    /// Returns an error that names the file, and the position or the field, if the scenario cannot be read or is not
+    /// valid.
     pub fn read(file: &Path) -> Result<Self, ScenarioError> {
         let text = std::fs::read_to_string(file)
             .map_err(|source| ScenarioError::Unreadable { file: file.to_owned(), source })?;
         Self::parse(&text, file)
     }
 
-    /// Parses a scenario; `file` is used in errors.
+    /// Parses a scenario. Errors name `file`.
     ///
     /// # Errors
-    /// Returns the errors of [`Scenario::read`], except for reading.
+    /// Returns an error that names `file`, and the position or the field, if the scenario is not valid.
     pub fn parse(text: &str, file: &Path) -> Result<Self, ScenarioError> {
         let scenario: Self = toml::from_str(text)
             .map_err(|error| ScenarioError::Form { file: file.to_owned(), text: error.to_string() })?;
--- a/crates/emulator/src/scenario/validate.rs
+++ b/crates/emulator/src/scenario/validate.rs
@@ -1,11 +1,11 @@
-//! Validates the values of a scenario, in the order of the file.
+//! Validates the values of a scenario in the order of the fields.
 
 use super::{Class, Clients, Fault, Fleet, Municipio, Scenario};
 use std::time::Duration;
 
 /// The maximum duration of a scenario.
 const MAX_DAY: Duration = Duration::from_secs(3_600);
-/// The maximum number of cache nodes, at the start and added later.
+/// The maximum number of cache nodes at the start, and of nodes that one fault adds or drains.
 const MAX_NODES: usize = 100_000;
 /// The maximum number of gateways.
 const MAX_GATEWAYS: usize = 1_000;
@@ -13,9 +13,9 @@
 const MAX_RATE: f64 = 1e6;
 /// The maximum number of retries of a client.
 const MAX_RETRIES: u32 = 10;
-/// The maximum number of classes, whose numbers have eight bits.
+/// The maximum number of request classes; a class number has eight bits.
 const MAX_CLASSES: usize = 255;
-/// The maximum spread of the origin's service times.
+/// The maximum sigma of the distribution of the origin's service times.
 const MAX_SPREAD: f64 = 3.0;
 
 /// An invalid value.
--- a/crates/emulator/src/score.rs
+++ b/crates/emulator/src/score.rs
@@ -6,11 +6,11 @@
 use hdrhistogram::Histogram;
 use serde::Serialize;
 
-/// The factor of the weight of a request beyond its municipio's quota.
+/// The factor for the weight of a request that exceeds its municipio's quota.
 const OVER_QUOTA_WEIGHT: f64 = 0.2;
-/// The weights of the whole day, its worst window, its worst class and its worst municipio.
+/// The weights of the four parts of the score: the whole day, the worst window, the worst class, the worst municipio.
 const WEIGHTS: [f64; 4] = [0.6, 0.1, 0.2, 0.1];
-/// The length of the windows, in seconds.
+/// The length of the windows from which the worst is taken, in seconds.
 const WORST_WINDOW_SECONDS: usize = 10;
 /// The reported quantiles of response times.
 const QUANTILES: [f64; 3] = [0.5, 0.99, 0.999];
@@ -25,13 +25,13 @@
 pub enum IntentOutcome {
     /// Served within its latency objective.
     InTime,
-    /// Served later.
+    /// Served after its latency objective.
     Late,
     /// The last attempt was rejected.
     Refused,
     /// The last attempt failed.
     Failed,
-    /// There was no answer.
+    /// Not answered before the client's deadline.
     Unanswered,
 }
 
@@ -40,9 +40,9 @@
 pub struct EndedIntent {
     /// The intent.
     pub intent: Intent,
-    /// Its outcome.
+    /// The outcome of the intent.
     pub outcome: IntentOutcome,
-    /// When it ended.
+    /// The time at which the intent ended.
     pub at: Micros,
 }
 
@@ -55,30 +55,30 @@
     pub asked: u64,
     /// The numbers of intents served in time, served late, rejected, failed and unanswered.
     pub ends: [u64; 5],
-    /// The weight served in time over the weight requested, within the quota.
+    /// The weight served in time over the weight requested, for requests within the quota.
     pub served: f64,
-    /// Response times since the first attempt, in microseconds: median, 99th and 99.9th percentile. Arrivals are
-    /// open-loop,
-    /// so that there is no coordinated omission.
+    /// The median, 99th and 99.9th percentile of the response times, in microseconds, measured from the first attempt.
+    /// Arrivals are open-loop, so that there is no coordinated omission.
     pub times_us: [u64; 3],
 }
 
 /// The score of a simulation.
 #[derive(Debug, Clone, Serialize)]
 pub struct Score {
-    /// The weighted result, less the penalties.
+    /// The weighted sum of the scores of the whole day, the worst window, the worst class and the worst municipio,
+    /// minus the penalties.
     pub g: f64,
     /// The weight served in time over the weight requested, for the whole day.
     pub whole: f64,
-    /// The same for the worst window.
+    /// The weight served in time over the weight requested, for the worst window.
     pub worst_window: f64,
     /// The start of the worst window, in seconds.
     pub worst_from_s: usize,
-    /// The same for the worst class.
+    /// The weight served in time over the weight requested, for the worst class.
     pub worst_class: f64,
-    /// The same for the worst municipio.
+    /// The weight served in time over the weight requested within the quota, for the worst municipio.
     pub worst_municipio: f64,
-    /// The penalties for wasted work and for late failures.
+    /// The penalties for wasted work and for failures after the latency objective.
     pub prices: [f64; 2],
     /// The scores by class.
     pub classes: Vec<GroupScore>,
@@ -102,7 +102,7 @@
     }
 }
 
-/// The score of a class or municipio in progress.
+/// The weights and response times from which the score of a class or municipio is computed.
 #[derive(Clone)]
 struct Group {
     all: Worth,
@@ -113,7 +113,7 @@
 
 impl Group {
     fn new(name: &str) -> Self {
-        // Three digits up to the longest deadline of a class; longer times are recorded as that.
+        // Three significant digits up to the longest deadline of a class; longer times are recorded as this maximum.
         let times = Histogram::new_with_max(MAX_RECORDED_TIME, 3).expect("valid histogram bounds");
         let score = GroupScore { name: name.to_owned(), ..GroupScore::default() };
         Self { all: Worth::default(), within_quota: Worth::default(), score, times }
@@ -139,7 +139,7 @@
     }
 }
 
-/// The score of a day in progress.
+/// The weights from which the score of a simulation is computed.
 struct Totals {
     whole: Worth,
     by_second: Vec<Worth>,
@@ -199,8 +199,8 @@
     }
 }
 
-/// Computes the score of a day from its intents, how and when each ended, and the fraction of the nodes' work that
-/// served no answer.
+/// Computes the score of a simulation from its ended intents and from the fraction of the nodes' work that served no
+/// answer.
 #[must_use]
 pub fn compute_score(scenario: &Scenario, intents: &[EndedIntent], wasted: f64) -> Score {
     let mut totals = Totals::new(scenario);
--- a/crates/emulator/src/simulation/client_events.rs
+++ b/crates/emulator/src/simulation/client_events.rs
@@ -1,4 +1,4 @@
-//! The events at clients: new requests, answers and retries.
+//! The handling of events at clients: new requests, answers and retries.
 
 use super::settings::DEDUP_WINDOW;
 use super::state::Simulation;
--- a/crates/emulator/src/simulation/faults.rs
+++ b/crates/emulator/src/simulation/faults.rs
@@ -1,4 +1,4 @@
-//! The faults of a scenario, and how gateways are notified of the nodes that they change.
+//! The injection of a scenario's faults, and the notification of gateways about changed nodes.
 
 use super::state::Simulation;
 use super::timeline::{Notification, Response, SimEvent, Tag};
@@ -11,11 +11,11 @@
 use rand::seq::SliceRandom;
 use std::time::Duration;
 
-/// The time between draining and stopping.
+/// The time between the start of a drain and the stop of the node.
 const DRAIN_DURATION: Micros = 2 * SECOND;
 
 impl Simulation<'_> {
-    /// Notifies a gateway of a changed node, unless it knows a newer version.
+    /// Notifies a gateway of a changed node, unless the gateway knows this version or a newer one.
     pub(super) fn notify_gateway(&mut self, notification: Notification) {
         let Notification { gateway, node, version, entry } = notification;
         if version <= self.gateways[gateway].versions[node] {
@@ -29,7 +29,7 @@
         self.deliver(gateway, Event::EndpointList(ListKind::Delta, vec![entry]));
     }
 
-    /// Notifies each gateway of a changed node, after the delay of discovery.
+    /// Schedules the notification of each gateway about a changed node, after a random delay of discovery.
     pub(super) fn announce(&mut self, n: usize, presence: Presence) {
         self.versions[n] += 1;
         let (version, entry) = (self.versions[n], self.entry(n, presence));
@@ -84,7 +84,7 @@
         self.troubles.push((self.now, text));
     }
 
-    /// Stops a fraction of the running nodes, and schedules their restart.
+    /// Stops a fraction of all nodes, chosen from the running nodes, and schedules their restart.
     fn stop_nodes(&mut self, part: f64, back_after: Duration, state: State) -> String {
         let silent = state == State::Silent;
         let stopped = self.pick_running((part * self.nodes.len() as f64).round() as usize);
@@ -98,7 +98,7 @@
         format!("{} nodes {}", stopped.len(), if silent { "fall silent" } else { "die" })
     }
 
-    /// Drains nodes, and schedules their stop and restart.
+    /// Drains `count` running nodes, and schedules their stop and restart.
     fn drain_nodes(&mut self, count: usize, back_after: Duration) -> String {
         let drained = self.pick_running(count);
         for &n in &drained {
@@ -114,7 +114,7 @@
         format!("{} nodes drain", drained.len())
     }
 
-    /// Adds nodes, cold and empty.
+    /// Adds `count` nodes with empty caches, at the beginning of slow start.
     fn add_nodes(&mut self, count: usize) -> String {
         for _ in 0..count {
             let n = self.nodes.len();
@@ -151,7 +151,7 @@
         self.troubles.push((self.now, text.to_owned()));
     }
 
-    /// Resets the attempts in flight at a crashed process; an unresponsive machine does not reset them.
+    /// Resets the attempts in flight at a crashed process. An unresponsive machine (`silent`) does not reset them.
     fn reset(&mut self, n: usize, silent: bool) {
         if silent {
             return;
--- a/crates/emulator/src/simulation/gateway_events.rs
+++ b/crates/emulator/src/simulation/gateway_events.rs
@@ -1,4 +1,4 @@
-//! The events at gateways: requests, the actions they decide on, and the ends of attempts.
+//! The handling of events at gateways: new requests, the actions of the decision module, and the ends of attempts.
 
 use super::settings::decision_effect;
 use super::state::{ORIGIN, RequestContext, Simulation};
@@ -40,7 +40,7 @@
         self.deliver(gateway, Event::Request(request));
     }
 
-    /// Delivers an event to a gateway and executes its actions, until there are no further events.
+    /// Delivers an event to a gateway and executes the resulting actions; repeats this for the events that they cause.
     pub(super) fn deliver(&mut self, gateway: usize, event: Event) {
         let (mut events, mut actions) = (VecDeque::from([event]), Vec::new());
         while let Some(event) = events.pop_front() {
@@ -119,7 +119,7 @@
         }
     }
 
-    /// Handles the end of an attempt, with or without an answer, at its gateway.
+    /// Handles the end of an attempt at its gateway, whether it was answered or not.
     pub(super) fn return_to_gateway(&mut self, response: Response) {
         let Response { tag, outcome, made_for, work_us } = response;
         let context = self.gateways[tag.gateway].open_requests.get_mut(&tag.request);
@@ -131,7 +131,7 @@
             }
             Some((n, key, context.missed.clone()))
         });
-        // Work is wasted if nobody waits for it any more or its answer is corrupt.
+        // Work is wasted if its attempt is no longer in flight or its answer is corrupt.
         self.node_work.total_us += work_us;
         self.node_work.wasted_us += if out.is_none() || outcome == Outcome::Error { work_us } else { 0.0 };
         let Some((n, key, missed)) = out else { return };
@@ -145,7 +145,7 @@
         self.deliver(tag.gateway, event);
     }
 
-    /// Ends an attempt in flight and returns the event for its gateway.
+    /// Ends an attempt and returns the event for its gateway, or `None` if the attempt is not in flight.
     pub(super) fn end_attempt(&mut self, tag: Tag, outcome: Outcome) -> Option<Event> {
         let Tag { gateway, request, attempt } = tag;
         let context = self.gateways[gateway].open_requests.get_mut(&request)?;
--- a/crates/emulator/src/simulation/mod.rs
+++ b/crates/emulator/src/simulation/mod.rs
@@ -1,7 +1,8 @@
-//! A simulated day on a virtual clock: the models, the decision module of each gateway, and the referee between them.
+//! The simulation of a site on a virtual clock: the models, the decision module of each gateway, and the referee, which
+//! observes their messages.
 //!
-//! The same scenario and seed give the same day, to the microsecond. A gateway is represented by a [`Balancer`]: the
-//! decision module, or anything else that handles its events and returns its actions.
+//! The same scenario and seed give the same events at the same microseconds. A gateway runs a [`Balancer`]: the
+//! decision module, or a stand-in that handles the same events and returns actions.
 
 mod balancer;
 mod client_events;
@@ -32,7 +33,7 @@
     run_with(scenario, seed, |gateway| Box::new(Router::new(settings.clone(), seed ^ gateway as u64, 0)))
 }
 
-/// Simulates a scenario with the balancer that `balancer` returns for each gateway number.
+/// Simulates a scenario with the balancer that `balancer` returns for the number of each gateway.
 #[must_use]
 pub fn run_with(scenario: &Scenario, seed: u64, balancer: impl Fn(usize) -> Box<dyn Balancer>) -> Report {
     let mut simulation = Simulation::new(scenario, seed, balancer);
--- a/crates/emulator/src/simulation/node_events.rs
+++ b/crates/emulator/src/simulation/node_events.rs
@@ -1,4 +1,4 @@
-//! The events at cache nodes and the origin: arrivals and ends of jobs.
+//! The handling of events at cache nodes and the origin: arrivals and ends of jobs.
 
 use super::state::Simulation;
 use super::timeline::{Response, SimEvent, Tag};
@@ -9,7 +9,7 @@
 use decide::api::{EndpointId, Outcome, Presence};
 use rand::Rng;
 
-/// How long connecting to an unresponsive machine takes to fail.
+/// The time after which connecting to an unresponsive machine fails.
 const CONNECT_TIMEOUT: Micros = 100_000;
 
 impl Simulation<'_> {
@@ -47,7 +47,7 @@
 
     pub(super) fn finish_at_node(&mut self, n: usize, incarnation: u32, job: &node::Job<Tag>) {
         if self.nodes[n].incarnation != incarnation {
-            return; // it has died since; its connections are reset
+            return; // the node has stopped since; its connections are reset
         }
         let (found, next) = self.nodes[n].finish(self.now, job.key);
         if let Some((next, after)) = next {
--- a/crates/emulator/src/simulation/report.rs
+++ b/crates/emulator/src/simulation/report.rs
@@ -9,19 +9,19 @@
 /// The report of a simulation.
 #[derive(Debug, Clone, Serialize)]
 pub struct Report {
-    /// The seed.
+    /// The seed of the simulation.
     pub seed: u64,
-    /// The score.
+    /// The score of the simulation.
     pub score: Score,
     /// The first violations of rules.
     pub findings: Vec<Finding>,
     /// The number of all violations.
     pub broken: usize,
-    /// A digest of all observations: equal for simulations that are the same.
+    /// A digest of all observations; simulations with the same observations at the same times have the same digest.
     pub digest: u64,
-    /// The number of attempts of clients.
+    /// The number of requests that clients sent, including retries.
     pub tries: u64,
-    /// The number of attempts at cache nodes and the origin.
+    /// The number of attempts that gateways sent to cache nodes and the origin.
     pub attempts: u64,
     /// The number of cache misses.
     pub misses: u64,
@@ -29,12 +29,12 @@
     pub fetches: u64,
     /// The number of writes executed by the origin.
     pub writes: u64,
-    /// The number of duplicates that the origin dropped.
+    /// The number of duplicate writes that the origin dropped.
     pub dropped: u64,
     /// The fraction of the nodes' work that served no answer.
     pub wasted: f64,
     /// The numbers of rejections and failures by reason.
     pub reasons: BTreeMap<&'static str, u64>,
-    /// The faults with their times.
+    /// The starts and ends of faults, with their times.
     pub troubles: Vec<(Micros, String)>,
 }
--- a/crates/emulator/src/simulation/settings.rs
+++ b/crates/emulator/src/simulation/settings.rs
@@ -4,11 +4,11 @@
 use crate::{Micros, SECOND};
 use decide::api::{Class, DedupScope, Mode, Settings, Tenant};
 
-/// How long the origin deduplicates writes with an idempotency key.
+/// The time for which the origin deduplicates writes with an idempotency key.
 pub(super) const DEDUP_WINDOW: Micros = 4_000_000;
 /// The maximum number of attempts of a request.
 const MAX_ATTEMPTS: u32 = 5;
-/// The longest Retry-After that clients are sent.
+/// The longest Retry-After that is sent to clients.
 const MAX_RETRY_AFTER: Micros = SECOND;
 
 /// Returns the settings of the gateways of a scenario.
@@ -41,7 +41,7 @@
     }
 }
 
-/// Converts the effect of a request class.
+/// Converts the effect of a request class of a scenario to that of the decision module.
 pub(super) fn decision_effect(effect: Effect) -> decide::api::Effect {
     match effect {
         Effect::SafeToRepeat => decide::api::Effect::Idempotent,
--- a/crates/emulator/src/simulation/state.rs
+++ b/crates/emulator/src/simulation/state.rs
@@ -1,4 +1,4 @@
-//! The state of a simulation and its start.
+//! The state of a simulation and its initialization.
 
 use super::balancer::Balancer;
 use super::settings::settings;
@@ -29,16 +29,17 @@
     pub(super) this: ClientAttempt,
     pub(super) deadline: Micros,
     pub(super) answered: bool,
-    /// By attempt: its node (the origin is past the last) and when it was sent; `None` once it has ended.
+    /// The node and the time of sending, by attempt number; `None` for an attempt that has ended. The number of nodes
+    /// stands for the origin.
     pub(super) attempts_in_flight: Vec<Option<(usize, Micros)>>,
     pub(super) missed: Vec<usize>,
 }
 
-/// The work that nodes have spent.
+/// The work that cache nodes have done.
 #[derive(Debug, Default, Clone, Copy)]
 pub(super) struct NodeWork {
     pub(super) total_us: f64,
-    /// The part that served no answer.
+    /// The part of the work that served no answer.
     pub(super) wasted_us: f64,
 }
 
@@ -126,7 +127,7 @@
         simulation
     }
 
-    /// Fills the caches with the popular keys that each node would have been asked for before the simulation.
+    /// Fills the caches with the popular keys for which each node would have received requests before the simulation.
     pub(super) fn prefill_caches(&mut self) {
         let mut finder = Router::new(settings(self.scenario), 0, 0);
         let list = (0..self.nodes.len()).map(|n| self.entry(n, Presence::Ready)).collect();
@@ -139,7 +140,7 @@
             let (id, class, key) = (RequestId(n), ClassId(0), Some(intent.key));
             let remaining_us = SECOND;
             let request = Request { id, class, tenant: TenantId(0), key, write: false, remaining_us };
-            // Spread in time, so that no key is detected as hot.
+            // The requests are spread in time, so that no key is detected as hot.
             finder.handle(n * 20_000, Event::Request(request), &mut actions);
             if let Some(Action::Forward { endpoint, .. }) = actions.first() {
                 self.nodes[endpoint.0 as usize - 1].store(intent.key);
--- a/crates/emulator/src/simulation/timeline.rs
+++ b/crates/emulator/src/simulation/timeline.rs
@@ -1,4 +1,4 @@
-//! The events of the simulation, ordered by time.
+//! The events of the simulation and their order.
 
 use crate::Micros;
 use crate::referee::Answer;
@@ -6,7 +6,7 @@
 use decide::api::{EndpointEntry, Outcome, RequestId, Token};
 use std::cmp::Ordering;
 
-/// An attempt of a gateway.
+/// The identity of an attempt that a gateway sends.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) struct Tag {
     pub(super) gateway: usize,
@@ -29,7 +29,7 @@
     pub(super) outcome: Outcome,
     /// The request that the answer was made for.
     pub(super) made_for: RequestId,
-    /// The work that the node has spent on it.
+    /// The work that the node did for the attempt.
     pub(super) work_us: f64,
 }
 
@@ -38,12 +38,12 @@
 pub(super) struct Notification {
     pub(super) gateway: usize,
     pub(super) node: usize,
-    /// The version of the node's entry, by which an outdated notification is recognized.
+    /// The version of the node's entry; a gateway ignores a notification with an outdated version.
     pub(super) version: u32,
     pub(super) entry: EndpointEntry,
 }
 
-/// An event of the simulation. Gateways, nodes, intents and faults are given by number.
+/// An event of the simulation. Gateways, nodes, intents and faults are identified by number.
 #[derive(Debug)]
 pub(super) enum SimEvent {
     Arrival,
@@ -65,7 +65,7 @@
     RestartNode(usize, u32),
 }
 
-/// An event with its time; events at the same time happen in the order they were scheduled.
+/// An event with its time. Events at the same time are handled in the order in which they were scheduled.
 pub(super) struct ScheduledEvent {
     pub(super) at: Micros,
     pub(super) order: u64,
--- a/crates/emulator/src/station.rs
+++ b/crates/emulator/src/station.rs
@@ -1,21 +1,20 @@
-//! A few workers behind a bounded queue, shared by the models of cache nodes and the origin.
+//! A model of a few workers with a bounded queue, used by the models of the cache nodes and the origin.
 
 use std::collections::VecDeque;
 
 /// The result of offering a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Admission {
-    /// Started at once.
+    /// The job has started.
     Started,
-    /// Queued.
+    /// The job is queued.
     Queued,
-    /// Rejected, because the queue is full.
+    /// The job is rejected because the queue is full.
     Rejected,
 }
 
-/// Workers that process one job each, and a bounded queue. Started and queued jobs are never withdrawn: a cancellation
-/// or
-/// a timeout does not stop them.
+/// Workers that process one job each, and a bounded queue. Started and queued jobs are never withdrawn: neither a
+/// cancellation nor a timeout stops them.
 #[derive(Debug, Clone)]
 pub struct Station<J> {
     workers: usize,
@@ -31,7 +30,7 @@
         Self { workers, queue_capacity, busy: 0, queue: VecDeque::new() }
     }
 
-    /// Offers a job. A job that starts is returned, so that the caller can compute its duration.
+    /// Offers a job. Returns the job if it starts, so that the caller can compute its duration.
     pub fn offer(&mut self, job: J) -> (Admission, Option<J>) {
         if self.busy < self.workers {
             self.busy += 1;
--- a/crates/emulator/tests/cold_hosts.rs
+++ b/crates/emulator/tests/cold_hosts.rs
@@ -1,4 +1,4 @@
-//! What a fleet of balancers sends to nodes in slow start, against the budget of the settings.
+//! Tests that a fleet of balancers does not send more to nodes in slow start than the budget of the settings.
 
 use decide::api::{Action, EndpointEntry, EndpointId, Event, ListKind, Settings};
 use decide::policy::Router;
@@ -12,16 +12,17 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Work of a read on one core of speed 1.
+/// The work of a read on one core of speed 1, in microseconds.
 const WORK_US: f64 = 20_000.0;
 /// When hosts go, and when they are back, cold and empty.
 const GOES: Micros = 2 * SECOND;
 const BACK: Micros = 3 * SECOND;
 
-/// Times of sends by balancers that had been told of the start, by host and start.
+/// The times of sends to restarted nodes, by node and start, from balancers that were notified of the start.
 type Ledger = Rc<RefCell<BTreeMap<(EndpointId, Micros), Vec<Micros>>>>;
 
-/// A balancer that is watched, and may be restarted once: it then knows nothing but the list.
+/// A balancer whose sends are recorded, and which may be restarted once. After the restart it knows only the endpoint
+/// list.
 struct Watched {
     router: Router,
     list: BTreeMap<EndpointId, EndpointEntry>,
@@ -53,7 +54,7 @@
     }
 }
 
-/// What a deployment's settings say of hosts that warm up.
+/// The settings of a deployment that concern slow start.
 #[derive(Debug, Clone, Copy)]
 struct Site {
     hedged_requests: bool,
@@ -84,20 +85,21 @@
     HotKeys,
     BurstAfterIdle,
     Restarts,
-    /// More than half of the hosts have gone, and two keys draw a fifth of all reads.
+    /// 60 % of the nodes crash, and two keys get a fifth of all reads.
     MassAndTwoKeys,
-    /// One key draws half of all reads, and fetches take twice as long: many wait for each in every balancer.
+    /// One key gets half of all reads, and fetches take twice as long, so that many requests wait for each fetch in
+    /// every balancer.
     Waiters,
-    /// A burst of two and a half times what the fleet can do falls on it as the hosts come back.
+    /// A burst of 2.5 times the fleet's capacity begins when the nodes restart.
     BurstAtTheReturn,
-    /// The same with one and a half times.
+    /// A burst of 1.5 times the fleet's capacity begins when the nodes restart.
     WeakerBurst,
-    /// The same with four times.
+    /// A burst of 4 times the fleet's capacity begins when the nodes restart.
     StrongerBurst,
 }
 
 impl Play {
-    /// The load of its burst at the return of the hosts, as a multiple of what the fleet can do.
+    /// Returns the load of the burst at the restart of the nodes, as a multiple of the fleet's capacity.
     fn burst(self) -> f64 {
         match self {
             Play::WeakerBurst => 1.5,
@@ -107,8 +109,7 @@
     }
 }
 
-/// The most sends to a host in a span over what is allowed with chance, what cold hosts were sent over what they can
-/// do, and the part of the day's worth that was served in time.
+/// The measured results of one simulation.
 #[derive(Debug)]
 struct Seen {
     worst: f64,
@@ -239,7 +240,7 @@
     assert!(sent.iter().all(|worst| *worst <= 1.0), "with 6, 30 and 300 balancers: {sent:.2?}");
 }
 
-/// One balancer sends a cold node what its quick answers earn, on top of its part of the reads.
+/// With one balancer, a cold node is sent its part of the reads, and more for its quick answers, which earn permits.
 #[test]
 fn a_burst_at_one_balancer_tips_over_no_host_on_any_seed() {
     let sent: Vec<f64> =
@@ -247,10 +248,10 @@
     assert!(sent.iter().all(|worst| *worst <= 1.0), "seeds {SWEEP_SEEDS:?}: {sent:.2?}");
 }
 
-/// Seeds of the sweep: none of them is used by another test.
+/// The seeds of the sweep; no other test uses them.
 const SWEEP_SEEDS: std::ops::RangeInclusive<u64> = 101..=110;
 
-/// Every play at each size of the fleet on ten seeds, printed as a table of worst, used and served.
+/// Runs every load with each number of balancers on ten seeds, and prints a line of results for each.
 #[test]
 #[ignore = "takes minutes: cargo test --release -p emulator --test cold_hosts -- --ignored --nocapture"]
 fn no_play_on_any_seed_exceeds_the_slow_start_budget() {
--- a/crates/emulator/tests/days.rs
+++ b/crates/emulator/tests/days.rs
@@ -1,4 +1,4 @@
-//! Simulations of the scenario files: deterministic, without violations; errors of invalid scenarios.
+//! Tests of the scenario files, which must give the same result each time without violations, and of invalid scenarios.
 
 use emulator::scenario::Scenario;
 use emulator::simulation;
@@ -19,7 +19,7 @@
 fn same_seed_gives_same_simulation_without_violations() {
     for file in scenarios() {
         let mut scenario = Scenario::read(&file).unwrap();
-        scenario.fleet.keeps = scenario.fleet.keeps.min(300); // a shorter warming up, for time's sake
+        scenario.fleet.keeps = scenario.fleet.keeps.min(300); // smaller caches are prefilled faster
         for seed in [1, 2, 3] {
             let (first, second) = (simulation::run(&scenario, seed), simulation::run(&scenario, seed));
             let name = file.display();
--- a/crates/emulator/tests/referee.rs
+++ b/crates/emulator/tests/referee.rs
@@ -1,4 +1,5 @@
-//! The referee finds each violated rule and none in a correct simulation, with gateways that violate one rule on purpose.
+//! Tests of the referee: it finds each violation of gateways that break one rule on purpose, and none in a correct
+//! simulation.
 
 use decide::api::*;
 use decide::policy::Router;
@@ -61,7 +62,7 @@
         }
     };
     let mut busy = short();
-    busy.callers.per_second = 2_000.0; // so that some are refused
+    busy.callers.per_second = 2_000.0; // overload, so that some requests are rejected
     assert_eq!(broken(&busy, swallow), [Rule::OneAnswer]);
 }
 
@@ -116,7 +117,7 @@
                 [[trouble]]\nat = \"2s\"\nkind = \"drain\"\nnodes = 5\nback_after = \"20s\"\n";
     let deaf = || {
         |_, event: &Event, actions: &mut Vec<Action>| {
-            // Reads go to one node, whatever is told of it.
+            // Reads go to the node after the chosen one, even if it drains.
             if matches!(event, Event::Request(_)) {
                 for action in actions {
                     if let Action::Forward { endpoint: server, .. } = action
