--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -1,4 +1,4 @@
-//! Command line tool that simulates scenario files and prints their scores.
+//! A command-line tool that simulates scenario files and prints their scores.
 #![forbid(unsafe_code)]
 
 mod table;
@@ -11,12 +11,12 @@
 use std::process::ExitCode;
 use std::time::Instant;
 
-/// Exit code: a rule was violated.
+/// The exit code when a rule was violated.
 const EXIT_VIOLATION: u8 = 1;
-/// Exit code: the scenario is not usable.
-const EXIT_UNUSABLE: u8 = 2;
+/// The exit code when the scenario cannot be read or is not valid, or the JSON file cannot be written.
+const EXIT_ERROR: u8 = 2;
 
-/// Plays days on a site in a box: cache nodes, archive, inventory, callers and gateways.
+/// Simulates scenarios of a site: clients, gateways, cache nodes, discovery and the origin.
 #[derive(Parser)]
 #[command(version)]
 struct Arguments {
@@ -26,18 +26,18 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Plays a day on a virtual clock and prints what it was worth. Ends with 1 when a rule was broken, with 2 when the
-    /// scenario cannot be played.
+    /// Simulates a scenario on a virtual clock and prints its score. The exit code is 1 if a rule was violated, and 2 if
+    /// the scenario cannot be read or is not valid, or the JSON file cannot be written.
     Run {
-        /// The day, as a file (see scenarios/).
+        /// The scenario file; the folder scenarios/ has examples.
         scenario: PathBuf,
-        /// The day's chance: one seed is one day, the same each time.
+        /// The seed of the random numbers; the same scenario and seed give the same result.
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// Plays this many days, with the seeds that follow; the tables are of the first.
+        /// The number of simulations, with consecutive seeds; tables are printed for the first only.
         #[arg(long, default_value_t = 1, value_parser = clap::value_parser!(u64).range(1..=1000))]
         days: u64,
-        /// Keeps the reports of all days as JSON.
+        /// The file to which the reports of all simulations are written as JSON.
         #[arg(long)]
         json: Option<PathBuf>,
     },
@@ -50,25 +50,25 @@
         Ok(_) => ExitCode::from(EXIT_VIOLATION),
         Err(error) => {
             eprintln!("spindlebeam-lab: {error:#}");
-            ExitCode::from(EXIT_UNUSABLE)
+            ExitCode::from(EXIT_ERROR)
         }
     }
 }
 
-/// Simulates the scenario and returns the number of violations.
+/// Simulates the scenario once for each seed, prints the results, and returns the total number of violations.
 fn run(file: &std::path::Path, seed: u64, days: u64, json: Option<PathBuf>) -> Result<usize> {
     let scenario = Scenario::read(file)?;
     println!("{}: {}", file.display(), scenario.description);
     let mut reports = Vec::new();
     for seed in (0..days).map(|n| seed.wrapping_add(n)) {
-        let began = Instant::now();
+        let started = Instant::now();
         let report = simulation::run(&scenario, seed);
-        let took = began.elapsed().as_secs_f64();
+        let elapsed = started.elapsed().as_secs_f64();
         if reports.is_empty() {
-            table::print(&report);
+            table::print_report(&report);
         }
         println!(
-            "seed {seed}: G {:.4}, rules broken {}, digest {:016x}, {:.1} s of day in {took:.2} s",
+            "seed {seed}: G {:.4}, rules broken {}, digest {:016x}, {:.1} s of day in {elapsed:.2} s",
             report.score.g,
             report.violations,
             report.digest,
@@ -79,7 +79,7 @@
     }
     if let Some(file) = json {
         let text = serde_json::to_string_pretty(&reports)?;
-        std::fs::write(&file, text).with_context(|| file.display().to_string())?;
+        std::fs::write(&file, text).with_context(|| format!("cannot write {}", file.display()))?;
     }
     Ok(reports.iter().map(|report| report.violations).sum())
 }
