--- a/crates/emulator/src/node.rs
+++ b/crates/emulator/src/node.rs
@@ -8,7 +8,7 @@
 use rustc_hash::FxBuildHasher;
 
 /// The number of buckets per second into which the load of a cold node is divided.
-const RATE_BUCKETS: usize = 10;
+const LOAD_BUCKETS: usize = 10;
 
 /// The state of a node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -70,7 +70,7 @@
     pub incarnation: u32,
     station: Station<Job<T>>,
     cached: LruCache<Key, (), FxBuildHasher>,
-    load_buckets: [(Micros, f64); RATE_BUCKETS],
+    load_buckets: [(Micros, f64); LOAD_BUCKETS],
 }
 
 impl<T: Copy> Node<T> {
@@ -91,7 +91,7 @@
             incarnation: 0,
             station: Station::new(cores, fleet.queue_capacity),
             cached: LruCache::with_hasher(fleet.cache_capacity, FxBuildHasher),
-            load_buckets: [(0, 0.0); RATE_BUCKETS],
+            load_buckets: [(0, 0.0); LOAD_BUCKETS],
         }
     }
 
@@ -115,7 +115,7 @@
     /// Starts the node with an empty cache, at the beginning of slow start.
     pub fn start(&mut self, now: Micros) {
         (self.state, self.started, self.incarnation) = (NodeState::Up, now.max(1), self.incarnation + 1);
-        (self.load_buckets, _) = ([(0, 0.0); RATE_BUCKETS], self.cached.clear());
+        (self.load_buckets, _) = ([(0, 0.0); LOAD_BUCKETS], self.cached.clear());
         self.station.clear();
     }
 
@@ -194,8 +194,8 @@
 
     /// Adds `work_us` to the load, and returns whether the load of the last second exceeds the slow-start budget.
     fn exceeds_slow_start_budget(&mut self, now: Micros, work_us: f64) -> bool {
-        let bucket_number = now / (SECOND / RATE_BUCKETS as u64);
-        let bucket = &mut self.load_buckets[(bucket_number % RATE_BUCKETS as u64) as usize];
+        let bucket_number = now / (SECOND / LOAD_BUCKETS as u64);
+        let bucket = &mut self.load_buckets[(bucket_number % LOAD_BUCKETS as u64) as usize];
         if bucket.0 != bucket_number {
             *bucket = (bucket_number, 0.0);
         }
@@ -203,7 +203,7 @@
         let recent_load = self
             .load_buckets
             .iter()
-            .filter(|(at, _)| at + (RATE_BUCKETS as u64) > bucket_number)
+            .filter(|(at, _)| at + (LOAD_BUCKETS as u64) > bucket_number)
             .map(|(_, work)| work);
         recent_load.sum::<f64>() > self.overload_multiple * self.capacity(now) * SECOND as f64
     }
--- a/crates/emulator/src/scenario/mod.rs
+++ b/crates/emulator/src/scenario/mod.rs
@@ -285,29 +285,29 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "kebab-case", deny_unknown_fields)]
 pub enum Fault {
-    /// A fraction of the nodes crashes at once and restarts cold and empty.
+    /// A fraction of the nodes crashes at once and restarts with empty caches, at the beginning of slow start.
     Crash {
         /// The fraction of the nodes.
         #[serde(rename = "part")]
         fraction: f64,
-        /// The time until they restart.
+        /// The time from the crash to the restart.
         #[serde(rename = "back_after", with = "humantime_serde")]
         restart_after: Duration,
     },
-    /// A fraction of the machines stops responding, and restarts cold and empty.
+    /// A fraction of the machines stops responding, and restarts with empty caches, at the beginning of slow start.
     Vanish {
         /// The fraction of the nodes.
         #[serde(rename = "part")]
         fraction: f64,
-        /// The time until they restart.
+        /// The time until the machines respond again and their nodes restart.
         #[serde(rename = "back_after", with = "humantime_serde")]
         restart_after: Duration,
     },
-    /// Nodes drain, stop 2 s later, and restart cold and empty.
+    /// Nodes drain, stop 2 s later, and restart with empty caches, at the beginning of slow start.
     Drain {
         /// The number of nodes.
         nodes: usize,
-        /// The time until they restart.
+        /// The time from the stop to the restart.
         #[serde(rename = "back_after", with = "humantime_serde")]
         restart_after: Duration,
     },
@@ -315,10 +315,10 @@
     HotKeys {
         /// The number of keys.
         keys: u64,
-        /// The affected fraction.
+        /// The fraction of the reads.
         #[serde(rename = "part")]
         fraction: f64,
-        /// The duration.
+        /// The duration of the fault.
         #[serde(rename = "lasts", with = "humantime_serde")]
         duration: Duration,
     },
@@ -328,23 +328,23 @@
         /// The factor of the service times.
         #[serde(rename = "times")]
         factor: f64,
-        /// The duration.
+        /// The duration of the fault.
         #[serde(rename = "lasts", with = "humantime_serde")]
         duration: Duration,
     },
     /// A fraction of all cached objects is invalidated.
     Flush {
-        /// The affected fraction.
+        /// The fraction of the cached objects.
         #[serde(rename = "part")]
         fraction: f64,
     },
     /// A fraction of the nodes' answers is corrupt: the request was executed, but the answer is not usable.
     #[serde(rename = "spoilt-answers")]
     CorruptAnswers {
-        /// The affected fraction.
+        /// The fraction of the answers.
         #[serde(rename = "part")]
         fraction: f64,
-        /// The duration.
+        /// The duration of the fault.
         #[serde(rename = "lasts", with = "humantime_serde")]
         duration: Duration,
     },
@@ -353,11 +353,11 @@
         /// The factor of the arrival rate.
         #[serde(rename = "times")]
         factor: f64,
-        /// The duration.
+        /// The duration of the fault.
         #[serde(rename = "lasts", with = "humantime_serde")]
         duration: Duration,
     },
-    /// Nodes are added, cold and empty.
+    /// Nodes are added, with empty caches and at the beginning of slow start.
     Grow {
         /// The number of nodes.
         nodes: usize,
--- a/crates/emulator/src/scenario/validate.rs
+++ b/crates/emulator/src/scenario/validate.rs
@@ -17,7 +17,7 @@
 /// The maximum number of request classes; a class number has eight bits.
 const MAX_CLASSES: usize = 255;
 /// The maximum sigma of the distribution of the origin's service times.
-const MAX_SPREAD: f64 = 3.0;
+const MAX_SIGMA: f64 = 3.0;
 
 /// An invalid value.
 #[derive(Debug)]
@@ -38,7 +38,7 @@
     let origin = &scenario.origin;
     require(origin.workers > 0, "archive.workers", origin.workers, "at least 1")?;
     let sigma = origin.service_time_sigma;
-    require((0.0..=MAX_SPREAD).contains(&sigma), "archive.spread", sigma, "from 0 to 3")?;
+    require((0.0..=MAX_SIGMA).contains(&sigma), "archive.spread", sigma, "from 0 to 3")?;
     let error_fraction = origin.error_fraction;
     require(is_fraction(error_fraction), "archive.errors", error_fraction, "from 0 to 1")?;
     let gateways = scenario.gateways.count;
--- a/crates/emulator/src/score.rs
+++ b/crates/emulator/src/score.rs
@@ -9,7 +9,7 @@
 /// The factor for the weight of a request that exceeds its municipio's quota.
 const OVER_QUOTA_WEIGHT: f64 = 0.2;
 /// The weights of the four parts of the score: the whole day, the worst window, the worst class, the worst municipio.
-const WEIGHTS: [f64; 4] = [0.6, 0.1, 0.2, 0.1];
+const PART_WEIGHTS: [f64; 4] = [0.6, 0.1, 0.2, 0.1];
 /// The length of the windows from which the worst is taken, in seconds.
 const WORST_WINDOW_SECONDS: usize = 10;
 /// The reported quantiles of response times.
@@ -192,7 +192,7 @@
             PENALTY_WEIGHTS[1] * self.failed_late.fraction() * any_failed,
         ];
         let parts = [self.whole.fraction(), worst_window, worst_class, worst_municipio];
-        let g = WEIGHTS.iter().zip(parts).map(|(weight, part)| weight * part).sum::<f64>()
+        let g = PART_WEIGHTS.iter().zip(parts).map(|(weight, part)| weight * part).sum::<f64>()
             - penalties.iter().sum::<f64>();
         Score {
             g,
