--- a/crates/emulator/src/node.rs
+++ b/crates/emulator/src/node.rs
@@ -7,21 +7,21 @@
 use hashlink::LruCache;
 use rustc_hash::FxBuildHasher;
 
-/// The number of buckets per second in which the load of a cold node is summed.
-const RATE_BUCKETS: usize = 10;
+/// The number of buckets per second into which the load of a cold node is divided.
+const LOAD_BUCKETS: usize = 10;
 
 /// The state of a node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum State {
+pub enum NodeState {
     /// Accepts requests.
     Up,
-    /// Finishes accepted requests and rejects new ones.
+    /// Finishes accepted requests and rejects new requests.
     Draining,
-    /// The process is stopped: connections are refused.
+    /// The process is stopped; the machine refuses connections.
     Down,
     /// The machine does not respond.
-    Silent,
-    /// Stopped by overload during slow start.
+    Unresponsive,
+    /// The process was stopped by overload during slow start; the machine refuses connections.
     Overloaded,
 }
 
@@ -32,24 +32,24 @@
     pub tag: T,
     /// The key that is read.
     pub key: Key,
-    /// Its work on one core of speed 1, in microseconds.
+    /// The work of the read on one core of speed 1, in microseconds.
     pub work_us: f64,
 }
 
 /// The result of offering a job to a node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NodeAdmission {
-    /// Started; it ends after this many microseconds.
+    /// The job has started and ends after this many microseconds.
     Started(Micros),
-    /// Queued until another job ends.
+    /// The job is queued until another job ends.
     Queued,
-    /// Rejected.
+    /// The job is rejected: the node drains or its queue is full.
     Rejected,
-    /// The connection is refused.
+    /// The machine refuses the connection.
     ConnectionRefused,
-    /// There is no response.
+    /// The machine does not respond.
     NoResponse,
-    /// The job overloaded the node, which has just stopped.
+    /// The job overloaded the node, and the node stopped.
     Overloaded,
 }
 
@@ -59,102 +59,104 @@
     cores: usize,
     speed: f64,
     slow_start_fraction: f64,
-    cold_for: Micros,
-    falls_at: f64,
-    miss_work: f64,
-    /// The current state.
-    pub state: State,
-    /// The time of the last start; 0 if it has been warm since before the simulation.
+    slow_start_duration: Micros,
+    overload_multiple: f64,
+    miss_work_fraction: f64,
+    /// The current state of the node.
+    pub state: NodeState,
+    /// The time of the last start; 0 if the node was started and warm before the simulation.
     pub started: Micros,
-    /// The incarnation, increased by each start and stop, which identifies outdated jobs.
+    /// The incarnation. Each start and each stop increases it, so that jobs of an earlier incarnation are recognized.
     pub incarnation: u32,
     station: Station<Job<T>>,
     cached: LruCache<Key, (), FxBuildHasher>,
-    sent: [(Micros, f64); RATE_BUCKETS],
+    load_buckets: [(Micros, f64); LOAD_BUCKETS],
 }
 
 impl<T: Copy> Node<T> {
     /// Creates node number `n` of a fleet, fully warm.
     #[must_use]
     pub fn new(n: usize, fleet: &Fleet) -> Self {
-        let (cores, speed) = if n.is_multiple_of(2) { (1, fleet.one_core) } else { (2, fleet.two_cores) };
+        let (cores, speed) =
+            if n.is_multiple_of(2) { (1, fleet.one_core_speed) } else { (2, fleet.two_core_speed) };
         Self {
             cores,
             speed,
             slow_start_fraction: fleet.slow_start_fraction,
-            cold_for: micros(fleet.cold_for),
-            falls_at: fleet.falls_at,
-            miss_work: fleet.miss_work,
-            state: State::Up,
+            slow_start_duration: micros(fleet.slow_start_duration),
+            overload_multiple: fleet.overload_multiple,
+            miss_work_fraction: fleet.miss_work_fraction,
+            state: NodeState::Up,
             started: 0,
             incarnation: 0,
-            station: Station::new(cores, fleet.room),
-            cached: LruCache::with_hasher(fleet.keeps, FxBuildHasher),
-            sent: [(0, 0.0); RATE_BUCKETS],
+            station: Station::new(cores, fleet.queue_capacity),
+            cached: LruCache::with_hasher(fleet.cache_capacity, FxBuildHasher),
+            load_buckets: [(0, 0.0); LOAD_BUCKETS],
         }
     }
 
-    /// Returns the fraction of its full capacity that is available now.
+    /// Returns the fraction of the node's full capacity that is available at `now`.
     #[must_use]
-    pub fn warmth(&self, now: Micros) -> f64 {
+    pub fn capacity_fraction(&self, now: Micros) -> f64 {
         let age = now.saturating_sub(self.started);
-        if self.started == 0 || age >= self.cold_for {
+        if self.started == 0 || age >= self.slow_start_duration {
             return 1.0;
         }
-        self.slow_start_fraction + (1.0 - self.slow_start_fraction) * age as f64 / self.cold_for as f64
+        self.slow_start_fraction
+            + (1.0 - self.slow_start_fraction) * age as f64 / self.slow_start_duration as f64
     }
 
-    /// Returns its current capacity, in microseconds of work per microsecond.
+    /// Returns the node's capacity at `now`, in microseconds of work per microsecond.
     #[must_use]
     pub fn capacity(&self, now: Micros) -> f64 {
-        self.cores as f64 * self.speed * self.warmth(now)
+        self.cores as f64 * self.speed * self.capacity_fraction(now)
     }
 
-    /// Starts the node, cold and empty.
+    /// Starts the node with an empty cache, at the beginning of slow start.
     pub fn start(&mut self, now: Micros) {
-        (self.state, self.started, self.incarnation) = (State::Up, now.max(1), self.incarnation + 1);
-        (self.sent, _) = ([(0, 0.0); RATE_BUCKETS], self.cached.clear());
+        (self.state, self.started, self.incarnation) = (NodeState::Up, now.max(1), self.incarnation + 1);
+        (self.load_buckets, _) = ([(0, 0.0); LOAD_BUCKETS], self.cached.clear());
         self.station.clear();
     }
 
-    /// Stops the node into this state; its jobs are lost.
-    pub fn stop(&mut self, state: State) {
+    /// Stops the node and sets its state to `state`; its jobs are lost.
+    pub fn stop(&mut self, state: NodeState) {
         (self.state, self.incarnation) = (state, self.incarnation + 1);
         self.station.clear();
     }
 
-    /// Offers a read to the node.
+    /// Offers a read to the node, which starts, queues or rejects it.
     pub fn offer(&mut self, now: Micros, job: Job<T>) -> NodeAdmission {
         match self.state {
-            State::Down | State::Overloaded => return NodeAdmission::ConnectionRefused,
-            State::Silent => return NodeAdmission::NoResponse,
-            State::Up | State::Draining => {}
+            NodeState::Down | NodeState::Overloaded => return NodeAdmission::ConnectionRefused,
+            NodeState::Unresponsive => return NodeAdmission::NoResponse,
+            NodeState::Up | NodeState::Draining => {}
         }
-        if self.warmth(now) < 1.0 && self.exceeds_slow_start_budget(now, self.work(&job)) {
-            self.stop(State::Overloaded);
+        if self.capacity_fraction(now) < 1.0 && self.exceeds_slow_start_budget(now, self.job_work(&job)) {
+            self.stop(NodeState::Overloaded);
             return NodeAdmission::Overloaded;
         }
-        if self.state == State::Draining {
+        if self.state == NodeState::Draining {
             return NodeAdmission::Rejected;
         }
         match self.station.offer(job) {
-            (Admission::Started, Some(job)) => NodeAdmission::Started(self.time(now, &job)),
+            (Admission::Started, Some(job)) => NodeAdmission::Started(self.service_time(now, &job)),
             (Admission::Queued, _) => NodeAdmission::Queued,
             _ => NodeAdmission::Rejected,
         }
     }
 
-    /// Finishes a job of this incarnation. Returns whether its key was cached, and the next job that starts, with its
-    /// duration.
+    /// Finishes a job of the current incarnation. Returns whether its key was cached, and the queued job that starts
+    /// next, with its duration.
     pub fn finish(&mut self, now: Micros, key: Key) -> (bool, Option<(Job<T>, Micros)>) {
-        let found = self.cached.get(&key).is_some();
-        let next = self.station.finish().map(|job| (job, self.time(now, &job)));
-        (found, next)
+        let hit = self.cached.get(&key).is_some();
+        let next = self.station.finish().map(|job| (job, self.service_time(now, &job)));
+        (hit, next)
     }
 
     /// Caches an object.
     pub fn store(&mut self, key: Key) {
-        if matches!(self.state, State::Up | State::Draining) {
+        if matches!(self.state, NodeState::Up | NodeState::Draining) {
             self.cached.insert(key, ());
         }
     }
@@ -181,28 +183,28 @@
         self.station.in_flight()
     }
 
-    /// Returns the work of a job. A miss costs only a fraction of it.
-    fn work(&self, job: &Job<T>) -> f64 {
-        job.work_us * if self.cached.peek(&job.key).is_some() { 1.0 } else { self.miss_work }
+    /// Returns the work that a job costs the node. A miss costs only a fraction of the work of a hit.
+    fn job_work(&self, job: &Job<T>) -> f64 {
+        job.work_us * if self.cached.peek(&job.key).is_some() { 1.0 } else { self.miss_work_fraction }
     }
 
-    fn time(&self, now: Micros, job: &Job<T>) -> Micros {
-        (self.work(job) / (self.speed * self.warmth(now))).ceil() as Micros
+    fn service_time(&self, now: Micros, job: &Job<T>) -> Micros {
+        (self.job_work(job) / (self.speed * self.capacity_fraction(now))).ceil() as Micros
     }
 
-    /// Adds the work to the load and returns whether the load of the last second exceeds the slow-start budget.
+    /// Adds `work_us` to the load, and returns whether the load of the last second exceeds the slow-start budget.
     fn exceeds_slow_start_budget(&mut self, now: Micros, work_us: f64) -> bool {
-        let bucket_number = now / (SECOND / RATE_BUCKETS as u64);
-        let bucket = &mut self.sent[(bucket_number % RATE_BUCKETS as u64) as usize];
+        let bucket_number = now / (SECOND / LOAD_BUCKETS as u64);
+        let bucket = &mut self.load_buckets[(bucket_number % LOAD_BUCKETS as u64) as usize];
         if bucket.0 != bucket_number {
             *bucket = (bucket_number, 0.0);
         }
         bucket.1 += work_us;
-        let lately = self
-            .sent
+        let recent_load = self
+            .load_buckets
             .iter()
-            .filter(|(at, _)| at + (RATE_BUCKETS as u64) > bucket_number)
+            .filter(|(at, _)| at + (LOAD_BUCKETS as u64) > bucket_number)
             .map(|(_, work)| work);
-        lately.sum::<f64>() > self.falls_at * self.capacity(now) * SECOND as f64
+        recent_load.sum::<f64>() > self.overload_multiple * self.capacity(now) * SECOND as f64
     }
 }
--- a/crates/simulator-adapter/src/event.rs
+++ b/crates/simulator-adapter/src/event.rs
@@ -7,58 +7,58 @@
     Settings, TenantId, Token, ZoneId,
 };
 
-/// Bytes of an event's record.
+/// The size of an event record, in bytes.
 pub(crate) const EVENT_BYTES: usize = 48;
-/// Bytes of a batch's clock.
+/// The size of the clock at the start of a batch's body, in bytes.
 pub(crate) const CLOCK_BYTES: usize = 8;
-/// Bytes of an entry of the endpoint list.
+/// The size of an entry of the endpoint list, in bytes.
 const ENTRY_BYTES: usize = 24;
-/// The flag of a request that writes.
+/// The flag bit of a request that is a write.
 const WRITE_FLAG: u8 = 4;
-/// What a miss says where the endpoint has told another request to fetch the key.
+/// The hint of a miss when the endpoint has already told another request to fetch the key.
 const FETCH_PENDING: u8 = 3;
 
-/// A module instance, by its number on the wire.
+/// The number of a module instance on the wire.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Instance(pub u16);
 
-/// What a record of a batch says.
+/// A decoded event record.
 #[derive(Debug, Clone, PartialEq)]
 pub enum WireEvent {
-    /// An instance starts, with no state.
+    /// An instance starts without state.
     Start {
-        /// Seed of its random numbers.
+        /// The seed of the instance's random numbers.
         seed: u64,
-        /// Its settings.
+        /// The settings of the instance.
         settings: Box<Settings>,
     },
-    /// An instance was killed.
+    /// An instance stops and loses its state.
     Stop,
-    /// A gossip datagram of another instance, by its number.
+    /// A gossip datagram, with the number of the instance that sent it.
     Gossip(usize, Vec<u8>),
-    /// Something for the module.
+    /// An event for the decision module.
     Module(Event),
-    /// Legal, but nothing the module acts on.
-    Unused,
+    /// A valid record that the decision module does not handle.
+    Ignored,
 }
 
-/// One batch: all its events happen at `clock`.
+/// A batch of events that all happen at `clock`.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Batch {
     /// The time, in microseconds.
     pub clock: Micros,
-    /// The events, in order.
+    /// The events, in the order in which they are handled.
     pub events: Vec<(Instance, WireEvent)>,
 }
 
 /// Decodes the body of a frame from [`read_frame`](crate::read_frame).
 ///
 /// # Errors
-/// When a record is malformed; the error names it.
+/// Returns an error that names the record if a record is malformed.
 pub fn decode(records: usize, body: &[u8]) -> Result<Batch, WireError> {
     let start = records.saturating_mul(EVENT_BYTES).saturating_add(CLOCK_BYTES);
     let (Some(head), Some(tail)) = (body.get(..start), body.get(start..)) else {
-        return Err(WireError::Short { len: body.len(), records });
+        return Err(WireError::BodyTooShort { len: body.len(), records });
     };
     let clock = Record(head).u64(0);
     let decode_record = |(number, bytes)| {
@@ -73,9 +73,9 @@
     Ok(Batch { clock, events })
 }
 
-/// Decodes one record, whose lists and texts lie in the tail of its batch.
+/// Decodes one event record. Its lists and texts are in the tail of the batch.
 struct EventDecoder<'a> {
-    /// Number of the record in its batch, from 0.
+    /// The index of the record in its batch, from 0.
     number: usize,
     record: Record<'a>,
     tail: &'a [u8],
@@ -87,7 +87,7 @@
         let request_id = || RequestId(record.u64(3));
         Ok(match record.u8(0) {
             1 => WireEvent::Module(self.request()),
-            2 => self.outcome(9).map(|_| WireEvent::Unused)?,
+            2 => self.outcome(9).map(|_| WireEvent::Ignored)?,
             3 => WireEvent::Module(self.endpoint_list()?),
             4 => WireEvent::Module(Event::Timer(Token(record.u64(3)))),
             5 => WireEvent::Module(Event::FirstByte(request_id())),
@@ -95,8 +95,8 @@
             7 => WireEvent::Module(Event::ClientLeft(request_id())),
             8 => WireEvent::Stop,
             9 => self.start()?,
-            10 => WireEvent::Gossip(record.u16(3).into(), self.in_tail("the message", 5, 1)?.to_vec()),
-            code => return Err(self.unknown("event code", code.into())),
+            10 => WireEvent::Gossip(record.u16(3).into(), self.tail_bytes("the message", 5, 1)?.to_vec()),
+            code => return Err(self.unknown_code("event code", code.into())),
         })
     }
 
@@ -118,9 +118,9 @@
             1 => ListKind::Failed,
             2 => ListKind::Cached,
             3 => ListKind::Delta,
-            code => return Err(self.unknown("list mode", code.into())),
+            code => return Err(self.unknown_code("list mode", code.into())),
         };
-        let entries = self.in_tail("the list", 8, ENTRY_BYTES)?.chunks_exact(ENTRY_BYTES);
+        let entries = self.tail_bytes("the list", 8, ENTRY_BYTES)?.chunks_exact(ENTRY_BYTES);
         let entries = entries.map(|bytes| self.entry(Record(bytes))).collect::<Result<_, _>>()?;
         Ok(Event::EndpointList(kind, entries))
     }
@@ -130,14 +130,14 @@
             0 => Presence::Gone,
             1 => Presence::Ready,
             2 => Presence::Draining,
-            code => return Err(self.unknown("server phase", code.into())),
+            code => return Err(self.unknown_code("server phase", code.into())),
         };
         let weight = f64::from(f32::from_bits(entry.u32(9)));
         Ok(EndpointEntry {
             id: entry.endpoint(1),
             presence,
             kind: entry.u16(7),
-            // A weight that is no positive number counts as an ordinary endpoint's.
+            // A weight that is not a positive number is replaced by 1, the weight of an ordinary endpoint.
             weight: if weight.is_finite() && weight > 0.0 { weight } else { 1.0 },
             cell: CellId(entry.u16(13)),
             zone: ZoneId(entry.u8(15)),
@@ -154,7 +154,7 @@
             latency_us: record.u32(21).into(),
             finished: record.u8(25) != 0,
             fetch_pending: record.u8(26) == FETCH_PENDING,
-            stale: false, // connections are not modelled on the wire
+            stale: false, // the wire format has no connections
         })
     }
 
@@ -169,27 +169,28 @@
             7 => Ok(Outcome::Cancelled),
             8 => Ok(Outcome::NotSent),
             9 => Ok(Outcome::Miss),
-            code => Err(self.unknown("outcome", code.into())),
+            code => Err(self.unknown_code("outcome", code.into())),
         }
     }
 
     fn start(&self) -> Result<WireEvent, WireError> {
         let record = self.number;
-        let text = std::str::from_utf8(self.in_tail("the settings", 11, 1)?);
-        let text = text.map_err(|_| WireError::NotText { record })?;
-        let settings = text.parse().map_err(|source| WireError::Setting { record, source })?;
+        let text = std::str::from_utf8(self.tail_bytes("the settings", 11, 1)?);
+        let text = text.map_err(|_| WireError::SettingsNotUtf8 { record })?;
+        let settings = text.parse().map_err(|source| WireError::InvalidSetting { record, source })?;
         Ok(WireEvent::Start { seed: self.record.u64(3), settings: Box::new(settings) })
     }
 
-    /// The part of the tail whose offset, and length in units of so many bytes, stand at this place of the record.
-    fn in_tail(&self, what: &'static str, at: usize, unit: usize) -> Result<&'a [u8], WireError> {
-        let (offset, bytes) = (self.record.size(at), self.record.size(at + 4).saturating_mul(unit));
-        let found = offset.checked_add(bytes).and_then(|end| self.tail.get(offset..end));
+    /// Returns the part of the tail that the record refers to at `at`: an offset in bytes, then a number of items of
+    /// `item_bytes` bytes each.
+    fn tail_bytes(&self, what: &'static str, at: usize, item_bytes: usize) -> Result<&'a [u8], WireError> {
+        let (offset, bytes) = (self.record.size(at), self.record.size(at + 4).saturating_mul(item_bytes));
+        let part = offset.checked_add(bytes).and_then(|end| self.tail.get(offset..end));
         let tail = self.tail.len();
-        found.ok_or(WireError::OutsideTail { record: self.number, what, offset, bytes, tail })
+        part.ok_or(WireError::OutsideTail { record: self.number, what, offset, bytes, tail })
     }
 
-    fn unknown(&self, what: &'static str, code: u64) -> WireError {
-        WireError::Unknown { record: self.number, what, code }
+    fn unknown_code(&self, what: &'static str, code: u64) -> WireError {
+        WireError::UnknownCode { record: self.number, what, code }
     }
 }
