--- a/crates/decide/src/api.rs
+++ b/crates/decide/src/api.rs
@@ -8,7 +8,7 @@
 
 /// The state of an endpoint's process, according to the endpoint list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Presence {
+pub enum EndpointState {
     /// Running; accepts new requests.
     Ready,
     /// Finishes its current requests and accepts no new ones.
@@ -23,7 +23,7 @@
     /// Id of the endpoint.
     pub id: EndpointId,
     /// State of its process.
-    pub presence: Presence,
+    pub state: EndpointState,
     /// Kind of machine, which distinguishes the origin from cache nodes.
     pub kind: u16,
     /// Listed weight of the endpoint.
--- a/crates/decide/src/endpoint.rs
+++ b/crates/decide/src/endpoint.rs
@@ -1,6 +1,6 @@
 //! The state of one listed endpoint: its list entry, health, load and slow start.
 
-use crate::api::{EndpointEntry, LoadReport, Micros, Mode, Outcome, Presence, Settings};
+use crate::api::{EndpointEntry, EndpointState, LoadReport, Micros, Mode, Outcome, Settings};
 use std::mem;
 
 /// The number of attempts in flight, and its integral over time for load reports.
@@ -100,12 +100,12 @@
 
     /// Returns whether the endpoint is ready but ejected. A draining or removed endpoint does not count as ejected.
     pub(crate) fn is_ejected(&self) -> bool {
-        self.health.ejected_until > 0 && self.entry.presence == Presence::Ready
+        self.health.ejected_until > 0 && self.entry.state == EndpointState::Ready
     }
 
     /// Returns whether this is a cache endpoint that is listed as ready.
     pub(crate) fn is_ready_cache(&self) -> bool {
-        self.entry.presence == Presence::Ready && !self.is_origin
+        self.entry.state == EndpointState::Ready && !self.is_origin
     }
 
     /// Returns whether the endpoint is past its slow start.
--- a/crates/decide/src/endpoint_counts.rs
+++ b/crates/decide/src/endpoint_counts.rs
@@ -1,6 +1,6 @@
 //! Counts of the listed endpoints for metrics. No decision depends on them.
 
-use crate::api::{Micros, Presence};
+use crate::api::{EndpointState, Micros};
 use crate::policy::Router;
 
 /// Counts of the cache endpoints on the list.
@@ -19,7 +19,7 @@
         let table = self.endpoint_table();
         let mut counts = EndpointCounts::default();
         for (slot, endpoint) in table.iter() {
-            if endpoint.is_origin || endpoint.entry.presence == Presence::Gone {
+            if endpoint.is_origin || endpoint.entry.state == EndpointState::Gone {
                 continue;
             }
             counts.known += 1;
--- a/crates/decide/src/endpoint_table.rs
+++ b/crates/decide/src/endpoint_table.rs
@@ -1,6 +1,6 @@
 //! The table of listed endpoints, with the total weights of those that are ready.
 
-use crate::api::{EndpointEntry, EndpointId, LoadReport, Micros, Presence, Settings};
+use crate::api::{EndpointEntry, EndpointId, EndpointState, LoadReport, Micros, Settings};
 use crate::endpoint::{Endpoint, SlowStartBudget};
 use rustc_hash::FxHashMap;
 use std::mem;
@@ -75,7 +75,7 @@
     /// Marks every endpoint as gone, before a complete list is applied.
     pub(crate) fn mark_all_gone(&mut self) {
         for endpoint in &mut self.endpoints {
-            endpoint.entry.presence = Presence::Gone;
+            endpoint.entry.state = EndpointState::Gone;
         }
     }
 
@@ -89,7 +89,7 @@
             } else {
                 *endpoint = new.with_attempts_of(endpoint);
             }
-        } else if entry.presence != Presence::Gone {
+        } else if entry.state != EndpointState::Gone {
             self.insert(new);
         }
     }
@@ -97,7 +97,7 @@
     /// Inserts a new endpoint. Free slots are reused so that the table stays small over many deployments.
     fn insert(&mut self, endpoint: Endpoint) {
         let id = endpoint.entry.id;
-        let is_free = |old: &Endpoint| old.entry.presence == Presence::Gone && old.in_flight() == 0;
+        let is_free = |old: &Endpoint| old.entry.state == EndpointState::Gone && old.in_flight() == 0;
         let position = self.endpoints.iter().position(is_free).unwrap_or(self.endpoints.len());
         if let Some(old) = self.endpoints.get_mut(position) {
             self.index.remove(&old.entry.id);
@@ -113,7 +113,7 @@
         let endpoint = &self[slot];
         let ejected_until = endpoint.health.ejected_until;
         let on_trial = now >= ejected_until && endpoint.in_flight() == 0;
-        endpoint.entry.presence == Presence::Ready && (ejected_until == 0 || on_trial)
+        endpoint.entry.state == EndpointState::Ready && (ejected_until == 0 || on_trial)
     }
 
     /// Returns the load of each ready cache endpoint since the previous call.
@@ -152,7 +152,7 @@
         self.next_weight_update = None;
         for (slot, endpoint) in (0..).map(Slot).zip(&mut self.endpoints) {
             endpoint.update_weight(now, settings);
-            if endpoint.entry.presence != Presence::Ready {
+            if endpoint.entry.state != EndpointState::Ready {
                 continue;
             }
             if endpoint.is_origin {
--- a/crates/decide/src/lib.rs
+++ b/crates/decide/src/lib.rs
@@ -6,7 +6,7 @@
 //!
 //! ```
 //! use decide::api::{
-//!     Action, CellId, Class, ClassId, Effect, EndpointEntry, EndpointId, Event, Key, ListKind, Outcome, Presence,
+//!     Action, CellId, Class, ClassId, Effect, EndpointEntry, EndpointId, EndpointState, Event, Key, ListKind, Outcome,
 //!     Request, RequestId, Settings, TenantId, ZoneId,
 //! };
 //! use decide::policy::Router;
@@ -24,7 +24,7 @@
 //!
 //! let entry = |id, kind| EndpointEntry {
 //!     id: EndpointId(id),
-//!     presence: Presence::Ready,
+//!     state: EndpointState::Ready,
 //!     kind,
 //!     weight: 1.0,
 //!     cell: CellId(0),
--- a/crates/decide/src/policy/attempts.rs
+++ b/crates/decide/src/policy/attempts.rs
@@ -2,7 +2,7 @@
 
 use super::context::Context;
 use super::retry_budget::indicates_overload;
-use crate::api::{Effect, EndpointEntry, Micros, Mode, Outcome, Presence, Reason};
+use crate::api::{Effect, EndpointEntry, EndpointState, Micros, Mode, Outcome, Reason};
 use crate::in_flight::{Attempt, InFlightRequest, RequestState, Target};
 
 /// Fraction of the time to a read's objective after which an attempt without an answer is hedged or cut
@@ -19,7 +19,7 @@
 pub(super) fn may_send(request: &InFlightRequest, entry: &EndpointEntry, context: &Context) -> bool {
     let settings = &context.settings;
     let max_outstanding = 1 + usize::from(settings.hedged_requests);
-    if entry.presence != Presence::Ready
+    if entry.state != EndpointState::Ready
         || context.now >= request.deadline
         || request.state == RequestState::Finished
         || request.attempts_left(settings) == 0
--- a/crates/decide/tests/common/mod.rs
+++ b/crates/decide/tests/common/mod.rs
@@ -44,7 +44,7 @@
 pub fn entry(id: u64) -> EndpointEntry {
     EndpointEntry {
         id: EndpointId(id),
-        presence: Presence::Ready,
+        state: EndpointState::Ready,
         kind: u16::from(id == ORIGIN),
         weight: 1.0,
         cell: CellId(0),
--- a/crates/decide/tests/endpoints.rs
+++ b/crates/decide/tests/endpoints.rs
@@ -36,7 +36,7 @@
 fn only_keys_of_added_or_removed_endpoints_move() {
     let mut router = TestRouter::new(settings(), 1, 10);
     let before = endpoints_by_key(&mut router, 0..1_000, 1);
-    router.apply_list(ListKind::Delta, vec![EndpointEntry { presence: Presence::Gone, ..entry(4) }]);
+    router.apply_list(ListKind::Delta, vec![EndpointEntry { state: EndpointState::Gone, ..entry(4) }]);
     let without = endpoints_by_key(&mut router, 0..1_000, 2_000);
     let keys_of_4 = before.values().filter(|&&s| s == 4).count();
     assert_eq!(count_moved_keys(&before, &without), keys_of_4, "only the keys of the removed endpoint");
@@ -117,16 +117,16 @@
 
 #[test]
 fn draining_or_removed_endpoint_gets_no_reads_or_fetches() {
-    for presence in [Presence::Draining, Presence::Gone] {
+    for state in [EndpointState::Draining, EndpointState::Gone] {
         let mut router = TestRouter::new(settings(), 1, 3);
         router.submit_and_miss(1, 0, 11);
         let waiting = router.submit_and_miss(2, 0, 12);
-        let unavailable = |id| EndpointEntry { presence, ..entry(id) };
+        let unavailable = |id| EndpointEntry { state, ..entry(id) };
         router.apply_list(ListKind::Delta, vec![unavailable(ORIGIN), unavailable(2)]);
         let after = router.advance(1_000 * MS, &waiting);
-        assert!(forwarded_to(&after).is_empty() && is_rejected(&after), "{presence:?}: {after:?}");
+        assert!(forwarded_to(&after).is_empty() && is_rejected(&after), "{state:?}: {after:?}");
         let homes = endpoints_by_key(&mut router, 0..200, 100);
-        assert!(homes.len() == 200 && homes.values().all(|&s| s != 2), "{presence:?}");
+        assert!(homes.len() == 200 && homes.values().all(|&s| s != 2), "{state:?}");
     }
 }
 
@@ -225,7 +225,7 @@
         endpoints_used_after_failures(TestRouter::new(settings(), 1, 10), 1..=2, Outcome::ConnectFailed);
     router.apply_list(
         ListKind::Delta,
-        [1, 2].map(|id| EndpointEntry { presence: Presence::Draining, ..entry(id) }).to_vec(),
+        [1, 2].map(|id| EndpointEntry { state: EndpointState::Draining, ..entry(id) }).to_vec(),
     );
     let (_, used) = endpoints_used_after_failures(router, 3..=3, Outcome::Error);
     assert!(
--- a/crates/decide/tests/requests.rs
+++ b/crates/decide/tests/requests.rs
@@ -450,7 +450,7 @@
         })
     };
     let mut router = TestRouter::new(settings(), 1, 0);
-    router.apply_list(ListKind::Delta, vec![EndpointEntry { presence: Presence::Gone, ..entry(ORIGIN) }]);
+    router.apply_list(ListKind::Delta, vec![EndpointEntry { state: EndpointState::Gone, ..entry(ORIGIN) }]);
     assert_eq!(reason_label(router.submit(request(1, 0, 7))), Some("no-server"));
     let mut router = TestRouter::new(Settings { max_attempts: 1, ..settings() }, 1, 3);
     router.submit(request(1, 0, 7));
--- a/crates/emulator/src/referee/mod.rs
+++ b/crates/emulator/src/referee/mod.rs
@@ -7,7 +7,7 @@
 mod observation;
 
 use crate::Micros;
-use decide::api::{Effect, EndpointId, Outcome, Presence, RequestId};
+use decide::api::{Effect, EndpointId, EndpointState, Outcome, RequestId};
 pub use observation::{Answer, Finding, Observation, Rule, Tolerance};
 use rustc_hash::{FxHashMap, FxHasher};
 use std::hash::{Hash, Hasher};
@@ -70,8 +70,8 @@
                 self.open_requests
                     .insert(request, Request { effect, client_deadline, abandoned_at, answered, attempts });
             }
-            Observation::Notified { gateway, endpoint, presence } => match presence {
-                Presence::Ready => drop(self.draining_since.remove(&(gateway, endpoint))),
+            Observation::Notified { gateway, endpoint, state } => match state {
+                EndpointState::Ready => drop(self.draining_since.remove(&(gateway, endpoint))),
                 _ => drop(self.draining_since.entry((gateway, endpoint)).or_insert(now)),
             },
             Observation::Sent { gateway, request, attempt, endpoint } => {
--- a/crates/emulator/src/referee/observation.rs
+++ b/crates/emulator/src/referee/observation.rs
@@ -1,7 +1,7 @@
 //! The observations of the referee, its findings, and the rules with their tolerances.
 
 use crate::Micros;
-use decide::api::{Effect, EndpointId, Outcome, Presence, RequestId};
+use decide::api::{Effect, EndpointId, EndpointState, Outcome, RequestId};
 use serde::Serialize;
 use std::fmt;
 
@@ -84,7 +84,7 @@
         /// The endpoint.
         endpoint: EndpointId,
         /// The state of the endpoint.
-        presence: Presence,
+        state: EndpointState,
     },
     /// An attempt was sent.
     Sent {
--- a/crates/emulator/src/simulation/faults.rs
+++ b/crates/emulator/src/simulation/faults.rs
@@ -6,7 +6,7 @@
 use crate::referee::Observation;
 use crate::scenario::{Fault, micros};
 use crate::{Micros, SECOND};
-use decide::api::{Event, ListKind, Outcome, Presence};
+use decide::api::{EndpointState, Event, ListKind, Outcome};
 use rand::Rng;
 use rand::seq::SliceRandom;
 use std::time::Duration;
@@ -22,17 +22,15 @@
             return;
         }
         self.gateways[gateway].versions[node] = version;
-        self.referee.record(
-            self.now,
-            Observation::Notified { gateway, endpoint: entry.id, presence: entry.presence },
-        );
+        self.referee
+            .record(self.now, Observation::Notified { gateway, endpoint: entry.id, state: entry.state });
         self.deliver_event(gateway, Event::EndpointList(ListKind::Delta, vec![entry]));
     }
 
     /// Schedules the notification of each gateway about a changed node, after a random delay of discovery.
-    pub(super) fn announce_change(&mut self, n: usize, presence: Presence) {
+    pub(super) fn announce_change(&mut self, n: usize, state: EndpointState) {
         self.versions[n] += 1;
-        let (version, entry) = (self.versions[n], self.endpoint_entry(n, presence));
+        let (version, entry) = (self.versions[n], self.endpoint_entry(n, state));
         let max_delay = micros(self.scenario.gateways.max_notification_delay);
         for gateway in 0..self.gateways.len() {
             let at = self.now + self.rng.random_range(max_delay / 5..=max_delay);
@@ -95,7 +93,7 @@
         for &n in &stopped {
             self.nodes[n].stop(state);
             self.reset_attempts(n, unresponsive);
-            self.announce_change(n, Presence::Gone);
+            self.announce_change(n, EndpointState::Gone);
             let incarnation = self.nodes[n].incarnation;
             self.schedule(self.now + micros(restart_after), SimEvent::RestartNode(n, incarnation));
         }
@@ -107,7 +105,7 @@
         let drained = self.pick_running(count);
         for &n in &drained {
             self.nodes[n].state = NodeState::Draining;
-            self.announce_change(n, Presence::Draining);
+            self.announce_change(n, EndpointState::Draining);
             let incarnation = self.nodes[n].incarnation + 1;
             self.schedule(self.now + DRAIN_DURATION, SimEvent::StopDrained(n));
             self.schedule(
@@ -127,7 +125,7 @@
             self.nodes.push(node);
             self.versions.push(0);
             self.gateways.iter_mut().for_each(|gateway| gateway.versions.push(0));
-            self.announce_change(n, Presence::Ready);
+            self.announce_change(n, EndpointState::Ready);
         }
         format!("{count} nodes are added")
     }
--- a/crates/emulator/src/simulation/mod.rs
+++ b/crates/emulator/src/simulation/mod.rs
@@ -18,7 +18,7 @@
 use crate::scenario::Scenario;
 use crate::score::{self, EndedIntent, IntentOutcome};
 pub use balancer::Balancer;
-use decide::api::{Event, Outcome, Presence};
+use decide::api::{EndpointState, Event, Outcome};
 use decide::policy::Router;
 pub use report::Report;
 pub use settings::settings;
@@ -77,13 +77,13 @@
             SimEvent::StopDrained(n) => {
                 if self.nodes[n].state == NodeState::Draining {
                     self.nodes[n].stop(NodeState::Down);
-                    self.announce_change(n, Presence::Gone);
+                    self.announce_change(n, EndpointState::Gone);
                 }
             }
             SimEvent::RestartNode(n, incarnation) => {
                 if self.nodes[n].incarnation == incarnation {
                     self.nodes[n].start(self.now);
-                    self.announce_change(n, Presence::Ready);
+                    self.announce_change(n, EndpointState::Ready);
                 }
             }
         }
--- a/crates/emulator/src/simulation/node_events.rs
+++ b/crates/emulator/src/simulation/node_events.rs
@@ -6,7 +6,7 @@
 use crate::node::{self, NodeAdmission};
 use crate::origin::{self, FinishedJob};
 use crate::referee::Observation;
-use decide::api::{EndpointId, Outcome, Presence};
+use decide::api::{EndpointId, EndpointState, Outcome};
 use rand::Rng;
 
 /// The time after which connecting to an unresponsive machine fails.
@@ -32,7 +32,7 @@
                 if overloaded {
                     self.referee
                         .record(self.now, Observation::Overloaded { endpoint: EndpointId(n as u64 + 1) });
-                    self.announce_change(n, Presence::Gone);
+                    self.announce_change(n, EndpointState::Gone);
                 }
                 let outcome = if admission == NodeAdmission::Rejected {
                     Outcome::Rejected
--- a/crates/emulator/src/simulation/state.rs
+++ b/crates/emulator/src/simulation/state.rs
@@ -11,7 +11,7 @@
 use crate::score::IntentOutcome;
 use crate::{Micros, SECOND};
 use decide::api::{
-    Action, CellId, ClassId, EndpointEntry, EndpointId, Event, ListKind, Outcome, Presence, Request,
+    Action, CellId, ClassId, EndpointEntry, EndpointId, EndpointState, Event, ListKind, Outcome, Request,
     RequestId, TenantId, ZoneId,
 };
 use decide::policy::Router;
@@ -118,7 +118,7 @@
         };
         simulation.prefill_caches();
         let mut list: Vec<EndpointEntry> =
-            (0..simulation.nodes.len()).map(|n| simulation.endpoint_entry(n, Presence::Ready)).collect();
+            (0..simulation.nodes.len()).map(|n| simulation.endpoint_entry(n, EndpointState::Ready)).collect();
         list.push(EndpointEntry { id: ORIGIN, kind: 1, ..list[0] });
         for gateway in 0..simulation.gateways.len() {
             simulation.deliver_event(gateway, Event::EndpointList(ListKind::Full, list.clone()));
@@ -133,7 +133,7 @@
     /// Fills the caches with the popular keys for which each node would have received requests before the simulation.
     pub(super) fn prefill_caches(&mut self) {
         let mut router = Router::new(settings(self.scenario), 0, 0);
-        let list = (0..self.nodes.len()).map(|n| self.endpoint_entry(n, Presence::Ready)).collect();
+        let list = (0..self.nodes.len()).map(|n| self.endpoint_entry(n, EndpointState::Ready)).collect();
         let mut actions = Vec::new();
         router.handle(0, Event::EndpointList(ListKind::Full, list), &mut actions);
         let reads = self.scenario.fleet.cache_capacity * self.nodes.len() * 4;
@@ -157,12 +157,12 @@
         self.clients = Clients::new(self.scenario);
     }
 
-    pub(super) fn endpoint_entry(&self, n: usize, presence: Presence) -> EndpointEntry {
+    pub(super) fn endpoint_entry(&self, n: usize, state: EndpointState) -> EndpointEntry {
         let node = &self.nodes[n];
         let full_capacity = Node::<AttemptId>::new(n, &self.scenario.fleet).capacity(0);
         EndpointEntry {
             id: EndpointId(n as u64 + 1),
-            presence,
+            state,
             kind: 0,
             weight: full_capacity,
             cell: CellId(0),
--- a/crates/simulator-adapter/src/event.rs
+++ b/crates/simulator-adapter/src/event.rs
@@ -3,7 +3,7 @@
 use crate::WireError;
 use crate::record::Record;
 use decide::api::{
-    CellId, ClassId, EndpointEntry, Event, Key, ListKind, Micros, Outcome, Presence, Request, RequestId,
+    CellId, ClassId, EndpointEntry, EndpointState, Event, Key, ListKind, Micros, Outcome, Request, RequestId,
     Settings, TenantId, Token, ZoneId,
 };
 
@@ -126,16 +126,16 @@
     }
 
     fn entry(&self, entry: Record<'_>) -> Result<EndpointEntry, WireError> {
-        let presence = match entry.u8(0) {
-            0 => Presence::Gone,
-            1 => Presence::Ready,
-            2 => Presence::Draining,
+        let state = match entry.u8(0) {
+            0 => EndpointState::Gone,
+            1 => EndpointState::Ready,
+            2 => EndpointState::Draining,
             code => return Err(self.unknown_code("server phase", code.into())),
         };
         let weight = f64::from(f32::from_bits(entry.u32(9)));
         Ok(EndpointEntry {
             id: entry.endpoint(1),
-            presence,
+            state,
             kind: entry.u16(7),
             // A weight that is not a positive number is replaced by 1, the weight of an ordinary endpoint.
             weight: if weight.is_finite() && weight > 0.0 { weight } else { 1.0 },
--- a/crates/spindlebeam/tests/start.rs
+++ b/crates/spindlebeam/tests/start.rs
@@ -81,7 +81,7 @@
     assert_eq!((kind, stale), (ListKind::Cached, vec![]));
     let expected = EndpointEntry {
         id: endpoint_id("x"),
-        presence: Presence::Ready,
+        state: EndpointState::Ready,
         kind: 1,
         weight: 1.0, // a size of 0 counts as the ordinary one
         cell: CellId(3),
@@ -117,7 +117,7 @@
     // Guards against unbounded growth: endpoints that a change list reported as gone were kept for ever.
     let before = endpoints.endpoint(endpoint_id("y")).unwrap().clone();
     let (_, entries, stale) = endpoints.apply(&read(4, false, &[("y", "gone", 0)]), false);
-    assert_eq!((entries[0].presence, stale), (Presence::Gone, vec![endpoint_id("y")]));
+    assert_eq!((entries[0].state, stale), (EndpointState::Gone, vec![endpoint_id("y")]));
     assert!(
         !before.ready() && endpoints.endpoint(endpoint_id("y")).is_none(),
         "nothing is kept of a gone endpoint"
--- a/crates/upstream/src/endpoints.rs
+++ b/crates/upstream/src/endpoints.rs
@@ -1,7 +1,7 @@
 //! The set of endpoints listed by discovery.
 
 use crate::setup::Names;
-use decide::api::{CellId, EndpointEntry, EndpointId, ListKind, Presence, ZoneId};
+use decide::api::{CellId, EndpointEntry, EndpointId, EndpointState, ListKind, ZoneId};
 use fnv::FnvHasher;
 use proto::discovery::{EndpointList, EndpointRecord, Phase};
 use rustc_hash::{FxHashMap, FxHashSet};
@@ -22,18 +22,18 @@
     /// Whether the endpoint is the origin, which speaks HTTP. Cache nodes speak RESP.
     pub is_origin: bool,
     up_since_ms: u64,
-    presence: Cell<Presence>,
+    state: Cell<EndpointState>,
 }
 
 impl Endpoint {
     /// Returns whether new requests may be sent to the endpoint.
     pub fn ready(&self) -> bool {
-        self.presence.get() == Presence::Ready
+        self.state.get() == EndpointState::Ready
     }
 
     /// Marks the endpoint as removed from the list, so that attempts that are still connecting to it stop.
     fn mark_gone(&self) {
-        self.presence.set(Presence::Gone);
+        self.state.set(EndpointState::Gone);
     }
 }
 
@@ -58,19 +58,19 @@
     endpoints: FxHashMap<EndpointId, Rc<Endpoint>>,
 }
 
-/// Whether the presence of an endpoint has changed.
+/// Whether the state of an endpoint has changed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum PresenceChange {
     Changed,
     Unchanged,
 }
 
-/// Returns the name of a presence in log lines.
-fn presence_name(presence: Presence) -> &'static str {
-    match presence {
-        Presence::Ready => "Ready",
-        Presence::Draining => "Draining",
-        Presence::Gone => "Gone",
+/// Returns the name of a state in log lines.
+fn state_name(state: EndpointState) -> &'static str {
+    match state {
+        EndpointState::Ready => "Ready",
+        EndpointState::Draining => "Draining",
+        EndpointState::Gone => "Gone",
     }
 }
 
@@ -79,13 +79,14 @@
     names.iter().position(|known| known == name).and_then(|index| T::try_from(index).ok()).unwrap_or(unknown)
 }
 
-fn log_changes(changes: &[(&String, Presence)]) {
-    for (id, presence) in changes.iter().take(MAX_LOGGED_CHANGES) {
-        log::info!("discovery: {id} is {}", presence_name(*presence));
+fn log_changes(changes: &[(&String, EndpointState)]) {
+    for (id, state) in changes.iter().take(MAX_LOGGED_CHANGES) {
+        log::info!("discovery: {id} is {}", state_name(*state));
     }
     if changes.len() > MAX_LOGGED_CHANGES {
-        let count = |presence| changes.iter().filter(|(_, changed_to)| *changed_to == presence).count();
-        let [ready, draining, gone] = [Presence::Ready, Presence::Draining, Presence::Gone].map(count);
+        let count = |state| changes.iter().filter(|(_, changed_to)| *changed_to == state).count();
+        let [ready, draining, gone] =
+            [EndpointState::Ready, EndpointState::Draining, EndpointState::Gone].map(count);
         log::info!(
             "discovery: of {} changes, {ready} to Ready, {draining} to Draining, {gone} to Gone",
             changes.len()
@@ -131,7 +132,7 @@
         let mut changes = Vec::new();
         for (member, entry) in list.members.iter().zip(&entries) {
             if self.apply_entry(member, entry, &mut idle_to_close) == PresenceChange::Changed {
-                changes.push((&member.id, entry.presence));
+                changes.push((&member.id, entry.state));
             }
         }
         log_changes(&changes);
@@ -159,14 +160,14 @@
     fn apply_entry(
         &mut self, member: &EndpointRecord, entry: &EndpointEntry, idle_to_close: &mut Vec<EndpointId>,
     ) -> PresenceChange {
-        if entry.presence == Presence::Gone {
+        if entry.state == EndpointState::Gone {
             return self.remove(entry.id, idle_to_close);
         }
         let Some(known) = self.endpoints.get(&entry.id) else {
             self.insert(member, entry);
             return PresenceChange::Changed;
         };
-        let change = match known.presence.replace(entry.presence) == entry.presence {
+        let change = match known.state.replace(entry.state) == entry.state {
             true => PresenceChange::Unchanged,
             false => PresenceChange::Changed,
         };
@@ -195,7 +196,7 @@
             addr: member.host_port,
             is_origin: self.origin_kind == Some(entry.kind),
             up_since_ms: member.up_since_ms,
-            presence: Cell::new(entry.presence),
+            state: Cell::new(entry.state),
         };
         if let Some(replaced) = self.endpoints.insert(entry.id, Rc::new(endpoint)) {
             replaced.mark_gone();
@@ -205,10 +206,10 @@
     fn to_entry(&self, member: &EndpointRecord) -> EndpointEntry {
         EndpointEntry {
             id: endpoint_id(&member.id),
-            presence: match member.phase {
-                Phase::Ready => Presence::Ready,
-                Phase::Draining => Presence::Draining,
-                Phase::Gone => Presence::Gone,
+            state: match member.phase {
+                Phase::Ready => EndpointState::Ready,
+                Phase::Draining => EndpointState::Draining,
+                Phase::Gone => EndpointState::Gone,
             },
             kind: name_index(&self.names.kinds, &member.flavor, u16::MAX),
             weight: if member.size.is_finite() && member.size > 0.0 { member.size } else { 1.0 },
