--- a/crates/decide/src/api.rs
+++ b/crates/decide/src/api.rs
@@ -33,7 +33,7 @@
     /// Zone of the endpoint.
     pub zone: ZoneId,
     /// Time of the endpoint's last start; 0 if that was long ago.
-    pub online_since: Micros,
+    pub started_at: Micros,
 }
 
 /// The kind of a received endpoint list.
--- a/crates/decide/src/endpoint.rs
+++ b/crates/decide/src/endpoint.rs
@@ -82,7 +82,7 @@
             weight: 1.0,
             slow_start_factor: 1.0,
             weight_factor: 1.0,
-            has_answered: entry.online_since == 0,
+            has_answered: entry.started_at == 0,
             last_answer_at: 0,
             newest_answered: [0; 2],
             health: Health::default(),
@@ -173,7 +173,7 @@
 
     /// Returns whether the endpoint started less than the slow-start span ago.
     pub(crate) fn is_in_slow_start(&self, now: Micros, settings: &Settings) -> bool {
-        let since = self.entry.online_since;
+        let since = self.entry.started_at;
         since != 0 && now.saturating_sub(since) < settings.slow_start_us
     }
 
@@ -181,7 +181,7 @@
     pub(crate) fn update_weight(&mut self, now: Micros, settings: &Settings) {
         let initial = settings.slow_start_fraction;
         self.slow_start_factor = if self.is_in_slow_start(now, settings) {
-            let age_us = now.saturating_sub(self.entry.online_since);
+            let age_us = now.saturating_sub(self.entry.started_at);
             let ramp = age_us as f64 / settings.slow_start_us as f64;
             initial + (1.0 - initial) * ramp
         } else {
--- a/crates/decide/src/endpoint_table.rs
+++ b/crates/decide/src/endpoint_table.rs
@@ -84,7 +84,7 @@
         let new = Endpoint::new(entry, slow_start);
         if let Some(&slot) = self.index.get(&entry.id) {
             let endpoint = &mut self[slot];
-            if endpoint.entry.online_since == entry.online_since {
+            if endpoint.entry.started_at == entry.started_at {
                 endpoint.entry = entry;
             } else {
                 *endpoint = new.with_attempts_of(endpoint);
--- a/crates/decide/src/lib.rs
+++ b/crates/decide/src/lib.rs
@@ -29,7 +29,7 @@
 //!     weight: 1.0,
 //!     cell: CellId(0),
 //!     zone: ZoneId(0),
-//!     online_since: 0,
+//!     started_at: 0,
 //! };
 //! let list = vec![entry(10, 0), entry(99, 1)]; // a cache node and the origin
 //! router.handle(0, Event::EndpointList(ListKind::Full, list), &mut actions);
--- a/crates/decide/tests/common/mod.rs
+++ b/crates/decide/tests/common/mod.rs
@@ -49,7 +49,7 @@
         weight: 1.0,
         cell: CellId(0),
         zone: ZoneId(0),
-        online_since: 0,
+        started_at: 0,
     }
 }
 
--- a/crates/decide/tests/endpoints.rs
+++ b/crates/decide/tests/endpoints.rs
@@ -141,7 +141,7 @@
 fn slow_start_limits_a_hot_key_unless_the_endpoint_is_fast() {
     let mut router = TestRouter::new(settings(), 1, 9);
     count_reads_by_endpoint(&mut router, 20_000..20_400, |_| 30);
-    let cold = EndpointEntry { online_since: router.now, ..entry(10) };
+    let cold = EndpointEntry { started_at: router.now, ..entry(10) };
     router.apply_list(ListKind::Delta, vec![cold]);
     // Find a key whose home is the cold endpoint.
     let key = (0..10_000).find(|&key| {
@@ -177,7 +177,7 @@
     let now = router.now;
     router.apply_list(
         ListKind::Delta,
-        (1..=10).map(|id| EndpointEntry { online_since: now, ..entry(id) }).collect(),
+        (1..=10).map(|id| EndpointEntry { started_at: now, ..entry(id) }).collect(),
     );
     let sent = (0..1_000)
         .filter(|&id| {
@@ -195,7 +195,7 @@
 fn restarted_endpoint_warms_up_again() {
     let mut router = TestRouter::new(settings(), 1, 4);
     let before = endpoints_by_key(&mut router, 0..400, 1).values().filter(|&&s| s == 2).count();
-    let again = EndpointEntry { online_since: router.now, ..entry(2) };
+    let again = EndpointEntry { started_at: router.now, ..entry(2) };
     router.apply_list(ListKind::Delta, vec![again]);
     let after = endpoints_by_key(&mut router, 0..400, 1_000).values().filter(|&&s| s == 2).count();
     assert!(after < before / 2, "{before} then {after}");
--- a/crates/emulator/src/simulation/state.rs
+++ b/crates/emulator/src/simulation/state.rs
@@ -167,7 +167,7 @@
             weight: full_capacity,
             cell: CellId(0),
             zone: ZoneId(0),
-            online_since: node.started,
+            started_at: node.started,
         }
     }
 
--- a/crates/emulator/tests/cold_hosts.rs
+++ b/crates/emulator/tests/cold_hosts.rs
@@ -46,9 +46,9 @@
         for action in &out[before..] {
             if let Action::Forward { endpoint, .. } = action
                 && *endpoint != ORIGIN
-                && self.list[endpoint].online_since > 0
+                && self.list[endpoint].started_at > 0
             {
-                let start = (*endpoint, self.list[endpoint].online_since);
+                let start = (*endpoint, self.list[endpoint].started_at);
                 self.send_log.borrow_mut().entry(start).or_default().push(now);
             }
         }
--- a/crates/emulator/tests/referee.rs
+++ b/crates/emulator/tests/referee.rs
@@ -142,9 +142,8 @@
         let mut cold_node = None;
         move |_, event: &Event, actions: &mut Vec<Action>| {
             if let Event::EndpointList(ListKind::Delta, entries) = event {
-                let restarted = entries
-                    .iter()
-                    .find(|entry| entry.online_since > 0 && entry.state == EndpointState::Ready);
+                let restarted =
+                    entries.iter().find(|entry| entry.started_at > 0 && entry.state == EndpointState::Ready);
                 cold_node = restarted.map(|entry| entry.id).or(cold_node);
             }
             for action in actions {
--- a/crates/simulator-adapter/src/event.rs
+++ b/crates/simulator-adapter/src/event.rs
@@ -141,7 +141,7 @@
             weight: if weight.is_finite() && weight > 0.0 { weight } else { 1.0 },
             cell: CellId(entry.u16(13)),
             zone: ZoneId(entry.u8(15)),
-            online_since: entry.u64(16),
+            started_at: entry.u64(16),
         })
     }
 
--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -85,7 +85,7 @@
     };
     assert_eq!((*kind, entries.len()), (ListKind::Cached, 2));
     assert_eq!(entries[0].id, EndpointId(0x0a12_4a07_2bc3));
-    assert_eq!((entries[1].weight, entries[1].online_since), (1.5, 0x005d_1420));
+    assert_eq!((entries[1].weight, entries[1].started_at), (1.5, 0x005d_1420));
 }
 
 #[test]
--- a/crates/spindlebeam/tests/start.rs
+++ b/crates/spindlebeam/tests/start.rs
@@ -86,7 +86,7 @@
         weight: 1.0, // a size of 0 counts as the ordinary one
         cell: CellId(3),
         zone: ZoneId(1),
-        online_since: 5_000,
+        started_at: 5_000,
     };
     assert_eq!(entries[0], expected);
 
--- a/crates/upstream/src/endpoints.rs
+++ b/crates/upstream/src/endpoints.rs
@@ -215,7 +215,7 @@
             weight: if member.size.is_finite() && member.size > 0.0 { member.size } else { 1.0 },
             cell: CellId(member.cell),
             zone: ZoneId(name_index(&self.names.zones, &member.locality, u8::MAX)),
-            online_since: member.up_since_ms.saturating_mul(1_000),
+            started_at: member.up_since_ms.saturating_mul(1_000),
         }
     }
 }
