--- a/crates/decide/src/api.rs
+++ b/crates/decide/src/api.rs
@@ -165,7 +165,7 @@
     /// Close the idle connections to an endpoint.
     CloseIdle(EndpointId),
     /// Subscribe to the endpoint list, or poll it once.
-    Watch,
+    WatchEndpoints,
     /// Publish load reports of all ready cache endpoints, and return [`Event::WeightFactors`].
     PublishLoad(Vec<LoadReport>),
 }
--- a/crates/decide/src/configuration.rs
+++ b/crates/decide/src/configuration.rs
@@ -56,7 +56,7 @@
 pub enum Discovery {
     /// Changes are pushed.
     Push,
-    /// Changes arrive only after [`Action::Watch`](crate::api::Action::Watch).
+    /// Changes arrive only after [`Action::WatchEndpoints`](crate::api::Action::WatchEndpoints).
     Poll,
 }
 
--- a/crates/decide/src/policy/router.rs
+++ b/crates/decide/src/policy/router.rs
@@ -52,7 +52,7 @@
             // From the first byte on, the stream belongs to the client: no attempt is sent or cancelled.
             Event::FirstByte(id) => dispatcher.finish(id, OutstandingAttempts::Keep),
             Event::ClientLeft(id) => dispatcher.finish(id, OutstandingAttempts::Cancel),
-            Event::Timer(POLL_TIMER) => dispatcher.actions.push(Action::Watch),
+            Event::Timer(POLL_TIMER) => dispatcher.actions.push(Action::WatchEndpoints),
             Event::Timer(Token(token)) => dispatcher.handle_timer(RequestId(token)),
             Event::PublishLoad => {
                 let reports = dispatcher.endpoints.table.take_load_reports(now);
--- a/crates/decide/tests/endpoints.rs
+++ b/crates/decide/tests/endpoints.rs
@@ -331,7 +331,7 @@
     for _ in 0..8 {
         let [Action::Timer { delay_us, .. }] = actions[..] else { panic!("expected one timer: {actions:?}") };
         waits.push(delay_us);
-        assert_eq!(router.advance(delay_us, &actions), [Action::Watch]);
+        assert_eq!(router.advance(delay_us, &actions), [Action::WatchEndpoints]);
         actions = router.apply_list(ListKind::Failed, vec![]);
     }
     assert!(
--- a/crates/emulator/src/simulation/gateway_events.rs
+++ b/crates/emulator/src/simulation/gateway_events.rs
@@ -75,7 +75,7 @@
             Action::Timer { delay_us, token } => {
                 self.schedule(self.now + delay_us, SimEvent::Timer(gateway, token))
             }
-            Action::CloseIdle(_) | Action::Watch | Action::PublishLoad(_) => {}
+            Action::CloseIdle(_) | Action::WatchEndpoints | Action::PublishLoad(_) => {}
         }
     }
 
--- a/crates/gateway/src/engine/phases/requests.rs
+++ b/crates/gateway/src/engine/phases/requests.rs
@@ -122,7 +122,7 @@
                 }
             }
             Action::CloseIdle(endpoint) => self.pools.close_idle(endpoint),
-            Action::Watch => {} // the watch of discovery is always open
+            Action::WatchEndpoints => {} // the watch of discovery is always open
             Action::PublishLoad(reports) => {
                 let now = self.now();
                 self.events.extend(self.gossip.publish(now, &reports));
--- a/crates/simulator-adapter/src/reply.rs
+++ b/crates/simulator-adapter/src/reply.rs
@@ -59,7 +59,7 @@
                 record[7..9].copy_from_slice(&endpoint.0.to_be_bytes()[6..]);
                 7
             }
-            Action::Watch => {
+            Action::WatchEndpoints => {
                 record[3] = 1;
                 11
             }
--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -120,7 +120,7 @@
     );
     assert_eq!(encoded(Action::Cancel { id, attempt: 2 }), action_record("04 0003 000d6a085d3a91c4 0002"));
     assert_eq!(encoded(Action::CloseIdle(endpoint)), action_record("07 0003 0a124a07 2bc3"));
-    assert_eq!(encoded(Action::Watch), action_record("0b 0003 01"));
+    assert_eq!(encoded(Action::WatchEndpoints), action_record("0b 0003 01"));
     // The field cannot hold a timeout or a delay of u64::MAX.
     assert_eq!(encoded(Action::Forward { id, endpoint, timeout_us: u64::MAX })[11..15], [0; 4]);
     assert_eq!(
