--- a/crates/decide/src/configuration.rs
+++ b/crates/decide/src/configuration.rs
@@ -113,9 +113,9 @@
     /// Whether two attempts of a request may be outstanding at once.
     pub hedged_requests: bool,
     /// Whether attempts may be cancelled.
-    pub cancel: bool,
+    pub may_cancel: bool,
     /// Whether instances may send each other messages.
-    pub peers: bool,
+    pub may_message_peers: bool,
     /// Longest retry-after time that clients honour; 0 if none is passed on to them.
     pub max_retry_after_us: Micros,
     /// Price of an attempt that crosses zones, per request.
@@ -163,8 +163,8 @@
             weights_are_lasting: false,
             max_attempts: 3,
             hedged_requests: false,
-            cancel: false,
-            peers: false,
+            may_cancel: false,
+            may_message_peers: false,
             max_retry_after_us: 0,
             cross_zone_price: 0.0,
             slow_start_fraction: 0.1,
--- a/crates/decide/src/policy/dispatcher.rs
+++ b/crates/decide/src/policy/dispatcher.rs
@@ -175,7 +175,7 @@
             return false;
         }
         let hedge_delay_us = attempts::hedge_delay(request, target, &self.context);
-        let can_intervene = self.context.settings.hedged_requests || self.context.settings.cancel;
+        let can_intervene = self.context.settings.hedged_requests || self.context.settings.may_cancel;
         // An attempt that can neither be hedged nor cancelled later is cut short by a timeout from the start.
         let timeout_us = hedge_delay_us.filter(|_| !can_intervene && self.retry_budget.withdraw_hedge());
         let mut attempt = Attempt::new(slot, now, target, &entry);
@@ -328,7 +328,7 @@
     pub(super) fn finish(&mut self, id: RequestId, outstanding: OutstandingAttempts) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         let previous_state = mem::replace(&mut request.state, RequestState::Finished);
-        let cancels = outstanding == OutstandingAttempts::Cancel && self.context.settings.cancel;
+        let cancels = outstanding == OutstandingAttempts::Cancel && self.context.settings.may_cancel;
         if previous_state != RequestState::Finished && cancels {
             let attempts = (0..).zip(&request.attempts).filter(|(_, attempt)| attempt.is_outstanding());
             self.actions.extend(attempts.map(|(attempt, _)| Action::Cancel { id, attempt }));
--- a/crates/decide/tests/client_left.rs
+++ b/crates/decide/tests/client_left.rs
@@ -23,7 +23,8 @@
         .flat_map(|waiting_for| [(waiting_for, false), (waiting_for, true)])
     {
         let hedged_requests = waiting_for == Hedge;
-        let mut router = TestRouter::new(Settings { cancel, hedged_requests, ..settings() }, 1, 3);
+        let mut router =
+            TestRouter::new(Settings { may_cancel: cancel, hedged_requests, ..settings() }, 1, 3);
         let id = RequestId(2);
         let mut timers = match waiting_for {
             Permit => {
--- a/crates/decide/tests/requests.rs
+++ b/crates/decide/tests/requests.rs
@@ -277,7 +277,7 @@
 fn only_an_attempt_that_looks_lost_is_cut_short() {
     // Attempts were cut short at endpoints that were only slow, which is the usual cause of a late answer.
     for overtaken in [true, false] {
-        let mut router = TestRouter::new(Settings { cancel: true, ..settings() }, 1, 3);
+        let mut router = TestRouter::new(Settings { may_cancel: true, ..settings() }, 1, 3);
         let earlier = submit_until_sent_to(&mut router, 1, 1_000);
         router.now += MS;
         let sent = router.submit(request(1, 0, earlier)); // the same key, so the same endpoint
@@ -533,7 +533,8 @@
 #[test]
 fn started_stream_is_neither_hedged_nor_cancelled() {
     // The module cancelled a stream that had started, and the client got no answer.
-    let mut router = TestRouter::new(Settings { hedged_requests: true, cancel: true, ..settings() }, 1, 3);
+    let mut router =
+        TestRouter::new(Settings { hedged_requests: true, may_cancel: true, ..settings() }, 1, 3);
     let sent = router.submit(request(1, 0, 7));
     assert_eq!(router.handle(Event::FirstByte(RequestId(1))), []);
     assert_eq!(router.advance(900 * MS, &sent), [], "neither a hedged attempt nor a final answer");
@@ -542,7 +543,8 @@
 
 #[test]
 fn losing_hedge_is_cancelled_if_permitted() {
-    let mut router = TestRouter::new(Settings { hedged_requests: true, cancel: true, ..settings() }, 1, 3);
+    let mut router =
+        TestRouter::new(Settings { hedged_requests: true, may_cancel: true, ..settings() }, 1, 3);
     let sent = router.submit(request(1, 0, 7));
     router.advance(250 * MS, &sent);
     assert_eq!(router.end_attempt(1, 1, Outcome::Ok), [Action::Cancel { id: RequestId(1), attempt: 0 }]);
--- a/crates/emulator/src/simulation/settings.rs
+++ b/crates/emulator/src/simulation/settings.rs
@@ -32,7 +32,7 @@
         mode: Mode::CacheAside,
         origin_kind: Some(1),
         max_attempts: MAX_ATTEMPTS,
-        cancel: true,
+        may_cancel: true,
         max_retry_after_us: MAX_RETRY_AFTER,
         weights_are_lasting: true,
         slow_start_fraction: scenario.fleet.slow_start_fraction,
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -88,7 +88,7 @@
     }
 
     fn start(&mut self, instance: Instance, seed: u64, settings: Settings, clock: Micros, reply: &mut Reply) {
-        let uses_gossip = settings.peers && settings.balancers as usize >= gossip::MIN_BALANCERS;
+        let uses_gossip = settings.may_message_peers && settings.balancers as usize >= gossip::MIN_BALANCERS;
         let mut hosted = HostedInstance::new(seed, settings, clock);
         if uses_gossip {
             reply.push(instance, &hosted.schedule_gossip());
--- a/crates/spindlebeam/src/config.rs
+++ b/crates/spindlebeam/src/config.rs
@@ -86,7 +86,8 @@
         .map_err(|error| settings_text::describe_error(&error))?;
     let seed = parse_seed(&file)?;
     let bounds = parse_bounds(&file, &settings)?;
-    let gossip = if settings.peers { parse_gossip(&file, settings.instance as usize)? } else { None };
+    let gossip =
+        if settings.may_message_peers { parse_gossip(&file, settings.instance as usize)? } else { None };
     Ok(Config {
         name: file.required("name")?,
         listen: file.address("listen")?.context("listen: missing")?,
