--- a/crates/decide/src/api.rs
+++ b/crates/decide/src/api.rs
@@ -110,7 +110,7 @@
 pub struct LoadReport {
     /// Id of the endpoint.
     pub endpoint: EndpointId,
-    /// Weight of the endpoint, as reduced by slow start: its listed weight if listed weights are lasting, 1 otherwise.
+    /// Weight of the endpoint, as reduced by slow start: its listed weight if listed weights are stable, 1 otherwise.
     pub weight: f64,
     /// Mean number of requests in flight since the last report.
     pub in_flight: f64,
--- a/crates/decide/src/configuration.rs
+++ b/crates/decide/src/configuration.rs
@@ -106,8 +106,8 @@
     pub discovery: Discovery,
     /// Source of load reports.
     pub reporting: Reporting,
-    /// Whether listed weights are lasting, so that keys can be assigned by them.
-    pub weights_are_lasting: bool,
+    /// Whether listed weights are stable, so that keys can be assigned by them.
+    pub has_stable_weights: bool,
     /// Maximum number of attempts per request.
     pub max_attempts: u32,
     /// Whether two attempts of a request may be outstanding at once.
@@ -160,7 +160,7 @@
             origin_kind: None,
             discovery: Discovery::Push,
             reporting: Reporting::Off,
-            weights_are_lasting: false,
+            has_stable_weights: false,
             max_attempts: 3,
             hedged_requests: false,
             may_cancel: false,
--- a/crates/decide/src/endpoint.rs
+++ b/crates/decide/src/endpoint.rs
@@ -50,7 +50,7 @@
     pub(crate) entry: EndpointEntry,
     /// Whether the endpoint is the origin.
     pub(crate) is_origin: bool,
-    /// Its listed weight if listed weights are lasting, 1 otherwise.
+    /// Its listed weight if listed weights are stable, 1 otherwise.
     pub(crate) weight: f64,
     /// The fraction of its capacity that it has for certain, by the slow-start ramp; 1 once it is warm.
     pub(crate) slow_start_factor: f64,
@@ -187,7 +187,7 @@
         } else {
             1.0
         };
-        self.weight = if settings.weights_are_lasting { self.entry.weight } else { 1.0 };
+        self.weight = if settings.has_stable_weights { self.entry.weight } else { 1.0 };
         self.is_origin = settings.mode == Mode::CacheAside && settings.origin_kind == Some(self.entry.kind);
     }
 }
--- a/crates/decide/src/settings.rs
+++ b/crates/decide/src/settings.rs
@@ -170,7 +170,7 @@
             origin_kind,
             discovery: lines.read_discovery(default.discovery)?,
             reporting: lines.read_reporting(default.reporting)?,
-            weights_are_lasting: matches!(lines.0.get("weights"), Some(&("nominal" | "rough"))),
+            has_stable_weights: matches!(lines.0.get("weights"), Some(&("nominal" | "rough"))),
             max_attempts: lines.read_integer("permissions.maxAttempts", default.max_attempts)?,
             hedged_requests: lines.read_bool("permissions.secondCopies", default.hedged_requests)?,
             may_cancel: lines.read_bool("permissions.cancel", default.may_cancel)?,
--- a/crates/decide/tests/endpoints.rs
+++ b/crates/decide/tests/endpoints.rs
@@ -50,7 +50,7 @@
 
 #[test]
 fn heavier_endpoints_have_more_keys() {
-    let mut router = TestRouter::new(Settings { weights_are_lasting: true, ..settings() }, 1, 2);
+    let mut router = TestRouter::new(Settings { has_stable_weights: true, ..settings() }, 1, 2);
     router.apply_list(ListKind::Delta, vec![EndpointEntry { weight: 3.0, ..entry(2) }]);
     let share = endpoints_by_key(&mut router, 0..2_000, 1).values().filter(|&&s| s == 2).count();
     assert!((1_400..1_600).contains(&share), "three quarters: {share}");
--- a/crates/emulator/src/simulation/settings.rs
+++ b/crates/emulator/src/simulation/settings.rs
@@ -34,7 +34,7 @@
         max_attempts: MAX_ATTEMPTS,
         may_cancel: true,
         max_retry_after_us: MAX_RETRY_AFTER,
-        weights_are_lasting: true,
+        has_stable_weights: true,
         slow_start_fraction: scenario.fleet.slow_start_fraction,
         slow_start_us: micros(scenario.fleet.slow_start_duration),
         overload_multiple: scenario.fleet.overload_multiple,
--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -188,7 +188,7 @@
         (Effect::Idempotent, 5)
     );
     assert_eq!(settings.classes[1].effect, Effect::IdempotentWithKey { scope: DedupScope::Zone, span_us: 9 });
-    assert_eq!((settings.origin_kind, settings.zones, settings.weights_are_lasting), (Some(3), 3, false));
+    assert_eq!((settings.origin_kind, settings.zones, settings.has_stable_weights), (Some(3), 3, false));
     assert_eq!((settings.tenants[0].quota_per_s, settings.max_retry_after_us), (7.5, 11));
     assert_eq!("".parse::<Settings>().unwrap(), Settings::default());
     assert_eq!("specifics.originKind=-1".parse::<Settings>().unwrap().origin_kind, None);
--- a/crates/spindlebeam/tests/start.rs
+++ b/crates/spindlebeam/tests/start.rs
@@ -28,7 +28,7 @@
     let settings = &config.settings;
     assert_eq!((settings.balancers, settings.zone, settings.zones), (4, ZoneId(1), 2));
     assert_eq!(
-        (settings.origin_kind, settings.max_attempts, settings.weights_are_lasting),
+        (settings.origin_kind, settings.max_attempts, settings.has_stable_weights),
         (Some(1), 5, true)
     );
     assert_eq!(settings.max_retry_after_us, 1_000_000);
