--- a/crates/decide/src/outcome.rs
+++ b/crates/decide/src/outcome.rs
@@ -74,7 +74,7 @@
     /// The balancer is draining, or its process is ending.
     ShuttingDown,
     /// The record of the request was lost, which is a fault of this program.
-    Forgotten,
+    RecordLost,
 }
 
 impl Reason {
@@ -95,7 +95,7 @@
             Reason::NoCapacity => "no-place",
             Reason::Fenced => "fenced",
             Reason::ShuttingDown => "shutting-down",
-            Reason::Forgotten => "forgotten",
+            Reason::RecordLost => "forgotten",
         }
     }
 }
--- a/crates/emulator/tests/referee.rs
+++ b/crates/emulator/tests/referee.rs
@@ -71,7 +71,7 @@
     let answer_twice = || {
         |_, event: &Event, actions: &mut Vec<Action>| {
             if let Event::Outcome { id, outcome: Outcome::Ok, .. } = event {
-                actions.push(Action::Fail { id: *id, reason: Reason::Forgotten });
+                actions.push(Action::Fail { id: *id, reason: Reason::RecordLost });
             }
         }
     };
--- a/crates/gateway/src/engine/phases/requests.rs
+++ b/crates/gateway/src/engine/phases/requests.rs
@@ -188,7 +188,7 @@
         }
         let client_id = String::from_utf8_lossy(&context.call.id);
         log::error!("request {} ({client_id}): no answer at its deadline", id.0);
-        self.fail_request(id, Reason::Forgotten);
+        self.fail_request(id, Reason::RecordLost);
     }
 
     /// Fails an open request without a decision of the decision module, and tells it that the request has ended.
