--- a/crates/decide/src/settings.rs
+++ b/crates/decide/src/settings.rs
@@ -16,14 +16,14 @@
 
 /// An invalid setting.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
-#[error("setting {path}: {value:?} is not {wanted}")]
+#[error("setting {path}: {value:?} is not {expected}")]
 pub struct SettingsError {
     /// Path of the setting.
     pub path: String,
     /// Its value in the text; empty if it is missing.
     pub value: String,
     /// Description of valid values.
-    pub wanted: &'static str,
+    pub expected: &'static str,
 }
 
 /// The values of a settings text by path.
@@ -34,16 +34,16 @@
         Self(text.lines().filter_map(|line| line.split_once('=')).collect())
     }
 
-    fn error(&self, path: &str, wanted: &'static str) -> SettingsError {
+    fn error(&self, path: &str, expected: &'static str) -> SettingsError {
         let value = self.0.get(path).copied().unwrap_or("");
-        SettingsError { path: path.to_owned(), value: value.to_owned(), wanted }
+        SettingsError { path: path.to_owned(), value: value.to_owned(), expected }
     }
 
-    /// Parses a value, or returns `default` if it is missing. `wanted` describes valid values for the error.
-    fn read<T: FromStr>(&self, path: &str, default: T, wanted: &'static str) -> Result<T, SettingsError> {
+    /// Parses a value, or returns `default` if it is missing. `expected` describes valid values for the error.
+    fn read<T: FromStr>(&self, path: &str, default: T, expected: &'static str) -> Result<T, SettingsError> {
         match self.0.get(path) {
             None => Ok(default),
-            Some(text) => text.parse().map_err(|_| self.error(path, wanted)),
+            Some(text) => text.parse().map_err(|_| self.error(path, expected)),
         }
     }
 
@@ -57,24 +57,24 @@
 
     /// Reads a finite number of at least 0; a negative weight or price would reverse decisions.
     fn read_number(&self, path: &str, default: f64) -> Result<f64, SettingsError> {
-        let wanted = "a number of at least 0";
-        let value = self.read(path, default, wanted)?;
-        if value.is_finite() && value >= 0.0 { Ok(value) } else { Err(self.error(path, wanted)) }
+        let expected = "a number of at least 0";
+        let value = self.read(path, default, expected)?;
+        if value.is_finite() && value >= 0.0 { Ok(value) } else { Err(self.error(path, expected)) }
     }
 
     fn read_count(&self, path: &str) -> Result<usize, SettingsError> {
-        let wanted = "a count of at most 65536";
-        let count = self.read(path, 0_usize, wanted)?;
-        if count <= MAX_ITEMS { Ok(count) } else { Err(self.error(path, wanted)) }
+        let expected = "a count of at most 65536";
+        let count = self.read(path, 0_usize, expected)?;
+        if count <= MAX_ITEMS { Ok(count) } else { Err(self.error(path, expected)) }
     }
 
     /// Reads one of several words.
     fn read_word<T: Copy>(
-        &self, path: &str, words: &[(&str, T)], default: T, wanted: &'static str,
+        &self, path: &str, words: &[(&str, T)], default: T, expected: &'static str,
     ) -> Result<T, SettingsError> {
         let Some(text) = self.0.get(path) else { return Ok(default) };
         let found = words.iter().find(|(word, _)| word == text);
-        found.map(|(_, value)| *value).ok_or_else(|| self.error(path, wanted))
+        found.map(|(_, value)| *value).ok_or_else(|| self.error(path, expected))
     }
 
     /// Counts the items of a comma-separated list.
--- a/crates/spindlebeam/src/config/settings_text.rs
+++ b/crates/spindlebeam/src/config/settings_text.rs
@@ -51,5 +51,5 @@
         let is_index = !name.is_empty() && name.bytes().all(|byte| byte.is_ascii_digit());
         path = if is_index { format!("{path}[{name}]") } else { format!("{path}.{name}") };
     }
-    anyhow!("{path}: {:?} is not {}", error.value, error.wanted)
+    anyhow!("{path}: {:?} is not {}", error.value, error.expected)
 }
