--- a/crates/agreement/src/agreement.rs
+++ b/crates/agreement/src/agreement.rs
@@ -167,7 +167,7 @@
     }
 
     /// Returns the commit index: the revision of the last item that was reported to the owner.
-    pub fn applied(&self) -> Revision {
+    pub fn commit_index(&self) -> Revision {
         self.log.last_revision()
     }
 
--- a/crates/fleet/src/member.rs
+++ b/crates/fleet/src/member.rs
@@ -134,7 +134,7 @@
     /// Returns the last applied revision of the log.
     #[must_use]
     pub fn revision(&self) -> Revision {
-        self.agreement.applied()
+        self.agreement.commit_index()
     }
 
     /// Returns whether this balancer votes.
--- a/crates/fleet/src/member/actions.rs
+++ b/crates/fleet/src/member/actions.rs
@@ -29,15 +29,15 @@
     }
 
     fn report_caught_up(&mut self) {
-        let is_caught_up = self.agreement.lag().is_none() && self.agreement.applied() > 0;
+        let is_caught_up = self.agreement.lag().is_none() && self.agreement.commit_index() > 0;
         if is_caught_up && !self.is_caught_up {
-            self.outputs.push_back(Output::CaughtUp(self.agreement.applied()));
+            self.outputs.push_back(Output::CaughtUp(self.agreement.commit_index()));
         }
         self.is_caught_up = is_caught_up;
     }
 
     fn snapshot_if_due(&mut self, now: Micros) {
-        let applied = self.agreement.applied();
+        let applied = self.agreement.commit_index();
         if applied >= self.snapshot_revision + SNAPSHOT_INTERVAL {
             self.snapshot_revision = applied;
             self.agreement.snapshot(now, applied, self.state.snapshot().into());
--- a/crates/fleet/src/member/view.rs
+++ b/crates/fleet/src/member/view.rs
@@ -30,7 +30,7 @@
             "me": name(self.node_id),
             "standing": lease_state_word(self.lease.state(now).0),
             "fleet_time_us": fleet_time.map(|time| [time.earliest, time.latest]),
-            "revision": self.agreement.applied(),
+            "revision": self.agreement.commit_index(),
             "behind": self.agreement.lag(),
             "council": voters,
             "leader": self.agreement.leader().and_then(name),
