--- a/crates/agreement/src/agreement.rs
+++ b/crates/agreement/src/agreement.rs
@@ -172,7 +172,7 @@
     }
 
     /// Returns the highest commit index advertised by a peer, if it is above this balancer's own.
-    pub fn lag(&self) -> Option<Revision> {
+    pub fn newer_commit_index(&self) -> Option<Revision> {
         Some(self.catch_up.highest_advertised()).filter(|highest| *highest > self.log.last_revision())
     }
 
--- a/crates/fleet/src/member/actions.rs
+++ b/crates/fleet/src/member/actions.rs
@@ -29,7 +29,7 @@
     }
 
     fn report_caught_up(&mut self) {
-        let is_caught_up = self.agreement.lag().is_none() && self.agreement.commit_index() > 0;
+        let is_caught_up = self.agreement.newer_commit_index().is_none() && self.agreement.commit_index() > 0;
         if is_caught_up && !self.is_caught_up {
             self.outputs.push_back(Output::CaughtUp(self.agreement.commit_index()));
         }
--- a/crates/fleet/src/member/view.rs
+++ b/crates/fleet/src/member/view.rs
@@ -31,7 +31,7 @@
             "standing": lease_state_word(self.lease.state(now).0),
             "fleet_time_us": fleet_time.map(|time| [time.earliest, time.latest]),
             "revision": self.agreement.commit_index(),
-            "behind": self.agreement.lag(),
+            "behind": self.agreement.newer_commit_index(),
             "council": voters,
             "leader": self.agreement.leader().and_then(name),
             "votes": self.agreement.is_voting(),
