--- a/crates/agreement/src/action.rs
+++ b/crates/agreement/src/action.rs
@@ -41,7 +41,7 @@
         revision: Revision,
         /// The timestamp of that revision.
         timestamp: u64,
-        /// The bytes that an owner passed to [`crate::Agreement::snapshot`].
+        /// The bytes that an owner passed to [`crate::Agreement::supply_snapshot`].
         snapshot: Bytes,
     },
     /// This balancer became the leader (`true`) or stopped being the leader (`false`).
--- a/crates/agreement/src/agreement.rs
+++ b/crates/agreement/src/agreement.rs
@@ -152,7 +152,7 @@
 
     /// Supplies a snapshot of the owner's state after the entry at `revision`. A snapshot longer than
     /// [`MAX_SNAPSHOT_BYTES`] is ignored. Items well before the snapshot are trimmed.
-    pub fn snapshot(&mut self, now: Micros, revision: Revision, state: Bytes) {
+    pub fn supply_snapshot(&mut self, now: Micros, revision: Revision, state: Bytes) {
         if state.len() > MAX_SNAPSHOT_BYTES {
             return;
         }
--- a/crates/agreement/tests/common/mod.rs
+++ b/crates/agreement/tests/common/mod.rs
@@ -327,7 +327,11 @@
         if revision.is_multiple_of(self.snapshot_interval) {
             let mut bytes = postcard::to_allocvec(&balancer.state).expect("the state can be encoded");
             bytes.resize(5_000, 7);
-            balancer.node.as_mut().expect("the balancer has a process").snapshot(now, revision, bytes.into());
+            balancer.node.as_mut().expect("the balancer has a process").supply_snapshot(
+                now,
+                revision,
+                bytes.into(),
+            );
         }
         if let Some(earlier) = self.committed.get(&revision) {
             assert_eq!(*earlier, item, "balancer {node_id} gets another item at revision {revision}");
--- a/crates/fleet/src/member/actions.rs
+++ b/crates/fleet/src/member/actions.rs
@@ -40,7 +40,7 @@
         let applied = self.agreement.commit_index();
         if applied >= self.snapshot_revision + SNAPSHOT_INTERVAL {
             self.snapshot_revision = applied;
-            self.agreement.snapshot(now, applied, self.state.snapshot().into());
+            self.agreement.supply_snapshot(now, applied, self.state.snapshot().into());
         }
     }
 
