--- a/crates/agreement/src/action.rs
+++ b/crates/agreement/src/action.rs
@@ -4,7 +4,7 @@
     limits::{MAX_ENTRY_BYTES, MAX_PENDING_PROPOSALS},
     message::Message,
     segment::Voter,
-    types::{NodeId, Revision, Stamped},
+    types::{NodeId, Revision, StampedEntry},
 };
 use bytes::Bytes;
 
@@ -23,7 +23,7 @@
         /// Its index in the log.
         revision: Revision,
         /// The entry and its stamp.
-        stamped: Stamped<E>,
+        stamped: StampedEntry<E>,
     },
     /// A new segment of the log starts, with other voters or with the same ones. The change has a revision of
     /// its own.
--- a/crates/agreement/src/agreement/propose.rs
+++ b/crates/agreement/src/agreement/propose.rs
@@ -8,7 +8,7 @@
     pending_proposals::FinishedProposal,
     replica::Replica,
     store::Store,
-    types::{Entry, Micros, NodeId, Stamped},
+    types::{Entry, Micros, NodeId, StampedEntry},
 };
 
 /// Each attempt whose number is a multiple of this goes to a random voter, because the known leader may be
@@ -94,14 +94,14 @@
         let Some(replica) = &mut self.replica else { return };
         match command {
             Command::Entry(entry) => {
-                replica.append(Stamped { timestamp, proposer, proposal_id, entry });
+                replica.append(StampedEntry { timestamp, proposer, proposal_id, entry });
             }
             Command::ChangeVoters(change) => {
                 // Generation 0 marks a founding voter, which cannot be added.
                 let has_generation = change.added.is_none_or(|voter| voter.generation != 0);
                 let voters = change.apply(&self.log.segment().voters).filter(|_| has_generation);
                 if let Some(entry) = voters {
-                    replica.append_stop_sign(&Stamped { timestamp, proposer, proposal_id, entry });
+                    replica.append_stop_sign(&StampedEntry { timestamp, proposer, proposal_id, entry });
                 }
             }
         }
@@ -118,7 +118,7 @@
         let timestamp = self.next_timestamp();
         let Some(replica) = &mut self.replica else { return };
         if replica.can_append() && replica.is_segment_long() {
-            replica.append_stop_sign(&Stamped {
+            replica.append_stop_sign(&StampedEntry {
                 timestamp,
                 proposer: self.settings.node_id,
                 proposal_id: self.random.u64(..),
--- a/crates/agreement/src/journal.rs
+++ b/crates/agreement/src/journal.rs
@@ -8,20 +8,20 @@
     hard_state::HardState,
     segment::{Segment, Voter},
     store::{Store, StoreChange},
-    types::{Entry, Stamped},
+    types::{Entry, StampedEntry},
 };
 
 /// The hard state and the accepted entries of a voter, and the changes that are not durable yet.
 pub(crate) struct Journal<E> {
     hard_state: HardState,
-    accepted: Vec<Stamped<E>>,
+    accepted: Vec<StampedEntry<E>>,
     changes: Vec<StoreChange>,
     hard_state_changed: bool,
     failed: bool,
 }
 
 impl<E: Entry> Journal<E> {
-    pub(crate) fn new(hard_state: HardState, accepted: Vec<Stamped<E>>) -> Self {
+    pub(crate) fn new(hard_state: HardState, accepted: Vec<StampedEntry<E>>) -> Self {
         Journal { hard_state, accepted, changes: Vec::new(), hard_state_changed: true, failed: false }
     }
 
@@ -36,7 +36,7 @@
     }
 
     /// The entries accepted in the current segment.
-    pub(crate) fn accepted(&self) -> &[Stamped<E>] {
+    pub(crate) fn accepted(&self) -> &[StampedEntry<E>] {
         &self.accepted
     }
 
@@ -59,7 +59,7 @@
     }
 
     /// Truncates the accepted entries at `from` and appends `entries`.
-    pub(crate) fn replace_accepted(&mut self, from: usize, entries: Vec<Stamped<E>>) {
+    pub(crate) fn replace_accepted(&mut self, from: usize, entries: Vec<StampedEntry<E>>) {
         let from = from.min(self.accepted.len());
         let encoded = entries.iter().map(encode).collect();
         self.record(StoreChange::Accepted { from: from as u64, entries: encoded });
--- a/crates/agreement/src/lib.rs
+++ b/crates/agreement/src/lib.rs
@@ -49,4 +49,4 @@
 pub use segment::Voter;
 pub use settings::Settings;
 pub use store::{MemoryStore, Store, StoreChange, StoredState};
-pub use types::{Entry, Micros, NodeId, Revision, Stamped};
+pub use types::{Entry, Micros, NodeId, Revision, StampedEntry};
--- a/crates/agreement/src/message_filter.rs
+++ b/crates/agreement/src/message_filter.rs
@@ -3,7 +3,7 @@
     limits::MAX_VOTERS,
     paxos::{decode_stop_sign, to_node_id},
     segment::Segment,
-    types::{Entry, Stamped},
+    types::{Entry, StampedEntry},
 };
 use omnipaxos::{
     ballot_leader_election::Ballot,
@@ -47,7 +47,7 @@
 
     /// Whether `omnipaxos` can handle the message. Removes the log suffix of a late promise, and adjusts an index
     /// that points behind the stop sign.
-    pub(crate) fn normalize_and_check<E: Entry>(&self, message: &mut PaxosMsg<Stamped<E>>) -> bool {
+    pub(crate) fn normalize_and_check<E: Entry>(&self, message: &mut PaxosMsg<StampedEntry<E>>) -> bool {
         let accepted_index = self.log_length + usize::from(self.has_stop_sign);
         match message {
             PaxosMsg::PrepareReq(request) => request.n.n < MAX_BALLOT,
@@ -69,7 +69,7 @@
         }
     }
 
-    fn check_promise<E: Entry>(&self, promise: &mut Promise<Stamped<E>>, accepted_index: usize) -> bool {
+    fn check_promise<E: Entry>(&self, promise: &mut Promise<StampedEntry<E>>, accepted_index: usize) -> bool {
         // Once a quorum has promised, the leader does not need the log suffix of a late promise. The suffix may
         // also start before newly decided entries.
         if self.is_leader {
@@ -90,13 +90,13 @@
             && promise.accepted_idx < MAX_INDEX
     }
 
-    fn check_accept_sync<E: Entry>(&self, sync: &mut AcceptSync<Stamped<E>>) -> bool {
+    fn check_accept_sync<E: Entry>(&self, sync: &mut AcceptSync<StampedEntry<E>>) -> bool {
         self.is_valid_ballot(&sync.n)
             && self.check_log_sync(&mut sync.log_sync)
             && sync.decided_idx <= sync_end(&sync.log_sync)
     }
 
-    fn check_log_sync<E: Entry>(&self, sync: &mut LogSync<Stamped<E>>) -> bool {
+    fn check_log_sync<E: Entry>(&self, sync: &mut LogSync<StampedEntry<E>>) -> bool {
         // The index of a stop sign counts as accepted but holds no entry. A suffix that starts after it would
         // count the stop sign twice.
         if self.has_stop_sign && sync.sync_idx == self.log_length + 1 && sync.suffix.is_empty() {
@@ -117,6 +117,6 @@
 }
 
 /// The accepted index after the synchronization.
-fn sync_end<E: Entry>(sync: &LogSync<Stamped<E>>) -> usize {
+fn sync_end<E: Entry>(sync: &LogSync<StampedEntry<E>>) -> usize {
     sync.sync_idx + sync.suffix.len() + usize::from(sync.stopsign.is_some())
 }
--- a/crates/agreement/src/paxos.rs
+++ b/crates/agreement/src/paxos.rs
@@ -1,7 +1,7 @@
 //! Conversions between the types of this crate and those of `omnipaxos`.
 use crate::{
     segment::Voter,
-    types::{NodeId, Stamped},
+    types::{NodeId, StampedEntry},
 };
 use omnipaxos::{ClusterConfig, storage::StopSign, util::NodeId as PaxosId};
 
@@ -21,6 +21,6 @@
 }
 
 /// The voters of the next segment that a stop sign names.
-pub(crate) fn decode_stop_sign(stop_sign: &StopSign) -> Option<Stamped<Vec<Voter>>> {
+pub(crate) fn decode_stop_sign(stop_sign: &StopSign) -> Option<StampedEntry<Vec<Voter>>> {
     postcard::from_bytes(stop_sign.metadata.as_ref()?).ok()
 }
--- a/crates/agreement/src/recovery.rs
+++ b/crates/agreement/src/recovery.rs
@@ -4,7 +4,7 @@
     message::LogSnapshot,
     segment::{LogItem, Segment},
     store::Store,
-    types::{Entry, Revision, Stamped},
+    types::{Entry, Revision, StampedEntry},
 };
 use bytes::Bytes;
 use serde::de::DeserializeOwned;
@@ -12,7 +12,7 @@
 /// The decoded content of a store.
 pub(crate) struct RecoveredState<E> {
     pub(crate) hard_state: HardState,
-    pub(crate) accepted: Vec<Stamped<E>>,
+    pub(crate) accepted: Vec<StampedEntry<E>>,
     pub(crate) snapshot: Option<LogSnapshot>,
     /// The committed items after the snapshot.
     pub(crate) items: Vec<LogItem<E>>,
--- a/crates/agreement/src/replica.rs
+++ b/crates/agreement/src/replica.rs
@@ -6,7 +6,7 @@
     paxos::{cluster_config, decode_stop_sign, to_node_id, to_paxos_id},
     segment::{LogItem, MAX_SEGMENT_ENTRIES, Segment, Voter},
     shared_journal::SharedJournal,
-    types::{Entry, Micros, NodeId, ProposalKey, Revision, Stamped},
+    types::{Entry, Micros, NodeId, ProposalKey, Revision, StampedEntry},
 };
 use bytes::Bytes;
 use omnipaxos::{
@@ -68,7 +68,7 @@
 /// A voter's participation in the consensus protocol of one segment.
 pub(crate) struct Replica<E: Entry> {
     local: PaxosId,
-    paxos: OmniPaxos<Stamped<E>, SharedJournal<E>>,
+    paxos: OmniPaxos<StampedEntry<E>, SharedJournal<E>>,
     journal: SharedJournal<E>,
     segment: Segment,
     links: BTreeMap<NodeId, Link>,
@@ -185,13 +185,13 @@
 
     /// Appends an entry. It is dropped if this replica is no longer the leader; its proposer then proposes it
     /// again.
-    pub(crate) fn append(&mut self, stamped: Stamped<E>) {
+    pub(crate) fn append(&mut self, stamped: StampedEntry<E>) {
         let _ = self.paxos.append(stamped);
     }
 
     /// Ends the segment with a stop sign. It is dropped if this replica is no longer the leader, like an entry in
     /// [`Replica::append`].
-    pub(crate) fn append_stop_sign(&mut self, stamped: &Stamped<Vec<Voter>>) {
+    pub(crate) fn append_stop_sign(&mut self, stamped: &StampedEntry<Vec<Voter>>) {
         let next = cluster_config(self.segment.id + 1, &stamped.entry);
         let _ = self.paxos.reconfigure(next, Some(encode(stamped).to_vec()));
     }
@@ -254,7 +254,7 @@
         self.paxos.handle_incoming(Message::BLE(message));
     }
 
-    fn handle_paxos_message(&mut self, from: NodeId, mut message: PaxosMessage<Stamped<E>>) {
+    fn handle_paxos_message(&mut self, from: NodeId, mut message: PaxosMessage<StampedEntry<E>>) {
         let is_addressed = message.from == to_paxos_id(from) && message.to == self.local;
         if is_addressed && self.filter().normalize_and_check(&mut message.msg) {
             self.paxos.handle_incoming(Message::SequencePaxos(message));
--- a/crates/agreement/src/segment.rs
+++ b/crates/agreement/src/segment.rs
@@ -2,7 +2,7 @@
 //! of the next one.
 use crate::{
     limits::{MAX_VOTERS, MIN_VOTERS},
-    types::{NodeId, ProposalKey, Revision, Stamped},
+    types::{NodeId, ProposalKey, Revision, StampedEntry},
 };
 use serde::{Deserialize, Serialize};
 
@@ -73,9 +73,9 @@
 /// A committed item of the log.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) enum LogItem<E> {
-    Entry(Stamped<E>),
+    Entry(StampedEntry<E>),
     /// Ends the segment; holds the voters of the next one.
-    StopSign(Stamped<Vec<Voter>>),
+    StopSign(StampedEntry<Vec<Voter>>),
 }
 
 impl<E> LogItem<E> {
--- a/crates/agreement/src/shared_journal.rs
+++ b/crates/agreement/src/shared_journal.rs
@@ -1,7 +1,7 @@
 //! The journal as the storage of `omnipaxos`.
 use crate::{
     journal::Journal,
-    types::{Entry, Stamped},
+    types::{Entry, StampedEntry},
 };
 use omnipaxos::{
     ballot_leader_election::Ballot,
@@ -9,7 +9,7 @@
 };
 use std::sync::{Arc, Mutex, MutexGuard};
 
-impl<E: Entry> omnipaxos::storage::Entry for Stamped<E> {
+impl<E: Entry> omnipaxos::storage::Entry for StampedEntry<E> {
     type Snapshot = NoSnapshot;
 }
 
@@ -32,8 +32,8 @@
     }
 }
 
-impl<E: Entry> Storage<Stamped<E>> for SharedJournal<E> {
-    fn write_atomically(&mut self, ops: Vec<StorageOp<Stamped<E>>>) -> StorageResult<()> {
+impl<E: Entry> Storage<StampedEntry<E>> for SharedJournal<E> {
+    fn write_atomically(&mut self, ops: Vec<StorageOp<StampedEntry<E>>>) -> StorageResult<()> {
         for op in ops {
             match op {
                 StorageOp::AppendEntry(entry) => self.append_entry(entry)?,
@@ -50,11 +50,11 @@
         Ok(())
     }
 
-    fn append_entry(&mut self, entry: Stamped<E>) -> StorageResult<()> {
+    fn append_entry(&mut self, entry: StampedEntry<E>) -> StorageResult<()> {
         self.append_entries(vec![entry])
     }
 
-    fn append_entries(&mut self, entries: Vec<Stamped<E>>) -> StorageResult<()> {
+    fn append_entries(&mut self, entries: Vec<StampedEntry<E>>) -> StorageResult<()> {
         let mut journal = self.lock();
         let end = journal.accepted().len();
         if !entries.is_empty() {
@@ -63,7 +63,7 @@
         Ok(())
     }
 
-    fn append_on_prefix(&mut self, from: usize, entries: Vec<Stamped<E>>) -> StorageResult<()> {
+    fn append_on_prefix(&mut self, from: usize, entries: Vec<StampedEntry<E>>) -> StorageResult<()> {
         self.lock().replace_accepted(from, entries);
         Ok(())
     }
@@ -91,7 +91,7 @@
         Ok(Some(self.lock().hard_state().accepted_ballot))
     }
 
-    fn get_entries(&self, from: usize, to: usize) -> StorageResult<Vec<Stamped<E>>> {
+    fn get_entries(&self, from: usize, to: usize) -> StorageResult<Vec<StampedEntry<E>>> {
         Ok(self.lock().accepted().get(from..to).unwrap_or_default().to_vec())
     }
 
@@ -99,7 +99,7 @@
         Ok(self.lock().accepted().len())
     }
 
-    fn get_suffix(&self, from: usize) -> StorageResult<Vec<Stamped<E>>> {
+    fn get_suffix(&self, from: usize) -> StorageResult<Vec<StampedEntry<E>>> {
         Ok(self.lock().accepted().get(from..).unwrap_or_default().to_vec())
     }
 
--- a/crates/agreement/src/types.rs
+++ b/crates/agreement/src/types.rs
@@ -15,7 +15,7 @@
 
 /// An entry with the metadata that the log adds to it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Stamped<E> {
+pub struct StampedEntry<E> {
     /// Fleet time in Unix microseconds; strictly increasing along the log.
     pub timestamp: u64,
     /// The balancer that proposed the entry.
@@ -26,7 +26,7 @@
     pub entry: E,
 }
 
-impl<E> Stamped<E> {
+impl<E> StampedEntry<E> {
     pub(crate) fn proposal_key(&self) -> ProposalKey {
         ProposalKey { proposer: self.proposer, proposal_id: self.proposal_id }
     }
--- a/crates/agreement/tests/common/mod.rs
+++ b/crates/agreement/tests/common/mod.rs
@@ -3,7 +3,7 @@
 #![allow(dead_code, unreachable_pub, reason = "shared by several test programs, each of which uses a part")]
 use agreement::{
     Action, Agreement, MAX_MESSAGE_BYTES, MemoryStore, Message, Micros, NodeId, ProposalOutcome, Revision,
-    Settings, Stamped, Store, StoreChange, StoredState, TICK_INTERVAL_US, VotingBlock,
+    Settings, StampedEntry, Store, StoreChange, StoredState, TICK_INTERVAL_US, VotingBlock,
 };
 use std::{
     cell::RefCell,
@@ -286,7 +286,7 @@
             match action {
                 Action::Send { to, message } => self.send(node_id, to, &message),
                 Action::Committed { revision, stamped } => {
-                    let Stamped { timestamp, proposer, proposal_id, entry } = stamped;
+                    let StampedEntry { timestamp, proposer, proposal_id, entry } = stamped;
                     let item = CommittedItem { timestamp, proposer, proposal_id, entry };
                     self.record_committed(node_id, revision, item);
                 }
--- a/crates/fleet/src/member/actions.rs
+++ b/crates/fleet/src/member/actions.rs
@@ -6,7 +6,7 @@
 use crate::output::{Output, ProposalOutcome};
 use crate::replicated_state::LogPosition;
 use crate::wire::Body;
-use agreement::{Action, Micros, Revision, Stamped, Store};
+use agreement::{Action, Micros, Revision, StampedEntry, Store};
 use membership::{Member, Membership};
 
 /// Number of revisions from one snapshot of the state to the next.
@@ -70,7 +70,7 @@
         }
     }
 
-    fn apply(&mut self, now: Micros, revision: Revision, stamped: &Stamped<Entry>) {
+    fn apply(&mut self, now: Micros, revision: Revision, stamped: &StampedEntry<Entry>) {
         let position = LogPosition { revision, timestamp: stamped.timestamp };
         let result = self.state.apply(now, position, &stamped.entry, &mut self.lease);
         let changed_calendar = result.is_some();
