--- a/crates/calendar/src/calendar.rs
+++ b/crates/calendar/src/calendar.rs
@@ -24,7 +24,7 @@
     /// The proposal is refused and has no effect, at all balancers alike.
     Refused(ProposalError),
     /// The proposal has no effect, because the calendar has already applied its revision.
-    Known,
+    AlreadyApplied,
 }
 
 /// The phase of an entry in its lifecycle.
@@ -153,7 +153,7 @@
     /// equal.
     pub fn apply(&mut self, revision: u64, at: Millis, proposal: &Proposal) -> Applied {
         if revision <= self.revision {
-            return Applied::Known;
+            return Applied::AlreadyApplied;
         }
         self.revision = revision;
         self.index = OnceLock::new();
--- a/crates/calendar/tests/calendar.rs
+++ b/crates/calendar/tests/calendar.rs
@@ -133,7 +133,7 @@
     assert_eq!(calendar.phase("now", start + ACTIVATION_DELAY), Some(EntryPhase::InForce));
     assert!(frozen(&calendar, start + ACTIVATION_DELAY));
     assert_eq!(calendar.phase("now", utc("2026-01-25T00:00Z")), Some(EntryPhase::Ended));
-    assert_eq!(calendar.apply(7, start, &add(&it)), Applied::Known);
+    assert_eq!(calendar.apply(7, start, &add(&it)), Applied::AlreadyApplied);
     let duplicate = ProposalError::Duplicate("now".into());
     assert_eq!(calendar.apply(8, start, &add(&it)), Applied::Refused(duplicate));
     let revoke =
--- a/crates/spindlebeam/src/fleet_thread/answer.rs
+++ b/crates/spindlebeam/src/fleet_thread/answer.rs
@@ -48,7 +48,7 @@
         Some(Applied::Added) => "Some(Added)".into(),
         Some(Applied::Revoked) => "Some(Revoked)".into(),
         Some(Applied::Refused(error)) => format!("Some(Refused({}))", refusal_text(error)),
-        Some(Applied::Known) => "Some(Known)".into(),
+        Some(Applied::AlreadyApplied) => "Some(Known)".into(),
         None => "None".into(),
     }
 }
--- a/crates/spindlebeam/tests/applied_text.rs
+++ b/crates/spindlebeam/tests/applied_text.rs
@@ -10,7 +10,7 @@
         (None, "None"),
         (Some(Applied::Added), "Some(Added)"),
         (Some(Applied::Revoked), "Some(Revoked)"),
-        (Some(Applied::Known), "Some(Known)"),
+        (Some(Applied::AlreadyApplied), "Some(Known)"),
         (refused(ProposalError::Duplicate("a\"b".into())), "Some(Refused(Duplicate(\"a\\\"b\")))"),
         (refused(ProposalError::Unknown("x".into())), "Some(Refused(Unknown(\"x\")))"),
         (refused(ProposalError::Over("x".into())), "Some(Refused(Over(\"x\")))"),
