--- a/crates/calendar/src/calendar.rs
+++ b/crates/calendar/src/calendar.rs
@@ -31,7 +31,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EntryPhase {
     /// Committed and not yet in force.
-    Agreed,
+    Committed,
     /// In force, or between two occurrences.
     InForce,
     /// The last occurrence is over.
@@ -84,7 +84,7 @@
     }
 
     /// Returns the fleet time and the revision at which an entry was committed.
-    pub fn agreed_at(&self, id: &str) -> Option<(Millis, u64)> {
+    pub fn committed_at(&self, id: &str) -> Option<(Millis, u64)> {
         self.entries.get(id).map(|it| (it.committed.committed_at, it.committed.revision))
     }
 
@@ -94,7 +94,7 @@
         let first = scheduled.in_force.first().map_or(Millis::MAX, |it| it.start);
         Some(match scheduled.committed.revoked_at {
             Some(at) if at <= fleet_time => EntryPhase::Revoked,
-            _ if fleet_time < first => EntryPhase::Agreed,
+            _ if fleet_time < first => EntryPhase::Committed,
             _ if fleet_time < scheduled.end => EntryPhase::InForce,
             _ => EntryPhase::Ended,
         })
--- a/crates/calendar/tests/calendar.rs
+++ b/crates/calendar/tests/calendar.rs
@@ -128,7 +128,7 @@
     let (start, mut calendar) = (utc("2026-01-24T12:00Z"), Calendar::new(ACTIVATION_DELAY));
     let it = freeze("now", "2026-01-24T00:00", "2026-01-25T00:00", "UTC");
     assert_eq!(calendar.apply(7, start, &add(&it)), Applied::Added);
-    assert_eq!(calendar.phase("now", start + ACTIVATION_DELAY - 1), Some(EntryPhase::Agreed));
+    assert_eq!(calendar.phase("now", start + ACTIVATION_DELAY - 1), Some(EntryPhase::Committed));
     assert!(!frozen(&calendar, start + ACTIVATION_DELAY - 1));
     assert_eq!(calendar.phase("now", start + ACTIVATION_DELAY), Some(EntryPhase::InForce));
     assert!(frozen(&calendar, start + ACTIVATION_DELAY));
@@ -143,7 +143,7 @@
     assert_eq!(calendar.apply(10, start + 60_000, &revoke("now")), Applied::Revoked);
     assert!(!frozen(&calendar, start + 60_000));
     assert_eq!(calendar.phase("now", start + 60_000), Some(EntryPhase::Revoked));
-    assert_eq!((calendar.revision(), calendar.agreed_at("now")), (10, Some((start, 7))));
+    assert_eq!((calendar.revision(), calendar.committed_at("now")), (10, Some((start, 7))));
     assert!(matches!(
         calendar.apply(11, start + 60_001, &revoke("now")),
         Applied::Refused(ProposalError::Unknown(_))
--- a/crates/fleet/examples/measure_fleet/main.rs
+++ b/crates/fleet/examples/measure_fleet/main.rs
@@ -186,7 +186,8 @@
         }
         let at = simulation.calendar_revisions.values().last().unwrap().0;
         commit_times.push(at - proposed_at);
-        while simulation.calendars.iter().filter(|it| it.agreed_at(&id).is_some()).count() * 100 < count * 99
+        while simulation.calendars.iter().filter(|it| it.committed_at(&id).is_some()).count() * 100
+            < count * 99
         {
             simulation.run(SECOND / 100);
         }
--- a/crates/fleet/examples/measure_fleet/referee.rs
+++ b/crates/fleet/examples/measure_fleet/referee.rs
@@ -49,7 +49,7 @@
         self.checks_in_freeze += u64::from(frozen.is_some());
         if let Some(id) = frozen.filter(|_| joins) {
             let committed = self.entries[&id].committed;
-            let agreed_at = simulation.calendars[n].agreed_at(&id);
+            let committed_at = simulation.calendars[n].committed_at(&id);
             let span = simulation.members[n]
                 .as_ref()
                 .and_then(|member| member.lease().fleet_time(simulation.local(n)));
@@ -58,7 +58,7 @@
                 simulation,
                 format!(
                     "{n} allows a join {late} us after freeze {id} must be in force; \
-                     it knows the freeze since {agreed_at:?}, its fleet time is {span:?}"
+                     it knows the freeze since {committed_at:?}, its fleet time is {span:?}"
                 ),
             );
         }
--- a/crates/fleet/tests/fleet.rs
+++ b/crates/fleet/tests/fleet.rs
@@ -29,7 +29,7 @@
 }
 
 fn count_with_entry(simulation: &Simulation, id: &str) -> usize {
-    simulation.members.iter().flatten().filter(|member| member.calendar().agreed_at(id).is_some()).count()
+    simulation.members.iter().flatten().filter(|member| member.calendar().committed_at(id).is_some()).count()
 }
 
 #[test]
@@ -69,7 +69,7 @@
     let recovered = simulation.run_until(5 * SECOND, |it| it.lease_state(17) == Some(LeaseState::Held));
     assert!(
         recovered < 5 * SECOND
-            && simulation.members[17].as_ref().unwrap().calendar().agreed_at("deadline").is_some()
+            && simulation.members[17].as_ref().unwrap().calendar().committed_at("deadline").is_some()
     );
 }
 
