--- a/crates/calendar/src/validate.rs
+++ b/crates/calendar/src/validate.rs
@@ -18,7 +18,7 @@
     TooLong,
     /// The end is not after the start.
     #[error("is not behind the start")]
-    BeforeStart,
+    EndNotAfterStart,
     /// The field names an unknown time zone.
     #[error("names no time zone that is known")]
     UnknownZone,
@@ -30,10 +30,10 @@
     OutOfRange,
     /// The entry would have no occurrence.
     #[error("leaves no occurrence")]
-    Never,
+    NoOccurrence,
     /// The entry would have more occurrences than allowed.
     #[error("makes too many occurrences")]
-    TooMany,
+    TooManyOccurrences,
 }
 
 /// An invalid field of a proposal.
@@ -92,7 +92,7 @@
 
 fn validate_duration(start: DateTime, end: DateTime) -> Result<(), InvalidField> {
     if end <= start {
-        return invalid("end", FieldProblem::BeforeStart);
+        return invalid("end", FieldProblem::EndNotAfterStart);
     }
     let max_duration = jiff::SignedDuration::from_hours(24 * MAX_DURATION_DAYS);
     if end.duration_since(start) > max_duration { invalid("end", FieldProblem::OutOfRange) } else { Ok(()) }
@@ -126,8 +126,8 @@
     }
     let field = if freeze.repeat.is_some() { "repeat" } else { "exceptions" };
     match occurrences::freeze_occurrences(freeze).len() {
-        0 => invalid(field, FieldProblem::Never),
-        count if count > MAX_OCCURRENCES_PER_ENTRY => invalid(field, FieldProblem::TooMany),
+        0 => invalid(field, FieldProblem::NoOccurrence),
+        count if count > MAX_OCCURRENCES_PER_ENTRY => invalid(field, FieldProblem::TooManyOccurrences),
         _ => Ok(()),
     }
 }
--- a/crates/spindlebeam/src/fleet_thread/answer.rs
+++ b/crates/spindlebeam/src/fleet_thread/answer.rs
@@ -70,12 +70,12 @@
     match problem {
         FieldProblem::Empty => "Empty",
         FieldProblem::TooLong => "TooLong",
-        FieldProblem::BeforeStart => "BeforeStart",
+        FieldProblem::EndNotAfterStart => "BeforeStart",
         FieldProblem::UnknownZone => "UnknownZone",
         FieldProblem::NeverHeld => "NeverHeld",
         FieldProblem::OutOfRange => "OutOfRange",
-        FieldProblem::Never => "Never",
-        FieldProblem::TooMany => "TooMany",
+        FieldProblem::NoOccurrence => "Never",
+        FieldProblem::TooManyOccurrences => "TooMany",
     }
 }
 
