--- a/crates/calendar/src/calendar.rs
+++ b/crates/calendar/src/calendar.rs
@@ -123,7 +123,7 @@
             Proposal::Revoke(revoke) => {
                 let revocable = self.entries.get(&revoke.id);
                 let revocable = revocable.filter(|it| it.committed.revoked_at.is_none() && at < it.end);
-                let revocable = revocable.ok_or_else(|| ProposalError::Unknown(revoke.id.clone()))?;
+                let revocable = revocable.ok_or_else(|| ProposalError::UnknownEntry(revoke.id.clone()))?;
                 let revoked = CommittedEntry { revoked_at: Some(at), ..revocable.committed.clone() };
                 Ok(ScheduledEntry::new(revoked, self.activation_delay))
             }
@@ -136,15 +136,15 @@
             return Err(ProposalError::Duplicate(id));
         }
         if self.entries.len() >= MAX_ENTRIES {
-            return Err(ProposalError::Full);
+            return Err(ProposalError::TooManyEntries);
         }
         let scheduled = ScheduledEntry::new(committed, self.activation_delay);
         if scheduled.in_force.is_empty() && scheduled.committed.revoked_at.is_none() {
-            return Err(ProposalError::Over(id));
+            return Err(ProposalError::EndsBeforeInForce(id));
         }
         let occurrences: usize = self.entries.values().map(|it| it.occurrences).sum();
         if occurrences + scheduled.occurrences > MAX_OCCURRENCES {
-            return Err(ProposalError::TooMany);
+            return Err(ProposalError::TooManyOccurrences);
         }
         Ok(scheduled)
     }
@@ -199,7 +199,7 @@
             let scheduled = ScheduledEntry::new(committed, snapshot.activation_delay);
             occurrences += scheduled.occurrences;
             if occurrences > MAX_OCCURRENCES {
-                return Err(ProposalError::TooMany.into());
+                return Err(ProposalError::TooManyOccurrences.into());
             }
             if calendar.entries.insert(id.clone(), scheduled).is_some() {
                 return Err(ProposalError::Duplicate(id).into());
--- a/crates/calendar/src/errors.rs
+++ b/crates/calendar/src/errors.rs
@@ -15,18 +15,18 @@
     Duplicate(String),
     /// The calendar contains no entry with this `id` that can be revoked.
     #[error("`id` names no entry that is not over: {0}")]
-    Unknown(String),
+    UnknownEntry(String),
     /// The entry would end before it could be in force.
     #[error("`end` is before the entry could be in force: {0}")]
-    Over(String),
+    EndsBeforeInForce(String),
     /// The calendar has the maximum number of entries.
     #[error("`entries` has no room: {MAX_ENTRIES} at most")]
-    Full,
+    TooManyEntries,
     /// The entries together would have too many occurrences.
     #[error(
         "`repeat` has no room: {MAX_OCCURRENCES} occurrences at most, over all entries and the names in each"
     )]
-    TooMany,
+    TooManyOccurrences,
 }
 
 /// The reason why a snapshot is rejected.
--- a/crates/calendar/tests/calendar.rs
+++ b/crates/calendar/tests/calendar.rs
@@ -138,7 +138,7 @@
     assert_eq!(calendar.apply(8, start, &add(&it)), Applied::Refused(duplicate));
     let revoke =
         |id: &str| Proposal::Revoke(Revoke { id: id.into(), asked_by: "Ana".into(), reason: "over".into() });
-    let unknown = ProposalError::Unknown("none".into());
+    let unknown = ProposalError::UnknownEntry("none".into());
     assert_eq!(calendar.apply(9, start, &revoke("none")), Applied::Refused(unknown));
     assert_eq!(calendar.apply(10, start + 60_000, &revoke("now")), Applied::Revoked);
     assert!(!frozen(&calendar, start + 60_000));
@@ -146,11 +146,11 @@
     assert_eq!((calendar.revision(), calendar.committed_at("now")), (10, Some((start, 7))));
     assert!(matches!(
         calendar.apply(11, start + 60_001, &revoke("now")),
-        Applied::Refused(ProposalError::Unknown(_))
+        Applied::Refused(ProposalError::UnknownEntry(_))
     ));
     assert!(matches!(
         calendar.apply(12, utc("2027-01-01T00:00Z"), &add(&it)),
-        Applied::Refused(ProposalError::Over(_))
+        Applied::Refused(ProposalError::EndsBeforeInForce(_))
     ));
     assert_eq!(calendar.entries().count(), 0, "the entry is dropped after its retention time");
 }
@@ -163,14 +163,14 @@
         assert_eq!(calendar.apply(n as u64 + 1, 1_000, &add(&numbered_freeze(n))), Applied::Added);
     }
     let applied = calendar.apply(20_000, 1_000, &add(&numbered_freeze(MAX_ENTRIES)));
-    assert_eq!(applied, Applied::Refused(ProposalError::Full));
+    assert_eq!(applied, Applied::Refused(ProposalError::TooManyEntries));
     let zones = (0..MAX_NAMES_PER_ENTRY).map(|n| format!("z{n}")).collect();
     let scope = Scope { kinds: vec![], place: ScopeTarget::Zones(zones) };
     let daily_in_many_zones =
         Freeze { repeat: repeat("2027-12-31", Recurrence::Daily(1)), scope, ..numbered_freeze(0) };
     assert_eq!(
         support::calendar(&[]).validate_proposal(1_000, &add(&daily_in_many_zones)),
-        Err(ProposalError::TooMany)
+        Err(ProposalError::TooManyOccurrences)
     );
 }
 
--- a/crates/spindlebeam/src/fleet_thread/answer.rs
+++ b/crates/spindlebeam/src/fleet_thread/answer.rs
@@ -59,10 +59,10 @@
             format!("Invalid(Invalid {{ field: {field:?}, what: {} }})", problem_text(*problem))
         }
         ProposalError::Duplicate(id) => format!("Duplicate({id:?})"),
-        ProposalError::Unknown(id) => format!("Unknown({id:?})"),
-        ProposalError::Over(id) => format!("Over({id:?})"),
-        ProposalError::Full => "Full".into(),
-        ProposalError::TooMany => "TooMany".into(),
+        ProposalError::UnknownEntry(id) => format!("Unknown({id:?})"),
+        ProposalError::EndsBeforeInForce(id) => format!("Over({id:?})"),
+        ProposalError::TooManyEntries => "Full".into(),
+        ProposalError::TooManyOccurrences => "TooMany".into(),
     }
 }
 
--- a/crates/spindlebeam/tests/applied_text.rs
+++ b/crates/spindlebeam/tests/applied_text.rs
@@ -12,10 +12,10 @@
         (Some(Applied::Revoked), "Some(Revoked)"),
         (Some(Applied::AlreadyApplied), "Some(Known)"),
         (refused(ProposalError::Duplicate("a\"b".into())), "Some(Refused(Duplicate(\"a\\\"b\")))"),
-        (refused(ProposalError::Unknown("x".into())), "Some(Refused(Unknown(\"x\")))"),
-        (refused(ProposalError::Over("x".into())), "Some(Refused(Over(\"x\")))"),
-        (refused(ProposalError::Full), "Some(Refused(Full))"),
-        (refused(ProposalError::TooMany), "Some(Refused(TooMany))"),
+        (refused(ProposalError::UnknownEntry("x".into())), "Some(Refused(Unknown(\"x\")))"),
+        (refused(ProposalError::EndsBeforeInForce("x".into())), "Some(Refused(Over(\"x\")))"),
+        (refused(ProposalError::TooManyEntries), "Some(Refused(Full))"),
+        (refused(ProposalError::TooManyOccurrences), "Some(Refused(TooMany))"),
     ] {
         assert_eq!(applied_text(applied.as_ref()), text);
     }
