--- a/crates/calendar/src/accepted.rs
+++ b/crates/calendar/src/accepted.rs
@@ -100,7 +100,7 @@
         let old_zone = old.map(|it| it.locality.as_str());
         let left_zone = old_zone.filter(|zone| *zone != new.locality && kind == ChangeKind::Zone);
         // Additional weight counts for the zone in which the endpoint is accepted. A change of zone affects both zones.
-        let zone = old_zone.filter(|_| kind == ChangeKind::More).unwrap_or(&new.locality);
+        let zone = old_zone.filter(|_| kind == ChangeKind::WeightIncreased).unwrap_or(&new.locality);
         let change = Change { kind, host: Some(&new.id), zones: [Some(zone), left_zone] };
         let GateContext { fleet_time, lease, .. } = *input.context;
         let (reason, until) = match input.calendar.check(fleet_time, lease, &change) {
@@ -110,7 +110,7 @@
             }
             Verdict::Hold { reason, until } => (reason, until),
         };
-        let replaceable = matches!(kind, ChangeKind::Join | ChangeKind::More)
+        let replaceable = matches!(kind, ChangeKind::Join | ChangeKind::WeightIncreased)
             && matches!(reason, HoldReason::Freeze { .. });
         let current = old.map_or(0.0, serving_weight);
         let replacement =
@@ -139,9 +139,9 @@
                     self.record(input.calendar, &new.id, kind, outcome);
                     result.applied = true;
                     if size < new.size
-                        && let Err(rest) = self.check(input, new, ChangeKind::More)
+                        && let Err(rest) = self.check(input, new, ChangeKind::WeightIncreased)
                     {
-                        result.hold(ChangeKind::More, rest);
+                        result.hold(ChangeKind::WeightIncreased, rest);
                     }
                 }
                 Err(outcome) => result.hold(kind, outcome),
--- a/crates/calendar/src/change.rs
+++ b/crates/calendar/src/change.rs
@@ -13,19 +13,25 @@
     /// An endpoint is gone from the endpoint list. Never held.
     Gone,
     /// An endpoint goes down. Never held.
-    Fall,
+    #[serde(rename = "fall")]
+    Down,
     /// An endpoint has restarted and is cold. Never held.
-    Cold,
+    #[serde(rename = "cold")]
+    Restarted,
     /// An operator disables an endpoint. Never held.
-    Out,
+    #[serde(rename = "out")]
+    Disabled,
     /// An operator enables an endpoint again. Never held, like every operator override.
-    Back,
+    #[serde(rename = "back")]
+    Enabled,
     /// An endpoint's weight decreases, or its address changes. Never held.
-    Less,
+    #[serde(rename = "less")]
+    WeightReduced,
     /// An endpoint joins the fleet.
     Join,
     /// An endpoint's weight increases, or it returns from draining.
-    More,
+    #[serde(rename = "more")]
+    WeightIncreased,
     /// An endpoint changes its zone, flavor or cell.
     Zone,
     /// The discovery source changes.
@@ -44,7 +50,7 @@
     /// The kinds that a freeze can hold.
     pub const PLANNED: [Self; 8] = [
         Self::Join,
-        Self::More,
+        Self::WeightIncreased,
         Self::Zone,
         Self::Discovery,
         Self::Configuration,
@@ -61,13 +67,13 @@
         match self {
             Self::Drain => "Drain",
             Self::Gone => "Gone",
-            Self::Fall => "Fall",
-            Self::Cold => "Cold",
-            Self::Out => "Out",
-            Self::Back => "Back",
-            Self::Less => "Less",
+            Self::Down => "Fall",
+            Self::Restarted => "Cold",
+            Self::Disabled => "Out",
+            Self::Enabled => "Back",
+            Self::WeightReduced => "Less",
             Self::Join => "Join",
-            Self::More => "More",
+            Self::WeightIncreased => "More",
             Self::Zone => "Zone",
             Self::Discovery => "Discovery",
             Self::Configuration => "Configuration",
--- a/crates/calendar/src/gate.rs
+++ b/crates/calendar/src/gate.rs
@@ -82,7 +82,7 @@
         let mut changed_hosts = Vec::new();
         for (host, new) in &newest {
             match self.apply_facts(input, new) {
-                Some(ChangeKind::Drain | ChangeKind::Gone | ChangeKind::Less) => {
+                Some(ChangeKind::Drain | ChangeKind::Gone | ChangeKind::WeightReduced) => {
                     reduced_hosts.push((*host).to_owned());
                 }
                 Some(_) => changed_hosts.push((*host).to_owned()),
--- a/crates/calendar/src/list_delta.rs
+++ b/crates/calendar/src/list_delta.rs
@@ -20,7 +20,7 @@
     let Some(old) = old else { return vec![ChangeKind::Join] };
     let mut kinds = Vec::new();
     if old.phase != Phase::Ready || new.size > old.size {
-        kinds.push(ChangeKind::More);
+        kinds.push(ChangeKind::WeightIncreased);
     }
     if placement_differs(old, new) {
         kinds.push(ChangeKind::Zone);
@@ -40,9 +40,9 @@
     match new.phase {
         Phase::Gone => Some(ChangeKind::Gone),
         Phase::Draining if old.phase != Phase::Draining => Some(ChangeKind::Drain),
-        _ if new.size < old.size => Some(ChangeKind::Less),
-        _ if new.up_since_ms != old.up_since_ms => Some(ChangeKind::Cold),
-        _ if new.host_port != old.host_port => Some(ChangeKind::Less),
+        _ if new.size < old.size => Some(ChangeKind::WeightReduced),
+        _ if new.up_since_ms != old.up_since_ms => Some(ChangeKind::Restarted),
+        _ if new.host_port != old.host_port => Some(ChangeKind::WeightReduced),
         _ => None,
     }
 }
@@ -60,7 +60,7 @@
 ) -> EndpointRecord {
     match (old, kind) {
         (None, _) => EndpointRecord { size, ..new.clone() },
-        (Some(old), ChangeKind::More) => EndpointRecord { phase: new.phase, size, ..old.clone() },
+        (Some(old), ChangeKind::WeightIncreased) => EndpointRecord { phase: new.phase, size, ..old.clone() },
         (Some(old), _) => EndpointRecord {
             locality: new.locality.clone(),
             flavor: new.flavor.clone(),
--- a/crates/calendar/tests/calendar.rs
+++ b/crates/calendar/tests/calendar.rs
@@ -179,7 +179,7 @@
     let calendar = calendar(&[freeze("it", "2026-01-24T00:00", "2026-02-01T00:00", "UTC")]);
     let (inside, outside) = (exact_time(utc("2026-01-25T00:00Z")), exact_time(utc("2026-03-01T00:00Z")));
     use ChangeKind::*;
-    for kind in [Drain, Gone, Fall, Cold, Out, Back, Less] {
+    for kind in [Drain, Gone, Down, Restarted, Disabled, Enabled, WeightReduced] {
         let verdict = calendar.check(inside, LeaseState::Fenced, &Change::of_host(kind, "h", "z"));
         assert_eq!(verdict, Verdict::Allow { revision: 1, override_id: None });
     }
@@ -210,7 +210,7 @@
     let in_a = Change::of_host(ChangeKind::Join, "h", "a");
     let verdict = calendar.check(exact_time(committed), LeaseState::Held, &in_a);
     assert_eq!(verdict, Verdict::Allow { revision: 5, override_id: Some("rack".into()) });
-    assert!(held(&calendar, committed, &Change::of_host(ChangeKind::More, "h", "a")));
+    assert!(held(&calendar, committed, &Change::of_host(ChangeKind::WeightIncreased, "h", "a")));
     assert!(held(&calendar, committed, &Change::of_fleet(ChangeKind::Join)));
     let zone_change = Change { kind: ChangeKind::Zone, host: Some("h"), zones: [Some("a"), Some("b")] };
     assert!(held(&calendar, committed, &zone_change), "the override covers only one of the two zones");
--- a/crates/calendar/tests/gate.rs
+++ b/crates/calendar/tests/gate.rs
@@ -71,8 +71,8 @@
         &complete_list(vec![endpoint("h1", 2.0), endpoint("h4", 4.0), moved, less]),
     );
     assert_eq!(listed_weights(&result), "h1:1.5 h2:1 h3:0.5", "h1 replaces what h3 lost");
-    assert_eq!(recorded_outcome(&result, "h3"), (ChangeKind::Less, &ChangeOutcome::Applied));
-    assert_eq!(recorded_outcome(&result, "h2"), (ChangeKind::Cold, &ChangeOutcome::Applied));
+    assert_eq!(recorded_outcome(&result, "h3"), (ChangeKind::WeightReduced, &ChangeOutcome::Applied));
+    assert_eq!(recorded_outcome(&result, "h2"), (ChangeKind::Restarted, &ChangeOutcome::Applied));
     assert!(matches!(
         recorded_outcome(&result, "h4"),
         (ChangeKind::Join, ChangeOutcome::Held { reason: HoldReason::Freeze { .. }, .. })
@@ -82,7 +82,7 @@
     assert!(result.records.iter().all(|it| it.revision == 1 && it.list == 3));
     let pending: Vec<_> = gate.pending_changes().iter().map(|it| (it.0, it.1.kind)).collect();
     let expected = [
-        ("h1", ChangeKind::More),
+        ("h1", ChangeKind::WeightIncreased),
         ("h4", ChangeKind::Join),
         ("h2", ChangeKind::Zone),
         ("h3", ChangeKind::Zone),
