--- a/crates/calendar/src/pending.rs
+++ b/crates/calendar/src/pending.rs
@@ -10,9 +10,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ReleasePace {
     /// Number of endpoints released in one step. 0 counts as 1.
-    pub hosts: usize,
+    pub endpoints_per_step: usize,
     /// Time from one step to the next, on the owner's clock.
-    pub pause: Millis,
+    pub interval_ms: Millis,
 }
 
 /// A held change.
@@ -128,7 +128,7 @@
         if now < self.next_release_at {
             return Vec::new();
         }
-        let max_applied = self.pace.hosts.max(1);
+        let max_applied = self.pace.endpoints_per_step.max(1);
         let (mut applied, mut subjects) = (0, Vec::new());
         for (subject, change) in &mut self.queue {
             if applied >= max_applied {
@@ -142,7 +142,7 @@
         }
         // Set even if nothing was applied. Otherwise an owner that wakes for the next release would busy-loop during a
         // freeze.
-        self.next_release_at = now.saturating_add(self.pace.pause.max(1));
+        self.next_release_at = now.saturating_add(self.pace.interval_ms.max(1));
         let release = |subject: String| {
             let change = self.queue.remove(&subject)?;
             Some(ReleasedChange { subject, change })
--- a/crates/calendar/tests/gate.rs
+++ b/crates/calendar/tests/gate.rs
@@ -6,7 +6,7 @@
 use proto::discovery::{EndpointList, EndpointRecord, Phase};
 use support::*;
 
-const PACE: ReleasePace = ReleasePace { hosts: 2, pause: 1_000 };
+const PACE: ReleasePace = ReleasePace { endpoints_per_step: 2, interval_ms: 1_000 };
 const BEFORE: &str = "2026-01-23T00:00Z";
 const DURING: &str = "2026-01-25T00:00Z";
 const AFTER: &str = "2026-02-02T00:00Z";
--- a/crates/gateway/src/engine/fleet.rs
+++ b/crates/gateway/src/engine/fleet.rs
@@ -23,7 +23,7 @@
 /// addition, the lease is checked for each request.
 pub(super) const POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// After a freeze, pending changes are applied in steps, so that only a few cold endpoints are added at a time.
-const RELEASE_PACE: ReleasePace = ReleasePace { hosts: 8, pause: 1_000 };
+const RELEASE_PACE: ReleasePace = ReleasePace { endpoints_per_step: 8, interval_ms: 1_000 };
 /// The `host` in the record of a change that concerns the whole fleet.
 const WHOLE_FLEET: &str = "*";
 
