--- a/crates/calendar/src/accepted.rs
+++ b/crates/calendar/src/accepted.rs
@@ -82,8 +82,14 @@
     pub(crate) fn record(
         &mut self, calendar: &Calendar, host: &str, kind: ChangeKind, outcome: ChangeOutcome,
     ) {
-        let (list, revision) = (self.list_revision, calendar.revision());
-        self.records.push(ChangeRecord { host: host.to_owned(), kind, list, outcome, revision });
+        let (list_revision, calendar_revision) = (self.list_revision, calendar.revision());
+        self.records.push(ChangeRecord {
+            host: host.to_owned(),
+            kind,
+            list_revision,
+            outcome,
+            calendar_revision,
+        });
     }
 
     /// Returns whether a change would be applied now.
--- a/crates/calendar/src/records.rs
+++ b/crates/calendar/src/records.rs
@@ -47,11 +47,11 @@
     /// The kind of the change.
     pub kind: ChangeKind,
     /// The revision of the endpoint list.
-    pub list: u64,
+    pub list_revision: u64,
     /// The outcome of the change.
     pub outcome: ChangeOutcome,
     /// The revision of the calendar.
-    pub revision: u64,
+    pub calendar_revision: u64,
 }
 
 /// The accepted part of an endpoint list, and a record of each change that was applied or held.
--- a/crates/calendar/tests/gate.rs
+++ b/crates/calendar/tests/gate.rs
@@ -79,7 +79,7 @@
     ));
     let zones: Vec<_> = gate.members().map(|it| (it.locality.as_str(), it.up_since_ms)).collect();
     assert_eq!(zones, [("a", 5), ("a", 9), ("a", 5)], "a restart is a fact, and a zone change is planned");
-    assert!(result.records.iter().all(|it| it.revision == 1 && it.list == 3));
+    assert!(result.records.iter().all(|it| it.calendar_revision == 1 && it.list_revision == 3));
     let pending: Vec<_> = gate.pending_changes().iter().map(|it| (it.0, it.1.kind)).collect();
     let expected = [
         ("h1", ChangeKind::WeightIncreased),
@@ -281,7 +281,7 @@
     let result = gate.release(&context(2, DURING), &calendar).unwrap();
     assert_eq!(listed_weights(&result), "h5:1");
     assert_eq!(recorded_outcome(&result, "h5").1, &ChangeOutcome::Override("rack".into()));
-    assert_eq!((result.records[0].revision, gate.pending_changes().len()), (2, 1));
+    assert_eq!((result.records[0].calendar_revision, gate.pending_changes().len()), (2, 1));
 }
 
 #[test]
--- a/crates/gateway/src/engine/fleet.rs
+++ b/crates/gateway/src/engine/fleet.rs
@@ -149,8 +149,14 @@
             Verdict::Hold { reason, until } => Err(ChangeCheckError::Held { reason, until }),
             Verdict::Allow { revision, override_id } => {
                 let outcome = override_id.map_or(ChangeOutcome::Applied, ChangeOutcome::Override);
-                let list = self.list_revision;
-                self.record(ChangeRecord { host: WHOLE_FLEET.into(), kind, list, outcome, revision });
+                let list_revision = self.list_revision;
+                self.record(ChangeRecord {
+                    host: WHOLE_FLEET.into(),
+                    kind,
+                    list_revision,
+                    outcome,
+                    calendar_revision: revision,
+                });
                 Ok(())
             }
         }
@@ -225,14 +231,19 @@
 
     fn record(&mut self, record: ChangeRecord) {
         let kind = change_kind_name(record.kind);
-        let ChangeRecord { host, list, outcome, revision, .. } = &record;
+        let ChangeRecord { host, list_revision, outcome, calendar_revision, .. } = &record;
         if *outcome == ChangeOutcome::InitialList {
-            log::debug!("topology: {host} {kind} applied from the first list (calendar revision {revision})");
+            log::debug!(
+                "topology: {host} {kind} applied from the first list (calendar revision {calendar_revision})"
+            );
         } else {
-            log::info!("topology: {host} {kind} {} (calendar revision {revision})", outcome_text(outcome));
+            log::info!(
+                "topology: {host} {kind} {} (calendar revision {calendar_revision})",
+                outcome_text(outcome)
+            );
         }
         let accepted = !matches!(outcome, ChangeOutcome::Held { .. } | ChangeOutcome::QueueFull);
-        let digest_input = format!("{host}\n{kind}\n{list}");
+        let digest_input = format!("{host}\n{kind}\n{list_revision}");
         self.audit.record_topology_change(digest_input.as_bytes(), accepted);
         self.audit.send(AuditEvent::Record(record));
     }
--- a/crates/gateway/tests/fleet.rs
+++ b/crates/gateway/tests/fleet.rs
@@ -290,7 +290,8 @@
         while let Ok(event) = balancer.audit_events.try_recv() {
             match event {
                 AuditEvent::Record(record) => {
-                    text += &format!("{} {} {}\n", record.host, record.list, record.revision);
+                    text +=
+                        &format!("{} {} {}\n", record.host, record.list_revision, record.calendar_revision);
                 }
                 AuditEvent::Report(report) => last = Some(report),
                 AuditEvent::Entry(_) => {}
