--- a/crates/gateway/src/engine/phases/overrides.rs
+++ b/crates/gateway/src/engine/phases/overrides.rs
@@ -52,7 +52,7 @@
 
     fn apply_override_change(&mut self, endpoints: &[String]) {
         self.apply_overridden_entries(endpoints);
-        let draining = self.overrides.current().draining();
+        let draining = self.overrides.current().is_draining();
         if self.handle.draining.send_replace(draining) != draining {
             log::info!("engine: {}", if draining { "draining" } else { "drain ended" });
         }
--- a/crates/maintenance/src/overrides.rs
+++ b/crates/maintenance/src/overrides.rs
@@ -86,7 +86,7 @@
 
     /// Returns whether the balancer drains.
     #[must_use]
-    pub fn draining(&self) -> bool {
+    pub fn is_draining(&self) -> bool {
         self.draining
     }
 
--- a/crates/maintenance/tests/overrides.rs
+++ b/crates/maintenance/tests/overrides.rs
@@ -106,7 +106,7 @@
     let persisted = OperatorOverrides::from_text(&overridden.overrides().to_text()).unwrap();
     assert_eq!(&persisted, overridden.overrides());
     let mut next = OverriddenList::new(Some("origin".into()), persisted);
-    assert!(next.overrides().draining());
+    assert!(next.overrides().is_draining());
     let list = next.apply_list(&endpoint_list(true, &[("a", "ready", 0), ("b", "ready", 0)]));
     assert_eq!(entries(&list), [("a", Phase::Draining, 0), ("b", Phase::Ready, 120)]);
 
@@ -118,7 +118,7 @@
         [("a", Phase::Ready, 140)],
         "the command of the other process is in force"
     );
-    assert!(!overridden.overrides().draining());
+    assert!(!overridden.overrides().is_draining());
 }
 
 #[test]
--- a/crates/maintenance/tests/store.rs
+++ b/crates/maintenance/tests/store.rs
@@ -171,7 +171,7 @@
     let again = harness.finish_write(changed);
     assert_eq!(again[0], StoreAction::Changed(OverrideChange::Loaded, vec!["b".into()]));
     assert!(
-        matches!(&again[1], StoreAction::Write(both) if both.draining() && both.is_disabled("b")),
+        matches!(&again[1], StoreAction::Write(both) if both.is_draining() && both.is_disabled("b")),
         "{again:?}"
     );
     assert_eq!(again.len(), 2, "the caller waits for the second write");
@@ -190,14 +190,14 @@
     harness.command(OverrideCommand::Drain, 2);
     harness.command(disable("a"), 3); // repeats a command that is in force and acknowledged
     harness.advance(200);
-    assert!(harness.list.overrides().draining());
+    assert!(harness.list.overrides().is_draining());
     let actions = harness.complete_write(Err("no space".into()));
     assert_eq!(actions[0], StoreAction::Changed(OverrideChange::RolledBack, vec![]));
     assert!(
         actions.contains(&StoreAction::Answer(2, CommandOutcome::NotPersisted("no space".into()))),
         "{actions:?}"
     );
-    assert_eq!((harness.disabled(), harness.list.overrides().draining()), ([true, false], false));
+    assert_eq!((harness.disabled(), harness.list.overrides().is_draining()), ([true, false], false));
 }
 
 #[test]
