--- a/crates/gateway/src/engine/phases/attempts.rs
+++ b/crates/gateway/src/engine/phases/attempts.rs
@@ -21,7 +21,7 @@
         context.attempts_started += 1;
         let sent_at = Instant::now();
         let awaited = context.awaited.get();
-        let endpoint = self.endpoints.endpoint(target).filter(|endpoint| endpoint.ready() && awaited);
+        let endpoint = self.endpoints.endpoint(target).filter(|endpoint| endpoint.is_ready() && awaited);
         let Some(endpoint) = endpoint.cloned() else {
             return self.events.push_back(unsent_attempt(id, number, awaited));
         };
--- a/crates/gateway/src/engine/testing.rs
+++ b/crates/gateway/src/engine/testing.rs
@@ -106,7 +106,7 @@
     /// Returns whether requests may be sent to this endpoint.
     #[must_use]
     pub fn accepts_requests(&self, endpoint: &str) -> bool {
-        self.0.endpoints.endpoint(endpoint_id(endpoint)).is_some_and(|endpoint| endpoint.ready())
+        self.0.endpoints.endpoint(endpoint_id(endpoint)).is_some_and(|endpoint| endpoint.is_ready())
     }
 
     /// Returns the number of requests in progress.
--- a/crates/spindlebeam/tests/start.rs
+++ b/crates/spindlebeam/tests/start.rs
@@ -98,8 +98,8 @@
         "x has restarted, y is draining"
     );
     assert!(
-        endpoints.endpoint(endpoint_id("x")).unwrap().ready()
-            && !endpoints.endpoint(endpoint_id("y")).unwrap().ready()
+        endpoints.endpoint(endpoint_id("x")).unwrap().is_ready()
+            && !endpoints.endpoint(endpoint_id("y")).unwrap().is_ready()
     );
 
     let before = endpoints.endpoint(endpoint_id("x")).unwrap().clone();
@@ -110,7 +110,7 @@
         "an endpoint missing from a whole list is gone"
     );
     assert!(
-        !before.ready() && endpoints.endpoint(endpoint_id("x")).is_none(),
+        !before.is_ready() && endpoints.endpoint(endpoint_id("x")).is_none(),
         "also for an attempt that still connects to it"
     );
 
@@ -119,7 +119,7 @@
     let (_, entries, stale) = endpoints.apply(&read(4, false, &[("y", "gone", 0)]), false);
     assert_eq!((entries[0].state, stale), (EndpointState::Gone, vec![endpoint_id("y")]));
     assert!(
-        !before.ready() && endpoints.endpoint(endpoint_id("y")).is_none(),
+        !before.is_ready() && endpoints.endpoint(endpoint_id("y")).is_none(),
         "nothing is kept of a gone endpoint"
     );
 }
--- a/crates/upstream/src/connection/attempt.rs
+++ b/crates/upstream/src/connection/attempt.rs
@@ -97,7 +97,7 @@
             Ok(connection) => connection,
             Err(outcome) => return outcome.into(),
         };
-        if !self.endpoint.ready() {
+        if !self.endpoint.is_ready() {
             return Outcome::Rejected.into(); // the endpoint started to drain or was removed while connecting
         }
         if self.permit.check(self.deadline).is_err() {
--- a/crates/upstream/src/connection/pools.rs
+++ b/crates/upstream/src/connection/pools.rs
@@ -126,7 +126,7 @@
         let has_idle = self.idle.get(&endpoint.id).is_some_and(|idle| !idle.is_empty());
         // Leaves half of the permitted connections to attempts.
         let has_capacity = 2 * self.open.get() < self.bounds.peers;
-        if has_idle || !has_capacity || !endpoint.ready() {
+        if has_idle || !has_capacity || !endpoint.is_ready() {
             return None;
         }
         match self.check_out(endpoint) {
@@ -138,7 +138,7 @@
     /// Returns the connection of an attempt to the pool; `None` if it was closed or could not be opened. The connection
     /// is kept if the endpoint is ready and has sent nothing after its response.
     pub fn check_in(&mut self, endpoint: &Endpoint, connection: Option<Connection>) {
-        let reusable = connection.filter(|connection| endpoint.ready() && connection.has_no_input());
+        let reusable = connection.filter(|connection| endpoint.is_ready() && connection.has_no_input());
         let Some(connection) = reusable else {
             self.counters.not_reusable += 1;
             return;
--- a/crates/upstream/src/endpoints.rs
+++ b/crates/upstream/src/endpoints.rs
@@ -27,7 +27,7 @@
 
 impl Endpoint {
     /// Returns whether new requests may be sent to the endpoint.
-    pub fn ready(&self) -> bool {
+    pub fn is_ready(&self) -> bool {
         self.state.get() == EndpointState::Ready
     }
 
@@ -172,7 +172,7 @@
             false => PresenceChange::Changed,
         };
         let is_same_process = known.addr == member.host_port && known.up_since_ms == member.up_since_ms;
-        if !is_same_process || !known.ready() {
+        if !is_same_process || !known.is_ready() {
             idle_to_close.push(entry.id);
         }
         if !is_same_process {
