--- a/crates/front/src/accept.rs
+++ b/crates/front/src/accept.rs
@@ -95,7 +95,7 @@
         if shared {
             tokio::select! {
                 _ = &mut stop => return,
-                () = self.handle.until_ready() => log::info!("front: accepting from the inherited socket"),
+                () = self.handle.wait_until_ready() => log::info!("front: accepting from the inherited socket"),
             }
         }
         let mut report = interval(REPORT_INTERVAL);
--- a/crates/front/src/client/commands.rs
+++ b/crates/front/src/client/commands.rs
@@ -149,9 +149,9 @@
         let handle = &self.front.handle;
         if self.front.shutdown().is_draining() {
             "-DRAINING\r\n"
-        } else if handle.ready() {
+        } else if handle.is_ready() {
             "+PONG\r\n"
-        } else if handle.fenced() {
+        } else if handle.is_fenced() {
             "-LOADING fenced\r\n"
         } else {
             "-LOADING the list of peers has not come yet\r\n"
--- a/crates/front/src/operator/call.rs
+++ b/crates/front/src/operator/call.rs
@@ -134,9 +134,9 @@
     }
 
     fn ready(&self) -> Response<Full<Bytes>> {
-        let reason = if self.handle.fenced() {
+        let reason = if self.handle.is_fenced() {
             "fenced: no lease of the fleet is held, and nothing new is taken"
-        } else if !self.handle.ready() {
+        } else if !self.handle.is_ready() {
             "the list of cache hosts, or what was ordered before, has not come yet"
         } else if let Some(reason) = self.front.closing_reason() {
             reason
--- a/crates/gateway/src/engine/handle.rs
+++ b/crates/gateway/src/engine/handle.rs
@@ -170,20 +170,20 @@
     }
 
     /// Waits until the engine is ready: it has an endpoint list and its overrides, and is not fenced.
-    pub async fn until_ready(&self) {
+    pub async fn wait_until_ready(&self) {
         let _ = self.ready.subscribe().wait_for(|ready| *ready).await; // cannot fail: this handle owns the sender
     }
 
     /// Returns whether the engine has an endpoint list and its overrides, and is not fenced.
     #[must_use]
-    pub fn ready(&self) -> bool {
-        *self.ready.borrow() && !self.fenced()
+    pub fn is_ready(&self) -> bool {
+        *self.ready.borrow() && !self.is_fenced()
     }
 
     /// Returns whether new requests are rejected because this balancer holds no lease of the fleet. Correct even before
     /// the engine has polled the end of the lease.
     #[must_use]
-    pub fn fenced(&self) -> bool {
+    pub fn is_fenced(&self) -> bool {
         self.fleet.get().is_some_and(|fleet| fleet.clock.now() >= fleet.serve_until.get())
     }
 
--- a/crates/gateway/tests/fleet.rs
+++ b/crates/gateway/tests/fleet.rs
@@ -143,11 +143,11 @@
         assert!(counters.contains("1 rejected (fenced 1)"), "{counters}");
         balancer.grant_lease();
         balancer.engine.update_readiness();
-        assert!(balancer.handle.ready());
+        assert!(balancer.handle.is_ready());
         let _accepted = balancer.submit(2).await;
         assert_eq!(balancer.engine.request_count(), 1, "request 2 is accepted under the lease");
         advance(LEASE).await;
-        assert!(!balancer.handle.ready(), "not ready even before the engine has run again");
+        assert!(!balancer.handle.is_ready(), "not ready even before the engine has run again");
         assert!(matches!(final_answer(balancer.submit(3).await).await, Answer::Rejected(0)));
         let counters = balancer.engine.counters();
         assert!(counters.contains("2 rejected (fenced 2)"), "{counters}");
@@ -155,7 +155,7 @@
         assert!(!balancer.engine.last_readiness());
         balancer.grant_lease();
         balancer.engine.update_readiness();
-        assert!(balancer.handle.ready(), "ready again under a new lease");
+        assert!(balancer.handle.is_ready(), "ready again under a new lease");
     };
     LocalSet::new().run_until(run).await;
 }
--- a/crates/spindlebeam/src/serve/serving_file.rs
+++ b/crates/spindlebeam/src/serve/serving_file.rs
@@ -27,7 +27,7 @@
 
     /// Writes the id of this process as soon as it is ready.
     pub(super) async fn announce(self, handle: Handle) {
-        handle.until_ready().await;
+        handle.wait_until_ready().await;
         let process_id = std::process::id().to_string();
         let file = self.0.clone();
         if let Ok(Err(error)) = spawn_blocking(move || std::fs::write(file, process_id)).await {
