--- a/crates/front/src/front.rs
+++ b/crates/front/src/front.rs
@@ -150,7 +150,7 @@
 
     /// Follows the drain state of the balancer until the core stops: client connections close while it is draining.
     pub async fn follow_drain(self: Rc<Self>) {
-        let mut draining = self.handle.draining();
+        let mut draining = self.handle.subscribe_draining();
         loop {
             let is_draining = *draining.borrow_and_update();
             self.change_shutdown(|shutdown| shutdown.set_draining(Instant::now(), is_draining));
--- a/crates/gateway/src/engine/handle.rs
+++ b/crates/gateway/src/engine/handle.rs
@@ -155,7 +155,7 @@
 
     /// Returns a watch on whether the balancer is draining.
     #[must_use]
-    pub fn draining(&self) -> watch::Receiver<bool> {
+    pub fn subscribe_draining(&self) -> watch::Receiver<bool> {
         self.draining.subscribe()
     }
 
