--- a/crates/gateway/src/engine/handle.rs
+++ b/crates/gateway/src/engine/handle.rs
@@ -121,7 +121,7 @@
     }
 
     /// Sends a watch event of discovery to the engine, which handles it before all other inputs.
-    pub fn handle_watch_event(&self, event: WatchEvent) {
+    pub fn publish_watch_event(&self, event: WatchEvent) {
         let _ = self.discovery.send(DiscoveryInput { event, published_at: Instant::now() });
     }
 
--- a/crates/gateway/tests/queued_requests.rs
+++ b/crates/gateway/tests/queued_requests.rs
@@ -72,7 +72,7 @@
     let queued: Vec<_> = ["1", "2", "3"].map(|text| submit(&handle, text)).into();
     let mut draining = list(&listener);
     draining.members[0].phase = Phase::Draining;
-    handle.handle_watch_event(WatchEvent::List(draining));
+    handle.publish_watch_event(WatchEvent::List(draining));
     let tasks = LocalSet::new();
     tasks.spawn_local(engine.run());
     for ticket in queued {
--- a/crates/spindlebeam/src/serve/parts.rs
+++ b/crates/spindlebeam/src/serve/parts.rs
@@ -115,7 +115,7 @@
     };
     let dialer = ::discovery::Dialer::new();
     let dial = move |addr| dialer.clone().connect(addr).boxed_local();
-    let on_event = move |event| handle.handle_watch_event(event);
+    let on_event = move |event| handle.publish_watch_event(event);
     let (known, balancers) = (config.known.clone(), config.settings.balancers);
     spawn_local(::discovery::follow(address_changes, known, delivery, balancers, dial, on_event))
 }
