--- a/crates/front/src/operator/call.rs
+++ b/crates/front/src/operator/call.rs
@@ -102,7 +102,9 @@
         match self.handle.apply_override(command).await {
             Ok(true) => response::json(StatusCode::OK, &json!({"done": true})),
             Ok(false) => response::json(StatusCode::ACCEPTED, &json!({"done": true, "kept": false})),
-            Err(error @ CommandError::Order(_)) => response::error(StatusCode::NOT_FOUND, &error.to_string()),
+            Err(error @ CommandError::Override(_)) => {
+                response::error(StatusCode::NOT_FOUND, &error.to_string())
+            }
             Err(error) => {
                 log::error!("operators: {error}");
                 response::error(StatusCode::INTERNAL_SERVER_ERROR, &error.to_string())
--- a/crates/gateway/src/engine/handle.rs
+++ b/crates/gateway/src/engine/handle.rs
@@ -25,7 +25,7 @@
 pub enum CommandError {
     /// The command is invalid or not possible in the current state.
     #[error(transparent)]
-    Order(#[from] OverrideError),
+    Override(#[from] OverrideError),
     /// The overrides file could not be written, so that the command would be lost with the process.
     #[error("the order could not be written to {OVERRIDES_FILE}: {0}")]
     NotPersisted(String),
