--- a/crates/front/src/request.rs
+++ b/crates/front/src/request.rs
@@ -107,7 +107,7 @@
             key: key.clone(),
             id: id.clone(),
             options: options.clone(),
-            time_at: time_limit.position,
+            time_limit_range: time_limit.position,
             value: command.0.get(READ_WORDS).cloned(),
         }),
     })
--- a/crates/gateway/tests/support/mod.rs
+++ b/crates/gateway/tests/support/mod.rs
@@ -54,7 +54,7 @@
 pub fn submit(handle: &Handle, key_number: u64, text: &str, received: Instant) -> Ticket {
     let text = Bytes::copy_from_slice(text.as_bytes());
     let (command, key, id, options) = (text.clone(), text.clone(), text.clone(), text);
-    let call = Rc::new(Call { command, key, id, options, time_at: 0..0, value: None });
+    let call = Rc::new(Call { command, key, id, options, time_limit_range: 0..0, value: None });
     let request = IncomingRequest {
         class: ClassId(0),
         tenant: TenantId(0),
--- a/crates/upstream/src/call.rs
+++ b/crates/upstream/src/call.rs
@@ -17,7 +17,7 @@
     /// The options, as names and values.
     pub options: Bytes,
     /// The position of the client's time limit in the options.
-    pub time_at: Range<usize>,
+    pub time_limit_range: Range<usize>,
     /// The value of a write; `None` for a read.
     pub value: Option<Bytes>,
 }
@@ -27,7 +27,7 @@
     /// wait.
     #[must_use]
     pub fn options_with_time_limit(&self, ms: u64) -> Vec<u8> {
-        let Range { start, end } = self.time_at.clone();
+        let Range { start, end } = self.time_limit_range.clone();
         [&self.options[..start], ms.to_string().as_bytes(), &self.options[end..]].concat()
     }
 }
--- a/crates/upstream/tests/attempts.rs
+++ b/crates/upstream/tests/attempts.rs
@@ -59,8 +59,14 @@
 async fn run_attempt(endpoint: &Rc<Endpoint>, source: ConnectionSource, deadline: Instant) -> Outcome {
     let word = Bytes::from_static(b"1");
     let options = Bytes::from_static(b"c=leer,d=60000,k=1");
-    let call =
-        Call { command: word.clone(), key: word.clone(), id: word, options, time_at: 9..14, value: None };
+    let call = Call {
+        command: word.clone(),
+        key: word.clone(),
+        id: word,
+        options,
+        time_limit_range: 9..14,
+        value: None,
+    };
     let (_keep, cancelled) = oneshot::channel();
     Attempt {
         endpoint: endpoint.clone(),
--- a/crates/upstream/tests/fake_endpoint/mod.rs
+++ b/crates/upstream/tests/fake_endpoint/mod.rs
@@ -66,7 +66,7 @@
     pub fn attempt(&self, source: ConnectionSource, value: Option<Bytes>, deadline: Instant) -> Attempt {
         let word = Bytes::from_static(b"1");
         let (command, key, id, options) = (word.clone(), word.clone(), word.clone(), word);
-        let call = Rc::new(Call { command, key, id, options, time_at: 0..1, value });
+        let call = Rc::new(Call { command, key, id, options, time_limit_range: 0..1, value });
         Attempt {
             endpoint: self.endpoints.endpoint(self.endpoint.id).unwrap().clone(),
             call,
