--- a/crates/gateway/src/engine.rs
+++ b/crates/gateway/src/engine.rs
@@ -89,7 +89,7 @@
         // clock never goes back.
         let unix = unix_us();
         let settings = &config.settings;
-        let overrides_folder = config.folder.as_deref().filter(|_| config.operator.is_some());
+        let overrides_folder = config.state_folder.as_deref().filter(|_| config.admin_address.is_some());
         let origin_flavor =
             settings.origin_kind.and_then(|kind| config.names.kinds.get(usize::from(kind))).cloned();
         let overrides = Overrides::new(overrides_folder, origin_flavor);
@@ -108,12 +108,12 @@
             overrides,
             gossip: Gossip::default(),
             fleet: None,
-            known_list: config.known.clone(),
+            known_list: config.known_endpoints.clone(),
             effects: settings.classes.iter().map(|class| class.effect).collect(),
             tick: Duration::from_micros(settings.tick_us),
             bounds: config.bounds,
         };
-        if let Some(known) = &config.known {
+        if let Some(known) = &config.known_endpoints {
             engine.apply_known_list(known);
             engine.dispatch_events();
         }
--- a/crates/gateway/src/setup.rs
+++ b/crates/gateway/src/setup.rs
@@ -13,19 +13,19 @@
     /// The balancer's name.
     pub name: String,
     /// The address that clients connect to.
-    pub listen: SocketAddr,
+    pub listen_address: SocketAddr,
     /// The descriptor number of an inherited listening socket for clients; if `None`, the program binds its own.
     pub inherited_descriptor: Option<i32>,
     /// The listen address of the admin endpoint, if it is enabled.
-    pub operator: Option<SocketAddr>,
+    pub admin_address: Option<SocketAddr>,
     /// The folder for files that outlive the process, such as the operator overrides, if one is configured.
-    pub folder: Option<PathBuf>,
+    pub state_folder: Option<PathBuf>,
     /// The address of the discovery agent.
     pub discovery: SocketAddr,
     /// The seed of the decision module's random number generator.
     pub seed: u64,
     /// The endpoint list known before the start. It may be outdated.
-    pub known: Option<EndpointList>,
+    pub known_endpoints: Option<EndpointList>,
     /// Settings of the decision module.
     pub settings: Settings,
     /// Names of the classes, tenants, zones and kinds, which the settings identify by number.
--- a/crates/gateway/tests/support/mod.rs
+++ b/crates/gateway/tests/support/mod.rs
@@ -36,13 +36,13 @@
     let unused_address = ([127, 0, 0, 1], 1).into();
     Config {
         name: "n0".into(),
-        listen: unused_address,
+        listen_address: unused_address,
         inherited_descriptor: None,
-        operator: None,
-        folder: None,
+        admin_address: None,
+        state_folder: None,
         discovery: unused_address,
         seed: 1,
-        known,
+        known_endpoints: known,
         settings: Settings { classes: vec![class], ..Settings::default() },
         names: Names::default(),
         bounds,
--- a/crates/spindlebeam/src/config.rs
+++ b/crates/spindlebeam/src/config.rs
@@ -57,15 +57,15 @@
 /// If a variable is invalid; the error names it.
 pub fn apply_environment(variable: impl Fn(&str) -> Option<String>, config: &mut Config) -> Result<()> {
     if let Some(text) = variable("PROXY_OPERATOR") {
-        config.operator = Some(parse_address("PROXY_OPERATOR", &text)?);
+        config.admin_address = Some(parse_address("PROXY_OPERATOR", &text)?);
     }
     if let Some(text) = variable("PROXY_FD") {
         let number =
             text.parse().with_context(|| format!("PROXY_FD: {text:?} is not a descriptor number"))?;
         config.inherited_descriptor = Some(number);
     }
-    config.folder = variable("TMPDIR").map(PathBuf::from);
-    if config.operator.is_some() {
+    config.state_folder = variable("TMPDIR").map(PathBuf::from);
+    if config.admin_address.is_some() {
         // Connections to the admin endpoint take descriptors from those of the clients.
         let clients = config.bounds.clients.saturating_sub(MAX_CALLERS);
         config.bounds.clients = clients.max(1);
@@ -90,13 +90,13 @@
         if settings.may_message_peers { parse_gossip(&file, settings.instance as usize)? } else { None };
     Ok(Config {
         name: file.required("name")?,
-        listen: file.address("listen")?.context("listen: missing")?,
+        listen_address: file.address("listen")?.context("listen: missing")?,
         inherited_descriptor: None,
-        folder: None,
-        operator: file.address("operator")?,
+        state_folder: None,
+        admin_address: file.address("operator")?,
         discovery: file.address("discovery")?.context("discovery: missing")?,
         seed,
-        known: file.known_endpoints(),
+        known_endpoints: file.known_endpoints(),
         names: parse_names(file.settings()),
         bounds,
         gossip,
--- a/crates/spindlebeam/src/main.rs
+++ b/crates/spindlebeam/src/main.rs
@@ -84,9 +84,9 @@
     println!("{}: usable; {classes} classes, {tenants} tenants, {}", config.name, describe(&config.bounds));
     match config.inherited_descriptor {
         Some(number) => println!("clients: the socket inherited as descriptor {number}"),
-        None => println!("clients: {}", config.listen),
+        None => println!("clients: {}", config.listen_address),
     }
-    match config.operator {
+    match config.admin_address {
         Some(addr) => println!("operators: {addr}"),
         None => println!("operators: nowhere"),
     }
--- a/crates/spindlebeam/src/reload.rs
+++ b/crates/spindlebeam/src/reload.rs
@@ -114,8 +114,8 @@
 fn fields_that_need_restart(running: &Config, new: &Config) -> Vec<&'static str> {
     let fields = [
         ("name", running.name != new.name),
-        ("listen", running.listen != new.listen),
-        ("operator", running.operator != new.operator),
+        ("listen", running.listen_address != new.listen_address),
+        ("operator", running.admin_address != new.admin_address),
         ("peers, peers_all or peer_listen", running.gossip != new.gossip),
         ("limits", running.bounds != new.bounds),
         ("settings", running.settings != new.settings || running.names != new.names),
--- a/crates/spindlebeam/src/serve/parts.rs
+++ b/crates/spindlebeam/src/serve/parts.rs
@@ -116,6 +116,6 @@
     let dialer = ::discovery::Dialer::new();
     let dial = move |addr| dialer.clone().connect(addr).boxed_local();
     let on_event = move |event| handle.publish_watch_event(event);
-    let (known, balancers) = (config.known.clone(), config.settings.balancers);
+    let (known, balancers) = (config.known_endpoints.clone(), config.settings.balancers);
     spawn_local(::discovery::follow(address_changes, known, delivery, balancers, dial, on_event))
 }
--- a/crates/spindlebeam/src/serve/serving_file.rs
+++ b/crates/spindlebeam/src/serve/serving_file.rs
@@ -22,7 +22,7 @@
     /// Returns the file of this balancer, or `None` without an inherited socket or a shared folder.
     pub(super) fn new(config: &Config) -> Option<Self> {
         config.inherited_descriptor?;
-        config.folder.as_ref().map(|folder| Self(folder.join(FILE_NAME)))
+        config.state_folder.as_ref().map(|folder| Self(folder.join(FILE_NAME)))
     }
 
     /// Writes the id of this process as soon as it is ready.
--- a/crates/spindlebeam/src/serve/sockets.rs
+++ b/crates/spindlebeam/src/serve/sockets.rs
@@ -24,10 +24,10 @@
     pub(super) fn open(config: &Config) -> Result<Self> {
         let clients = match config.inherited_descriptor {
             Some(number) => inherited(number)?,
-            None => listen("listen", config.listen)?,
+            None => listen("listen", config.listen_address)?,
         };
         log::info!("{}: listening on {}", config.name, clients.local_addr()?);
-        let operators = config.operator.map(|addr| listen("operator", addr)).transpose()?;
+        let operators = config.admin_address.map(|addr| listen("operator", addr)).transpose()?;
         if let Some(listener) = &operators {
             log::info!("{}: admin endpoint on {}", config.name, listener.local_addr()?);
         }
--- a/crates/spindlebeam/tests/start.rs
+++ b/crates/spindlebeam/tests/start.rs
@@ -176,17 +176,17 @@
         config::apply_environment(variable, &mut config).map(|()| config)
     };
     let config = read(json!(null), &[]).unwrap();
-    assert_eq!((config.operator, config.inherited_descriptor, config.folder), (None, None, None));
+    assert_eq!((config.admin_address, config.inherited_descriptor, config.state_folder), (None, None, None));
     let clients = config.bounds.clients;
     let config = read(json!("127.0.0.4:19000"), &[("PROXY_FD", "7"), ("TMPDIR", "/tmp")]).unwrap();
     assert_eq!(
-        (config.operator, config.inherited_descriptor),
+        (config.admin_address, config.inherited_descriptor),
         (Some("127.0.0.4:19000".parse().unwrap()), Some(7))
     );
     assert!(config.bounds.clients < clients, "descriptors are reserved for the admin endpoint");
     let config = read(json!("127.0.0.4:19000"), &[("PROXY_OPERATOR", "127.0.0.4:19001")]).unwrap();
     assert_eq!(
-        config.operator,
+        config.admin_address,
         Some("127.0.0.4:19001".parse().unwrap()),
         "the environment overrides the file"
     );
