--- a/crates/gateway/src/fleet_link.rs
+++ b/crates/gateway/src/fleet_link.rs
@@ -17,25 +17,25 @@
 /// The clock shared by the engine and the fleet thread. Unix time is read once; from then on, the clock only advances.
 #[derive(Debug, Clone, Copy)]
 pub struct Clock {
-    /// Unix time at `base`.
-    pub unix: Micros,
-    /// When `unix` was read.
-    pub base: Instant,
+    /// Unix time in microseconds at `started_at`.
+    pub start_unix_us: Micros,
+    /// When `start_unix_us` was read.
+    pub started_at: Instant,
 }
 
 impl Clock {
     /// Creates a clock that shows this Unix time now.
     #[must_use]
-    pub fn start(unix: Micros) -> Self {
-        Self { unix, base: tokio::time::Instant::now().into_std() }
+    pub fn start(start_unix_us: Micros) -> Self {
+        Self { start_unix_us, started_at: tokio::time::Instant::now().into_std() }
     }
 
     /// Returns the Unix time in microseconds. Never goes back, even if the system's date is changed.
     #[must_use]
     pub fn now(&self) -> Micros {
         // Tokio's clock is the system clock, except in tests that pause it.
-        let elapsed = tokio::time::Instant::now().into_std().saturating_duration_since(self.base);
-        self.unix + elapsed.as_micros() as Micros
+        let elapsed = tokio::time::Instant::now().into_std().saturating_duration_since(self.started_at);
+        self.start_unix_us + elapsed.as_micros() as Micros
     }
 }
 
