--- a/crates/gossip-transport/src/lib.rs
+++ b/crates/gossip-transport/src/lib.rs
@@ -25,20 +25,20 @@
     /// The address at which this balancer receives reports.
     pub listen: SocketAddr,
     /// The address from which each balancer sends, by its number. This balancer is included.
-    pub each: Vec<SocketAddr>,
+    pub balancers: Vec<SocketAddr>,
     /// The address that reaches all balancers, if there is one.
-    pub all: Option<SocketAddr>,
+    pub broadcast: Option<SocketAddr>,
     /// The number of this balancer.
-    pub me: usize,
+    pub own_number: usize,
 }
 
 impl GossipAddresses {
     /// Returns the destinations of reports: the common address if there is one, otherwise each other balancer.
     fn destinations(&self) -> Vec<SocketAddr> {
-        if let Some(all) = self.all {
-            return vec![all];
+        if let Some(broadcast) = self.broadcast {
+            return vec![broadcast];
         }
-        let others = self.each.iter().enumerate().filter(|(number, _)| *number != self.me);
+        let others = self.balancers.iter().enumerate().filter(|(number, _)| *number != self.own_number);
         others.map(|(_, address)| *address).collect()
     }
 }
@@ -79,8 +79,8 @@
         Ok(Self {
             socket,
             destinations: addresses.destinations(),
-            numbers: addresses.each.iter().copied().zip(0..).collect(),
-            state: GossipState::new(addresses.me, addresses.each.len(), unix),
+            numbers: addresses.balancers.iter().copied().zip(0..).collect(),
+            state: GossipState::new(addresses.own_number, addresses.balancers.len(), unix),
             rng: fastrand::Rng::with_seed(seed),
             send_errors: LogThrottle::default(),
         })
--- a/crates/spindlebeam/src/config.rs
+++ b/crates/spindlebeam/src/config.rs
@@ -156,12 +156,12 @@
 
 /// Returns the addresses of the other balancers, or `None` without an address to listen on or with too few balancers.
 fn parse_gossip(file: &ConfigFile, me: usize) -> Result<Option<GossipAddresses>> {
-    let (listen, all) = (file.address("peer_listen")?, file.address("peers_all")?);
+    let (listen, broadcast) = (file.address("peer_listen")?, file.address("peers_all")?);
     let peers = file.optional::<Vec<String>>("peers")?.unwrap_or_default();
     let parse_peer = |(n, text): (usize, &String)| parse_address(&format!("peers[{n}]"), text);
-    let each: Vec<_> = peers.iter().enumerate().map(parse_peer).collect::<Result<_>>()?;
+    let balancers: Vec<_> = peers.iter().enumerate().map(parse_peer).collect::<Result<_>>()?;
     validate::peers(peers.len(), file.settings())?;
-    let (Some(listen), true) = (listen, each.len() >= gossip::MIN_BALANCERS) else { return Ok(None) };
-    ensure!(me < each.len(), "settings.me: {me} is none of the {} balancers in peers", each.len());
-    Ok(Some(GossipAddresses { listen, each, all, me }))
+    let (Some(listen), true) = (listen, balancers.len() >= gossip::MIN_BALANCERS) else { return Ok(None) };
+    ensure!(me < balancers.len(), "settings.me: {me} is none of the {} balancers in peers", balancers.len());
+    Ok(Some(GossipAddresses { listen, balancers, broadcast, own_number: me }))
 }
--- a/crates/spindlebeam/tests/start.rs
+++ b/crates/spindlebeam/tests/start.rs
@@ -141,7 +141,7 @@
         text.to_string()
     };
     let siblings = config::parse(text("", json!(0), true).as_bytes()).unwrap().gossip.unwrap();
-    assert_eq!((siblings.me, siblings.each.len()), (3, 12));
+    assert_eq!((siblings.own_number, siblings.balancers.len()), (3, 12));
     let bad = [
         ("peer_listen", json!("here"), "peer_listen: \"here\""),
         ("peers_all", json!("10.0.0.1"), "peers_all: \"10.0.0.1\""),
