--- a/crates/proto/src/http/head.rs
+++ b/crates/proto/src/http/head.rs
@@ -11,9 +11,9 @@
     /// The status code.
     pub status: u16,
     /// Whether the response has `Srv-Declined: 1`: the request did not run.
-    pub declined: bool,
+    pub is_declined: bool,
     /// Whether the connection stays open after this response.
-    pub keep: bool,
+    pub keep_alive: bool,
     pub(super) body: BodyFraming,
 }
 
@@ -31,7 +31,7 @@
 impl ResponseHead {
     /// Returns the length of the body if it is stated and more than [`MAX_BUFFERED_VALUE_BYTES`].
     #[must_use]
-    pub fn large(&self) -> Option<usize> {
+    pub fn large_body_length(&self) -> Option<usize> {
         match self.body {
             BodyFraming::Length(length) if length > MAX_BUFFERED_VALUE_BYTES => Some(length),
             _ => None,
@@ -115,5 +115,10 @@
     }
     let is_http_1_1 = response.version == Some(1);
     let body = headers.framing(status)?;
-    Ok(ResponseHead { status, declined: headers.declined, keep: is_http_1_1 && !headers.closes, body })
+    Ok(ResponseHead {
+        status,
+        is_declined: headers.declined,
+        keep_alive: is_http_1_1 && !headers.closes,
+        body,
+    })
 }
--- a/crates/upstream/src/connection/http_response.rs
+++ b/crates/upstream/src/connection/http_response.rs
@@ -21,11 +21,11 @@
             _ => read_more(connection).await?,
         }
     };
-    if let (200, Some(length)) = (head.status, head.large()) {
-        return Ok(Response::Large(LargeResponse { length, reusable: head.keep, tail: None }));
+    if let (200, Some(length)) = (head.status, head.large_body_length()) {
+        return Ok(Response::Large(LargeResponse { length, reusable: head.keep_alive, tail: None }));
     }
     let body = read_body(connection, &mut decoder, budget).await?;
-    Ok(Response::Complete { result: to_result(&head, body), reusable: head.keep })
+    Ok(Response::Complete { result: to_result(&head, body), reusable: head.keep_alive })
 }
 
 fn to_result(head: &ResponseHead, body: BodyBuffer) -> AttemptResult {
@@ -40,7 +40,7 @@
                 }
             }
         }
-        503 | 504 if head.declined => Outcome::Rejected.into(),
+        503 | 504 if head.is_declined => Outcome::Rejected.into(),
         _ => Outcome::Error.into(),
     }
 }
