--- a/crates/front/src/shutdown.rs
+++ b/crates/front/src/shutdown.rs
@@ -30,7 +30,7 @@
 /// small writes (Nagle's algorithm) sends them one round trip after it has received the last bytes.
 pub(crate) const BATCH_GAP: Duration = Duration::from_millis(50);
 /// How long the process runs after the deadline of the last answers, to write them.
-pub const LAST_WRITES: Duration = Duration::from_millis(100);
+pub const FINAL_WRITE_PERIOD: Duration = Duration::from_millis(100);
 /// How long the lingering close of a connection without a slot may last: the next such connection waits for its
 /// descriptor.
 const SLOTLESS_LINGER_PERIOD: Duration = Duration::from_millis(60);
@@ -210,7 +210,7 @@
             stop_reading_at: deadline,
             abandon_at: deadline,
             fail_at: deadline,
-            linger_end: deadline.map(|deadline| deadline + LAST_WRITES),
+            linger_end: deadline.map(|deadline| deadline + FINAL_WRITE_PERIOD),
         }
     }
 }
--- a/crates/spindlebeam/src/serve/shutdown.rs
+++ b/crates/spindlebeam/src/serve/shutdown.rs
@@ -4,14 +4,14 @@
 //! 0.7 s.
 
 use super::parts::Parts;
-use front::shutdown::LAST_WRITES;
+use front::shutdown::FINAL_WRITE_PERIOD;
 use std::time::Duration;
 use tokio::time::{Instant, sleep, sleep_until, timeout_at};
 
 /// Upper limit of the deadline that the platform counts.
 const COUNTED_DEADLINE: Duration = Duration::from_secs(3);
-/// Every request is answered within this time after the counted deadline; [`LAST_WRITES`] is left for writing the
-/// answer.
+/// Every request is answered within this time after the counted deadline; [`FINAL_WRITE_PERIOD`] is left for writing
+/// the answer.
 const LAST_ANSWER: Duration = Duration::from_millis(500);
 /// The process exits by itself this long after the counted deadline if the platform has not ended it before.
 const LATEST_EXIT: Duration = Duration::from_millis(1_900);
@@ -42,7 +42,7 @@
         let _ = parts.stop_accepting.send(());
         let _ = parts.accepting.await;
     }
-    if timeout_at(deadline + LAST_WRITES, parts.front.wait_until_empty()).await.is_err() {
+    if timeout_at(deadline + FINAL_WRITE_PERIOD, parts.front.wait_until_empty()).await.is_err() {
         log::warn!("shutdown: client connections were still busy at the deadline");
     }
     log::info!("{}: done", parts.name);
