--- a/crates/front/src/operator.rs
+++ b/crates/front/src/operator.rs
@@ -21,7 +21,7 @@
 
 /// The most connections that are open at a time. Beyond it the oldest silent connection is closed for a new one, so
 /// that silent callers do not keep others out. The configuration reserves as many descriptors.
-pub const MAX_CALLERS: usize = 16;
+pub const MAX_ADMIN_CONNECTIONS: usize = 16;
 /// The pause after a failed accept, when descriptors may have run out.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
@@ -65,7 +65,7 @@
 impl AdminEndpoint {
     /// Waits until another connection may be accepted. At the limit, closes the oldest silent connection.
     async fn wait_for_capacity(&self) {
-        while self.callers.borrow().len() >= MAX_CALLERS {
+        while self.callers.borrow().len() >= MAX_ADMIN_CONNECTIONS {
             match self.remove_oldest_silent() {
                 Some(caller) => {
                     caller.task.abort();
--- a/crates/spindlebeam/src/config.rs
+++ b/crates/spindlebeam/src/config.rs
@@ -11,7 +11,7 @@
 use anyhow::{Context, Result, ensure};
 use decide::api::Settings;
 use fields::{ConfigFile, parse_address, plain_text, whole_number};
-use front::operator::MAX_CALLERS;
+use front::operator::MAX_ADMIN_CONNECTIONS;
 use gateway::setup::{Bounds, Config, Names};
 use gossip_transport::GossipAddresses;
 use serde_json::Value;
@@ -67,7 +67,7 @@
     config.state_folder = variable("TMPDIR").map(PathBuf::from);
     if config.admin_address.is_some() {
         // Connections to the admin endpoint take descriptors from those of the clients.
-        let clients = config.bounds.clients.saturating_sub(MAX_CALLERS);
+        let clients = config.bounds.clients.saturating_sub(MAX_ADMIN_CONNECTIONS);
         config.bounds.clients = clients.max(1);
     }
     Ok(())
