--- a/crates/socket-activation/src/lib.rs
+++ b/crates/socket-activation/src/lib.rs
@@ -39,7 +39,7 @@
 ///
 /// # Errors
 /// When the descriptor is not a listening TCP socket, or was already taken over.
-pub fn take_listener(number: RawFd) -> Result<TcpListener, InheritedSocketError> {
+pub fn take_over_listener(number: RawFd) -> Result<TcpListener, InheritedSocketError> {
     if number < FIRST_INHERITED {
         return Err(InheritedSocketError::Reserved(number));
     }
--- a/crates/spindlebeam/src/serve/sockets.rs
+++ b/crates/spindlebeam/src/serve/sockets.rs
@@ -36,7 +36,7 @@
 }
 
 fn inherited(descriptor: i32) -> Result<TcpListener> {
-    let socket = socket_activation::take_listener(descriptor).context("PROXY_FD")?;
+    let socket = socket_activation::take_over_listener(descriptor).context("PROXY_FD")?;
     socket.set_nonblocking(true)?;
     Ok(TcpListener::from_std(socket)?)
 }
