--- a/crates/audit/src/ledger/mod.rs
+++ b/crates/audit/src/ledger/mod.rs
@@ -7,7 +7,7 @@
     ActivityPeriod, ActivityReport, LedgerEntry, LedgerKey, MAX_PERIODS_PER_REPORT, MAX_REPORT_BYTES,
 };
 pub use account::{MAX_INCARNATIONS_PER_BALANCER, MAX_PERIODS_PER_BALANCER, ReportStatus};
-pub use query::{CurrentActivity, KnownUntil, LaggingNode, PastActivity};
+pub use query::{CurrentActivity, KnownUntil, LaggingBalancer, PastActivity};
 
 use account::{Account, Persistence};
 
--- a/crates/audit/src/ledger/query.rs
+++ b/crates/audit/src/ledger/query.rs
@@ -59,7 +59,7 @@
 
 /// A balancer that lags, or that has stopped reporting.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
-pub struct LaggingNode {
+pub struct LaggingBalancer {
     /// The balancer.
     pub number: u16,
     /// Lag in revisions behind the newest version that any balancer acts on, as of its last report.
@@ -114,23 +114,23 @@
 
     /// The balancers that lag by more than `revisions`, or that lag or have been silent for longer than `time`. `now`
     /// is in fleet time.
-    pub fn lagging_nodes(&self, now: FleetMicros, revisions: u64, time: Micros) -> Vec<LaggingNode> {
+    pub fn lagging_nodes(&self, now: FleetMicros, revisions: u64, time: Micros) -> Vec<LaggingBalancer> {
         let numbered = self.accounts.iter().zip(0u16..);
         let all = numbered.map(|(account, number)| {
             let Some((incarnation, entry)) = account.latest() else {
-                return LaggingNode { number, revisions: 0, behind_for: 0, silent_for: None };
+                return LaggingBalancer { number, revisions: 0, behind_for: 0, silent_for: None };
             };
             let (revisions, since) = self.lag(&entry.period.version);
             let behind_for = since.map_or(0, |since| now.saturating_sub(since));
-            LaggingNode {
+            LaggingBalancer {
                 number,
                 revisions,
                 behind_for,
                 silent_for: Some(now.saturating_sub(incarnation.at.earliest)),
             }
         });
-        let lags = |node: &LaggingNode| node.revisions > revisions || node.behind_for > time;
-        let silent = |node: &LaggingNode| node.silent_for.is_none_or(|silent_for| silent_for > time);
+        let lags = |node: &LaggingBalancer| node.revisions > revisions || node.behind_for > time;
+        let silent = |node: &LaggingBalancer| node.silent_for.is_none_or(|silent_for| silent_for > time);
         all.filter(|node| lags(node) || silent(node)).collect()
     }
 
