--- a/crates/audit/src/lease/holders.rs
+++ b/crates/audit/src/lease/holders.rs
@@ -1,7 +1,7 @@
 //! Tracks which balancers hold a lease, from the applied log.
 
 use super::messages::LeaseGrant;
-use super::settings::Settings;
+use super::settings::LeaseSettings;
 use crate::Micros;
 use std::collections::BTreeMap;
 
@@ -31,14 +31,14 @@
 /// may miss a grant.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseHolders {
-    settings: Settings,
+    settings: LeaseSettings,
     leases: BTreeMap<Holder, ObservedLease>,
     applied: u64,
 }
 
 impl LeaseHolders {
     /// Creates a view in which no balancer holds a lease.
-    pub fn new(settings: Settings) -> Self {
+    pub fn new(settings: LeaseSettings) -> Self {
         Self { settings, leases: BTreeMap::new(), applied: 0 }
     }
 
--- a/crates/audit/src/lease/mod.rs
+++ b/crates/audit/src/lease/mod.rs
@@ -11,4 +11,4 @@
 pub use holders::LeaseHolders;
 pub use messages::{LeaseGrant, LeaseRequest, TimeInterval};
 pub use own_lease::{Lease, LeaseState};
-pub use settings::{MAX_ORPHAN_QUORUM, RATE_ERROR, REQUESTS_PER_LEASE, Settings};
+pub use settings::{LeaseSettings, MAX_ORPHAN_QUORUM, RATE_ERROR, REQUESTS_PER_LEASE};
--- a/crates/audit/src/lease/own_lease.rs
+++ b/crates/audit/src/lease/own_lease.rs
@@ -2,7 +2,7 @@
 
 use super::messages::{LeaseGrant, LeaseRequest, TimeInterval};
 use super::peer_grants::PeerGrants;
-use super::settings::Settings;
+use super::settings::LeaseSettings;
 use crate::{FleetMicros, Micros};
 use std::collections::VecDeque;
 
@@ -52,7 +52,7 @@
 pub struct Lease {
     number: u16,
     incarnation: u64,
-    settings: Settings,
+    settings: LeaseSettings,
     serial: u64,
     next_request_at: Micros,
     sent: VecDeque<SentRequest>,
@@ -70,7 +70,7 @@
     /// Creates the lease of a balancer that starts now and holds none. The balancer is fenced until its first grant,
     /// or until it has listened for a whole lease without a new grant to any balancer, after which all earlier leases
     /// have ended.
-    pub fn new(number: u16, incarnation: u64, settings: Settings, now: Micros) -> Self {
+    pub fn new(number: u16, incarnation: u64, settings: LeaseSettings, now: Micros) -> Self {
         Self {
             number,
             incarnation,
--- a/crates/audit/src/lease/peer_grants.rs
+++ b/crates/audit/src/lease/peer_grants.rs
@@ -1,7 +1,7 @@
 //! Tracks the last grants that peers report, and detects from them that the quorum group is lost.
 
 use super::granter::GRANT_INTERVAL;
-use super::settings::Settings;
+use super::settings::LeaseSettings;
 use crate::{FleetMicros, Micros};
 use std::collections::BTreeMap;
 
@@ -10,8 +10,8 @@
 /// applied.
 const GRANT_MARGIN: Micros = 2 * GRANT_INTERVAL;
 
-/// A pause between two reports counts as time spent listening for at most [`Settings::report_ttl`] divided by this,
-/// since a stopped process receives nothing.
+/// A pause between two reports counts as time spent listening for at most [`LeaseSettings::report_ttl`] divided by
+/// this, since a stopped process receives nothing.
 const MAX_PAUSE_FRACTION: Micros = 4;
 
 /// The last report of one peer.
@@ -25,8 +25,8 @@
 ///
 /// A working quorum group grants leases continuously, so the newest grant stamp known from the log or from reports
 /// grows. The group is lost if enough peers report and that stamp *stalls* while this balancer listens: for
-/// [`Settings::max_grant_gap`], or for a whole lease if a peer was granted a lease much later than this balancer (in
-/// that case the requests of this balancer failed first) or if this balancer was never granted one. Stamps are
+/// [`LeaseSettings::max_grant_gap`], or for a whole lease if a peer was granted a lease much later than this balancer
+/// (in that case the requests of this balancer failed first) or if this balancer was never granted one. Stamps are
 /// compared only with stamps, since fleet time may stand still for as long as a new leader's clock is behind. The
 /// stall is measured while reports arrive, so neither the time in which this process is stopped nor reports queued in
 /// its socket add to it.
@@ -83,7 +83,7 @@
     /// The time until which the quorum group counts as lost according to the reports so far, for a balancer that was
     /// last granted a lease at `own_grant`. If the result is not after `now`, the group does not count as lost.
     pub(super) fn orphaned_until(
-        &self, now: Micros, own_grant: Option<FleetMicros>, settings: &Settings,
+        &self, now: Micros, own_grant: Option<FleetMicros>, settings: &LeaseSettings,
     ) -> Micros {
         let margin = settings.request_interval.saturating_add(GRANT_MARGIN);
         let max_expected =
--- a/crates/audit/src/lease/settings.rs
+++ b/crates/audit/src/lease/settings.rs
@@ -8,8 +8,8 @@
 /// Number of requests sent during one lease, of which three in a row may be lost.
 pub const REQUESTS_PER_LEASE: u64 = 4;
 
-/// Upper bound on [`Settings::orphan_quorum`]. Each balancer reports to a few randomly drawn peers only, so in a
-/// large fleet no report arrives from most peers within [`Settings::report_ttl`]. Four peers that hear only each
+/// Upper bound on [`LeaseSettings::orphan_quorum`]. Each balancer reports to a few randomly drawn peers only, so in a
+/// large fleet no report arrives from most peers within [`LeaseSettings::report_ttl`]. Four peers that hear only each
 /// other are assumed to be cut off by a fault that is not theirs alone.
 pub const MAX_ORPHAN_QUORUM: u16 = 3;
 
@@ -17,12 +17,12 @@
 /// smallest fleets a request may be late, or this process may have been stopped briefly.
 const REQUESTS_BEFORE_LOST: Micros = 2;
 
-/// Number of balancers in the roster for each report that [`Settings::orphan_quorum`] requires, within its bounds.
+/// Number of balancers in the roster for each report that [`LeaseSettings::orphan_quorum`] requires, within its bounds.
 const ROSTER_PER_REPORT: u16 = 4;
 
 /// Durations of leases and reports, and the number of reports that show the loss of the quorum group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Settings {
+pub struct LeaseSettings {
     /// Duration of a lease.
     pub lease: Micros,
     /// The rates of two clocks differ by at most one part in `rate_error`.
@@ -37,7 +37,7 @@
     pub orphan_quorum: u16,
 }
 
-impl Settings {
+impl LeaseSettings {
     /// Derives the settings from the duration of a lease, the validity of a report and the number of balancers.
     pub fn new(lease: Micros, report_ttl: Micros, roster: u16) -> Self {
         Self {
--- a/crates/audit/tests/lapse.rs
+++ b/crates/audit/tests/lapse.rs
@@ -1,7 +1,7 @@
 //! The leases of 300 balancers when the quorum group stops, and when the requests of one balancer are lost.
 
 use audit::Micros;
-use audit::lease::{Lease, LeaseGrant, LeaseGranter, LeaseState, Settings};
+use audit::lease::{Lease, LeaseGrant, LeaseGranter, LeaseSettings, LeaseState};
 
 const FLEET_SIZE: u16 = 300;
 const LEASE: Micros = 8_000_000;
@@ -24,7 +24,7 @@
 
 impl Fleet {
     fn new(seed: u64) -> Self {
-        let settings = Settings::new(LEASE, REPORT_TTL, FLEET_SIZE);
+        let settings = LeaseSettings::new(LEASE, REPORT_TTL, FLEET_SIZE);
         let mut random = fastrand::Rng::with_seed(seed);
         let leases = (0..FLEET_SIZE).map(|number| Lease::new(number, random.u64(..), settings, 0)).collect();
         Self { now: 0, leases, granter: LeaseGranter::new(FLEET_SIZE), log: Vec::new(), applied: 0, random }
--- a/crates/audit/tests/lease.rs
+++ b/crates/audit/tests/lease.rs
@@ -2,7 +2,7 @@
 
 use audit::Micros;
 use audit::lease::{
-    Lease, LeaseGrant, LeaseGranter, LeaseHolders, LeaseRequest, LeaseState, Settings, TimeInterval,
+    Lease, LeaseGrant, LeaseGranter, LeaseHolders, LeaseRequest, LeaseSettings, LeaseState, TimeInterval,
 };
 
 const SECOND: Micros = 1_000_000;
@@ -12,8 +12,8 @@
 /// Duration of a lease on its holder's clock: shorter by the clock rate error.
 const LEASE_AT_HOLDER: Micros = LEASE - LEASE / 1_000;
 
-fn settings(roster: u16) -> Settings {
-    Settings::new(LEASE, REPORT_TTL, roster)
+fn settings(roster: u16) -> LeaseSettings {
+    LeaseSettings::new(LEASE, REPORT_TTL, roster)
 }
 
 fn grant(request: LeaseRequest) -> LeaseGrant {
--- a/crates/audit/tests/model.rs
+++ b/crates/audit/tests/model.rs
@@ -5,7 +5,7 @@
 //! thousand, in rate.
 
 use audit::Micros;
-use audit::lease::{Lease, LeaseGrant, LeaseGranter, LeaseHolders, LeaseRequest, Settings};
+use audit::lease::{Lease, LeaseGrant, LeaseGranter, LeaseHolders, LeaseRequest, LeaseSettings};
 use stateright::{Checker, HasDiscoveries, Model, Property};
 use std::collections::BTreeSet;
 
@@ -97,8 +97,8 @@
 }
 
 impl LeaseModel {
-    fn settings(&self) -> Settings {
-        let mut settings = Settings::new(LEASE, 10_000, self.balancers as u16);
+    fn settings(&self) -> LeaseSettings {
+        let mut settings = LeaseSettings::new(LEASE, 10_000, self.balancers as u16);
         settings.request_interval = 10_000;
         if self.fault == Fault::ClockRatesAssumedEqual {
             settings.rate_error = u64::MAX;
--- a/crates/fleet/src/file.rs
+++ b/crates/fleet/src/file.rs
@@ -1,7 +1,7 @@
 //! The file that lists the balancers of a fleet. All balancers of the fleet use the same file.
 
 use agreement::NodeId;
-use audit::lease::Settings;
+use audit::lease::LeaseSettings;
 use jiff::SignedDuration;
 use membership::{MemberSlot, Roster};
 use serde::Deserialize;
@@ -178,10 +178,10 @@
 
     /// Returns the settings of leases. A heartbeat of another balancer is valid for two fifths of a lease. Each
     /// balancer receives about thirty in that time.
-    pub(crate) fn lease_settings(&self) -> Settings {
+    pub(crate) fn lease_settings(&self) -> LeaseSettings {
         let lease = u64::try_from(self.lease.as_micros()).unwrap_or(u64::MAX);
-        let settings = Settings::new(lease, lease * 2 / 5, self.balancer_count());
-        Settings { request_interval: lease / REQUESTS_PER_LEASE, ..settings }
+        let settings = LeaseSettings::new(lease, lease * 2 / 5, self.balancer_count());
+        LeaseSettings { request_interval: lease / REQUESTS_PER_LEASE, ..settings }
     }
 
     /// Returns a stable hash of the fleet's name. Each datagram carries it.
--- a/crates/fleet/src/replicated_state.rs
+++ b/crates/fleet/src/replicated_state.rs
@@ -2,7 +2,7 @@
 
 use crate::entry::Entry;
 use agreement::{Micros, Revision};
-use audit::lease::{Lease, LeaseGrant, LeaseHolders, Settings};
+use audit::lease::{Lease, LeaseGrant, LeaseHolders, LeaseSettings};
 use calendar::{Applied, Calendar};
 use serde::{Deserialize, Serialize};
 
@@ -36,7 +36,7 @@
 impl ReplicatedState {
     /// Creates the state before the first entry. A freeze takes effect only after all leases that were granted
     /// without it have ended.
-    pub(crate) fn new(settings: Settings) -> Self {
+    pub(crate) fn new(settings: LeaseSettings) -> Self {
         let binding_delay_ms = settings.max_elapsed(settings.lease).div_ceil(1_000) + 1;
         Self { holders: LeaseHolders::new(settings), calendar: Calendar::new(binding_delay_ms) }
     }
--- a/crates/gateway/tests/fleet.rs
+++ b/crates/gateway/tests/fleet.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use audit::lease::{Lease, LeaseGrant, Settings};
+use audit::lease::{Lease, LeaseGrant, LeaseSettings};
 use bytes::Bytes;
 use calendar::{Calendar, ChangeOutcome, Entry, Freeze, Proposal, Scope, ScopeTarget};
 use decide::api::{Outcome, RequestId};
@@ -75,7 +75,7 @@
 fn lease(clock: Clock) -> Lease {
     let now = clock.now();
     let span = LEASE.as_micros() as u64;
-    let mut lease = Lease::new(0, 7, Settings::new(span, span, 3), now);
+    let mut lease = Lease::new(0, 7, LeaseSettings::new(span, span, 3), now);
     let serial = lease.poll_request(now).unwrap().serial;
     lease.apply_grants(now, 1, NOW_US, &[LeaseGrant { number: 0, incarnation: 7, serial }]);
     lease
