--- a/crates/audit/src/ledger/account.rs
+++ b/crates/audit/src/ledger/account.rs
@@ -24,7 +24,7 @@
     /// The report arrived after a newer one. Only the periods that no newer report contains are recorded.
     Late,
     /// The report is a duplicate, or too old to be distinguished from one. Nothing is recorded.
-    Repeated,
+    Duplicate,
     /// The report is rejected: its sender is not on the roster, or it contains too many periods.
     Refused,
 }
@@ -82,7 +82,7 @@
         let age = self.highest - report.sequence;
         if report.sequence == 0 || age >= REORDER_WINDOW || self.seen & (1 << age) != 0 {
             self.repeated += 1;
-            return ReportStatus::Repeated;
+            return ReportStatus::Duplicate;
         }
         self.seen |= 1 << age;
         self.received += 1;
--- a/crates/audit/tests/ledger.rs
+++ b/crates/audit/tests/ledger.rs
@@ -40,8 +40,8 @@
     let sent = reports(&mut counter, 1..7, 10);
     let mut ledger = Ledger::new(300);
     let statuses: Vec<_> = [0, 0, 3, 1, 1, 3].iter().map(|it| ledger.record_report(&sent[*it])).collect();
-    use ReportStatus::{Late, Newest, Repeated};
-    assert_eq!(statuses, [Newest, Repeated, Newest, Late, Repeated, Repeated]);
+    use ReportStatus::{Duplicate, Late, Newest};
+    assert_eq!(statuses, [Newest, Duplicate, Newest, Late, Duplicate, Duplicate]);
     assert_eq!(reads(&ledger, 1), [(2, 40)], "the newest count is kept when an older one arrives after it");
     assert_eq!((ledger.current_activity()[0].missing, ledger.current_activity()[0].repeated), (1, 3));
     ledger.record_report(&sent[5]);
@@ -49,7 +49,7 @@
     let far_ahead = ActivityReport { sequence: 1_000, ..sent[5].clone() };
     assert_eq!(
         (ledger.record_report(&far_ahead), ledger.record_report(&sent[4])),
-        (Newest, Repeated),
+        (Newest, Duplicate),
         "the report is too old to be distinguished from a duplicate"
     );
     assert_eq!(
