--- a/crates/spindlebeam/tests/fleet_agreement.rs
+++ b/crates/spindlebeam/tests/fleet_agreement.rs
@@ -6,7 +6,7 @@
 use std::net::{SocketAddr, TcpStream};
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Instant;
-use testfleet::PATIENCE;
+use testfleet::WAIT_TIMEOUT;
 use testfleet::clients::Load;
 use testfleet::process::Disk;
 use testfleet::relay::Faults;
@@ -47,7 +47,7 @@
 
 fn call(admin_addr: SocketAddr, path: &str) -> (u16, String) {
     let mut stream = TcpStream::connect(admin_addr).unwrap();
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
     write!(stream, "GET {path} HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n").unwrap();
     let mut answer = String::new();
     stream.read_to_string(&mut answer).unwrap();
@@ -64,7 +64,7 @@
 
 /// Waits until a balancer's view of the fleet meets the condition; `what` names it in the error.
 fn wait_for_view(fleet: &Fleet, number: usize, what: &str, condition: impl Fn(&Value) -> bool) -> Value {
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + WAIT_TIMEOUT;
     loop {
         let seen = fleet_view(fleet, number);
         if condition(&seen) {
@@ -87,7 +87,7 @@
     fn connect(fleet: &Fleet, number: usize) -> Self {
         let address = fleet.balancer(number).process.find_address(&format!("n{number}: listening on "));
         let stream = TcpStream::connect(address).unwrap();
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
         Self(BufReader::new(stream))
     }
     fn write(&mut self, words: &[&[u8]]) {
@@ -115,7 +115,7 @@
 
 /// Waits until a balancer answers clients.
 fn wait_until_serving(fleet: &Fleet, number: usize) {
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + WAIT_TIMEOUT;
     while Client::connect(fleet, number).ping() != "+PONG" {
         assert!(Instant::now() < until, "seed {:#x}: n{number} is not ready again", fleet.seed());
         std::thread::yield_now();
--- a/crates/spindlebeam/tests/fleet_freeze.rs
+++ b/crates/spindlebeam/tests/fleet_freeze.rs
@@ -4,7 +4,7 @@
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
-use testfleet::PATIENCE;
+use testfleet::WAIT_TIMEOUT;
 use testfleet::discovery::{DiscoveryAgent, Member, Phase};
 use testfleet::process::Disk;
 use testfleet::referee::{MARGIN, NOTIFICATION_SLACK};
@@ -56,7 +56,7 @@
 
 fn call(admin_addr: SocketAddr, method: &str, path: &str, body: &str) -> (u16, Value) {
     let mut stream = TcpStream::connect(admin_addr).unwrap();
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
     let length = body.len();
     write!(stream, "{method} {path} HTTP/1.1\r\nHost: x\r\nContent-Length: {length}\r\n\r\n{body}").unwrap();
     let mut answer = String::new();
@@ -101,7 +101,7 @@
 
 /// Proposes a change and waits until these balancers know of it; returns the latest fleet time at which it was agreed.
 fn propose_and_wait(fleet: &Fleet, at: usize, informed: &[usize], proposal: &Value) -> u64 {
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + WAIT_TIMEOUT;
     let mut is_retry = false;
     let response = loop {
         match propose(fleet, at, proposal) {
@@ -120,7 +120,7 @@
 
 /// Waits until these balancers hold their leases; some may have lapsed when a new leader takes over.
 fn wait_for_leases(fleet: &Fleet, balancers: &[usize]) {
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + WAIT_TIMEOUT;
     for balancer in balancers {
         while view(fleet, *balancer)["standing"] != "held" {
             assert!(Instant::now() < until, "seed {}: no lease at {balancer}", fleet.seed());
@@ -131,7 +131,7 @@
 
 /// Waits until changes agreed at this fleet time are in force at these balancers.
 fn wait_until_in_force(fleet: &Fleet, balancers: &[usize], agreed: u64) {
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + WAIT_TIMEOUT;
     let from = agreed + BINDING_DELAY.as_micros() as u64;
     for balancer in balancers {
         while view(fleet, *balancer)["fleet_time_us"][0].as_u64().is_none_or(|now| now < from) {
@@ -147,7 +147,7 @@
 
 /// Waits until a balancer sees a leader other than `not`, and returns its number.
 fn wait_for_leader(fleet: &Fleet, seen_by: usize, not: Option<usize>) -> usize {
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + WAIT_TIMEOUT;
     loop {
         let leader = view(fleet, seen_by)["leader"].clone();
         match (0..3).find(|number| leader == format!("n{number}")) {
--- a/crates/spindlebeam/tests/fleet_rules.rs
+++ b/crates/spindlebeam/tests/fleet_rules.rs
@@ -178,7 +178,7 @@
 fn ten_balancers_exchange_gossip_through_the_relay() {
     let fleet = fleet(17).balancers(10).with_peers(true).start().unwrap();
     let pairs = || (0..10).flat_map(|a| (0..10).map(move |b| (a, b))).filter(|(a, b)| a != b);
-    let until = Instant::now() + testfleet::PATIENCE;
+    let until = Instant::now() + testfleet::WAIT_TIMEOUT;
     while !pairs().all(|(a, b)| fleet.udp_relay().counts(a, b).sent > 1) {
         assert!(Instant::now() < until, "a pair of balancers exchanged no gossip");
         std::thread::yield_now();
--- a/crates/testfleet/src/builder.rs
+++ b/crates/testfleet/src/builder.rs
@@ -142,7 +142,7 @@
     /// Returns the system's error if a socket or process cannot be started.
     ///
     /// # Panics
-    /// Panics with the last log lines if a balancer is not ready within [`crate::PATIENCE`].
+    /// Panics with the last log lines if a balancer is not ready within [`crate::WAIT_TIMEOUT`].
     pub fn start(self) -> io::Result<Fleet> {
         let folder = Folder::below(&self.folder)?;
         let runtime = Runtime::start()?;
--- a/crates/testfleet/src/clients.rs
+++ b/crates/testfleet/src/clients.rs
@@ -190,7 +190,7 @@
     /// Waits until this many requests have been started.
     ///
     /// # Panics
-    /// Panics after [`crate::PATIENCE`].
+    /// Panics after [`crate::WAIT_TIMEOUT`].
     pub fn await_sent(&self, requests: usize) {
         self.0
             .calls
@@ -199,7 +199,7 @@
     /// Waits until this many requests have been started and every started request has an outcome.
     ///
     /// # Panics
-    /// Panics after [`crate::PATIENCE`].
+    /// Panics after [`crate::WAIT_TIMEOUT`].
     pub fn await_answered(&self, requests: usize) {
         let all = |calls: &[Call]| calls.len() >= requests && calls.iter().all(|it| !it.answers.is_empty());
         self.0.calls.wait(&format!("{requests} requests are sent and all are answered"), |calls| {
--- a/crates/testfleet/src/event_log.rs
+++ b/crates/testfleet/src/event_log.rs
@@ -1,6 +1,6 @@
 //! An append-only log of observations that tests read and wait on.
 
-use crate::PATIENCE;
+use crate::WAIT_TIMEOUT;
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
 use std::time::Instant;
 
@@ -77,9 +77,9 @@
         self.entries().dropped
     }
 
-    /// Waits until `look` returns a value for the entries so far. Returns `None` after [`PATIENCE`].
+    /// Waits until `look` returns a value for the entries so far. Returns `None` after [`WAIT_TIMEOUT`].
     pub fn find<R>(&self, mut look: impl FnMut(&[T]) -> Option<R>) -> Option<R> {
-        let until = Instant::now() + PATIENCE;
+        let until = Instant::now() + WAIT_TIMEOUT;
         let mut entries = self.entries();
         loop {
             if let Some(found) = look(&entries.kept) {
@@ -93,9 +93,9 @@
     /// Waits until `look` returns a value for the entries so far.
     ///
     /// # Panics
-    /// Panics after [`PATIENCE`]. The message names the awaited event as `what`.
+    /// Panics after [`WAIT_TIMEOUT`]. The message names the awaited event as `what`.
     pub fn wait<R>(&self, what: &str, look: impl FnMut(&[T]) -> Option<R>) -> R {
-        self.find(look).unwrap_or_else(|| panic!("timed out after {PATIENCE:?} waiting for: {what}"))
+        self.find(look).unwrap_or_else(|| panic!("timed out after {WAIT_TIMEOUT:?} waiting for: {what}"))
     }
 }
 
--- a/crates/testfleet/src/fleet.rs
+++ b/crates/testfleet/src/fleet.rs
@@ -143,7 +143,7 @@
     /// written.
     ///
     /// # Panics
-    /// Panics after [`crate::PATIENCE`].
+    /// Panics after [`crate::WAIT_TIMEOUT`].
     pub fn await_notification(&self, balancer: usize, node: usize, phase: Phase) -> Instant {
         let matches = |it: &EndpointNotification| {
             it.balancer == balancer && it.endpoint == self.cache_nodes[node].name() && it.phase == phase
@@ -278,14 +278,14 @@
     /// Waits until a balancer has logged that it joined the fleet.
     ///
     /// # Panics
-    /// Panics after [`crate::PATIENCE`].
+    /// Panics after [`crate::WAIT_TIMEOUT`].
     pub fn await_joined(&self, number: usize) {
         self.balancers[number].process.find_line_with("fleet: joined");
     }
     /// Waits until a balancer has logged that it caught up to this or a later revision.
     ///
     /// # Panics
-    /// Panics after [`crate::PATIENCE`].
+    /// Panics after [`crate::WAIT_TIMEOUT`].
     pub fn await_caught_up(&self, number: usize, revision: u64) {
         self.balancers[number].process.find_line(|line| {
             let caught_up =
@@ -296,14 +296,14 @@
     /// Waits for the next log line that reports that a balancer holds its lease.
     ///
     /// # Panics
-    /// Panics after [`crate::PATIENCE`].
+    /// Panics after [`crate::WAIT_TIMEOUT`].
     pub fn await_lease(&self, number: usize) {
         self.balancers[number].process.next_line_with("fleet: lease held");
     }
     /// Waits for the next log line that reports that a balancer is fenced, and returns the reason.
     ///
     /// # Panics
-    /// Panics after [`crate::PATIENCE`].
+    /// Panics after [`crate::WAIT_TIMEOUT`].
     #[must_use]
     pub fn await_fenced(&self, number: usize) -> String {
         reason_after(self.balancers[number].process.next_line_with("fleet: fenced: "), "fleet: fenced: ")
@@ -311,7 +311,7 @@
     /// Waits for the next log line that reports that a balancer is orphaned, and returns the reason.
     ///
     /// # Panics
-    /// Panics after [`crate::PATIENCE`].
+    /// Panics after [`crate::WAIT_TIMEOUT`].
     #[must_use]
     pub fn await_orphaned(&self, number: usize) -> String {
         reason_after(self.balancers[number].process.next_line_with("fleet: orphaned: "), "fleet: orphaned: ")
--- a/crates/testfleet/src/lib.rs
+++ b/crates/testfleet/src/lib.rs
@@ -8,7 +8,7 @@
 //!
 //! The crate is for tests and the lab and is not part of the shipped program. Its caller provides the path of the
 //! program, schedules the faults and handles the violations. Waits have no fixed duration: they end when a matching
-//! record appears, and fail after [`PATIENCE`].
+//! record appears, and fail after [`WAIT_TIMEOUT`].
 #![forbid(unsafe_code)]
 #![warn(unreachable_pub, missing_docs)]
 
@@ -29,7 +29,7 @@
 pub mod soak;
 
 /// The maximum duration of any wait. It bounds tests that would otherwise hang.
-pub const PATIENCE: std::time::Duration = std::time::Duration::from_secs(20);
+pub const WAIT_TIMEOUT: std::time::Duration = std::time::Duration::from_secs(20);
 
 /// 2^64 divided by the golden ratio: multiplying consecutive numbers by it spreads them over all 64 bits.
 const SPREAD_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
--- a/crates/testfleet/src/process.rs
+++ b/crates/testfleet/src/process.rs
@@ -102,7 +102,7 @@
     /// Waits for the next log line that matches, and moves the read position to the line after it.
     ///
     /// # Panics
-    /// Panics with the last log lines after [`crate::PATIENCE`].
+    /// Panics with the last log lines after [`crate::WAIT_TIMEOUT`].
     pub fn next_line(&self, matches: impl Fn(&str) -> bool) -> String {
         let found = self.lines.find(|lines| {
             let from = self.read_position.load(Ordering::Relaxed);
@@ -117,28 +117,28 @@
             panic!(
                 "process {}: no matching log line within {:?}; the last log lines:\n{last}",
                 self.id(),
-                crate::PATIENCE
+                crate::WAIT_TIMEOUT
             )
         })
     }
     /// Waits for the next log line that contains `part`, and moves the read position to the line after it.
     ///
     /// # Panics
-    /// Panics with the last log lines after [`crate::PATIENCE`].
+    /// Panics with the last log lines after [`crate::WAIT_TIMEOUT`].
     pub fn next_line_with(&self, part: &str) -> String {
         self.next_line(|line| line.contains(part))
     }
     /// Waits for the next log line that contains `part`, and returns the address at its end.
     ///
     /// # Panics
-    /// Panics after [`crate::PATIENCE`], or if the line does not end with an address.
+    /// Panics after [`crate::WAIT_TIMEOUT`], or if the line does not end with an address.
     pub fn next_address(&self, part: &str) -> SocketAddr {
         parse_address(&self.next_line_with(part))
     }
     /// Waits until any log line matches, also one before the read position, and does not move the read position.
     ///
     /// # Panics
-    /// Panics after [`crate::PATIENCE`].
+    /// Panics after [`crate::WAIT_TIMEOUT`].
     pub fn find_line(&self, matches: impl Fn(&str) -> bool) -> String {
         let what = format!("a matching log line of process {}", self.id());
         self.lines.wait(&what, |lines| lines.iter().find(|line| matches(line)).cloned())
@@ -147,14 +147,14 @@
     /// position.
     ///
     /// # Panics
-    /// Panics after [`crate::PATIENCE`].
+    /// Panics after [`crate::WAIT_TIMEOUT`].
     pub fn find_line_with(&self, part: &str) -> String {
         self.find_line(|line| line.contains(part))
     }
     /// Waits until any log line contains `part`, and returns the address at its end.
     ///
     /// # Panics
-    /// Panics after [`crate::PATIENCE`], or if the line does not end with an address.
+    /// Panics after [`crate::WAIT_TIMEOUT`], or if the line does not end with an address.
     pub fn find_address(&self, part: &str) -> SocketAddr {
         parse_address(&self.find_line_with(part))
     }
@@ -219,7 +219,7 @@
     /// Returns the system's error if the exit status is not available.
     ///
     /// # Panics
-    /// Panics after [`crate::PATIENCE`].
+    /// Panics after [`crate::WAIT_TIMEOUT`].
     pub fn wait_end(&mut self) -> io::Result<ExitStatus> {
         if let Some(status) = self.reaped {
             return Ok(status);
--- a/crates/testfleet/tests/process.rs
+++ b/crates/testfleet/tests/process.rs
@@ -39,9 +39,13 @@
 }
 
 fn wait_until(mut condition: impl FnMut() -> bool) {
-    let deadline = std::time::Instant::now() + testfleet::PATIENCE;
+    let deadline = std::time::Instant::now() + testfleet::WAIT_TIMEOUT;
     while !condition() {
-        assert!(std::time::Instant::now() < deadline, "condition not met within {:?}", testfleet::PATIENCE);
+        assert!(
+            std::time::Instant::now() < deadline,
+            "condition not met within {:?}",
+            testfleet::WAIT_TIMEOUT
+        );
         std::thread::yield_now();
     }
 }
--- a/crates/testfleet/tests/relay.rs
+++ b/crates/testfleet/tests/relay.rs
@@ -4,15 +4,15 @@
 use std::net::{SocketAddr, TcpListener, TcpStream, UdpSocket};
 use std::thread;
 use std::time::{Duration, Instant};
-use testfleet::PATIENCE;
+use testfleet::WAIT_TIMEOUT;
 use testfleet::relay::faults::{Direction, Faults};
 use testfleet::relay::{ConnectionRegistry, TcpLink, UdpRelay};
 use testfleet::runtime::Runtime;
 
 fn wait_until(mut condition: impl FnMut() -> bool) {
-    let deadline = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     while !condition() {
-        assert!(Instant::now() < deadline, "condition not met within {PATIENCE:?}");
+        assert!(Instant::now() < deadline, "condition not met within {WAIT_TIMEOUT:?}");
         thread::yield_now();
     }
 }
@@ -55,7 +55,7 @@
 impl BalancerSocket {
     fn register(relay: &UdpRelay, number: usize) -> Self {
         let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
-        socket.set_read_timeout(Some(PATIENCE)).unwrap();
+        socket.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
         relay.register(number, socket.local_addr().unwrap());
         Self(socket)
     }
@@ -126,7 +126,7 @@
 
 fn connect(link: &TcpLink) -> TcpStream {
     let stream = TcpStream::connect(link.addr()).unwrap();
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
     stream
 }
 
@@ -142,7 +142,7 @@
     let (link, listener, registry) = start_link(&runtime);
     let mut client = connect(&link);
     let (mut target, from) = listener.accept().unwrap();
-    target.set_read_timeout(Some(PATIENCE)).unwrap();
+    target.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
     assert_eq!(registry.find(from).unwrap().balancer, 5);
     client.write_all(b"one").unwrap();
     assert_eq!(read_text(&mut target, 3), "one");
@@ -166,7 +166,7 @@
     let (link, listener, registry) = start_link(&runtime);
     let mut client = connect(&link);
     let (mut target, from) = listener.accept().unwrap();
-    target.set_read_timeout(Some(PATIENCE)).unwrap();
+    target.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
     let before = registry.find(from).unwrap().last_write();
     link.set_faults(Faults { stalled: true, ..Faults::default() }, Faults::default());
     client.write_all(b"late").unwrap();
--- a/crates/testfleet/tests/stand_ins.rs
+++ b/crates/testfleet/tests/stand_ins.rs
@@ -3,7 +3,7 @@
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::{Duration, Instant};
-use testfleet::PATIENCE;
+use testfleet::WAIT_TIMEOUT;
 use testfleet::cache_node::{CacheNode, CacheNodeBehaviour, Ending};
 use testfleet::clients::{Class, Clients, Load, Outcome};
 use testfleet::discovery::{DiscoveryAgent, Member, Phase};
@@ -14,7 +14,7 @@
 
 fn connect(addr: SocketAddr) -> BufReader<TcpStream> {
     let stream = TcpStream::connect(addr).unwrap();
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
     BufReader::new(stream)
 }
 
