--- a/crates/spindlebeam/benches/lists.rs
+++ b/crates/spindlebeam/benches/lists.rs
@@ -53,8 +53,8 @@
 }
 
 fn run(program: &str, endpoints: usize, update: ListUpdate, keys: u64, core: Core) -> std::io::Result<()> {
-    let fleet =
-        Fleet::builder(program).balancers(1).cache_nodes(CACHE_NODES).ids(endpoints / CACHE_NODES).seed(40);
+    let fleet = Fleet::builder(program).balancers(1).cache_nodes(CACHE_NODES).seed(40);
+    let fleet = fleet.ids_per_cache_node(endpoints / CACHE_NODES);
     let fleet = fleet.overrides(json!({"limits": {"sockets": 512}})).start()?;
     (0..CACHE_NODES).for_each(|number| fleet.cache_node(number).set_behaviour(CacheNodeBehaviour::HoldsAll));
     let process = fleet.balancer(0).process.id();
--- a/crates/spindlebeam/tests/large_lists.rs
+++ b/crates/spindlebeam/tests/large_lists.rs
@@ -22,7 +22,7 @@
 ) {
     let fleet =
         Fleet::builder(env!("CARGO_BIN_EXE_spindlebeam")).folder(env!("CARGO_TARGET_TMPDIR")).seed(39);
-    let fleet = fleet.balancers(1).cache_nodes(CACHE_NODES).ids(IDS_PER_NODE);
+    let fleet = fleet.balancers(1).cache_nodes(CACHE_NODES).ids_per_cache_node(IDS_PER_NODE);
     let fleet = fleet.overrides(json!({"limits": {"sockets": 256}})).start().unwrap();
     fleet.clients().start_load(fleet.load(&["read"], RATE, REQUESTS));
     fleet.clients().await_sent(100);
--- a/crates/testfleet/src/builder.rs
+++ b/crates/testfleet/src/builder.rs
@@ -75,8 +75,8 @@
     }
     /// Sets the number of endpoint ids under which each cache node is listed; the default is 1.
     #[must_use]
-    pub fn ids(self, ids: usize) -> Self {
-        Self { ids_per_cache_node: ids, ..self }
+    pub fn ids_per_cache_node(self, ids_per_cache_node: usize) -> Self {
+        Self { ids_per_cache_node, ..self }
     }
     /// Sets the number of zones; the default and minimum is 1. Balancers and cache nodes are assigned to zones
     /// round-robin.
@@ -96,7 +96,7 @@
     }
     /// Sets the number of voters of the quorum group, which are the first balancers; the default is 3.
     #[must_use]
-    pub fn council(self, voters: usize) -> Self {
+    pub fn voters(self, voters: usize) -> Self {
         Self { voters, ..self }
     }
     /// Sets the lease duration in the syntax of the fleet file; the default is `2s`.
--- a/crates/testfleet/src/soak/mod.rs
+++ b/crates/testfleet/src/soak/mod.rs
@@ -91,7 +91,7 @@
     let fleet = Fleet::builder(program).folder(folder).seed(plan.seed).balancers(plan.balancers);
     let fleet = fleet
         .cache_nodes(plan.cache_nodes)
-        .ids(plan.ids_per_cache_node)
+        .ids_per_cache_node(plan.ids_per_cache_node)
         .overrides(plan.overrides())
         .start()?;
     (0..plan.balancers).for_each(|balancer| fleet.balancer(balancer).agent.set_encoding(plan.encoding));
