--- a/crates/spindlebeam/tests/fleet_rules.rs
+++ b/crates/spindlebeam/tests/fleet_rules.rs
@@ -159,7 +159,7 @@
     fleet.clients().await_sent(1_350);
     fleet.balancer(0).to_cache_nodes[0].heal();
     fleet.balancer(1).to_cache_nodes[1].heal();
-    fleet.restart_knowing(8, Disk::Empty, old).unwrap();
+    fleet.restart_with_known_list(8, Disk::Empty, old).unwrap();
     fleet.clients().await_answered(2_250);
     let verdict = fleet.verdict();
     verdict.assert_clean();
--- a/crates/testfleet/src/fleet.rs
+++ b/crates/testfleet/src/fleet.rs
@@ -196,7 +196,7 @@
     ///
     /// # Errors
     /// Returns the system's error if the folder cannot be written or the program cannot be started.
-    pub fn restart_knowing(&mut self, number: usize, disk: Disk, list: Value) -> io::Result<()> {
+    pub fn restart_with_known_list(&mut self, number: usize, disk: Disk, list: Value) -> io::Result<()> {
         let mut config = self.balancers[number].config.clone();
         config["known"] = list;
         self.restart_with(number, disk, &config)
