--- a/crates/spindlebeam/tests/fleet_agreement.rs
+++ b/crates/spindlebeam/tests/fleet_agreement.rs
@@ -276,7 +276,8 @@
     let positions: Vec<usize> = (0..5).map(|balancer| log_position(&fleet, balancer)).collect();
     let all = [0, 1, 2, 3, 4];
     fleet.udp_relay().update_faults(&all, &all, |faults| {
-        (faults.lost, faults.doubled, faults.reordered) = (0.2, 0.2, 0.2);
+        (faults.loss_probability, faults.duplication_probability, faults.reordering_probability) =
+            (0.2, 0.2, 0.2);
     });
     fleet.clients().start_load(read_load(&fleet, &all, 800));
     fleet.clients().await_sent(150);
--- a/crates/spindlebeam/tests/fleet_rules.rs
+++ b/crates/spindlebeam/tests/fleet_rules.rs
@@ -8,9 +8,9 @@
 
 const STALLED: Faults = Faults {
     stalled: true,
-    lost: 0.0,
-    doubled: 0.0,
-    reordered: 0.0,
+    loss_probability: 0.0,
+    duplication_probability: 0.0,
+    reordering_probability: 0.0,
     delay: Duration::ZERO,
     jitter: Duration::ZERO,
     cut: false,
--- a/crates/testfleet/src/relay/faults.rs
+++ b/crates/testfleet/src/relay/faults.rs
@@ -13,11 +13,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct Faults {
     /// The probability that a datagram is lost.
-    pub lost: f64,
+    pub loss_probability: f64,
     /// The probability that a datagram is duplicated.
-    pub doubled: f64,
+    pub duplication_probability: f64,
     /// The probability that a datagram is sent after the next one.
-    pub reordered: f64,
+    pub reordering_probability: f64,
     /// The fixed delay of all data.
     pub delay: Duration,
     /// The maximum of the random delay added to `delay`.
@@ -85,7 +85,7 @@
         let stalled_datagrams = std::mem::take(&mut self.stalled_datagrams);
         let mut out: Vec<_> =
             stalled_datagrams.into_iter().flat_map(|datagram| self.apply_faults(datagram, true)).collect();
-        if faults.reordered == 0.0
+        if faults.reordering_probability == 0.0
             && let Some(delayed) = self.delayed_by_one.take()
         {
             out.push((Duration::ZERO, self.count_sent(delayed)));
@@ -105,7 +105,8 @@
         let faults = self.faults;
         // All three are drawn for every datagram, so that the draws of a seed do not depend on the faults.
         let [lost, doubled, reordered] =
-            [faults.lost, faults.doubled, faults.reordered].map(|probability| self.rng.f64() < probability);
+            [faults.loss_probability, faults.duplication_probability, faults.reordering_probability]
+                .map(|probability| self.rng.f64() < probability);
         if faults.cut || (lost && !was_stalled) {
             self.counts.lost += 1;
             return Vec::new();
--- a/crates/testfleet/tests/relay.rs
+++ b/crates/testfleet/tests/relay.rs
@@ -21,7 +21,12 @@
 fn loss_duplication_and_reordering_are_drawn_from_the_seed() {
     let run = |seed| {
         let mut direction = Direction::new(seed);
-        direction.set_faults(Faults { lost: 0.3, doubled: 0.1, reordered: 0.2, ..Faults::default() });
+        direction.set_faults(Faults {
+            loss_probability: 0.3,
+            duplication_probability: 0.1,
+            reordering_probability: 0.2,
+            ..Faults::default()
+        });
         let forward = |n: u32| direction.forward(n.to_be_bytes().to_vec().into());
         let out: Vec<_> = (0..10_000).flat_map(forward).map(|(_, it)| it).collect();
         (out, direction.counts())
