--- a/crates/spindlebeam/benches/lists.rs
+++ b/crates/spindlebeam/benches/lists.rs
@@ -56,7 +56,8 @@
     let fleet = Fleet::builder(program).balancers(1).cache_nodes(CACHE_NODES).seed(40);
     let fleet = fleet.ids_per_cache_node(endpoints / CACHE_NODES);
     let fleet = fleet.overrides(json!({"limits": {"sockets": 512}})).start()?;
-    (0..CACHE_NODES).for_each(|number| fleet.cache_node(number).set_behaviour(CacheNodeBehaviour::HoldsAll));
+    (0..CACHE_NODES)
+        .for_each(|number| fleet.cache_node(number).set_behaviour(CacheNodeBehaviour::AlwaysHits));
     let process = fleet.balancer(0).process.id();
     let used = || resource_usage(process).unwrap_or_default();
     let before = used();
--- a/crates/testfleet/src/cache_node.rs
+++ b/crates/testfleet/src/cache_node.rs
@@ -30,7 +30,7 @@
     /// Answers every command with `-ERR`.
     Fails,
     /// Answers every command with a hit.
-    HoldsAll,
+    AlwaysHits,
     /// Does not answer until its behaviour changes.
     Hangs,
     /// Closes connections on accept.
@@ -245,7 +245,7 @@
         let reply = match behaviour {
             CacheNodeBehaviour::Fails => BytesMut::from(&b"-ERR out of order\r\n"[..]),
             CacheNodeBehaviour::Drains => BytesMut::from(&b"-BUSY\r\n"[..]),
-            CacheNodeBehaviour::HoldsAll => encode_hit(key),
+            CacheNodeBehaviour::AlwaysHits => encode_hit(key),
             _ => self.look_up(key),
         };
         stream.write_all(&reply).await.is_ok()
