--- a/crates/spindlebeam/tests/fleet_agreement.rs
+++ b/crates/spindlebeam/tests/fleet_agreement.rs
@@ -321,7 +321,7 @@
     let count = |all: &[testfleet::cache_node::Attempt]| {
         all.iter().filter(|it| it.balancer == Some(balancer)).count()
     };
-    (fleet.attempts().with_entries(count) + fleet.origin().runs().with_entries(count)) as u64
+    (fleet.attempts().with_entries(count) + fleet.origin().executions().with_entries(count)) as u64
 }
 
 #[test]
--- a/crates/spindlebeam/tests/fleet_rules.rs
+++ b/crates/spindlebeam/tests/fleet_rules.rs
@@ -76,7 +76,7 @@
     let verdict = fleet.verdict();
     verdict.assert_clean();
     assert!(verdict.lost_with_killed > 10, "{verdict}");
-    let runs_at_origin = fleet.origin().runs().all();
+    let runs_at_origin = fleet.origin().executions().all();
     for balancer in 1..3 {
         let runs = runs_at_origin.iter().filter(|run| run.class == "once" && run.balancer == Some(balancer));
         assert!(
--- a/crates/testfleet/src/fleet.rs
+++ b/crates/testfleet/src/fleet.rs
@@ -326,12 +326,12 @@
             seed: self.seed,
             calls: self.clients.calls().all(),
             attempts: self.attempts.all(),
-            runs: self.origin.runs().all(),
+            runs: self.origin.executions().all(),
             notifications: self.notifications.all(),
             interruptions: self.interruptions.clone(),
             stalls: self.runtime.stalls().all(),
             non_idempotent: vec!["once".into()],
-            dropped: dropped_entries.iter().sum::<usize>() + self.origin.runs().dropped(),
+            dropped: dropped_entries.iter().sum::<usize>() + self.origin.executions().dropped(),
         })
     }
 }
--- a/crates/testfleet/src/origin.rs
+++ b/crates/testfleet/src/origin.rs
@@ -96,7 +96,7 @@
     }
     /// Returns the log of executions.
     #[must_use]
-    pub fn runs(&self) -> &EventLog<Attempt> {
+    pub fn executions(&self) -> &EventLog<Attempt> {
         &self.shared.runs
     }
 }
--- a/crates/testfleet/src/soak/report.rs
+++ b/crates/testfleet/src/soak/report.rs
@@ -101,7 +101,7 @@
             text += &format!(", {answer:?} {:.3}", seconds_since_start(*at));
         }
         let mut attempts = self.fleet.attempts().all();
-        attempts.append(&mut self.fleet.origin().runs().all());
+        attempts.append(&mut self.fleet.origin().executions().all());
         for attempt in attempts.iter().filter(|it| it.id == call.id) {
             let ended = attempt
                 .ended
--- a/crates/testfleet/tests/stand_ins.rs
+++ b/crates/testfleet/tests/stand_ins.rs
@@ -87,7 +87,7 @@
     assert_eq!(put("b"), ("503".into(), true));
     origin.set_behaviour(OriginBehaviour::Fails);
     assert_eq!(put("c"), ("500".into(), false));
-    let runs = origin.runs().all();
+    let runs = origin.executions().all();
     assert_eq!(
         runs.iter().map(|it| (&it.id[..], &it.class[..])).collect::<Vec<_>>(),
         [("a", "once"), ("c", "once")]
