--- a/crates/spindlebeam/benches/lists.rs
+++ b/crates/spindlebeam/benches/lists.rs
@@ -81,7 +81,7 @@
     let names: Vec<&str> = (0..drained).map(|number| fleet.cache_node(number).name()).collect();
     let late = fleet.attempts().with_entries(|all| {
         let sent = all.iter().filter(|it| names.contains(&&it.endpoint[..]));
-        let delays = sent.filter_map(|it| it.at.checked_duration_since(notified?));
+        let delays = sent.filter_map(|it| it.received.checked_duration_since(notified?));
         let late: Vec<Duration> = delays.filter(|delay| *delay > GRACE).collect();
         (late.len(), late.into_iter().max().unwrap_or_default())
     });
--- a/crates/spindlebeam/tests/fleet_rules.rs
+++ b/crates/spindlebeam/tests/fleet_rules.rs
@@ -80,7 +80,7 @@
     for balancer in 1..3 {
         let runs = runs_at_origin.iter().filter(|run| run.class == "once" && run.balancer == Some(balancer));
         assert!(
-            runs.filter(|run| run.at > restarted).count() > 10,
+            runs.filter(|run| run.received > restarted).count() > 10,
             "a restarted balancer serves too few requests: {verdict}"
         );
     }
--- a/crates/spindlebeam/tests/large_lists.rs
+++ b/crates/spindlebeam/tests/large_lists.rs
@@ -37,7 +37,7 @@
         let deadline = notified + Duration::from_millis(300);
         fleet.attempts().with_entries(|all| {
             all.iter()
-                .filter(|attempt| attempt.at > deadline && names.contains(&&attempt.endpoint[..]))
+                .filter(|attempt| attempt.received > deadline && names.contains(&&attempt.endpoint[..]))
                 .count()
         })
     };
--- a/crates/testfleet/src/cache_node.rs
+++ b/crates/testfleet/src/cache_node.rs
@@ -66,7 +66,7 @@
     /// When the relay read the attempt from the balancer.
     pub sent: Instant,
     /// When the receiver read the attempt.
-    pub at: Instant,
+    pub received: Instant,
     /// When and how the attempt ended; `None` while it is in flight.
     pub ended: Option<(Instant, Ending)>,
 }
@@ -217,7 +217,7 @@
             balancer,
             connection,
             sent,
-            at,
+            received: at,
             ended: None,
         })
     }
--- a/crates/testfleet/src/origin.rs
+++ b/crates/testfleet/src/origin.rs
@@ -152,7 +152,7 @@
             balancer,
             connection,
             sent,
-            at,
+            received: at,
             ended: None,
         });
         let mut execution = Execution { shared: self, index, ending: Ending::Closed };
--- a/crates/testfleet/src/referee/rules.rs
+++ b/crates/testfleet/src/referee/rules.rs
@@ -162,9 +162,9 @@
 /// Finds requests that had two attempts in flight at the same time.
 pub(super) fn check_concurrent_attempts(evidence: &Evidence, verdict: &mut Verdict) {
     let mut all: Vec<&Attempt> = evidence.attempts.iter().chain(&evidence.runs).collect();
-    all.sort_by(|a, b| (&a.id, a.at).cmp(&(&b.id, b.at)));
+    all.sort_by(|a, b| (&a.id, a.received).cmp(&(&b.id, b.received)));
     for (first, second) in all.iter().zip(all.iter().skip(1)).filter(|(a, b)| a.id == b.id) {
-        if first.ended.is_none_or(|(end, _)| end > second.at + MARGIN) {
+        if first.ended.is_none_or(|(end, _)| end > second.received + MARGIN) {
             let endpoints = [first.endpoint.clone(), second.endpoint.clone()];
             verdict.violations.push(Violation::ConcurrentAttempts(first.id.clone(), endpoints));
         }
--- a/crates/testfleet/tests/referee.rs
+++ b/crates/testfleet/tests/referee.rs
@@ -43,7 +43,7 @@
         balancer: Some(1),
         connection: 0,
         sent: at,
-        at,
+        received: at,
         ended,
     }
 }
