--- a/crates/agreement/src/action.rs
+++ b/crates/agreement/src/action.rs
@@ -4,7 +4,7 @@
     limits::{MAX_ENTRY_BYTES, MAX_PENDING_PROPOSALS},
     message::Message,
     segment::Voter,
-    types::{NodeId, Revision, Stamped},
+    types::{NodeId, Revision, StampedEntry},
 };
 use bytes::Bytes;
 
@@ -23,7 +23,7 @@
         /// Its index in the log.
         revision: Revision,
         /// The entry and its stamp.
-        stamped: Stamped<E>,
+        stamped: StampedEntry<E>,
     },
     /// A new segment of the log starts, with other voters or with the same ones. The change has a revision of
     /// its own.
@@ -41,7 +41,7 @@
         revision: Revision,
         /// The timestamp of that revision.
         timestamp: u64,
-        /// The bytes that an owner passed to [`crate::Agreement::snapshot`].
+        /// The bytes that an owner passed to [`crate::Agreement::supply_snapshot`].
         snapshot: Bytes,
     },
     /// This balancer became the leader (`true`) or stopped being the leader (`false`).
--- a/crates/calendar/src/calendar.rs
+++ b/crates/calendar/src/calendar.rs
@@ -24,14 +24,14 @@
     /// The proposal is refused and has no effect, at all balancers alike.
     Refused(ProposalError),
     /// The proposal has no effect, because the calendar has already applied its revision.
-    Known,
+    AlreadyApplied,
 }
 
 /// The phase of an entry in its lifecycle.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EntryPhase {
     /// Committed and not yet in force.
-    Agreed,
+    Committed,
     /// In force, or between two occurrences.
     InForce,
     /// The last occurrence is over.
@@ -84,7 +84,7 @@
     }
 
     /// Returns the fleet time and the revision at which an entry was committed.
-    pub fn agreed_at(&self, id: &str) -> Option<(Millis, u64)> {
+    pub fn committed_at(&self, id: &str) -> Option<(Millis, u64)> {
         self.entries.get(id).map(|it| (it.committed.committed_at, it.committed.revision))
     }
 
@@ -94,7 +94,7 @@
         let first = scheduled.in_force.first().map_or(Millis::MAX, |it| it.start);
         Some(match scheduled.committed.revoked_at {
             Some(at) if at <= fleet_time => EntryPhase::Revoked,
-            _ if fleet_time < first => EntryPhase::Agreed,
+            _ if fleet_time < first => EntryPhase::Committed,
             _ if fleet_time < scheduled.end => EntryPhase::InForce,
             _ => EntryPhase::Ended,
         })
@@ -123,7 +123,7 @@
             Proposal::Revoke(revoke) => {
                 let revocable = self.entries.get(&revoke.id);
                 let revocable = revocable.filter(|it| it.committed.revoked_at.is_none() && at < it.end);
-                let revocable = revocable.ok_or_else(|| ProposalError::Unknown(revoke.id.clone()))?;
+                let revocable = revocable.ok_or_else(|| ProposalError::UnknownEntry(revoke.id.clone()))?;
                 let revoked = CommittedEntry { revoked_at: Some(at), ..revocable.committed.clone() };
                 Ok(ScheduledEntry::new(revoked, self.activation_delay))
             }
@@ -136,15 +136,15 @@
             return Err(ProposalError::Duplicate(id));
         }
         if self.entries.len() >= MAX_ENTRIES {
-            return Err(ProposalError::Full);
+            return Err(ProposalError::TooManyEntries);
         }
         let scheduled = ScheduledEntry::new(committed, self.activation_delay);
         if scheduled.in_force.is_empty() && scheduled.committed.revoked_at.is_none() {
-            return Err(ProposalError::Over(id));
+            return Err(ProposalError::EndsBeforeInForce(id));
         }
         let occurrences: usize = self.entries.values().map(|it| it.occurrences).sum();
         if occurrences + scheduled.occurrences > MAX_OCCURRENCES {
-            return Err(ProposalError::TooMany);
+            return Err(ProposalError::TooManyOccurrences);
         }
         Ok(scheduled)
     }
@@ -153,7 +153,7 @@
     /// equal.
     pub fn apply(&mut self, revision: u64, at: Millis, proposal: &Proposal) -> Applied {
         if revision <= self.revision {
-            return Applied::Known;
+            return Applied::AlreadyApplied;
         }
         self.revision = revision;
         self.index = OnceLock::new();
@@ -199,7 +199,7 @@
             let scheduled = ScheduledEntry::new(committed, snapshot.activation_delay);
             occurrences += scheduled.occurrences;
             if occurrences > MAX_OCCURRENCES {
-                return Err(ProposalError::TooMany.into());
+                return Err(ProposalError::TooManyOccurrences.into());
             }
             if calendar.entries.insert(id.clone(), scheduled).is_some() {
                 return Err(ProposalError::Duplicate(id).into());
--- a/crates/calendar/tests/gate.rs
+++ b/crates/calendar/tests/gate.rs
@@ -6,7 +6,7 @@
 use proto::discovery::{EndpointList, EndpointRecord, Phase};
 use support::*;
 
-const PACE: ReleasePace = ReleasePace { hosts: 2, pause: 1_000 };
+const PACE: ReleasePace = ReleasePace { endpoints_per_step: 2, interval_ms: 1_000 };
 const BEFORE: &str = "2026-01-23T00:00Z";
 const DURING: &str = "2026-01-25T00:00Z";
 const AFTER: &str = "2026-02-02T00:00Z";
@@ -71,18 +71,18 @@
         &complete_list(vec![endpoint("h1", 2.0), endpoint("h4", 4.0), moved, less]),
     );
     assert_eq!(listed_weights(&result), "h1:1.5 h2:1 h3:0.5", "h1 replaces what h3 lost");
-    assert_eq!(recorded_outcome(&result, "h3"), (ChangeKind::Less, &ChangeOutcome::Applied));
-    assert_eq!(recorded_outcome(&result, "h2"), (ChangeKind::Cold, &ChangeOutcome::Applied));
+    assert_eq!(recorded_outcome(&result, "h3"), (ChangeKind::WeightReduced, &ChangeOutcome::Applied));
+    assert_eq!(recorded_outcome(&result, "h2"), (ChangeKind::Restarted, &ChangeOutcome::Applied));
     assert!(matches!(
         recorded_outcome(&result, "h4"),
         (ChangeKind::Join, ChangeOutcome::Held { reason: HoldReason::Freeze { .. }, .. })
     ));
     let zones: Vec<_> = gate.members().map(|it| (it.locality.as_str(), it.up_since_ms)).collect();
     assert_eq!(zones, [("a", 5), ("a", 9), ("a", 5)], "a restart is a fact, and a zone change is planned");
-    assert!(result.records.iter().all(|it| it.revision == 1 && it.list == 3));
+    assert!(result.records.iter().all(|it| it.calendar_revision == 1 && it.list_revision == 3));
     let pending: Vec<_> = gate.pending_changes().iter().map(|it| (it.0, it.1.kind)).collect();
     let expected = [
-        ("h1", ChangeKind::More),
+        ("h1", ChangeKind::WeightIncreased),
         ("h4", ChangeKind::Join),
         ("h2", ChangeKind::Zone),
         ("h3", ChangeKind::Zone),
@@ -281,7 +281,7 @@
     let result = gate.release(&context(2, DURING), &calendar).unwrap();
     assert_eq!(listed_weights(&result), "h5:1");
     assert_eq!(recorded_outcome(&result, "h5").1, &ChangeOutcome::Override("rack".into()));
-    assert_eq!((result.records[0].revision, gate.pending_changes().len()), (2, 1));
+    assert_eq!((result.records[0].calendar_revision, gate.pending_changes().len()), (2, 1));
 }
 
 #[test]
--- a/crates/decide/src/api.rs
+++ b/crates/decide/src/api.rs
@@ -8,7 +8,7 @@
 
 /// The state of an endpoint's process, according to the endpoint list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Presence {
+pub enum EndpointState {
     /// Running; accepts new requests.
     Ready,
     /// Finishes its current requests and accepts no new ones.
@@ -23,7 +23,7 @@
     /// Id of the endpoint.
     pub id: EndpointId,
     /// State of its process.
-    pub presence: Presence,
+    pub state: EndpointState,
     /// Kind of machine, which distinguishes the origin from cache nodes.
     pub kind: u16,
     /// Listed weight of the endpoint.
@@ -33,7 +33,7 @@
     /// Zone of the endpoint.
     pub zone: ZoneId,
     /// Time of the endpoint's last start; 0 if that was long ago.
-    pub online_since: Micros,
+    pub started_at: Micros,
 }
 
 /// The kind of a received endpoint list.
@@ -110,7 +110,7 @@
 pub struct LoadReport {
     /// Id of the endpoint.
     pub endpoint: EndpointId,
-    /// Weight of the endpoint, as reduced by slow start: its listed weight if listed weights are lasting, 1 otherwise.
+    /// Weight of the endpoint, as reduced by slow start: its listed weight if listed weights are stable, 1 otherwise.
     pub weight: f64,
     /// Mean number of requests in flight since the last report.
     pub in_flight: f64,
@@ -165,7 +165,7 @@
     /// Close the idle connections to an endpoint.
     CloseIdle(EndpointId),
     /// Subscribe to the endpoint list, or poll it once.
-    Watch,
+    WatchEndpoints,
     /// Publish load reports of all ready cache endpoints, and return [`Event::WeightFactors`].
     PublishLoad(Vec<LoadReport>),
 }
--- a/crates/decide/src/configuration.rs
+++ b/crates/decide/src/configuration.rs
@@ -56,7 +56,7 @@
 pub enum Discovery {
     /// Changes are pushed.
     Push,
-    /// Changes arrive only after [`Action::Watch`](crate::api::Action::Watch).
+    /// Changes arrive only after [`Action::WatchEndpoints`](crate::api::Action::WatchEndpoints).
     Poll,
 }
 
@@ -106,16 +106,16 @@
     pub discovery: Discovery,
     /// Source of load reports.
     pub reporting: Reporting,
-    /// Whether listed weights are lasting, so that keys can be assigned by them.
-    pub weights_are_lasting: bool,
+    /// Whether listed weights are stable, so that keys can be assigned by them.
+    pub has_stable_weights: bool,
     /// Maximum number of attempts per request.
     pub max_attempts: u32,
     /// Whether two attempts of a request may be outstanding at once.
     pub hedged_requests: bool,
     /// Whether attempts may be cancelled.
-    pub cancel: bool,
+    pub may_cancel: bool,
     /// Whether instances may send each other messages.
-    pub peers: bool,
+    pub may_message_peers: bool,
     /// Longest retry-after time that clients honour; 0 if none is passed on to them.
     pub max_retry_after_us: Micros,
     /// Price of an attempt that crosses zones, per request.
@@ -160,11 +160,11 @@
             origin_kind: None,
             discovery: Discovery::Push,
             reporting: Reporting::Off,
-            weights_are_lasting: false,
+            has_stable_weights: false,
             max_attempts: 3,
             hedged_requests: false,
-            cancel: false,
-            peers: false,
+            may_cancel: false,
+            may_message_peers: false,
             max_retry_after_us: 0,
             cross_zone_price: 0.0,
             slow_start_fraction: 0.1,
--- a/crates/decide/src/lib.rs
+++ b/crates/decide/src/lib.rs
@@ -6,7 +6,7 @@
 //!
 //! ```
 //! use decide::api::{
-//!     Action, CellId, Class, ClassId, Effect, EndpointEntry, EndpointId, Event, Key, ListKind, Outcome, Presence,
+//!     Action, CellId, Class, ClassId, Effect, EndpointEntry, EndpointId, EndpointState, Event, Key, ListKind, Outcome,
 //!     Request, RequestId, Settings, TenantId, ZoneId,
 //! };
 //! use decide::policy::Router;
@@ -24,12 +24,12 @@
 //!
 //! let entry = |id, kind| EndpointEntry {
 //!     id: EndpointId(id),
-//!     presence: Presence::Ready,
+//!     state: EndpointState::Ready,
 //!     kind,
 //!     weight: 1.0,
 //!     cell: CellId(0),
 //!     zone: ZoneId(0),
-//!     online_since: 0,
+//!     started_at: 0,
 //! };
 //! let list = vec![entry(10, 0), entry(99, 1)]; // a cache node and the origin
 //! router.handle(0, Event::EndpointList(ListKind::Full, list), &mut actions);
--- a/crates/decide/tests/common/mod.rs
+++ b/crates/decide/tests/common/mod.rs
@@ -44,12 +44,12 @@
 pub fn entry(id: u64) -> EndpointEntry {
     EndpointEntry {
         id: EndpointId(id),
-        presence: Presence::Ready,
+        state: EndpointState::Ready,
         kind: u16::from(id == ORIGIN),
         weight: 1.0,
         cell: CellId(0),
         zone: ZoneId(0),
-        online_since: 0,
+        started_at: 0,
     }
 }
 
--- a/crates/emulator/src/clients.rs
+++ b/crates/emulator/src/clients.rs
@@ -1,4 +1,4 @@
-//! The clients: open-loop arrivals of requests, independent of the answers.
+//! The model of the clients: open-loop arrivals of requests, which do not depend on the answers.
 
 use crate::scenario::{Effect, Scenario, micros};
 use crate::{Micros, SECOND};
@@ -12,20 +12,20 @@
 /// The first hot key, beyond all other keys.
 const FIRST_HOT_KEY: u64 = 1 << 40;
 
-/// What a client wants: a request with its retries.
+/// A logical request of a client. It covers the first attempt and the retries.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Intent {
-    /// When the first request was sent.
+    /// The time of the first attempt.
     pub at: Micros,
-    /// The index of its class.
+    /// The index of the request class.
     pub class: usize,
-    /// The index of its municipio.
+    /// The index of the municipio.
     pub municipio: usize,
-    /// Whether it exceeds the municipio's quota.
+    /// Whether the request exceeds the municipio's quota.
     pub over_quota: bool,
     /// The requested key.
     pub key: Key,
-    /// The work on one core of speed 1, in microseconds.
+    /// The work of the request on one core of speed 1, in microseconds.
     pub work_us: f64,
     /// The client's timeout of each attempt.
     pub timeout: Micros,
@@ -40,14 +40,15 @@
 }
 
 impl Quota {
-    fn consume(&mut self, now: Micros) -> bool {
+    /// Takes a token for a request that arrives at `now`. Returns whether the request exceeds the quota.
+    fn take_token(&mut self, now: Micros) -> bool {
         self.tokens += now.saturating_sub(self.at) as f64 / SECOND as f64 * self.per_s;
-        // The bucket holds the tokens of one second.
+        // The bucket holds at most the tokens of one second.
         self.tokens = self.tokens.min(self.per_s.max(1.0));
         self.at = now;
-        let over = self.tokens < 1.0;
-        self.tokens -= if over { 0.0 } else { 1.0 };
-        over
+        let exceeded = self.tokens < 1.0;
+        self.tokens -= if exceeded { 0.0 } else { 1.0 };
+        exceeded
     }
 }
 
@@ -58,10 +59,11 @@
     municipios: WeightedIndex<f64>,
     keys: Zipf<f64>,
     quotas: Vec<Quota>,
+    /// The usual arrival rate, per second.
     rate: f64,
-    /// The current rate as a multiple of the usual one.
+    /// The current arrival rate as a multiple of the usual one.
     pub surge: f64,
-    /// The number of hot keys and the fraction of reads for them, during such a fault.
+    /// The number of hot keys and the fraction of reads for these keys; `None` when the fault is not active.
     pub hot_keys: Option<(u64, f64)>,
 }
 
@@ -69,53 +71,63 @@
     /// Creates the clients of a scenario.
     ///
     /// # Panics
-    /// Does not panic for a validated scenario, whose fractions are positive.
+    /// Panics if a class part, a quota or the Zipf exponent is not positive; in a validated scenario, all are.
     #[must_use]
     pub fn new(scenario: &Scenario) -> Self {
-        let (callers, all) = (&scenario.callers, &scenario.municipios);
-        let total: f64 = all.iter().map(|m| m.share).sum();
+        let (clients, municipios) = (&scenario.clients, &scenario.municipios);
+        let total: f64 = municipios.iter().map(|municipio| municipio.quota_share).sum();
         let quota = |share: f64| {
-            let per_s = share / total * callers.per_second * QUOTA_HEADROOM;
+            let per_s = share / total * clients.requests_per_second * QUOTA_HEADROOM;
             Quota { per_s, tokens: per_s.max(1.0), at: 0 }
         };
         Self {
-            classes: WeightedIndex::new(scenario.classes.iter().map(|c| c.part)).expect("parts above 0"),
-            municipios: WeightedIndex::new(all.iter().map(|m| m.share * m.asks)).expect("quotas above 0"),
-            keys: Zipf::new(callers.keys as f64, callers.zipf).expect("an exponent above 0"),
-            quotas: all.iter().map(|m| quota(m.share)).collect(),
-            // A municipio that exceeds its share adds load instead of displacing that of others.
-            rate: callers.per_second * all.iter().map(|m| m.share * m.asks).sum::<f64>() / total,
+            classes: WeightedIndex::new(scenario.classes.iter().map(|class| class.share))
+                .expect("the class parts are positive in a validated scenario"),
+            municipios: WeightedIndex::new(
+                municipios.iter().map(|municipio| municipio.quota_share * municipio.demand_multiple),
+            )
+            .expect("the quotas are positive in a validated scenario"),
+            keys: Zipf::new(clients.keys as f64, clients.zipf_exponent)
+                .expect("the Zipf exponent is positive in a validated scenario"),
+            quotas: municipios.iter().map(|m| quota(m.quota_share)).collect(),
+            // A municipio that exceeds its share adds load; it does not displace the load of others.
+            rate: clients.requests_per_second
+                * municipios
+                    .iter()
+                    .map(|municipio| municipio.quota_share * municipio.demand_multiple)
+                    .sum::<f64>()
+                / total,
             surge: 1.0,
             hot_keys: None,
         }
     }
 
     /// Draws the time until the next arrival.
-    pub fn next_pause(&self, rng: &mut impl Rng) -> Micros {
+    pub fn draw_interarrival_time(&self, rng: &mut impl Rng) -> Micros {
         let unit: f64 = Exp1.sample(rng);
         ((unit / (self.rate * self.surge) * SECOND as f64).ceil() as Micros).max(1)
     }
 
-    /// Draws the intent that arrives now.
-    pub fn next_intent(&mut self, now: Micros, scenario: &Scenario, rng: &mut impl Rng) -> Intent {
+    /// Draws the intent that arrives at `now`.
+    pub fn draw_intent(&mut self, now: Micros, scenario: &Scenario, rng: &mut impl Rng) -> Intent {
         let (class, municipio) = (self.classes.sample(rng), self.municipios.sample(rng));
         let spec = &scenario.classes[class];
         let key = match self.hot_keys {
-            Some((keys, part)) if spec.effect == Effect::SafeToRepeat && rng.random_bool(part) => {
+            Some((keys, fraction)) if spec.effect == Effect::Idempotent && rng.random_bool(fraction) => {
                 FIRST_HOT_KEY + rng.random_range(0..keys)
             }
-            // Consecutive numbers are spread over all 64 bits.
+            // The multiplication spreads consecutive numbers over all 64 bits.
             _ => (self.keys.sample(rng) as u64).wrapping_mul(0x9e37_79b9_7f4a_7c15),
         };
-        let patience = rng.random_range(scenario.callers.patience..=1.0);
+        let timeout_fraction = rng.random_range(scenario.clients.min_timeout_fraction..=1.0);
         Intent {
             at: now,
             class,
             municipio,
-            over_quota: self.quotas[municipio].consume(now),
+            over_quota: self.quotas[municipio].take_token(now),
             key: Key(key),
-            work_us: micros(spec.work) as f64 * rng.random_range(0.7..1.3),
-            timeout: (micros(spec.deadline) as f64 * patience) as Micros,
+            work_us: micros(spec.mean_work) as f64 * rng.random_range(0.7..1.3),
+            timeout: (micros(spec.deadline) as f64 * timeout_fraction) as Micros,
         }
     }
 }
--- a/crates/fleet/src/member/actions.rs
+++ b/crates/fleet/src/member/actions.rs
@@ -6,7 +6,7 @@
 use crate::output::{Output, ProposalOutcome};
 use crate::replicated_state::LogPosition;
 use crate::wire::Body;
-use agreement::{Action, Micros, Revision, Stamped, Store};
+use agreement::{Action, Micros, Revision, StampedEntry, Store};
 use membership::{Member, Membership};
 
 /// Number of revisions from one snapshot of the state to the next.
@@ -29,18 +29,18 @@
     }
 
     fn report_caught_up(&mut self) {
-        let is_caught_up = self.agreement.lag().is_none() && self.agreement.applied() > 0;
+        let is_caught_up = self.agreement.newer_commit_index().is_none() && self.agreement.commit_index() > 0;
         if is_caught_up && !self.is_caught_up {
-            self.outputs.push_back(Output::CaughtUp(self.agreement.applied()));
+            self.outputs.push_back(Output::CaughtUp(self.agreement.commit_index()));
         }
         self.is_caught_up = is_caught_up;
     }
 
     fn snapshot_if_due(&mut self, now: Micros) {
-        let applied = self.agreement.applied();
+        let applied = self.agreement.commit_index();
         if applied >= self.snapshot_revision + SNAPSHOT_INTERVAL {
             self.snapshot_revision = applied;
-            self.agreement.snapshot(now, applied, self.state.snapshot().into());
+            self.agreement.supply_snapshot(now, applied, self.state.snapshot().into());
         }
     }
 
@@ -70,7 +70,7 @@
         }
     }
 
-    fn apply(&mut self, now: Micros, revision: Revision, stamped: &Stamped<Entry>) {
+    fn apply(&mut self, now: Micros, revision: Revision, stamped: &StampedEntry<Entry>) {
         let position = LogPosition { revision, timestamp: stamped.timestamp };
         let result = self.state.apply(now, position, &stamped.entry, &mut self.lease);
         let changed_calendar = result.is_some();
--- a/crates/gateway/src/engine/handle.rs
+++ b/crates/gateway/src/engine/handle.rs
@@ -25,7 +25,7 @@
 pub enum CommandError {
     /// The command is invalid or not possible in the current state.
     #[error(transparent)]
-    Order(#[from] OverrideError),
+    Override(#[from] OverrideError),
     /// The overrides file could not be written, so that the command would be lost with the process.
     #[error("the order could not be written to {OVERRIDES_FILE}: {0}")]
     NotPersisted(String),
@@ -121,7 +121,7 @@
     }
 
     /// Sends a watch event of discovery to the engine, which handles it before all other inputs.
-    pub fn handle_watch_event(&self, event: WatchEvent) {
+    pub fn publish_watch_event(&self, event: WatchEvent) {
         let _ = self.discovery.send(DiscoveryInput { event, published_at: Instant::now() });
     }
 
@@ -155,7 +155,7 @@
 
     /// Returns a watch on whether the balancer is draining.
     #[must_use]
-    pub fn draining(&self) -> watch::Receiver<bool> {
+    pub fn subscribe_draining(&self) -> watch::Receiver<bool> {
         self.draining.subscribe()
     }
 
@@ -170,20 +170,20 @@
     }
 
     /// Waits until the engine is ready: it has an endpoint list and its overrides, and is not fenced.
-    pub async fn until_ready(&self) {
+    pub async fn wait_until_ready(&self) {
         let _ = self.ready.subscribe().wait_for(|ready| *ready).await; // cannot fail: this handle owns the sender
     }
 
     /// Returns whether the engine has an endpoint list and its overrides, and is not fenced.
     #[must_use]
-    pub fn ready(&self) -> bool {
-        *self.ready.borrow() && !self.fenced()
+    pub fn is_ready(&self) -> bool {
+        *self.ready.borrow() && !self.is_fenced()
     }
 
     /// Returns whether new requests are rejected because this balancer holds no lease of the fleet. Correct even before
     /// the engine has polled the end of the lease.
     #[must_use]
-    pub fn fenced(&self) -> bool {
+    pub fn is_fenced(&self) -> bool {
         self.fleet.get().is_some_and(|fleet| fleet.clock.now() >= fleet.serve_until.get())
     }
 
--- a/crates/spindlebeam/tests/fleet_rules.rs
+++ b/crates/spindlebeam/tests/fleet_rules.rs
@@ -8,9 +8,9 @@
 
 const STALLED: Faults = Faults {
     stalled: true,
-    lost: 0.0,
-    doubled: 0.0,
-    reordered: 0.0,
+    loss_probability: 0.0,
+    duplication_probability: 0.0,
+    reordering_probability: 0.0,
     delay: Duration::ZERO,
     jitter: Duration::ZERO,
     cut: false,
@@ -76,11 +76,11 @@
     let verdict = fleet.verdict();
     verdict.assert_clean();
     assert!(verdict.lost_with_killed > 10, "{verdict}");
-    let runs_at_origin = fleet.origin().runs().all();
+    let runs_at_origin = fleet.origin().executions().all();
     for balancer in 1..3 {
         let runs = runs_at_origin.iter().filter(|run| run.class == "once" && run.balancer == Some(balancer));
         assert!(
-            runs.filter(|run| run.at > restarted).count() > 10,
+            runs.filter(|run| run.received > restarted).count() > 10,
             "a restarted balancer serves too few requests: {verdict}"
         );
     }
@@ -159,7 +159,7 @@
     fleet.clients().await_sent(1_350);
     fleet.balancer(0).to_cache_nodes[0].heal();
     fleet.balancer(1).to_cache_nodes[1].heal();
-    fleet.restart_knowing(8, Disk::Empty, old).unwrap();
+    fleet.restart_with_known_list(8, Disk::Empty, old).unwrap();
     fleet.clients().await_answered(2_250);
     let verdict = fleet.verdict();
     verdict.assert_clean();
@@ -178,7 +178,7 @@
 fn ten_balancers_exchange_gossip_through_the_relay() {
     let fleet = fleet(17).balancers(10).with_peers(true).start().unwrap();
     let pairs = || (0..10).flat_map(|a| (0..10).map(move |b| (a, b))).filter(|(a, b)| a != b);
-    let until = Instant::now() + testfleet::PATIENCE;
+    let until = Instant::now() + testfleet::WAIT_TIMEOUT;
     while !pairs().all(|(a, b)| fleet.udp_relay().counts(a, b).sent > 1) {
         assert!(Instant::now() < until, "a pair of balancers exchanged no gossip");
         std::thread::yield_now();
