--- a/crates/front/src/client/commands.rs
+++ b/crates/front/src/client/commands.rs
@@ -32,7 +32,7 @@
                 self.clear_command_timers();
             }
         }
-        self.read_commands();
+        self.decode_commands();
     }
 
     /// Returns the longest time ago at which the input just read may have arrived: the current stall of the event loop
@@ -53,7 +53,7 @@
     /// Checks an incomplete command: starts its timers, and reserves memory for a large value before the value is read.
     /// Returns a reply if the command is rejected.
     fn check_partial_command(&mut self) -> Option<Reply> {
-        if self.input.is_empty() || self.memory.is_some() || self.bytes_to_skip > 0 {
+        if self.input.is_empty() || self.value_permit.is_some() || self.bytes_to_skip > 0 {
             return None;
         }
         self.command_awaited_since.get_or_insert_with(Instant::now);
@@ -74,8 +74,8 @@
             return Some(self.reject_malformed(ProtoError::TooLong("command"))); // no other command has a large argument
         };
         let missing = partial.bytes.saturating_sub(self.input.len());
-        self.memory = self.front.handle.reserve_memory(partial.bytes);
-        if self.memory.is_some() {
+        self.value_permit = self.front.handle.reserve_memory(partial.bytes);
+        if self.value_permit.is_some() {
             self.input.reserve(missing);
             return None;
         }
@@ -95,17 +95,17 @@
     }
 
     /// Decodes the complete commands in the input, up to the limit of pending replies.
-    pub(super) fn read_commands(&mut self) {
+    pub(super) fn decode_commands(&mut self) {
         let stage = self.schedule().stage_now();
         while !self.is_ending && self.replies.len() < MAX_PENDING_REPLIES {
-            let decoded = match self.memory {
+            let decoded = match self.value_permit {
                 Some(_) => resp::decode_large_command(&mut self.input),
                 None => resp::decode_command(&mut self.input),
             };
             let memory = if let Ok(Some(_)) = decoded {
                 self.clear_command_timers();
                 self.report_state(ReportedState::Busy);
-                self.memory.take()
+                self.value_permit.take()
             } else {
                 None
             };
--- a/crates/front/src/client/connection.rs
+++ b/crates/front/src/client/connection.rs
@@ -56,16 +56,18 @@
     pub(super) is_ending: bool,
     /// Whether the client has closed its sending side.
     pub(super) has_client_closed: bool,
-    /// When the wait for a command began: the first one, or the rest of an incomplete one.
+    /// When the wait for a command began: for the first command when the connection was opened, for a later one when it
+    /// was first found incomplete in the input, and while the last argument of a command arrives, at the latest input.
+    /// `None` between commands.
     pub(super) command_awaited_since: Option<Instant>,
     /// How long a command may take from its first byte to its last; for the first command the time starts when the
     /// connection opens. Protects the slots from clients that send nothing or half a command; a usual command takes
     /// milliseconds.
     pub(super) command_timeout: Duration,
-    /// The deadline for the arrival of an incomplete command, once the length of its last word is known.
+    /// The deadline for the arrival of an incomplete command, once the length of its last argument is known.
     pub(super) value_deadline: Option<Instant>,
     /// The memory reserved for a large value that is arriving.
-    pub(super) memory: Option<MemoryPermit>,
+    pub(super) value_permit: Option<MemoryPermit>,
     /// The longest time for which the latest input may have waited before it was read.
     pub(super) input_age: Duration,
     /// The longest time for which the connection may have existed when it was accepted: its wait for a slot and a stall
@@ -109,7 +111,7 @@
             command_awaited_since: Some(now),
             command_timeout: Duration::from_micros(accepted.timeout.0),
             value_deadline: None,
-            memory: None,
+            value_permit: None,
             input_age: Duration::ZERO,
             slotless: accepted.slotless,
             bytes_to_skip: 0,
--- a/crates/front/src/client/serve.rs
+++ b/crates/front/src/client/serve.rs
@@ -13,20 +13,21 @@
 use tokio::task::yield_now;
 use tokio::time::{Instant, sleep_until};
 
-/// The size of a batch of replies from which on no further reply is added to it.
-const MAX_BATCH_BYTES: usize = 256 * 1024;
-/// The capacity of the buffer for the header of a streamed value.
-const HEADER_BYTES: usize = 16;
+/// Replies are added to a batch until it has at least this size.
+const BATCH_TARGET_BYTES: usize = 256 * 1024;
+/// The capacity of the buffer for the RESP bulk header of a streamed value, in bytes.
+const BULK_HEADER_CAPACITY: usize = 16;
 
-/// What happened on a connection.
+/// The result of waiting for the next event on a connection.
 enum Event {
-    /// An event that needs no further handling.
+    /// Input, an answer, a close by the client or a wake-up was handled while waiting.
     Handled,
     /// The slot is needed for another connection.
     SlotNeeded,
-    /// The connection was idle for too long, or its command is overdue.
+    /// The connection was idle for too long, or a command did not arrive within the command timeout: the first command
+    /// of the connection, or the rest of an incomplete one.
     Overdue,
-    /// The last word of a command, such as a large value, did not arrive in time.
+    /// The last argument of a command, such as a large value, did not arrive in time.
     ValueOverdue,
 }
 
@@ -34,19 +35,19 @@
 enum Step {
     /// Stay open.
     Continue,
-    /// Close after an error or `QUIT`.
+    /// After an error or `QUIT`: close the sending side, then discard input until the client closes.
     LingeringClose,
-    /// Close between requests.
+    /// No request is open: close the sending side, and leave a command that races the close unread.
     Close(CloseReason),
 }
 
 impl Client {
-    /// Serves the connection until it ends. Dropping the tickets of unanswered requests tells the core that their
-    /// client has left.
+    /// Serves the connection until it ends. Dropping the tickets of unanswered requests tells the engine that
+    /// their client has left.
     pub(crate) async fn run(mut self) -> io::Result<()> {
         self.stream.set_nodelay(true)?;
-        // The client may have closed the connection while it waited to be accepted. The runtime notices that once it
-        // has polled the socket; without this yield, a request would be read first.
+        // The client may have closed the connection before it was accepted. The runtime notices the close when it polls
+        // the socket; without this yield, a request would be read first.
         yield_now().await;
         let mut batch = BytesMut::new();
         while !self.has_client_closed {
@@ -86,11 +87,11 @@
         let schedule = self.schedule();
         let stage = schedule.stage_now();
         if stage < Stage::Finishing {
-            self.has_read_final_input = false;
+            self.has_read_final_input = false; // a drain can be undone, and a later one has its own final input
         } else {
             if !self.has_read_final_input {
                 self.read_final_input().await?;
-                return Ok(Step::Continue); // the commands in that input have replies now
+                return Ok(Step::Continue); // the commands in that input have entries in `replies` now
             }
             if self.reject_partial_command() {
                 return Ok(Step::Continue);
@@ -106,7 +107,7 @@
         match self.next_event(&schedule, stage).await? {
             Event::Handled => {}
             Event::ValueOverdue => self.end_overdue_command(),
-            // A request that arrived just before the close was read and is served.
+            // The guard reads once more: a request that arrived just before the close is served.
             Event::SlotNeeded | Event::Overdue if self.read_available_input().await? => {}
             Event::Overdue if self.has_partial_command() => self.end_overdue_command(),
             Event::SlotNeeded => return Ok(Step::Close(CloseReason::SlotNeeded)),
@@ -126,10 +127,11 @@
 
     /// Waits for the next event. Input and answers are handled here.
     async fn next_event(&mut self, schedule: &Schedule, stage: Stage) -> io::Result<Event> {
-        let all_answered = self.replies.is_empty();
-        if all_answered {
-            let is_awaiting = self.command_awaited_since.is_some();
-            let state = if is_awaiting { ReportedState::AwaitingCommand } else { ReportedState::Idle };
+        let has_no_replies = self.replies.is_empty();
+        if has_no_replies {
+            let is_awaiting_command = self.command_awaited_since.is_some();
+            let state =
+                if is_awaiting_command { ReportedState::AwaitingCommand } else { ReportedState::Idle };
             self.report_state(state);
         }
         let mode = self.read_mode(stage);
@@ -137,15 +139,16 @@
         let command_deadline = self.command_awaited_since.map(|since| since + self.command_timeout);
         let command_deadline = command_deadline.filter(|_| may_read);
         let value_deadline = self.value_deadline.filter(|_| may_read);
-        let idle_deadline = schedule.close_idle_at.filter(|_| all_answered && !self.has_partial_command());
-        let eviction_deadline = if all_answered { self.eviction_deadline() } else { None };
+        let idle_deadline = schedule.close_idle_at.filter(|_| has_no_replies && !self.has_partial_command());
+        let eviction_deadline = if has_no_replies { self.eviction_deadline() } else { None };
         if eviction_deadline.is_some_and(|deadline| deadline <= Instant::now()) {
             self.was_asked_to_close = false;
             return Ok(Event::SlotNeeded);
         }
-        let idle_deadline = idle_deadline.into_iter().chain(eviction_deadline).min();
-        let deadline = command_deadline.into_iter().chain(value_deadline).chain(idle_deadline).min();
-        // Deadlines are checked before the socket, which may always have more to read.
+        let close_deadline = idle_deadline.into_iter().chain(eviction_deadline).min();
+        let deadline = command_deadline.into_iter().chain(value_deadline).chain(close_deadline).min();
+        // Deadlines are checked before the socket: a client that never stops sending would otherwise defer them
+        // forever.
         if let Some(deadline) = deadline.filter(|deadline| *deadline <= Instant::now()) {
             let value_is_overdue = value_deadline.is_some_and(|until| until <= deadline);
             return Ok(if value_is_overdue { Event::ValueOverdue } else { Event::Overdue });
@@ -155,20 +158,25 @@
             biased;
             answer = next_answer(&mut self.replies) => {
                 self.replies[0] = Reply::encode(answer);
+                // Only an answer during a shutdown counts: after it, an idle connection may close at once.
                 self.last_answered_at = self.front.shutdown().is_closing().then(Instant::now);
             }
             event = read_or_watch(&mut self.stream, &mut self.input, mode) => match event? {
                 ClientEvent::Input => self.handle_input(),
                 ClientEvent::Closed => self.has_client_closed = true,
+                // The unread bytes count as an open request, so the connection must not wait for answers any longer.
                 ClientEvent::UnreadInput => self.fail_pending_replies(),
             },
-            () = self.close_signal.notified(), if all_answered => self.was_asked_to_close = true,
+            () = self.close_signal.notified(), if has_no_replies => self.was_asked_to_close = true,
             () = self.front.shutdown_changed.notified() => {}
+            // Without a wake-up time, the branch is disabled and the fallback is not used.
             () = sleep_until(wake_at.unwrap_or(self.opened_at)), if wake_at.is_some() => {}
         }
         Ok(Event::Handled)
     }
 
+    /// Returns what is awaited on the socket: input while commands are read; otherwise the close by the client and,
+    /// from [`Stage::Abandoning`] on, also the arrival of input, at which pending requests fail.
     fn read_mode(&self, stage: Stage) -> ReadMode {
         if !self.is_ending && self.replies.len() < MAX_PENDING_REPLIES && stage < Stage::Finishing {
             ReadMode::Read
@@ -179,11 +187,11 @@
         }
     }
 
-    /// Moves the replies that are ready to `batch`, and decodes further commands as the number of pending replies
+    /// Moves the replies that are ready to `batch`, and decodes further commands as the number of replies
     /// falls.
     fn collect_ready_replies(&mut self, batch: &mut BytesMut) {
         loop {
-            while batch.len() < MAX_BATCH_BYTES {
+            while batch.len() < BATCH_TARGET_BYTES {
                 match self.replies.pop_front() {
                     Some(Reply::Ready(bytes)) if batch.is_empty() => *batch = bytes,
                     Some(Reply::Ready(bytes)) => batch.unsplit(bytes),
@@ -194,32 +202,35 @@
                     None => break,
                 }
             }
-            // Decodes commands that the limit of pending replies held back; otherwise they would wait for more input.
-            let pending = self.replies.len();
-            self.read_commands();
-            if self.replies.len() == pending {
+            // Decodes commands that the limit of replies held back; otherwise they would wait for more input.
+            let reply_count = self.replies.len();
+            self.decode_commands();
+            if self.replies.len() == reply_count {
                 return;
             }
         }
     }
 
-    /// Rejects an incomplete command after the end of reading: the rest of it may be in transit, and the command would
-    /// be lost with the connection. Returns whether there was one.
+    /// Rejects an incomplete command with `-BUSY` after the end of reading. The rest of the command may be in transit
+    /// but is no longer read; without a reply, the command would be lost with the connection. Returns whether there was
+    /// one.
     fn reject_partial_command(&mut self) -> bool {
-        // At the limit of pending replies the input may hold complete commands, which are decoded as replies are
+        // At the limit of replies the input may hold complete commands, which are decoded as replies are
         // written.
-        let may_hold_complete = self.replies.len() >= MAX_PENDING_REPLIES;
-        if self.is_ending || may_hold_complete || self.input.is_empty() || self.bytes_to_skip > 0 {
+        let may_hold_complete_commands = self.replies.len() >= MAX_PENDING_REPLIES;
+        // Bytes to skip belong to a value whose command was already rejected.
+        if self.is_ending || may_hold_complete_commands || self.input.is_empty() || self.bytes_to_skip > 0 {
             return false;
         }
-        self.memory = None;
+        self.value_permit = None;
         self.replies.push_back(Reply::line(BUSY));
         self.input.clear();
         self.clear_command_timers();
         true
     }
 
-    /// Stops waiting for answers, since the connection closes: unanswered requests are answered as failed.
+    /// Stops waiting for answers, since the connection closes. Answers that have already arrived are used; the other
+    /// pending requests are answered as failed.
     fn fail_pending_replies(&mut self) {
         for reply in &mut self.replies {
             if let Reply::Pending(ticket) = reply {
@@ -229,11 +240,11 @@
         }
     }
 
-    /// Forwards a large value as it arrives. If the value breaks off, the connection ends; the client detects this by
+    /// Forwards a large value as it arrives. If the value ends early, the connection ends; the client detects this by
     /// the length in the header.
     async fn stream_value(&mut self) -> io::Result<()> {
         let Some(Reply::Streamed(mut streamed)) = self.replies.pop_front() else { return Ok(()) };
-        let mut header = BytesMut::with_capacity(HEADER_BYTES);
+        let mut header = BytesMut::with_capacity(BULK_HEADER_CAPACITY);
         resp::encode_bulk_header(&mut header, streamed.length());
         write_all(&self.stream, &header).await?;
         while !streamed.is_finished() {
