--- a/crates/membership/src/action.rs
+++ b/crates/membership/src/action.rs
@@ -71,14 +71,14 @@
     Suspicion(SuspicionStep),
 }
 
-/// The state of a suspicion that this member raised. The next step sends the suspect a reminder, or lets foca
+/// The state of a suspicion that this member raised. The next step notifies the suspect, or lets foca
 /// declare it down.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct SuspicionStep {
     pub(crate) id: MemberId,
     pub(crate) swim_incarnation: foca::Incarnation,
-    /// The number of reminders left to send.
-    pub(crate) reminders: u8,
+    /// The number of notices left to send.
+    pub(crate) notices_left: u8,
     /// The timer of foca that declares the suspect down; `None` unless this member's own probe failed.
     pub(crate) verdict: Option<foca::Timer<MemberId>>,
 }
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -72,7 +72,7 @@
         let random = SmallRng::seed_from_u64(seed);
         Self {
             local,
-            foca: Foca::new(id, settings.to_foca(), random, PostcardCodec),
+            foca: Foca::new(id, settings.to_foca_config(), random, PostcardCodec),
             roster,
             settings,
             foca_output: AccumulatingRuntime::new(),
--- a/crates/membership/src/membership/foca_output.rs
+++ b/crates/membership/src/membership/foca_output.rs
@@ -1,5 +1,5 @@
 //! Translates foca's output into actions. Stretches timeouts by the local health score, and adds the
-//! reminders to suspects.
+//! suspicion notices to suspects.
 
 use std::time::Duration;
 
@@ -99,9 +99,12 @@
             &foca::Timer::ChangeSuspectToDown { member_id: id, incarnation: swim_incarnation, .. } => {
                 if self.suspicions.raise(id.number, Some(&timer)) {
                     self.counters.suspicions += 1;
-                    let reminders = self.settings.reminders;
+                    let notices_left = self.settings.suspicion_notices;
                     let verdict = Some(timer);
-                    self.advance_suspicion(now, SuspicionStep { id, swim_incarnation, reminders, verdict });
+                    self.advance_suspicion(
+                        now,
+                        SuspicionStep { id, swim_incarnation, notices_left, verdict },
+                    );
                 }
                 return;
             }
--- a/crates/membership/src/membership/probing.rs
+++ b/crates/membership/src/membership/probing.rs
@@ -1,4 +1,4 @@
-//! Probes and suspicions: repeated pings, reminders to the suspect, and declaring it down.
+//! Probes and suspicions: repeated pings, notices to the suspect, and declaring it down.
 
 use foca::{Incarnation, State};
 
@@ -33,22 +33,22 @@
         }
     }
 
-    /// Advances a suspicion that this member raised: sends a reminder, or declares the suspect down.
+    /// Advances a suspicion that this member raised: notifies the suspect, or declares it down.
     pub(super) fn advance_suspicion(&mut self, now: Micros, step: SuspicionStep) {
-        let SuspicionStep { id, swim_incarnation, reminders, verdict } = step;
+        let SuspicionStep { id, swim_incarnation, notices_left, verdict } = step;
         if self.suspected_at(id) != Some(swim_incarnation) {
             return self.suspicions.withdraw(id.number);
         }
-        let interval = self.settings.suspicion_timeout / Micros::from(self.settings.reminders.max(1));
+        let interval = self.settings.suspicion_timeout / Micros::from(self.settings.suspicion_notices.max(1));
         if let Some(left) = self.health.quiet_for(now) {
-            let step = SuspicionStep { id, swim_incarnation, reminders: reminders.max(1), verdict };
+            let step = SuspicionStep { id, swim_incarnation, notices_left: notices_left.max(1), verdict };
             return self.schedule(now, left, TimerKind::Suspicion(step));
         }
-        if reminders == 0 {
+        if notices_left == 0 {
             return self.declare_down(id, swim_incarnation, verdict);
         }
         self.send_update(id, foca::Member::new(id, swim_incarnation, State::Suspect));
-        let step = SuspicionStep { id, swim_incarnation, reminders: reminders - 1, verdict };
+        let step = SuspicionStep { id, swim_incarnation, notices_left: notices_left - 1, verdict };
         self.schedule(now, interval, TimerKind::Suspicion(step));
     }
 
@@ -82,8 +82,11 @@
             let running = self.suspicions.skips_probe(now, id.number, swim_incarnation, timeout);
             if !running && self.suspicions.raise(id.number, None) {
                 self.counters.suspicions += 1;
-                let reminders = self.settings.reminders.div_ceil(2);
-                self.advance_suspicion(now, SuspicionStep { id, swim_incarnation, reminders, verdict: None });
+                let notices_left = self.settings.suspicion_notices.div_ceil(2);
+                self.advance_suspicion(
+                    now,
+                    SuspicionStep { id, swim_incarnation, notices_left, verdict: None },
+                );
             }
         }
     }
--- a/crates/membership/src/membership/rejoin.rs
+++ b/crates/membership/src/membership/rejoin.rs
@@ -11,7 +11,7 @@
 impl Membership {
     /// Runs a rejoin round now, and uses the fast interval for the following ones.
     pub(super) fn start_fast_rejoin(&mut self, now: Micros) {
-        self.fast_rejoin_until = now.saturating_add(self.settings.fast_rejoin_time);
+        self.fast_rejoin_until = now.saturating_add(self.settings.fast_rejoin_period);
         self.run_rejoin_round(now);
     }
 
