--- a/crates/gateway/src/engine/phases/attempts.rs
+++ b/crates/gateway/src/engine/phases/attempts.rs
@@ -54,12 +54,12 @@
             awaited: context.awaited.clone(),
             deduplication_ends: context.deduplication_ends(self.tick),
         };
-        context.maybe_executed.push(sent);
+        context.maybe_executed_attempts.push(sent);
         let call = context.call.clone();
         // A request that has met a stale connection must not meet another. A write must not meet one at all, and so
         // avoids idle connections to an endpoint that closed one recently.
-        let needs_new_connection =
-            context.met_stale_connection || (call.value.is_some() && self.pools.was_stale_recently(endpoint));
+        let needs_new_connection = context.used_stale_connection
+            || (call.value.is_some() && self.pools.was_stale_recently(endpoint));
         let source = if needs_new_connection {
             self.pools.check_out_new(endpoint)
         } else {
@@ -149,7 +149,7 @@
         if outcome.proves_never_ran() {
             context.mark_not_executed(number);
         }
-        context.met_stale_connection |= stale;
+        context.used_stale_connection |= stale;
         if context.is_streaming {
             let complete = outcome == Outcome::Ok;
             self.handle.counters.borrow_mut().count_streamed(context.class, complete);
--- a/crates/gateway/src/engine/phases/requests.rs
+++ b/crates/gateway/src/engine/phases/requests.rs
@@ -11,10 +11,10 @@
 use tokio_util::time::delay_queue;
 use upstream::call::Answer;
 
-/// The time after its deadline at which a request is failed if the decision module has left it unanswered.
+/// How long after its deadline a request is failed if the decision module has left it unanswered.
 const OVERDUE_DELAY: Duration = Duration::from_millis(10);
-/// The rules allow an answer less than this long after its deadline. A later answer is logged with the client's id of
-/// the request.
+/// An answer must follow less than this long after the deadline of its request. A later answer is logged with the
+/// client's id of the request.
 const MAX_ANSWER_DELAY: Duration = Duration::from_millis(50);
 
 impl Engine {
@@ -27,7 +27,7 @@
             self.handle.counters.borrow_mut().client_left += 1; // the client left while the request was queued
             return;
         }
-        // Caps the time limit, so that no client can occupy a place among the open requests for minutes.
+        // Caps the time limit, so that no client can keep a request open for minutes.
         let deadline = incoming.received + incoming.time_limit.min(self.bounds.longest);
         let time_left = deadline.saturating_duration_since(accepted_at);
         if let Err(reason) = self.check_admission(&mut incoming, time_left) {
@@ -54,11 +54,11 @@
             answer_sender: Some(slot.sender),
             awaited: slot.awaited,
             attempts_started: 0,
-            met_stale_connection: false,
-            maybe_executed: Vec::new(),
+            used_stale_connection: false,
+            maybe_executed_attempts: Vec::new(),
             in_flight: Vec::new(),
             is_streaming: false,
-            overdue_extended: false,
+            overdue_timer_extended: false,
             timers: vec![overdue_timer],
         };
         self.requests.insert(id, context);
@@ -70,6 +70,7 @@
         if self.is_fenced() {
             return Err(Reason::Fenced);
         }
+        // A request with a time limit of zero is not rejected here; it is passed to the decision module.
         if time_left.is_zero() && !incoming.time_limit.is_zero() {
             return Err(Reason::Deadline);
         }
@@ -117,12 +118,13 @@
             Action::Timer { delay_us, token } => {
                 let delay = Duration::from_micros(delay_us);
                 let key = self.timers.schedule(TimerEvent::Decision(token), delay);
+                // The token of a timer that belongs to a request is the id of the request.
                 if let Some(context) = self.requests.get_mut(&RequestId(token.0)) {
                     context.timers.push(key);
                 }
             }
             Action::CloseIdle(endpoint) => self.pools.close_idle(endpoint),
-            Action::WatchEndpoints => {} // the watch of discovery is always open
+            Action::WatchEndpoints => {} // nothing to do: a watch of the endpoint list is always open
             Action::PublishLoad(reports) => {
                 let now = self.now();
                 self.events.extend(self.gossip.publish(now, &reports));
@@ -165,7 +167,7 @@
         }
     }
 
-    /// Handles a request whose front has given up waiting: counts it as failed, and ends its attempts.
+    /// Handles a request that the front no longer waits for: counts it as failed, and ends its attempts.
     pub(in crate::engine) fn handle_abandoned(&mut self, id: RequestId) {
         if self.requests.get(&id).is_some_and(|context| context.answer_sender.is_some()) {
             self.fail_request(id, Reason::ShuttingDown);
@@ -173,7 +175,7 @@
     }
 
     /// Fails a request that the decision module has not answered in time. A safeguard for the rule that every request
-    /// gets an answer: no such request has been observed.
+    /// gets an answer; no case is known in which it was needed.
     pub(in crate::engine) fn handle_overdue(&mut self, id: RequestId) {
         let Some(context) = self.requests.get_mut(&id).filter(|context| context.answer_sender.is_some())
         else {
@@ -181,8 +183,9 @@
         };
         // After a stall of the event loop, the timers of the decision module and of attempts are as late as this one.
         // The extension lets them be handled first.
+        // The timer is due one delay after the deadline, so at twice the delay it has fired late.
         let was_stalled = context.deadline.elapsed() >= 2 * OVERDUE_DELAY;
-        if was_stalled && !std::mem::replace(&mut context.overdue_extended, true) {
+        if was_stalled && !std::mem::replace(&mut context.overdue_timer_extended, true) {
             let timer = self.timers.schedule(TimerEvent::RequestOverdue(id), OVERDUE_DELAY);
             return context.timers.push(timer);
         }
@@ -191,7 +194,8 @@
         self.fail_request(id, Reason::RecordLost);
     }
 
-    /// Fails an open request without a decision of the decision module, and tells it that the request has ended.
+    /// Fails an open request without a decision of the decision module, and tells the module that the request
+    /// has ended.
     fn fail_request(&mut self, id: RequestId, reason: Reason) {
         self.handle.counters.borrow_mut().count_failed(reason);
         self.send_answer(id, Answer::Failed);
@@ -199,8 +203,8 @@
         self.remove_if_finished(id);
     }
 
-    /// Removes an expired timer from its request. Its key may be reused, and the request must not cancel another timer
-    /// by it.
+    /// Removes an expired timer from its request. Its key may be reused for another timer, which the request must not
+    /// cancel.
     pub(in crate::engine) fn forget_timer(&mut self, id: RequestId, key: delay_queue::Key) {
         if let Some(context) = self.requests.get_mut(&id) {
             context.timers.retain(|kept| *kept != key);
--- a/crates/gateway/src/engine/requests.rs
+++ b/crates/gateway/src/engine/requests.rs
@@ -39,14 +39,14 @@
     /// The number of attempts started so far.
     pub(super) attempts_started: u16,
     /// Whether an attempt was sent on a connection that the endpoint had already closed.
-    pub(super) met_stale_connection: bool,
+    pub(super) used_stale_connection: bool,
     /// Attempts that may have been executed. Short, because the number of attempts of a request is limited.
-    pub(super) maybe_executed: Vec<SentAttempt>,
+    pub(super) maybe_executed_attempts: Vec<SentAttempt>,
     pub(super) in_flight: Vec<CancellableAttempt>,
     /// Whether a large answer is being streamed to the client.
     pub(super) is_streaming: bool,
     /// Whether the `RequestOverdue` timer was extended, which happens at most once.
-    pub(super) overdue_extended: bool,
+    pub(super) overdue_timer_extended: bool,
     /// Pending timers. Cancelled with the request, so that they do not occupy memory until they expire.
     pub(super) timers: Vec<delay_queue::Key>,
 }
@@ -58,7 +58,7 @@
     /// subtracted, the same margin that the decision module uses.
     pub(super) fn deduplication_ends(&self, tick: Duration) -> Option<Instant> {
         let Effect::IdempotentWithKey { span_us, .. } = self.effect else { return None };
-        let first = self.maybe_executed.iter().map(|attempt| attempt.sent_at).min()?;
+        let first = self.maybe_executed_attempts.iter().map(|attempt| attempt.sent_at).min()?;
         Some(first + Duration::from_micros(span_us).saturating_sub(2 * tick))
     }
 
@@ -70,7 +70,7 @@
 
     /// Records that an attempt was never executed.
     pub(super) fn mark_not_executed(&mut self, number: u16) {
-        self.maybe_executed.retain(|attempt| attempt.number != number);
+        self.maybe_executed_attempts.retain(|attempt| attempt.number != number);
     }
 
     /// Returns whether the request is answered and none of its attempts is in flight.
