--- a/crates/agreement/src/agreement.rs
+++ b/crates/agreement/src/agreement.rs
@@ -152,7 +152,7 @@
 
     /// Supplies a snapshot of the owner's state after the entry at `revision`. A snapshot longer than
     /// [`MAX_SNAPSHOT_BYTES`] is ignored. Items well before the snapshot are trimmed.
-    pub fn snapshot(&mut self, now: Micros, revision: Revision, state: Bytes) {
+    pub fn supply_snapshot(&mut self, now: Micros, revision: Revision, state: Bytes) {
         if state.len() > MAX_SNAPSHOT_BYTES {
             return;
         }
@@ -167,12 +167,12 @@
     }
 
     /// Returns the commit index: the revision of the last item that was reported to the owner.
-    pub fn applied(&self) -> Revision {
+    pub fn commit_index(&self) -> Revision {
         self.log.last_revision()
     }
 
     /// Returns the highest commit index advertised by a peer, if it is above this balancer's own.
-    pub fn lag(&self) -> Option<Revision> {
+    pub fn newer_commit_index(&self) -> Option<Revision> {
         Some(self.catch_up.highest_advertised()).filter(|highest| *highest > self.log.last_revision())
     }
 
--- a/crates/agreement/tests/common/mod.rs
+++ b/crates/agreement/tests/common/mod.rs
@@ -3,7 +3,7 @@
 #![allow(dead_code, unreachable_pub, reason = "shared by several test programs, each of which uses a part")]
 use agreement::{
     Action, Agreement, MAX_MESSAGE_BYTES, MemoryStore, Message, Micros, NodeId, ProposalOutcome, Revision,
-    Settings, Stamped, Store, StoreChange, StoredState, TICK_INTERVAL_US, VotingBlock,
+    Settings, StampedEntry, Store, StoreChange, StoredState, TICK_INTERVAL_US, VotingBlock,
 };
 use std::{
     cell::RefCell,
@@ -286,7 +286,7 @@
             match action {
                 Action::Send { to, message } => self.send(node_id, to, &message),
                 Action::Committed { revision, stamped } => {
-                    let Stamped { timestamp, proposer, proposal_id, entry } = stamped;
+                    let StampedEntry { timestamp, proposer, proposal_id, entry } = stamped;
                     let item = CommittedItem { timestamp, proposer, proposal_id, entry };
                     self.record_committed(node_id, revision, item);
                 }
@@ -327,7 +327,11 @@
         if revision.is_multiple_of(self.snapshot_interval) {
             let mut bytes = postcard::to_allocvec(&balancer.state).expect("the state can be encoded");
             bytes.resize(5_000, 7);
-            balancer.node.as_mut().expect("the balancer has a process").snapshot(now, revision, bytes.into());
+            balancer.node.as_mut().expect("the balancer has a process").supply_snapshot(
+                now,
+                revision,
+                bytes.into(),
+            );
         }
         if let Some(earlier) = self.committed.get(&revision) {
             assert_eq!(*earlier, item, "balancer {node_id} gets another item at revision {revision}");
--- a/crates/calendar/tests/calendar.rs
+++ b/crates/calendar/tests/calendar.rs
@@ -128,29 +128,29 @@
     let (start, mut calendar) = (utc("2026-01-24T12:00Z"), Calendar::new(ACTIVATION_DELAY));
     let it = freeze("now", "2026-01-24T00:00", "2026-01-25T00:00", "UTC");
     assert_eq!(calendar.apply(7, start, &add(&it)), Applied::Added);
-    assert_eq!(calendar.phase("now", start + ACTIVATION_DELAY - 1), Some(EntryPhase::Agreed));
+    assert_eq!(calendar.phase("now", start + ACTIVATION_DELAY - 1), Some(EntryPhase::Committed));
     assert!(!frozen(&calendar, start + ACTIVATION_DELAY - 1));
     assert_eq!(calendar.phase("now", start + ACTIVATION_DELAY), Some(EntryPhase::InForce));
     assert!(frozen(&calendar, start + ACTIVATION_DELAY));
     assert_eq!(calendar.phase("now", utc("2026-01-25T00:00Z")), Some(EntryPhase::Ended));
-    assert_eq!(calendar.apply(7, start, &add(&it)), Applied::Known);
+    assert_eq!(calendar.apply(7, start, &add(&it)), Applied::AlreadyApplied);
     let duplicate = ProposalError::Duplicate("now".into());
     assert_eq!(calendar.apply(8, start, &add(&it)), Applied::Refused(duplicate));
     let revoke =
         |id: &str| Proposal::Revoke(Revoke { id: id.into(), asked_by: "Ana".into(), reason: "over".into() });
-    let unknown = ProposalError::Unknown("none".into());
+    let unknown = ProposalError::UnknownEntry("none".into());
     assert_eq!(calendar.apply(9, start, &revoke("none")), Applied::Refused(unknown));
     assert_eq!(calendar.apply(10, start + 60_000, &revoke("now")), Applied::Revoked);
     assert!(!frozen(&calendar, start + 60_000));
     assert_eq!(calendar.phase("now", start + 60_000), Some(EntryPhase::Revoked));
-    assert_eq!((calendar.revision(), calendar.agreed_at("now")), (10, Some((start, 7))));
+    assert_eq!((calendar.revision(), calendar.committed_at("now")), (10, Some((start, 7))));
     assert!(matches!(
         calendar.apply(11, start + 60_001, &revoke("now")),
-        Applied::Refused(ProposalError::Unknown(_))
+        Applied::Refused(ProposalError::UnknownEntry(_))
     ));
     assert!(matches!(
         calendar.apply(12, utc("2027-01-01T00:00Z"), &add(&it)),
-        Applied::Refused(ProposalError::Over(_))
+        Applied::Refused(ProposalError::EndsBeforeInForce(_))
     ));
     assert_eq!(calendar.entries().count(), 0, "the entry is dropped after its retention time");
 }
@@ -163,14 +163,14 @@
         assert_eq!(calendar.apply(n as u64 + 1, 1_000, &add(&numbered_freeze(n))), Applied::Added);
     }
     let applied = calendar.apply(20_000, 1_000, &add(&numbered_freeze(MAX_ENTRIES)));
-    assert_eq!(applied, Applied::Refused(ProposalError::Full));
+    assert_eq!(applied, Applied::Refused(ProposalError::TooManyEntries));
     let zones = (0..MAX_NAMES_PER_ENTRY).map(|n| format!("z{n}")).collect();
     let scope = Scope { kinds: vec![], place: ScopeTarget::Zones(zones) };
     let daily_in_many_zones =
         Freeze { repeat: repeat("2027-12-31", Recurrence::Daily(1)), scope, ..numbered_freeze(0) };
     assert_eq!(
         support::calendar(&[]).validate_proposal(1_000, &add(&daily_in_many_zones)),
-        Err(ProposalError::TooMany)
+        Err(ProposalError::TooManyOccurrences)
     );
 }
 
@@ -179,7 +179,7 @@
     let calendar = calendar(&[freeze("it", "2026-01-24T00:00", "2026-02-01T00:00", "UTC")]);
     let (inside, outside) = (exact_time(utc("2026-01-25T00:00Z")), exact_time(utc("2026-03-01T00:00Z")));
     use ChangeKind::*;
-    for kind in [Drain, Gone, Fall, Cold, Out, Back, Less] {
+    for kind in [Drain, Gone, Down, Restarted, Disabled, Enabled, WeightReduced] {
         let verdict = calendar.check(inside, LeaseState::Fenced, &Change::of_host(kind, "h", "z"));
         assert_eq!(verdict, Verdict::Allow { revision: 1, override_id: None });
     }
@@ -210,7 +210,7 @@
     let in_a = Change::of_host(ChangeKind::Join, "h", "a");
     let verdict = calendar.check(exact_time(committed), LeaseState::Held, &in_a);
     assert_eq!(verdict, Verdict::Allow { revision: 5, override_id: Some("rack".into()) });
-    assert!(held(&calendar, committed, &Change::of_host(ChangeKind::More, "h", "a")));
+    assert!(held(&calendar, committed, &Change::of_host(ChangeKind::WeightIncreased, "h", "a")));
     assert!(held(&calendar, committed, &Change::of_fleet(ChangeKind::Join)));
     let zone_change = Change { kind: ChangeKind::Zone, host: Some("h"), zones: [Some("a"), Some("b")] };
     assert!(held(&calendar, committed, &zone_change), "the override covers only one of the two zones");
--- a/crates/decide/src/endpoint.rs
+++ b/crates/decide/src/endpoint.rs
@@ -1,6 +1,6 @@
 //! The state of one listed endpoint: its list entry, health, load and slow start.
 
-use crate::api::{EndpointEntry, LoadReport, Micros, Mode, Outcome, Presence, Settings};
+use crate::api::{EndpointEntry, EndpointState, LoadReport, Micros, Mode, Outcome, Settings};
 use std::mem;
 
 /// The number of attempts in flight, and its integral over time for load reports.
@@ -50,7 +50,7 @@
     pub(crate) entry: EndpointEntry,
     /// Whether the endpoint is the origin.
     pub(crate) is_origin: bool,
-    /// Its listed weight if listed weights are lasting, 1 otherwise.
+    /// Its listed weight if listed weights are stable, 1 otherwise.
     pub(crate) weight: f64,
     /// The fraction of its capacity that it has for certain, by the slow-start ramp; 1 once it is warm.
     pub(crate) slow_start_factor: f64,
@@ -82,7 +82,7 @@
             weight: 1.0,
             slow_start_factor: 1.0,
             weight_factor: 1.0,
-            has_answered: entry.online_since == 0,
+            has_answered: entry.started_at == 0,
             last_answer_at: 0,
             newest_answered: [0; 2],
             health: Health::default(),
@@ -100,12 +100,12 @@
 
     /// Returns whether the endpoint is ready but ejected. A draining or removed endpoint does not count as ejected.
     pub(crate) fn is_ejected(&self) -> bool {
-        self.health.ejected_until > 0 && self.entry.presence == Presence::Ready
+        self.health.ejected_until > 0 && self.entry.state == EndpointState::Ready
     }
 
     /// Returns whether this is a cache endpoint that is listed as ready.
     pub(crate) fn is_ready_cache(&self) -> bool {
-        self.entry.presence == Presence::Ready && !self.is_origin
+        self.entry.state == EndpointState::Ready && !self.is_origin
     }
 
     /// Returns whether the endpoint is past its slow start.
@@ -173,7 +173,7 @@
 
     /// Returns whether the endpoint started less than the slow-start span ago.
     pub(crate) fn is_in_slow_start(&self, now: Micros, settings: &Settings) -> bool {
-        let since = self.entry.online_since;
+        let since = self.entry.started_at;
         since != 0 && now.saturating_sub(since) < settings.slow_start_us
     }
 
@@ -181,13 +181,13 @@
     pub(crate) fn update_weight(&mut self, now: Micros, settings: &Settings) {
         let initial = settings.slow_start_fraction;
         self.slow_start_factor = if self.is_in_slow_start(now, settings) {
-            let age_us = now.saturating_sub(self.entry.online_since);
+            let age_us = now.saturating_sub(self.entry.started_at);
             let ramp = age_us as f64 / settings.slow_start_us as f64;
             initial + (1.0 - initial) * ramp
         } else {
             1.0
         };
-        self.weight = if settings.weights_are_lasting { self.entry.weight } else { 1.0 };
+        self.weight = if settings.has_stable_weights { self.entry.weight } else { 1.0 };
         self.is_origin = settings.mode == Mode::CacheAside && settings.origin_kind == Some(self.entry.kind);
     }
 }
--- a/crates/decide/tests/endpoints.rs
+++ b/crates/decide/tests/endpoints.rs
@@ -36,7 +36,7 @@
 fn only_keys_of_added_or_removed_endpoints_move() {
     let mut router = TestRouter::new(settings(), 1, 10);
     let before = endpoints_by_key(&mut router, 0..1_000, 1);
-    router.apply_list(ListKind::Delta, vec![EndpointEntry { presence: Presence::Gone, ..entry(4) }]);
+    router.apply_list(ListKind::Delta, vec![EndpointEntry { state: EndpointState::Gone, ..entry(4) }]);
     let without = endpoints_by_key(&mut router, 0..1_000, 2_000);
     let keys_of_4 = before.values().filter(|&&s| s == 4).count();
     assert_eq!(count_moved_keys(&before, &without), keys_of_4, "only the keys of the removed endpoint");
@@ -50,7 +50,7 @@
 
 #[test]
 fn heavier_endpoints_have_more_keys() {
-    let mut router = TestRouter::new(Settings { weights_are_lasting: true, ..settings() }, 1, 2);
+    let mut router = TestRouter::new(Settings { has_stable_weights: true, ..settings() }, 1, 2);
     router.apply_list(ListKind::Delta, vec![EndpointEntry { weight: 3.0, ..entry(2) }]);
     let share = endpoints_by_key(&mut router, 0..2_000, 1).values().filter(|&&s| s == 2).count();
     assert!((1_400..1_600).contains(&share), "three quarters: {share}");
@@ -117,16 +117,16 @@
 
 #[test]
 fn draining_or_removed_endpoint_gets_no_reads_or_fetches() {
-    for presence in [Presence::Draining, Presence::Gone] {
+    for state in [EndpointState::Draining, EndpointState::Gone] {
         let mut router = TestRouter::new(settings(), 1, 3);
         router.submit_and_miss(1, 0, 11);
         let waiting = router.submit_and_miss(2, 0, 12);
-        let unavailable = |id| EndpointEntry { presence, ..entry(id) };
+        let unavailable = |id| EndpointEntry { state, ..entry(id) };
         router.apply_list(ListKind::Delta, vec![unavailable(ORIGIN), unavailable(2)]);
         let after = router.advance(1_000 * MS, &waiting);
-        assert!(forwarded_to(&after).is_empty() && is_rejected(&after), "{presence:?}: {after:?}");
+        assert!(forwarded_to(&after).is_empty() && is_rejected(&after), "{state:?}: {after:?}");
         let homes = endpoints_by_key(&mut router, 0..200, 100);
-        assert!(homes.len() == 200 && homes.values().all(|&s| s != 2), "{presence:?}");
+        assert!(homes.len() == 200 && homes.values().all(|&s| s != 2), "{state:?}");
     }
 }
 
@@ -141,7 +141,7 @@
 fn slow_start_limits_a_hot_key_unless_the_endpoint_is_fast() {
     let mut router = TestRouter::new(settings(), 1, 9);
     count_reads_by_endpoint(&mut router, 20_000..20_400, |_| 30);
-    let cold = EndpointEntry { online_since: router.now, ..entry(10) };
+    let cold = EndpointEntry { started_at: router.now, ..entry(10) };
     router.apply_list(ListKind::Delta, vec![cold]);
     // Find a key whose home is the cold endpoint.
     let key = (0..10_000).find(|&key| {
@@ -177,7 +177,7 @@
     let now = router.now;
     router.apply_list(
         ListKind::Delta,
-        (1..=10).map(|id| EndpointEntry { online_since: now, ..entry(id) }).collect(),
+        (1..=10).map(|id| EndpointEntry { started_at: now, ..entry(id) }).collect(),
     );
     let sent = (0..1_000)
         .filter(|&id| {
@@ -195,7 +195,7 @@
 fn restarted_endpoint_warms_up_again() {
     let mut router = TestRouter::new(settings(), 1, 4);
     let before = endpoints_by_key(&mut router, 0..400, 1).values().filter(|&&s| s == 2).count();
-    let again = EndpointEntry { online_since: router.now, ..entry(2) };
+    let again = EndpointEntry { started_at: router.now, ..entry(2) };
     router.apply_list(ListKind::Delta, vec![again]);
     let after = endpoints_by_key(&mut router, 0..400, 1_000).values().filter(|&&s| s == 2).count();
     assert!(after < before / 2, "{before} then {after}");
@@ -225,7 +225,7 @@
         endpoints_used_after_failures(TestRouter::new(settings(), 1, 10), 1..=2, Outcome::ConnectFailed);
     router.apply_list(
         ListKind::Delta,
-        [1, 2].map(|id| EndpointEntry { presence: Presence::Draining, ..entry(id) }).to_vec(),
+        [1, 2].map(|id| EndpointEntry { state: EndpointState::Draining, ..entry(id) }).to_vec(),
     );
     let (_, used) = endpoints_used_after_failures(router, 3..=3, Outcome::Error);
     assert!(
@@ -331,7 +331,7 @@
     for _ in 0..8 {
         let [Action::Timer { delay_us, .. }] = actions[..] else { panic!("expected one timer: {actions:?}") };
         waits.push(delay_us);
-        assert_eq!(router.advance(delay_us, &actions), [Action::Watch]);
+        assert_eq!(router.advance(delay_us, &actions), [Action::WatchEndpoints]);
         actions = router.apply_list(ListKind::Failed, vec![]);
     }
     assert!(
--- a/crates/emulator/src/simulation/timeline.rs
+++ b/crates/emulator/src/simulation/timeline.rs
@@ -1,4 +1,4 @@
-//! The events of the simulation, ordered by time.
+//! The events of the simulation and their order.
 
 use crate::Micros;
 use crate::referee::Answer;
@@ -6,9 +6,9 @@
 use decide::api::{EndpointEntry, Outcome, RequestId, Token};
 use std::cmp::Ordering;
 
-/// An attempt of a gateway.
+/// The identity of an attempt that a gateway sends.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub(super) struct Tag {
+pub(super) struct AttemptId {
     pub(super) gateway: usize,
     pub(super) request: RequestId,
     pub(super) attempt: u16,
@@ -25,11 +25,11 @@
 /// The end of an attempt, as it reaches the gateway.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Response {
-    pub(super) tag: Tag,
+    pub(super) id: AttemptId,
     pub(super) outcome: Outcome,
     /// The request that the answer was made for.
     pub(super) made_for: RequestId,
-    /// The work that the node has spent on it.
+    /// The work that the node did for the attempt.
     pub(super) work_us: f64,
 }
 
@@ -38,23 +38,23 @@
 pub(super) struct Notification {
     pub(super) gateway: usize,
     pub(super) node: usize,
-    /// The version of the node's entry, by which an outdated notification is recognized.
+    /// The version of the node's entry; a gateway ignores a notification with an outdated version.
     pub(super) version: u32,
     pub(super) entry: EndpointEntry,
 }
 
-/// An event of the simulation. Gateways, nodes, intents and faults are given by number.
+/// An event of the simulation. Gateways, nodes, intents and faults are identified by number.
 #[derive(Debug)]
 pub(super) enum SimEvent {
     Arrival,
     Retry(usize, u32),
     ArriveAtGateway(usize, ClientAttempt),
-    ArriveAtNode(usize, node::Job<Tag>),
-    FinishAtNode(usize, u32, node::Job<Tag>),
-    ArriveAtOrigin(origin::Job<Tag>),
-    FinishAtOrigin(origin::Job<Tag>),
+    ArriveAtNode(usize, node::Job<AttemptId>),
+    FinishAtNode(usize, u32, node::Job<AttemptId>),
+    ArriveAtOrigin(origin::Job<AttemptId>),
+    FinishAtOrigin(origin::Job<AttemptId>),
     Response(Response),
-    AttemptTimeout(Tag),
+    AttemptTimeout(AttemptId),
     ClientDeadline(usize, RequestId),
     AnswerAtClient(ClientAttempt, Answer, Micros),
     Timer(usize, Token),
@@ -65,7 +65,7 @@
     RestartNode(usize, u32),
 }
 
-/// An event with its time; events at the same time happen in the order they were scheduled.
+/// An event with its time. Events at the same time are handled in the order in which they were scheduled.
 pub(super) struct ScheduledEvent {
     pub(super) at: Micros,
     pub(super) order: u64,
--- a/crates/front/src/operator/call.rs
+++ b/crates/front/src/operator/call.rs
@@ -102,7 +102,9 @@
         match self.handle.apply_override(command).await {
             Ok(true) => response::json(StatusCode::OK, &json!({"done": true})),
             Ok(false) => response::json(StatusCode::ACCEPTED, &json!({"done": true, "kept": false})),
-            Err(error @ CommandError::Order(_)) => response::error(StatusCode::NOT_FOUND, &error.to_string()),
+            Err(error @ CommandError::Override(_)) => {
+                response::error(StatusCode::NOT_FOUND, &error.to_string())
+            }
             Err(error) => {
                 log::error!("operators: {error}");
                 response::error(StatusCode::INTERNAL_SERVER_ERROR, &error.to_string())
@@ -134,9 +136,9 @@
     }
 
     fn ready(&self) -> Response<Full<Bytes>> {
-        let reason = if self.handle.fenced() {
+        let reason = if self.handle.is_fenced() {
             "fenced: no lease of the fleet is held, and nothing new is taken"
-        } else if !self.handle.ready() {
+        } else if !self.handle.is_ready() {
             "the list of cache hosts, or what was ordered before, has not come yet"
         } else if let Some(reason) = self.front.closing_reason() {
             reason
--- a/crates/gateway/tests/fleet.rs
+++ b/crates/gateway/tests/fleet.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use audit::lease::{Lease, LeaseGrant, Settings};
+use audit::lease::{Lease, LeaseGrant, LeaseSettings};
 use bytes::Bytes;
 use calendar::{Calendar, ChangeOutcome, Entry, Freeze, Proposal, Scope, ScopeTarget};
 use decide::api::{Outcome, RequestId};
@@ -75,7 +75,7 @@
 fn lease(clock: Clock) -> Lease {
     let now = clock.now();
     let span = LEASE.as_micros() as u64;
-    let mut lease = Lease::new(0, 7, Settings::new(span, span, 3), now);
+    let mut lease = Lease::new(0, 7, LeaseSettings::new(span, span, 3), now);
     let serial = lease.poll_request(now).unwrap().serial;
     lease.apply_grants(now, 1, NOW_US, &[LeaseGrant { number: 0, incarnation: 7, serial }]);
     lease
@@ -143,11 +143,11 @@
         assert!(counters.contains("1 rejected (fenced 1)"), "{counters}");
         balancer.grant_lease();
         balancer.engine.update_readiness();
-        assert!(balancer.handle.ready());
+        assert!(balancer.handle.is_ready());
         let _accepted = balancer.submit(2).await;
         assert_eq!(balancer.engine.request_count(), 1, "request 2 is accepted under the lease");
         advance(LEASE).await;
-        assert!(!balancer.handle.ready(), "not ready even before the engine has run again");
+        assert!(!balancer.handle.is_ready(), "not ready even before the engine has run again");
         assert!(matches!(final_answer(balancer.submit(3).await).await, Answer::Rejected(0)));
         let counters = balancer.engine.counters();
         assert!(counters.contains("2 rejected (fenced 2)"), "{counters}");
@@ -155,7 +155,7 @@
         assert!(!balancer.engine.last_readiness());
         balancer.grant_lease();
         balancer.engine.update_readiness();
-        assert!(balancer.handle.ready(), "ready again under a new lease");
+        assert!(balancer.handle.is_ready(), "ready again under a new lease");
     };
     LocalSet::new().run_until(run).await;
 }
@@ -290,7 +290,8 @@
         while let Ok(event) = balancer.audit_events.try_recv() {
             match event {
                 AuditEvent::Record(record) => {
-                    text += &format!("{} {} {}\n", record.host, record.list, record.revision);
+                    text +=
+                        &format!("{} {} {}\n", record.host, record.list_revision, record.calendar_revision);
                 }
                 AuditEvent::Report(report) => last = Some(report),
                 AuditEvent::Entry(_) => {}
--- a/crates/spindlebeam/benches/lists.rs
+++ b/crates/spindlebeam/benches/lists.rs
@@ -53,10 +53,11 @@
 }
 
 fn run(program: &str, endpoints: usize, update: ListUpdate, keys: u64, core: Core) -> std::io::Result<()> {
-    let fleet =
-        Fleet::builder(program).balancers(1).cache_nodes(CACHE_NODES).ids(endpoints / CACHE_NODES).seed(40);
+    let fleet = Fleet::builder(program).balancers(1).cache_nodes(CACHE_NODES).seed(40);
+    let fleet = fleet.ids_per_cache_node(endpoints / CACHE_NODES);
     let fleet = fleet.overrides(json!({"limits": {"sockets": 512}})).start()?;
-    (0..CACHE_NODES).for_each(|number| fleet.cache_node(number).set_behaviour(CacheNodeBehaviour::HoldsAll));
+    (0..CACHE_NODES)
+        .for_each(|number| fleet.cache_node(number).set_behaviour(CacheNodeBehaviour::AlwaysHits));
     let process = fleet.balancer(0).process.id();
     let used = || resource_usage(process).unwrap_or_default();
     let before = used();
@@ -80,7 +81,7 @@
     let names: Vec<&str> = (0..drained).map(|number| fleet.cache_node(number).name()).collect();
     let late = fleet.attempts().with_entries(|all| {
         let sent = all.iter().filter(|it| names.contains(&&it.endpoint[..]));
-        let delays = sent.filter_map(|it| it.at.checked_duration_since(notified?));
+        let delays = sent.filter_map(|it| it.received.checked_duration_since(notified?));
         let late: Vec<Duration> = delays.filter(|delay| *delay > GRACE).collect();
         (late.len(), late.into_iter().max().unwrap_or_default())
     });
--- a/crates/spindlebeam/src/config.rs
+++ b/crates/spindlebeam/src/config.rs
@@ -11,7 +11,7 @@
 use anyhow::{Context, Result, ensure};
 use decide::api::Settings;
 use fields::{ConfigFile, parse_address, plain_text, whole_number};
-use front::operator::MAX_CALLERS;
+use front::operator::MAX_ADMIN_CONNECTIONS;
 use gateway::setup::{Bounds, Config, Names};
 use gossip_transport::GossipAddresses;
 use serde_json::Value;
@@ -57,17 +57,17 @@
 /// If a variable is invalid; the error names it.
 pub fn apply_environment(variable: impl Fn(&str) -> Option<String>, config: &mut Config) -> Result<()> {
     if let Some(text) = variable("PROXY_OPERATOR") {
-        config.operator = Some(parse_address("PROXY_OPERATOR", &text)?);
+        config.admin_address = Some(parse_address("PROXY_OPERATOR", &text)?);
     }
     if let Some(text) = variable("PROXY_FD") {
         let number =
             text.parse().with_context(|| format!("PROXY_FD: {text:?} is not a descriptor number"))?;
         config.inherited_descriptor = Some(number);
     }
-    config.folder = variable("TMPDIR").map(PathBuf::from);
-    if config.operator.is_some() {
+    config.state_folder = variable("TMPDIR").map(PathBuf::from);
+    if config.admin_address.is_some() {
         // Connections to the admin endpoint take descriptors from those of the clients.
-        let clients = config.bounds.clients.saturating_sub(MAX_CALLERS);
+        let clients = config.bounds.clients.saturating_sub(MAX_ADMIN_CONNECTIONS);
         config.bounds.clients = clients.max(1);
     }
     Ok(())
@@ -86,16 +86,17 @@
         .map_err(|error| settings_text::describe_error(&error))?;
     let seed = parse_seed(&file)?;
     let bounds = parse_bounds(&file, &settings)?;
-    let gossip = if settings.peers { parse_gossip(&file, settings.instance as usize)? } else { None };
+    let gossip =
+        if settings.may_message_peers { parse_gossip(&file, settings.instance as usize)? } else { None };
     Ok(Config {
         name: file.required("name")?,
-        listen: file.address("listen")?.context("listen: missing")?,
+        listen_address: file.address("listen")?.context("listen: missing")?,
         inherited_descriptor: None,
-        folder: None,
-        operator: file.address("operator")?,
+        state_folder: None,
+        admin_address: file.address("operator")?,
         discovery: file.address("discovery")?.context("discovery: missing")?,
         seed,
-        known: file.known_endpoints(),
+        known_endpoints: file.known_endpoints(),
         names: parse_names(file.settings()),
         bounds,
         gossip,
@@ -155,12 +156,12 @@
 
 /// Returns the addresses of the other balancers, or `None` without an address to listen on or with too few balancers.
 fn parse_gossip(file: &ConfigFile, me: usize) -> Result<Option<GossipAddresses>> {
-    let (listen, all) = (file.address("peer_listen")?, file.address("peers_all")?);
+    let (listen, broadcast) = (file.address("peer_listen")?, file.address("peers_all")?);
     let peers = file.optional::<Vec<String>>("peers")?.unwrap_or_default();
     let parse_peer = |(n, text): (usize, &String)| parse_address(&format!("peers[{n}]"), text);
-    let each: Vec<_> = peers.iter().enumerate().map(parse_peer).collect::<Result<_>>()?;
+    let balancers: Vec<_> = peers.iter().enumerate().map(parse_peer).collect::<Result<_>>()?;
     validate::peers(peers.len(), file.settings())?;
-    let (Some(listen), true) = (listen, each.len() >= gossip::MIN_BALANCERS) else { return Ok(None) };
-    ensure!(me < each.len(), "settings.me: {me} is none of the {} balancers in peers", each.len());
-    Ok(Some(GossipAddresses { listen, each, all, me }))
+    let (Some(listen), true) = (listen, balancers.len() >= gossip::MIN_BALANCERS) else { return Ok(None) };
+    ensure!(me < balancers.len(), "settings.me: {me} is none of the {} balancers in peers", balancers.len());
+    Ok(Some(GossipAddresses { listen, balancers, broadcast, own_number: me }))
 }
--- a/crates/spindlebeam/src/fleet_thread/answer.rs
+++ b/crates/spindlebeam/src/fleet_thread/answer.rs
@@ -48,7 +48,7 @@
         Some(Applied::Added) => "Some(Added)".into(),
         Some(Applied::Revoked) => "Some(Revoked)".into(),
         Some(Applied::Refused(error)) => format!("Some(Refused({}))", refusal_text(error)),
-        Some(Applied::Known) => "Some(Known)".into(),
+        Some(Applied::AlreadyApplied) => "Some(Known)".into(),
         None => "None".into(),
     }
 }
@@ -59,10 +59,10 @@
             format!("Invalid(Invalid {{ field: {field:?}, what: {} }})", problem_text(*problem))
         }
         ProposalError::Duplicate(id) => format!("Duplicate({id:?})"),
-        ProposalError::Unknown(id) => format!("Unknown({id:?})"),
-        ProposalError::Over(id) => format!("Over({id:?})"),
-        ProposalError::Full => "Full".into(),
-        ProposalError::TooMany => "TooMany".into(),
+        ProposalError::UnknownEntry(id) => format!("Unknown({id:?})"),
+        ProposalError::EndsBeforeInForce(id) => format!("Over({id:?})"),
+        ProposalError::TooManyEntries => "Full".into(),
+        ProposalError::TooManyOccurrences => "TooMany".into(),
     }
 }
 
@@ -70,12 +70,12 @@
     match problem {
         FieldProblem::Empty => "Empty",
         FieldProblem::TooLong => "TooLong",
-        FieldProblem::BeforeStart => "BeforeStart",
+        FieldProblem::EndNotAfterStart => "BeforeStart",
         FieldProblem::UnknownZone => "UnknownZone",
         FieldProblem::NeverHeld => "NeverHeld",
         FieldProblem::OutOfRange => "OutOfRange",
-        FieldProblem::Never => "Never",
-        FieldProblem::TooMany => "TooMany",
+        FieldProblem::NoOccurrence => "Never",
+        FieldProblem::TooManyOccurrences => "TooMany",
     }
 }
 
--- a/crates/spindlebeam/src/serve/serving_file.rs
+++ b/crates/spindlebeam/src/serve/serving_file.rs
@@ -22,12 +22,12 @@
     /// Returns the file of this balancer, or `None` without an inherited socket or a shared folder.
     pub(super) fn new(config: &Config) -> Option<Self> {
         config.inherited_descriptor?;
-        config.folder.as_ref().map(|folder| Self(folder.join(FILE_NAME)))
+        config.state_folder.as_ref().map(|folder| Self(folder.join(FILE_NAME)))
     }
 
     /// Writes the id of this process as soon as it is ready.
     pub(super) async fn announce(self, handle: Handle) {
-        handle.until_ready().await;
+        handle.wait_until_ready().await;
         let process_id = std::process::id().to_string();
         let file = self.0.clone();
         if let Ok(Err(error)) = spawn_blocking(move || std::fs::write(file, process_id)).await {
--- a/crates/spindlebeam/tests/start.rs
+++ b/crates/spindlebeam/tests/start.rs
@@ -28,7 +28,7 @@
     let settings = &config.settings;
     assert_eq!((settings.balancers, settings.zone, settings.zones), (4, ZoneId(1), 2));
     assert_eq!(
-        (settings.origin_kind, settings.max_attempts, settings.weights_are_lasting),
+        (settings.origin_kind, settings.max_attempts, settings.has_stable_weights),
         (Some(1), 5, true)
     );
     assert_eq!(settings.max_retry_after_us, 1_000_000);
@@ -81,12 +81,12 @@
     assert_eq!((kind, stale), (ListKind::Cached, vec![]));
     let expected = EndpointEntry {
         id: endpoint_id("x"),
-        presence: Presence::Ready,
+        state: EndpointState::Ready,
         kind: 1,
         weight: 1.0, // a size of 0 counts as the ordinary one
         cell: CellId(3),
         zone: ZoneId(1),
-        online_since: 5_000,
+        started_at: 5_000,
     };
     assert_eq!(entries[0], expected);
 
@@ -98,8 +98,8 @@
         "x has restarted, y is draining"
     );
     assert!(
-        endpoints.endpoint(endpoint_id("x")).unwrap().ready()
-            && !endpoints.endpoint(endpoint_id("y")).unwrap().ready()
+        endpoints.endpoint(endpoint_id("x")).unwrap().is_ready()
+            && !endpoints.endpoint(endpoint_id("y")).unwrap().is_ready()
     );
 
     let before = endpoints.endpoint(endpoint_id("x")).unwrap().clone();
@@ -110,16 +110,16 @@
         "an endpoint missing from a whole list is gone"
     );
     assert!(
-        !before.ready() && endpoints.endpoint(endpoint_id("x")).is_none(),
+        !before.is_ready() && endpoints.endpoint(endpoint_id("x")).is_none(),
         "also for an attempt that still connects to it"
     );
 
     // Guards against unbounded growth: endpoints that a change list reported as gone were kept for ever.
     let before = endpoints.endpoint(endpoint_id("y")).unwrap().clone();
     let (_, entries, stale) = endpoints.apply(&read(4, false, &[("y", "gone", 0)]), false);
-    assert_eq!((entries[0].presence, stale), (Presence::Gone, vec![endpoint_id("y")]));
+    assert_eq!((entries[0].state, stale), (EndpointState::Gone, vec![endpoint_id("y")]));
     assert!(
-        !before.ready() && endpoints.endpoint(endpoint_id("y")).is_none(),
+        !before.is_ready() && endpoints.endpoint(endpoint_id("y")).is_none(),
         "nothing is kept of a gone endpoint"
     );
 }
@@ -141,7 +141,7 @@
         text.to_string()
     };
     let siblings = config::parse(text("", json!(0), true).as_bytes()).unwrap().gossip.unwrap();
-    assert_eq!((siblings.me, siblings.each.len()), (3, 12));
+    assert_eq!((siblings.own_number, siblings.balancers.len()), (3, 12));
     let bad = [
         ("peer_listen", json!("here"), "peer_listen: \"here\""),
         ("peers_all", json!("10.0.0.1"), "peers_all: \"10.0.0.1\""),
@@ -176,17 +176,17 @@
         config::apply_environment(variable, &mut config).map(|()| config)
     };
     let config = read(json!(null), &[]).unwrap();
-    assert_eq!((config.operator, config.inherited_descriptor, config.folder), (None, None, None));
+    assert_eq!((config.admin_address, config.inherited_descriptor, config.state_folder), (None, None, None));
     let clients = config.bounds.clients;
     let config = read(json!("127.0.0.4:19000"), &[("PROXY_FD", "7"), ("TMPDIR", "/tmp")]).unwrap();
     assert_eq!(
-        (config.operator, config.inherited_descriptor),
+        (config.admin_address, config.inherited_descriptor),
         (Some("127.0.0.4:19000".parse().unwrap()), Some(7))
     );
     assert!(config.bounds.clients < clients, "descriptors are reserved for the admin endpoint");
     let config = read(json!("127.0.0.4:19000"), &[("PROXY_OPERATOR", "127.0.0.4:19001")]).unwrap();
     assert_eq!(
-        config.operator,
+        config.admin_address,
         Some("127.0.0.4:19001".parse().unwrap()),
         "the environment overrides the file"
     );
--- a/crates/testfleet/src/origin.rs
+++ b/crates/testfleet/src/origin.rs
@@ -96,7 +96,7 @@
     }
     /// Returns the log of executions.
     #[must_use]
-    pub fn runs(&self) -> &EventLog<Attempt> {
+    pub fn executions(&self) -> &EventLog<Attempt> {
         &self.shared.runs
     }
 }
@@ -152,7 +152,7 @@
             balancer,
             connection,
             sent,
-            at,
+            received: at,
             ended: None,
         });
         let mut execution = Execution { shared: self, index, ending: Ending::Closed };
